--- /dev/null
+++ b/membership/golden_test.go
@@ -0,0 +1,112 @@
+package membership_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"mothridge/internal/golden"
+	"mothridge/membership"
+)
+
+const (
+	goldenSteps     = 20_000
+	goldenInstances = 25
+)
+
+// play returns the digest of all changes that follow random events from two sources.
+func play(t *testing.T, seed uint64) string {
+	t.Helper()
+	rng := rand.New(rand.NewPCG(seed, 2))
+	config := membership.Config{MaxLoss: 0.1 + rng.Float64()/2}
+	if seed%2 == 0 {
+		config = membership.Config{}
+	}
+	set, err := membership.New(config, membership.Source{Name: "registry", Polled: true}, membership.Source{Name: "platform"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	digest, ready := golden.NewDigest(), 0
+	record := func(changes []membership.Change) {
+		for _, c := range changes {
+			digest.Text('c', strings.Join([]string{c.Key, c.Name, c.Addr, c.Site, c.Kind, c.Cell, c.Protocol}, "\t"))
+			digest.Numbers('s', int64(c.State), int64(c.Started))
+			digest.Float('w', c.Weight)
+		}
+		digest.Numbers('r', int64(set.Ready()))
+		ready += set.Ready()
+	}
+	dirty := int64(0)
+	draw := func(id int) membership.Instance {
+		if dirty++; rng.IntN(20) == 0 {
+			dirty -= 3
+		}
+		i := membership.Instance{
+			ID: fmt.Sprint("i", id), Name: fmt.Sprint("records-", id), Addr: fmt.Sprint("10.0.0.", id%23, ":80"),
+			Site: fmt.Sprint("z", id%3), Weight: float64(id % 4), Dirty: dirty, Updated: dirty + int64(rng.IntN(3)),
+		}
+		if rng.IntN(6) == 0 {
+			i.Status = membership.Status(rng.IntN(5))
+		}
+		if rng.IntN(3) > 0 {
+			i.Started = time.Duration(1+rng.IntN(3)) * time.Minute
+		}
+		if rng.IntN(4) > 0 {
+			i.Cell = fmt.Sprint("cell-", id%5)
+		}
+		return i
+	}
+	now := time.Hour
+	for range goldenSteps {
+		source, replica := rng.IntN(2), fmt.Sprint("replica-", rng.IntN(8)/7)
+		switch pause := rng.IntN(300); {
+		case pause < 150:
+			now += time.Duration(rng.IntN(1500)) * time.Millisecond
+		case pause < 158:
+			now += time.Duration(rng.IntN(110)) * time.Second
+		case pause == 158:
+			now += time.Duration(rng.IntN(15)) * time.Minute
+		}
+		switch rng.IntN(12) {
+		case 0:
+			var list []membership.Instance
+			for id := range goldenInstances {
+				if rng.IntN(10) > 0 {
+					list = append(list, draw(id))
+				}
+			}
+			if rng.IntN(8) == 0 {
+				list = list[:rng.IntN(len(list))]
+			}
+			changes, err := set.Whole(now, source, replica, list)
+			if err != nil {
+				t.Fatal(err)
+			}
+			record(changes)
+		case 1:
+			record(set.Heard(now, source))
+		case 2, 3, 4:
+			record(set.Tick(now))
+		default:
+			d := membership.Delta{Op: membership.Put, Instance: draw(rng.IntN(goldenInstances))}
+			if rng.IntN(4) == 0 {
+				d.Op = membership.Delete
+			}
+			record(set.Delta(now, source, replica, []membership.Delta{d}))
+		}
+	}
+	return fmt.Sprintf("%s %.2f", digest, float64(ready)/goldenSteps)
+}
+
+// The merged view stays as it was recorded. Record it anew with
+//
+//	go test ./membership -run Golden -update
+func TestGoldenChanges(t *testing.T) {
+	var got strings.Builder
+	for seed := range uint64(10) {
+		fmt.Fprintf(&got, "seed %d: %s\n", seed, play(t, seed))
+	}
+	golden.Check(t, "changes", got.String())
+}
--- /dev/null
+++ b/policy/golden_test.go
@@ -0,0 +1,399 @@
+package policy_test
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"mothridge/internal/golden"
+	"mothridge/policy"
+)
+
+const (
+	goldenEvents    = 55_000 // for each scenario: over a million in all
+	goldenServers   = 12
+	goldenRequestMS = 8.0 // mean time between two requests, in ms
+)
+
+// goldenScenario is one configuration, and how the servers behave under it.
+type goldenScenario struct {
+	name   string
+	adjust func(*policy.Config)
+
+	gap     float64 // mean time between requests, as a multiple of goldenRequestMS
+	service float64 // mean service time as a share of the objective
+	faults  float64 // share of attempts that fail in some way
+	restart float64 // share of list updates that restart a server
+	listMS  float64 // mean time between list updates, in ms
+}
+
+var goldenScenarios = []goldenScenario{
+	{name: "plain", gap: 1, service: 0.1, faults: 0.02, restart: 0.1, listMS: 700},
+	{name: "busy", gap: 0.15, service: 0.3, faults: 0.05, restart: 0.1, listMS: 700},
+	{name: "faulty", gap: 0.6, service: 0.15, faults: 0.4, restart: 0.1, listMS: 2000},
+	{name: "slots set", gap: 0.3, service: 0.2, faults: 0.05, restart: 0.1, listMS: 700, adjust: func(c *policy.Config) {
+		c.Slots, c.MarksRepeat, c.MayCancel = 9, true, false
+	}},
+	{name: "no quotas", gap: 0.3, service: 0.2, faults: 0.05, restart: 0.5, listMS: 500, adjust: func(c *policy.Config) {
+		c.Tenants = nil
+	}},
+	{name: "zones", gap: 0.4, service: 0.2, faults: 0.1, restart: 0.1, listMS: 700, adjust: func(c *policy.Config) {
+		c.CrossZonePrice = 0.02
+	}},
+	{name: "asked list", gap: 3, service: 0.1, faults: 0.05, restart: 0.2, listMS: 4000, adjust: func(c *policy.Config) {
+		c.AskList = true
+	}},
+	{name: "asked list without a bound", gap: 2, service: 0.1, faults: 0.05, restart: 0.2, listMS: 6000, adjust: func(c *policy.Config) {
+		c.AskList, c.AskWithin = true, 0
+	}},
+	{name: "restarts", gap: 0.2, service: 0.1, faults: 0.02, restart: 0.9, listMS: 400, adjust: func(c *policy.Config) {
+		c.ColdFrom = 0
+	}},
+	{name: "restarts, fleet", gap: 0.5, service: 0.1, faults: 0.02, restart: 0.9, listMS: 1500, adjust: func(c *policy.Config) {
+		c.Balancers, c.MayProbe = 60, true
+	}},
+	{name: "reports", gap: 0.3, service: 0.2, faults: 0.05, restart: 0.1, listMS: 700, adjust: func(c *policy.Config) {
+		c.MayProbe, c.Reports = true, true
+	}},
+	{name: "low traffic", gap: 4, service: 0.2, faults: 0.15, restart: 0.1, listMS: 1500, adjust: func(c *policy.Config) {
+		c.Balancers, c.MayProbe = 60, true
+	}},
+	{name: "low traffic, reports", gap: 4, service: 0.25, faults: 0.1, restart: 0.1, listMS: 1500, adjust: func(c *policy.Config) {
+		c.Balancers, c.MayProbe, c.Reports, c.CrossZonePrice, c.Tick = 60, true, true, 0.02, 2*time.Millisecond
+	}},
+	{name: "low traffic, costly probes", gap: 2, service: 0.12, faults: 0.02, restart: 0.05, listMS: 3000, adjust: func(c *policy.Config) {
+		c.Balancers, c.MayProbe, c.ProbePrice, c.Slots = 60, true, 0.06, 40
+	}},
+	{name: "hardly any traffic", gap: 60, service: 0.3, faults: 0.3, restart: 0.05, listMS: 3000, adjust: func(c *policy.Config) {
+		c.Balancers, c.MayProbe, c.Reports = 60, true, true
+		c.Classes[0].Worth = 0
+	}},
+	{name: "fast servers", gap: 0.1, service: 0.004, faults: 0.05, restart: 0.2, listMS: 400, adjust: func(c *policy.Config) {
+		c.Slots, c.ColdFrom = 100, 0
+	}},
+	{name: "low traffic, overload", gap: 1, service: 0.7, faults: 0.15, restart: 0.05, listMS: 1500, adjust: func(c *policy.Config) {
+		c.Balancers, c.MayProbe, c.Reports, c.Slots = 60, true, true, 24
+	}},
+	{name: "at the bound of low traffic", gap: 1, service: 0.2, faults: 0.1, restart: 0.1, listMS: 300, adjust: func(c *policy.Config) {
+		c.Balancers, c.MayProbe, c.Reports = 10, true, true
+	}},
+	{name: "stretched objectives", gap: 0.5, service: 0.4, faults: 0.1, restart: 0.1, listMS: 700, adjust: func(c *policy.Config) {
+		for i := range c.Classes {
+			c.Classes[i].AimStretch, c.Classes[i].LateShare = 1.5, 0.3*float64(i%2)
+		}
+	}},
+}
+
+func goldenConfig() policy.Config {
+	class := func(e policy.Effect, s policy.Scope, objective time.Duration, priority float64) policy.Class {
+		return policy.Class{Aim: objective, Deadline: 3 * objective, Worth: priority, Effect: e, Scope: s, Window: objective * 7 / 10}
+	}
+	return policy.Config{
+		Balancers: 3,
+		Classes: []policy.Class{
+			class(policy.Safe, policy.ScopeAll, 300*time.Millisecond, 1), class(policy.Keyed, policy.ScopeAll, 400*time.Millisecond, 2),
+			class(policy.Keyed, policy.ScopeZone, 500*time.Millisecond, 0.5), class(policy.Keyed, policy.ScopeCell, 300*time.Millisecond, 3),
+			class(policy.Unsafe, policy.ScopeAll, 600*time.Millisecond, 4),
+		},
+		Tenants:       []policy.Tenant{{Share: 0.6, Quota: 60}, {Share: 0.25, Quota: 25}, {Share: 0.15, Quota: 15}},
+		MaxAttempts:   3,
+		MayCancel:     true,
+		MaxRetryAfter: time.Second,
+		Tick:          5 * time.Millisecond,
+		AskWithin:     4 * time.Second,
+		ColdFrom:      0.2,
+		ColdTime:      4 * time.Second,
+		ColdMultiple:  2,
+		ProbePrice:    0.004,
+	}
+}
+
+// goldenHost plays servers, clients and discovery in simulated time and digests all
+// that the Balancer decides.
+type goldenHost struct {
+	scenario goldenScenario
+	config   policy.Config
+	b        *policy.Balancer
+	rng      *rand.Rand
+	digest   golden.Digest
+	now      time.Duration
+	events   goldenQueue
+	added    int
+	handled  int
+	nextID   policy.RequestID
+	requests map[policy.RequestID]*goldenRequest
+	servers  [goldenServers]goldenServer
+}
+
+type goldenRequest struct {
+	attempts int
+	out      map[int]bool
+	deadline time.Duration
+	ended    bool
+}
+
+type goldenServer struct {
+	entry    policy.Server
+	inFlight int
+	slow     float64
+	hangs    bool
+}
+
+type goldenEvent struct {
+	at    time.Duration
+	order int
+	run   func()
+}
+
+type goldenQueue []goldenEvent
+
+func (q goldenQueue) Len() int { return len(q) }
+func (q goldenQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+}
+func (q goldenQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *goldenQueue) Push(e any)   { *q = append(*q, e.(goldenEvent)) }
+func (q *goldenQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+func (h *goldenHost) after(d time.Duration, run func()) {
+	h.added++
+	heap.Push(&h.events, goldenEvent{h.now + d, h.added, run})
+}
+
+// exponential draws a time, in ms.
+func (h *goldenHost) exponential(mean float64) time.Duration {
+	return time.Duration(h.rng.ExpFloat64() * mean * float64(time.Millisecond))
+}
+
+func (h *goldenHost) Send(id policy.RequestID, to policy.ServerID, timeout, within time.Duration) {
+	h.digest.Numbers('s', int64(id), int64(to), int64(timeout), int64(within))
+	r := h.requests[id]
+	number := r.attempts
+	r.attempts++
+	r.out[number] = true
+	s := &h.servers[to]
+	s.inFlight++
+	took := h.exponential(h.scenario.service * 400 * s.slow * (1 + float64(s.inFlight)/4))
+	ending := policy.Served
+	switch draw := h.rng.Float64(); {
+	case s.hangs || took > timeout:
+		took, ending = timeout, policy.TimedOut
+	case draw < h.scenario.faults:
+		ending = []policy.Ending{policy.Errored, policy.TurnedAway, policy.NoConnection, policy.Broken, policy.NotSent}[h.rng.IntN(5)]
+		took /= 4
+	case draw > 0.995:
+		h.after(took/2, func() { h.b.StreamBegun(id) })
+	}
+	h.after(took, func() { h.end(id, number, to, ending) })
+}
+
+func (h *goldenHost) end(id policy.RequestID, number int, server policy.ServerID, ending policy.Ending) {
+	r := h.requests[id]
+	if !r.out[number] {
+		return
+	}
+	delete(r.out, number)
+	h.servers[server].inFlight--
+	if ending == policy.Served {
+		r.ended = true
+	}
+	h.b.Outcome(h.now, policy.Outcome{ID: id, Attempt: number, Ending: ending, Settled: r.ended})
+	h.forget(id)
+}
+
+func (h *goldenHost) forget(id policy.RequestID) {
+	if r := h.requests[id]; r != nil && r.ended && len(r.out) == 0 {
+		delete(h.requests, id)
+	}
+}
+
+func (h *goldenHost) Refuse(id policy.RequestID, pause time.Duration) {
+	h.digest.Numbers('r', int64(id), int64(pause), int64(h.b.Reason()))
+	h.requests[id].ended = true
+	h.after(0, func() { h.forget(id) })
+}
+
+func (h *goldenHost) Fail(id policy.RequestID) {
+	h.digest.Numbers('f', int64(id), int64(h.b.Reason()))
+	h.requests[id].ended = true
+	h.after(0, func() { h.forget(id) })
+}
+
+func (h *goldenHost) Cancel(id policy.RequestID, attempt int) {
+	h.digest.Numbers('c', int64(id), int64(attempt))
+}
+
+func (h *goldenHost) Wake(d time.Duration) {
+	h.digest.Numbers('w', int64(d))
+	h.after(d, func() { h.b.Wake(h.now) })
+}
+
+func (h *goldenHost) Probe(to policy.ServerID) {
+	h.digest.Numbers('p', int64(to))
+	s := &h.servers[to]
+	took := h.exponential(2 + 30*h.scenario.service*s.slow)
+	load := policy.Load{InFlight: -1}
+	if h.config.Reports {
+		load.InFlight = float64(s.inFlight + h.rng.IntN(12))
+	}
+	ok := h.rng.Float64() > h.scenario.faults/2
+	h.after(took, func() {
+		if h.rng.IntN(40) == 0 {
+			h.b.ProbeNotSent(h.now, to)
+			return
+		}
+		h.b.Probed(h.now, to, ok, load)
+	})
+}
+
+func (h *goldenHost) WatchList() {
+	h.digest.Numbers('l')
+	answer := h.rng.IntN(8)
+	h.after(h.exponential(20), func() {
+		switch answer {
+		case 0, 1, 2: // silent
+		case 3:
+			h.list(policy.ListFull)
+		default:
+			h.list(policy.ListFailed)
+		}
+	})
+}
+
+// request brings one request and plans the next.
+func (h *goldenHost) request() {
+	h.nextID++
+	id := h.nextID
+	class := h.rng.IntN(len(h.config.Classes))
+	left := time.Duration(float64(h.config.Classes[class].Deadline) * (0.3 + 0.7*h.rng.Float64()))
+	if h.rng.IntN(50) == 0 {
+		left /= 20
+	}
+	if h.rng.IntN(1000) == 0 {
+		left = 2 * time.Hour
+	}
+	q := policy.Request{ID: id, Class: class, Left: left, Repeat: h.rng.IntN(10) == 0}
+	if len(h.config.Tenants) > 0 {
+		q.Tenant = h.rng.IntN(len(h.config.Tenants))
+	}
+	if h.rng.IntN(3) == 0 {
+		q.Work = h.exponential(50)
+	}
+	if h.rng.IntN(500) == 0 {
+		q.Class = -1
+	}
+	h.requests[id] = &goldenRequest{out: make(map[int]bool), deadline: h.now + left}
+	h.b.Request(h.now, q)
+	if h.rng.IntN(30) == 0 {
+		h.after(h.exponential(100), func() { h.leave(id) })
+	}
+	h.after(h.exponential(h.scenario.gap*goldenRequestMS), h.request)
+}
+
+func (h *goldenHost) leave(id policy.RequestID) {
+	if r := h.requests[id]; r != nil && !r.ended {
+		r.ended = true
+		h.b.ClientGone(h.now, id)
+		h.forget(id)
+	}
+}
+
+// change alters some servers, tells it, and plans the next change.
+func (h *goldenHost) change() {
+	var changed []policy.Server
+	for range 1 + h.rng.IntN(2) {
+		s := &h.servers[h.rng.IntN(goldenServers)]
+		s.slow = []float64{0.7, 1, 1, 1.3, 6}[h.rng.IntN(5)]
+		s.hangs = h.rng.IntN(12) == 0
+		s.entry.State = []policy.State{policy.Ready, policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[h.rng.IntN(6)]
+		if h.rng.Float64() < h.scenario.restart {
+			s.entry.Started = policy.StartedAt(policy.StartEvidence{
+				Told: h.now - h.exponential(2500), Now: h.now, Wall: h.now + time.Duration(h.rng.IntN(3)-1)*h.exponential(2000),
+				Changed: h.rng.IntN(2) == 0, ConfirmedAt: h.now - h.exponential(1500),
+			})
+		}
+		changed = append(changed, s.entry)
+	}
+	switch h.rng.IntN(6) {
+	case 0:
+		h.list(policy.ListFull)
+	case 1:
+		h.list(policy.ListFailed)
+	default:
+		h.b.List(h.now, policy.ListDelta, changed)
+	}
+	h.after(h.exponential(h.scenario.listMS), h.change)
+}
+
+func (h *goldenHost) list(kind policy.ListKind) {
+	var entries []policy.Server
+	for i := range h.servers {
+		if h.servers[i].entry.State != policy.Gone {
+			entries = append(entries, h.servers[i].entry)
+		}
+	}
+	if kind == policy.ListFailed {
+		entries = nil
+	}
+	h.b.List(h.now, kind, entries)
+}
+
+// play returns the digest of all actions of a scenario.
+func (s goldenScenario) play(t *testing.T, seed uint64) string {
+	t.Helper()
+	h := &goldenHost{
+		scenario: s, config: goldenConfig(), rng: rand.New(rand.NewPCG(seed, 1)), digest: golden.NewDigest(),
+		now: time.Hour, requests: make(map[policy.RequestID]*goldenRequest),
+	}
+	if s.adjust != nil {
+		s.adjust(&h.config)
+	}
+	for i := range h.servers {
+		h.servers[i].slow = 1
+		h.servers[i].entry = policy.Server{
+			ID: policy.ServerID(i), Zone: i % 2, Cell: i % 4, State: policy.Ready, Weight: float64(i % 4),
+		}
+	}
+	b, err := policy.New(h.config, seed, h)
+	if err != nil {
+		t.Fatal(err)
+	}
+	h.b = b
+	b.Start(h.now)
+	h.list(policy.ListCached)
+	h.after(0, h.request)
+	h.after(0, h.change)
+	for h.handled = 0; h.handled < goldenEvents; h.handled++ {
+		e := heap.Pop(&h.events).(goldenEvent)
+		h.now = e.at
+		e.run()
+		if h.handled%100 == 0 {
+			h.digest.Numbers('n', int64(b.SlotsFree(0)), int64(b.QueueFree(0)))
+		}
+	}
+	b.Quit()
+	counted := b.Counters()
+	return fmt.Sprintf("%s %d", h.digest, []uint64{
+		counted.Ordinary, counted.Knocked, counted.Passed, counted.Trials, counted.Shed, counted.Retries, counted.Refused, counted.Failed,
+	})
+}
+
+// The decisions stay as they were recorded, to the bit. Record them anew with
+//
+//	go test ./policy -run Golden -update
+//
+// only where a change of decisions is meant.
+func TestGoldenDecisions(t *testing.T) {
+	var got strings.Builder
+	for i, s := range goldenScenarios {
+		fmt.Fprintf(&got, "%s: %s\n", s.name, s.play(t, uint64(i+1)))
+	}
+	golden.Check(t, "decisions", got.String())
+}
--- /dev/null
+++ b/quota/golden_test.go
@@ -0,0 +1,127 @@
+package quota_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"mothridge/internal/golden"
+	"mothridge/quota"
+)
+
+const goldenSteps = 30_000
+
+// goldenTree draws a tree of three levels with limits in every dimension.
+func goldenTree(rng *rand.Rand, size float64) quota.Config {
+	limits := func(share float64) []quota.Limit {
+		all := []quota.Limit{{Dimension: quota.Requests, Rate: 100 * size * share, Window: 5 * time.Second}}
+		if rng.IntN(2) == 0 {
+			all = append(all, quota.Limit{Dimension: quota.Requests, Rate: 90 * size * share, Window: time.Minute})
+		}
+		if rng.IntN(2) == 0 {
+			all = append(all, quota.Limit{Dimension: quota.Worth, Rate: 200 * size * share, Window: 10 * time.Second, Ceiling: 260 * size * share})
+		}
+		if rng.IntN(2) == 0 {
+			all = append(all, quota.Limit{Dimension: quota.Bytes, Rate: 40_000 * size * share, Window: 10 * time.Second})
+		}
+		if rng.IntN(2) == 0 {
+			all = append(all, quota.Limit{Dimension: quota.Concurrent, Rate: 40 * size * share})
+		}
+		return all
+	}
+	c := quota.Config{
+		Nodes:   []quota.Node{{Name: "root", Limits: limits(1.2)}},
+		Reclaim: time.Duration(rng.IntN(4)) * time.Second, Repay: rng.Float64() / 3, DebtAge: time.Duration(rng.IntN(90)) * time.Second,
+	}
+	for i := range 3 {
+		club := fmt.Sprint("club-", i)
+		c.Nodes = append(c.Nodes, quota.Node{Name: club, Parent: "root", Weight: float64(i), Limits: limits(0.3)})
+		for j := range 3 {
+			c.Nodes = append(c.Nodes, quota.Node{Name: fmt.Sprint(club, "-", j), Parent: club, Weight: float64(j), Limits: limits(0.09)})
+		}
+	}
+	return c
+}
+
+// play returns the digest of all decisions on random requests.
+func play(t *testing.T, seed uint64) string {
+	t.Helper()
+	rng, digest := rand.New(rand.NewPCG(seed, 4)), golden.NewDigest()
+	config := goldenTree(rng, 1)
+	tree, err := quota.New(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var open []*quota.Receipt
+	var outcomes [3]int
+	now, busy := time.Hour, 0
+	for i := range goldenSteps {
+		now += time.Duration(rng.ExpFloat64() * 12 * float64(time.Millisecond))
+		if i%1500 == 0 {
+			busy = rng.IntN(len(config.Nodes))
+		}
+		if len(open) > 0 && rng.IntN(3) > 0 {
+			k := rng.IntN(len(open))
+			if rng.IntN(6) == 0 {
+				tree.Refund(open[k])
+			} else {
+				tree.Release(open[k])
+			}
+			open[k] = open[len(open)-1]
+			open = open[:len(open)-1]
+		}
+		node := config.Nodes[busy]
+		if rng.IntN(3) == 0 {
+			node = config.Nodes[rng.IntN(len(config.Nodes))]
+		}
+		d := tree.Ask(now, quota.Request{Node: node.Name, Again: rng.IntN(8) == 0, Cost: quota.Cost{
+			quota.Requests: 1, quota.Worth: rng.Float64() * 4, quota.Bytes: float64(rng.IntN(2000)), quota.Concurrent: 1,
+		}})
+		outcomes[d.Outcome]++
+		if d.Receipt != nil {
+			open = append(open, d.Receipt)
+		}
+		digest.Numbers('d', int64(d.Outcome), int64(d.Pause), int64(d.Why.Dimension), int64(d.Why.Window))
+		digest.Float('s', d.Why.Short)
+		digest.Text('n', d.Why.Node+"\t"+strings.Join(d.From, "\t"))
+		if i%1000 == 0 {
+			record(digest, tree.Explain(now))
+		}
+		if i == goldenSteps/2 {
+			config = goldenTree(rng, 1.5)
+			grown, err := quota.New(config)
+			if err != nil {
+				t.Fatal(err)
+			}
+			grown.Keep(tree, now)
+			tree, open = grown, nil
+		}
+	}
+	return fmt.Sprintf("%s %d", digest, outcomes)
+}
+
+func record(digest golden.Digest, states []quota.State) {
+	for _, s := range states {
+		digest.Numbers('u', int64(s.Depth), int64(s.Usage.Own), int64(s.Usage.Borrowed), int64(s.Usage.Refused), int64(s.Usage.Lent), int64(s.Usage.Repaid))
+		for _, l := range s.Limits {
+			digest.Float('l', l.Left)
+		}
+		for _, o := range s.Owes {
+			digest.Text('o', o.To)
+			digest.Float('a', o.Amount)
+		}
+	}
+}
+
+// The decisions stay as they were recorded. Record them anew with
+//
+//	go test ./quota -run Golden -update
+func TestGoldenDecisions(t *testing.T) {
+	var got strings.Builder
+	for seed := range uint64(8) {
+		fmt.Fprintf(&got, "seed %d: %s\n", seed, play(t, seed))
+	}
+	golden.Check(t, "decisions", got.String())
+}
