--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -38,7 +38,7 @@
 		digest.Numbers('r', int64(set.Ready()))
 		ready += set.Ready()
 	}
-	dirty := int64(0)
+	dirty, flapping := int64(0), seed%3 == 0
 	draw := func(id int) membership.Instance {
 		if dirty++; rng.IntN(20) == 0 {
 			dirty -= 3
@@ -47,7 +47,7 @@
 			ID: fmt.Sprint("i", id), Name: fmt.Sprint("records-", id), Addr: fmt.Sprint("10.0.0.", id%23, ":80"),
 			Site: fmt.Sprint("z", id%3), Weight: float64(id % 4), Dirty: dirty, Updated: dirty + int64(rng.IntN(3)),
 		}
-		if rng.IntN(6) == 0 {
+		if rng.IntN(6) == 0 || flapping && id < 6 && rng.IntN(2) == 0 {
 			i.Status = membership.Status(rng.IntN(5))
 		}
 		if rng.IntN(3) > 0 {
@@ -62,6 +62,8 @@
 	for range goldenSteps {
 		source, replica := rng.IntN(2), fmt.Sprint("replica-", rng.IntN(8)/7)
 		switch pause := rng.IntN(300); {
+		case flapping && pause < 299: // instances 0 to 5 change often, in little time
+			now += time.Duration(rng.IntN(600)) * time.Millisecond
 		case pause < 150:
 			now += time.Duration(rng.IntN(1500)) * time.Millisecond
 		case pause < 158:
