--- a/cmd/mothlab/main.go
+++ b/cmd/fleetsim/main.go
@@ -35,7 +35,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	context.AfterFunc(ctx, stop)
 	if err := run(ctx, os.Args[1:], os.Stdout, os.Stderr); err != nil {
-		fmt.Fprintln(os.Stderr, "mothlab:", err)
+		fmt.Fprintln(os.Stderr, "fleetsim:", err)
 		os.Exit(1)
 	}
 }
@@ -44,7 +44,7 @@
 type output struct{ out, log io.Writer }
 
 func run(ctx context.Context, args []string, out, log io.Writer) error {
-	k, err := kong.New(new(commands), kong.Name("mothlab"), kong.Writers(out, log),
+	k, err := kong.New(new(commands), kong.Name("fleetsim"), kong.Writers(out, log),
 		kong.Description("Fleets in simulated time, with the real decision module."), kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(output{out, log}))
 	if err != nil {
 		return err
--- a/cmd/mothlab/simulate.go
+++ b/cmd/fleetsim/simulate.go
@@ -67,7 +67,7 @@
 	}
 	w.Flush()
 	for _, n := range notable {
-		fmt.Fprintf(o.out, "seed %d, request %d: %s after %v (mothlab explain %s --seed %d --request %d)\n", c.Seed, n.ID, n.What, n.Took, c.File, c.Seed, n.ID)
+		fmt.Fprintf(o.out, "seed %d, request %d: %s after %v (fleetsim explain %s --seed %d --request %d)\n", c.Seed, n.ID, n.What, n.Took, c.File, c.Seed, n.ID)
 	}
 	if len(wrong) > 0 {
 		return fmt.Errorf("%d findings, the first: %s", len(wrong), wrong[0])
--- a/cmd/mothridge/commands.go
+++ b/cmd/sidecar/commands.go
@@ -99,7 +99,7 @@
 
 // command runs one of the commands.
 func command(args []string) error {
-	k, err := kong.New(new(commands), kong.Name("mothridge"),
+	k, err := kong.New(new(commands), kong.Name("sidecar"),
 		kong.Description("The sidecar. Without a command it runs as the platform starts it."))
 	if err != nil {
 		return err
--- a/cmd/simhost/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -24,7 +24,7 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(800)
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/mothsoak/main.go
+++ b/cmd/soaktest/main.go
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	program := flag.String("program", "bin/mothridge", "the sidecar's program")
+	program := flag.String("program", "bin/sidecar", "the sidecar's program")
 	sidecars := flag.Int("sidecars", 24, "how many sidecar processes")
 	nodes := flag.Int("nodes", 10, "how many stand-in nodes")
 	workers := flag.Int("workers", 4, "clients' connections for each sidecar")
@@ -27,7 +27,7 @@
 	if err := run(*program, *dir, *seed, *seeds, *verbose, soak.Config{
 		Sidecars: *sidecars, Nodes: *nodes, Workers: *workers, Pause: *pause, Length: *length, Sockets: 256,
 	}); err != nil {
-		fmt.Fprintln(os.Stderr, "mothsoak:", err)
+		fmt.Fprintln(os.Stderr, "soaktest:", err)
 		os.Exit(1)
 	}
 }
@@ -38,7 +38,7 @@
 		return err
 	}
 	if dir == "" {
-		if dir, err = os.MkdirTemp("", "mothsoak"); err != nil {
+		if dir, err = os.MkdirTemp("", "soaktest"); err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
--- a/internal/archtest/wallclock_test.go
+++ b/internal/archtest/wallclock_test.go
@@ -29,7 +29,7 @@
 
 func TestWallClockIsReadInFewPlaces(t *testing.T) {
 	root := filepath.Join("..", "..")
-	for _, dir := range []string{"cmd/mothridge", "internal", "membership", "policy", "quota", "resolver"} {
+	for _, dir := range []string{"cmd/sidecar", "internal", "membership", "policy", "quota", "resolver"} {
 		err := filepath.WalkDir(filepath.Join(root, dir), func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -44,7 +44,7 @@
 			t.Fatalf("Small(%d): %v", seed, err)
 		}
 		if len(r.Broken) > 0 || r.Cut != "" {
-			t.Errorf("Small(%d): %s %s\nplay it with: go run ./cmd/mothlab farm --first %d --seeds 1 --shrink", seed, r.Cut, strings.Join(r.Broken, "; "), seed)
+			t.Errorf("Small(%d): %s %s\nplay it with: go run ./cmd/fleetsim farm --first %d --seeds 1 --shrink", seed, r.Cut, strings.Join(r.Broken, "; "), seed)
 		}
 		asked, lost, chokes, handshakes = asked+r.Asked, lost+r.Lost, chokes+r.Chokes, handshakes+r.Handshakes
 	}
--- a/internal/fleet/small.go
+++ b/internal/fleet/small.go
@@ -7,7 +7,7 @@
 )
 
 // Small draws a small scenario from a seed, with troubles of every kind: what
-// the seed farm plays (see 'mothlab farm').
+// the seed farm plays (see 'fleetsim farm').
 func Small(seed uint64) Scenario {
 	const ms = time.Millisecond
 	rng := stream(seed, "scenario", 0)
--- a/internal/peers/ledger.go
+++ b/internal/peers/ledger.go
@@ -1,7 +1,7 @@
 // Package peers has stand-ins for what a sidecar talks to: clients, nodes and
 // the platform's discovery, over real loopback sockets. Nodes play scripted
 // faults, and a ledger holds what clients and nodes saw, so that the two can be
-// compared. Tests, benchmarks and 'mothridge try' use them; the sidecar does not.
+// compared. Tests, benchmarks and 'sidecar try' use them; the sidecar does not.
 package peers
 
 import (
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -1,5 +1,5 @@
 // Package rig puts the real sidecar, stand-in nodes and discovery together in
-// one process, over real loopback sockets. Tests, benchmarks and 'mothridge try'
+// one process, over real loopback sockets. Tests, benchmarks and 'sidecar try'
 // run on it.
 package rig
 
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,7 +17,7 @@
 // The short form of the soak: real processes, overlapping troubles, no broken rule.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "mothridge")
-	if out, err := exec.Command("go", "build", "-o", program, "mothridge/cmd/mothridge").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program, "mothridge/cmd/sidecar").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	t.Logf("seed %d for %v (-soak.seed, -soak.length)", *seed, *length)
--- a/interop/world.go
+++ b/interop/world.go
@@ -121,7 +121,7 @@
 		return nil, err
 	}
 	program := filepath.Join(w.dir, "mothridge")
-	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/mothridge")
+	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/sidecar")
 	build.Dir = ".."
 	if out, err := build.CombinedOutput(); err != nil {
 		return nil, fmt.Errorf("build the program: %w: %s", err, out)
