--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -38,7 +38,7 @@
 		digest.Numbers('r', int64(set.Ready()))
 		ready += set.Ready()
 	}
-	dirty, flapping := int64(0), seed%3 == 0
+	dirty, flaps := int64(0), 0
 	draw := func(id int) membership.Instance {
 		if dirty++; rng.IntN(20) == 0 {
 			dirty -= 3
@@ -47,7 +47,7 @@
 			ID: fmt.Sprint("i", id), Name: fmt.Sprint("records-", id), Addr: fmt.Sprint("10.0.0.", id%23, ":80"),
 			Site: fmt.Sprint("z", id%3), Weight: float64(id % 4), Dirty: dirty, Updated: dirty + int64(rng.IntN(3)),
 		}
-		if rng.IntN(6) == 0 || flapping && id < 6 && rng.IntN(2) == 0 {
+		if rng.IntN(6) == 0 {
 			i.Status = membership.Status(rng.IntN(5))
 		}
 		if rng.IntN(3) > 0 {
@@ -59,10 +59,12 @@
 		return i
 	}
 	now := time.Hour
-	for range goldenSteps {
+	for step := range goldenSteps {
+		every := []int{0, 3, 0, 12}[step/400%4] // steps between two flaps of one instance; 0: none
+		flapping := seed%3 == 0
 		source, replica := rng.IntN(2), fmt.Sprint("replica-", rng.IntN(8)/7)
 		switch pause := rng.IntN(300); {
-		case flapping && pause < 299: // instances 0 to 5 change often, in little time
+		case flapping && pause < 299:
 			now += time.Duration(rng.IntN(600)) * time.Millisecond
 		case pause < 150:
 			now += time.Duration(rng.IntN(1500)) * time.Millisecond
@@ -71,9 +73,18 @@
 		case pause == 158:
 			now += time.Duration(rng.IntN(15)) * time.Minute
 		}
+		if flapping && every > 0 && rng.IntN(every) == 0 {
+			flaps++
+			i := membership.Instance{ID: "flapping", Name: "flapping", Addr: "10.0.1.1:80", Started: time.Minute, Dirty: int64(flaps)}
+			i.Status = membership.Status(flaps % 2 * int(membership.Down))
+			record(set.Delta(now, 1, replica, []membership.Delta{{Op: membership.Put, Instance: i}}))
+		}
 		switch rng.IntN(12) {
 		case 0:
 			var list []membership.Instance
+			if flapping && source == 1 {
+				continue // it would lose the instance that flaps
+			}
 			for id := range goldenInstances {
 				if rng.IntN(10) > 0 {
 					list = append(list, draw(id))
