--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -27,21 +27,21 @@
 
 // Checks counts broken rules, as the run-time checks see them. All stay 0.
 type Checks struct {
-	SentToDraining  uint64 // an attempt began later than the grace after a drain was told
-	SentForLeft     uint64 // an attempt began after its client had left
-	SentAfterAnswer uint64 // an attempt began after its request had its final answer
-	RepeatedUnsafe  uint64 // an attempt began though one before it may have run
-	RepeatedTooLate uint64 // a keyed repeat began after the servers' memory of the first
-	DeadlineTooLong uint64 // a server was told more time than its client has left
-	AnsweredTwice   uint64 // a request got a second final answer
+	SentToDraining  uint64 `metric:"sent_to_draining"`  // an attempt began later than the grace after a drain was told
+	SentForLeft     uint64 `metric:"sent_for_left"`     // an attempt began after its client had left
+	SentAfterAnswer uint64 `metric:"sent_after_answer"` // an attempt began after its request had its final answer
+	RepeatedUnsafe  uint64 `metric:"repeated_unsafe"`   // an attempt began though one before it may have run
+	RepeatedTooLate uint64 `metric:"repeated_too_late"` // a keyed repeat began after the servers' memory of the first
+	DeadlineTooLong uint64 `metric:"deadline_too_long"` // a server was told more time than its client has left
+	AnsweredTwice   uint64 `metric:"answered_twice"`    // a request got a second final answer
 }
 
 // Withheld counts attempts that a guard kept from beginning, by reason.
 type Withheld struct {
-	Draining uint64 // the server was told to drain, or has gone
-	Left     uint64 // the client has left
-	Answered uint64 // the request has its final answer
-	Window   uint64 // the servers' memory of an earlier attempt has ended
+	Draining uint64 `metric:"draining"` // the server was told to drain, or has gone
+	Left     uint64 `metric:"left"`     // the client has left
+	Answered uint64 `metric:"answered"` // the request has its final answer
+	Window   uint64 `metric:"window"`   // the servers' memory of an earlier attempt has ended
 }
 
 // checks are the counters in use.
--- /dev/null
+++ b/internal/counters/counters_test.go
@@ -0,0 +1,42 @@
+package counters_test
+
+import (
+	"strings"
+	"testing"
+
+	"mothridge/internal/core"
+	"mothridge/internal/counters"
+	"mothridge/internal/front/httpfront"
+	"mothridge/internal/front/rpcfront"
+	"mothridge/internal/transport/httpnode"
+	"mothridge/internal/transport/rpcnode"
+	"mothridge/policy"
+	"mothridge/quota"
+)
+
+// The names are the labels of metrics and the attributes of log lines that the operators'
+// pages give: they stay, whatever the fields are called.
+func TestNamesOfCounters(t *testing.T) {
+	for _, tt := range []struct {
+		name   string
+		counts any
+		want   string
+	}{
+		{"decisions", policy.Counters{}, "ordinary knocked passed trials shed retries refused failed"},
+		{"violations", core.Checks{}, "sent_to_draining sent_for_left sent_after_answer repeated_unsafe repeated_too_late deadline_too_long answered_twice"},
+		{"prevented sends", core.Withheld{}, "draining left answered window"},
+		{"quota usage", quota.Usage{}, "own borrowed refused lent repaid"},
+		{"HTTP listener", httpfront.Counters{}, "connections taken rejected left failed closed_by_server closed_idle closed_drain closed_silent closed_unfinished closed_cut closed_unanswered"},
+		{"RPC listener", rpcfront.Counters{}, "connections taken rejected flooded repeated malformed stalled failed"},
+		{"HTTP transport", httpnode.Counters{}, "dials failed unsized"},
+		{"RPC transport", rpcnode.Counters{}, "late unknown malformed condemned dials"},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			var names []string
+			counters.Each(tt.counts, func(name string, _ uint64) { names = append(names, name) })
+			if got := strings.Join(names, " "); got != tt.want {
+				t.Errorf("names are %q, want %q", got, tt.want)
+			}
+		})
+	}
+}
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -174,27 +174,30 @@
 
 // NodeView is a node's state for people.
 type NodeView struct {
-	Name, Parent string
-	Depth        int
-	Usage        quota.Usage
-	Limits       []LimitView
-	Owes         []OwedView
-	Refusal      string  `json:",omitempty"`
-	RefusedAgo   float64 `json:",omitempty"` // seconds
+	Name       string      `json:"Name"`
+	Parent     string      `json:"Parent"`
+	Depth      int         `json:"Depth"`
+	Usage      quota.Usage `json:"Usage"`
+	Limits     []LimitView `json:"Limits"`
+	Owes       []OwedView  `json:"Owes"`
+	Refusal    string      `json:"Refusal,omitempty"`
+	RefusedAgo float64     `json:"RefusedAgo,omitempty"` // seconds
 }
 
 // LimitView is a limit and what is left of it.
 type LimitView struct {
-	Dimension     string
-	Rate, Ceiling float64
-	Window        string
-	Left          float64
+	Dimension string  `json:"Dimension"`
+	Rate      float64 `json:"Rate"`
+	Ceiling   float64 `json:"Ceiling"`
+	Window    string  `json:"Window"`
+	Left      float64 `json:"Left"`
 }
 
 // OwedView is a debt.
 type OwedView struct {
-	To, Dimension string
-	Amount        float64
+	To        string  `json:"To"`
+	Dimension string  `json:"Dimension"`
+	Amount    float64 `json:"Amount"`
 }
 
 // View tells how every node stands, parents before their children.
--- a/internal/registry/merge/merge.go
+++ b/internal/registry/merge/merge.go
@@ -189,10 +189,10 @@
 
 // View is the merged view and how the sources do, as of Now.
 type View struct {
-	Now     time.Duration // Unix time
-	Ready   int           // nodes that may be sent something
-	Members []membership.Member
-	Sources []membership.SourceState
+	Now     time.Duration            `json:"Now"`   // Unix time
+	Ready   int                      `json:"Ready"` // nodes that may be sent something
+	Members []membership.Member      `json:"Members"`
+	Sources []membership.SourceState `json:"Sources"`
 }
 
 // View looks at it as it is now: the members behind an address, most of them at
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -102,17 +102,17 @@
 
 // Change is the new view of one node.
 type Change struct {
-	Key      string // names this process at this address; never used for another
-	Name     string
-	Addr     string
-	Site     string
-	Kind     string
-	Cell     string
-	Protocol string
-	Weight   float64
-	Started  time.Duration
-	State    State
-	Reason   string // why it is in that state
+	Key      string        `json:"Key"` // names this process at this address; never used for another
+	Name     string        `json:"Name"`
+	Addr     string        `json:"Addr"`
+	Site     string        `json:"Site"`
+	Kind     string        `json:"Kind"`
+	Cell     string        `json:"Cell"`
+	Protocol string        `json:"Protocol"`
+	Weight   float64       `json:"Weight"`
+	Started  time.Duration `json:"Started"`
+	State    State         `json:"State"`
+	Reason   string        `json:"Reason"` // why it is in that state
 }
 
 // record is what one source holds of one instance.
--- a/membership/view.go
+++ b/membership/view.go
@@ -216,7 +216,7 @@
 // Member is a node as people look at it.
 type Member struct {
 	Change
-	Claims []string // each source's instance and what it says
+	Claims []string `json:"Claims"` // each source's instance and what it says
 }
 
 // Members lists the merged view by address: those behind after, most of them at
@@ -255,11 +255,11 @@
 
 // SourceState is how a source does.
 type SourceState struct {
-	Name   string
-	Live   int           // instances that it lists
-	Lost   int           // that it lost with too many others: held
-	Heard  time.Duration // its last news; 0: never
-	Reason string        // why it is not trusted; empty where it is
+	Name   string        `json:"Name"`
+	Live   int           `json:"Live"`   // instances that it lists
+	Lost   int           `json:"Lost"`   // that it lost with too many others: held
+	Heard  time.Duration `json:"Heard"`  // its last news; 0: never
+	Reason string        `json:"Reason"` // why it is not trusted; empty where it is
 }
 
 // Sources lists the sources by number.
--- a/policy/api.go
+++ b/policy/api.go
@@ -177,12 +177,12 @@
 
 // Counters tell what a Balancer did since it was made.
 type Counters struct {
-	Ordinary uint64 // turns given by the ordinary path: a slot, and the server whose turn it was; two for a knock
-	Knocked  uint64 // sends to the first or least loaded of the servers probed for the request
-	Passed   uint64 // turns moved on past a server that held its portion or was judged unwell
-	Trials   uint64 // turns of a server judged unwell
-	Shed     uint64 // requests refused at once: late, or too few of the last were answered within their aim
-	Retries  uint64 // further attempts after one that failed
-	Refused  uint64
-	Failed   uint64
+	Ordinary uint64 `metric:"ordinary"` // turns given by the ordinary path: a slot, and the server whose turn it was; two for a knock
+	Knocked  uint64 `metric:"knocked"`  // sends to the first or least loaded of the servers probed for the request
+	Passed   uint64 `metric:"passed"`   // turns moved on past a server that held its portion or was judged unwell
+	Trials   uint64 `metric:"trials"`   // turns of a server judged unwell
+	Shed     uint64 `metric:"shed"`     // requests refused at once: late, or too few of the last were answered within their aim
+	Retries  uint64 `metric:"retries"`  // further attempts after one that failed
+	Refused  uint64 `metric:"refused"`
+	Failed   uint64 `metric:"failed"`
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -123,9 +123,11 @@
 
 // Usage counts what became of a node's requests.
 type Usage struct {
-	Own, Borrowed, Refused uint64 // requests within its share, with a loan, and turned away
-	Lent                   uint64 // requests of others that took something of it
-	Repaid                 uint64 // requests of its own that took back what it had lent
+	Own      uint64 `json:"Own" metric:"own"`           // requests within its share
+	Borrowed uint64 `json:"Borrowed" metric:"borrowed"` // requests that took a loan
+	Refused  uint64 `json:"Refused" metric:"refused"`   // requests turned away
+	Lent     uint64 `json:"Lent" metric:"lent"`         // requests of others that took something of it
+	Repaid   uint64 `json:"Repaid" metric:"repaid"`     // requests of its own that took back what it had lent
 }
 
 // Tree decides. It is not safe for concurrent use.
