--- a/cmd/sidecar/members.go
+++ b/cmd/sidecar/members.go
@@ -48,18 +48,18 @@
 	fmt.Fprintln(w, "source\tlists\theld though lost\tlast heard\ttrusted")
 	for _, s := range v.Sources {
 		heard, trusted := "never", "yes"
-		if s.Heard > 0 {
-			heard = (v.Now - s.Heard).Round(100*time.Millisecond).String() + " ago"
+		if s.LastResponseAt > 0 {
+			heard = (v.Now - s.LastResponseAt).Round(100*time.Millisecond).String() + " ago"
 		}
 		if s.Reason != "" {
 			trusted = "no: " + s.Reason
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", s.Name, s.Live, s.Lost, heard, trusted)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", s.Name, s.Live, s.Held, heard, trusted)
 	}
 	fmt.Fprintln(w, "\t\t\t\t")
 	fmt.Fprintln(w, "address\tnode\tstate\tsite\tcell\twhy")
 	for _, m := range v.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.Addr, m.Name, m.State, m.Site, m.Cell, m.Reason)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.Addr, m.Name, m.State, m.Zone, m.Cell, m.Reason)
 		if len(m.Claims) > 1 {
 			fmt.Fprintf(w, "\t\t\t\t\t  (%s)\n", strings.Join(m.Claims, "; "))
 		}
--- a/cmd/sidecar/quota.go
+++ b/cmd/sidecar/quota.go
@@ -34,13 +34,13 @@
 	for _, n := range nodes {
 		indent := strings.Repeat("  ", n.Depth)
 		var notes []string
-		for _, o := range n.Owes {
+		for _, o := range n.Debts {
 			notes = append(notes, fmt.Sprintf("owes %s %.1f %s", o.To, o.Amount, o.Dimension))
 		}
-		if n.Refusal != "" {
-			notes = append(notes, fmt.Sprintf("%v ago: %s", time.Duration(n.RefusedAgo*1e9).Round(100*time.Millisecond), n.Refusal))
+		if n.Rejection != "" {
+			notes = append(notes, fmt.Sprintf("%v ago: %s", time.Duration(n.RejectedAgo*1e9).Round(100*time.Millisecond), n.Rejection))
 		}
-		fmt.Fprintf(w, "%s%s\t%d\t%d\t%d\t%d\t%d\t\t%s\n", indent, n.Name, n.Usage.Own, n.Usage.Borrowed, n.Usage.Refused, n.Usage.Lent, n.Usage.Repaid, strings.Join(notes, "; "))
+		fmt.Fprintf(w, "%s%s\t%d\t%d\t%d\t%d\t%d\t\t%s\n", indent, n.Name, n.Usage.WithinShare, n.Usage.Borrowed, n.Usage.Rejected, n.Usage.Lent, n.Usage.Repaid, strings.Join(notes, "; "))
 		for _, l := range n.Limits {
 			what := fmt.Sprintf("%g %s a second over %s", l.Rate, l.Dimension, l.Window)
 			if l.Window == "0s" {
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -55,12 +55,12 @@
 // lists of the wire and the reply under way.
 type host struct {
 	reply     wire.Reply
-	pages     map[uint16][]policy.Server
+	pages     map[uint16][]policy.Endpoint
 	instances map[uint32]*instance
 }
 
 func newHost() *host {
-	return &host{pages: make(map[uint16][]policy.Server), instances: make(map[uint32]*instance)}
+	return &host{pages: make(map[uint16][]policy.Endpoint), instances: make(map[uint32]*instance)}
 }
 
 // instance is one sidecar; it carries out its Balancer's decisions.
@@ -75,11 +75,11 @@
 // logEvery is how often an instance's counters go to the log.
 const logEvery = 10 * time.Second
 
-func (i *instance) Send(id policy.RequestID, to policy.ServerID, timeout, _ time.Duration) {
+func (i *instance) Send(id policy.RequestID, to policy.EndpointID, timeout, _ time.Duration) {
 	i.host.reply.CallOut(i.number, uint32(id), wire.Upstream(to), timeout)
 }
 
-func (i *instance) Refuse(id policy.RequestID, pause time.Duration) {
+func (i *instance) Reject(id policy.RequestID, pause time.Duration) {
 	i.host.reply.PushBack(i.number, uint32(id), pause)
 }
 
@@ -89,9 +89,9 @@
 	i.host.reply.Recall(i.number, uint32(id), uint8(attempt))
 }
 
-func (i *instance) Wake(d time.Duration)     { i.host.reply.SetAlarm(i.number, d, 0) }
-func (i *instance) Probe(to policy.ServerID) { i.host.reply.Inspect(i.number, wire.Upstream(to)) }
-func (i *instance) WatchList()               { i.host.reply.Tail(i.number, true) }
+func (i *instance) SetTimer(d time.Duration)   { i.host.reply.SetAlarm(i.number, d, 0) }
+func (i *instance) Probe(to policy.EndpointID) { i.host.reply.Inspect(i.number, wire.Upstream(to)) }
+func (i *instance) RequestWatch()              { i.host.reply.Tail(i.number, true) }
 
 // batch hands the events of one batch to their instances, in order.
 func (h *host) batch(b wire.Batch) error {
@@ -200,40 +200,40 @@
 		if err != nil {
 			return err
 		}
-		r := policy.Request{ID: policy.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), Left: a.Left}
-		r.Repeat = a.Bits&wire.BitRepeat != 0
+		r := policy.Request{ID: policy.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), Timeout: a.Left}
+		r.ClientRetry = a.Bits&wire.BitRepeat != 0
 		if a.Bits&wire.BitHint != 0 {
-			r.Work = a.Hint
+			r.ExpectedWork = a.Hint
 		}
-		i.b.Request(now, r)
+		i.b.RequestReceived(now, r)
 	case wire.EvFinished:
 		f, err := rec.Finished()
 		if err != nil {
 			return err
 		}
-		i.b.Outcome(now, policy.Outcome{
-			ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Ending: ending(f.Ending), Settled: f.Settled,
+		i.b.AttemptEnded(now, policy.AttemptOutcome{
+			ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Result: ending(f.Ending), Completed: f.Settled,
 		})
 	case wire.EvWake:
-		i.b.Wake(now)
+		i.b.TimerFired(now)
 	case wire.EvClientLeft:
 		job, err := rec.Job()
 		if err != nil {
 			return err
 		}
-		i.b.ClientGone(now, policy.RequestID(job))
+		i.b.ClientDisconnected(now, policy.RequestID(job))
 	case wire.EvHeaders:
 		job, err := rec.Job()
 		if err != nil {
 			return err
 		}
-		i.b.StreamBegun(policy.RequestID(job))
+		i.b.ResponseStarted(policy.RequestID(job))
 	case wire.EvCheckResult:
 		up, end, report, err := rec.CheckResult()
 		if err != nil {
 			return err
 		}
-		i.b.Probed(now, policy.ServerID(up), end == wire.EndServed, report.Load(i.column))
+		i.b.ProbeCompleted(now, policy.EndpointID(up), end == wire.EndServed, report.Load(i.column))
 	case wire.EvFleet:
 		kind, _, page, err := rec.Fleet()
 		if err != nil {
@@ -245,16 +245,16 @@
 }
 
 func (i *instance) fleet(now time.Duration, kind uint8, page uint16) error {
-	var k policy.ListKind
+	var k policy.UpdateKind
 	switch kind {
 	case wire.FleetFull:
-		k = policy.ListFull
+		k = policy.FullUpdate
 	case wire.FleetDelta:
-		k = policy.ListDelta
+		k = policy.DeltaUpdate
 	case wire.FleetCached:
-		k = policy.ListCached
+		k = policy.CachedUpdate
 	case wire.FleetFailed:
-		i.b.List(now, policy.ListFailed, nil)
+		i.b.EndpointsUpdated(now, policy.FailedUpdate, nil)
 		return nil
 	default:
 		return nil // a kind of a later version
@@ -263,43 +263,43 @@
 	if !ok {
 		return fmt.Errorf("instance %d: list %d was never sent", i.number, page)
 	}
-	i.b.List(now, k, list)
+	i.b.EndpointsUpdated(now, k, list)
 	return nil
 }
 
-func ending(code uint16) policy.Ending {
+func ending(code uint16) policy.AttemptResult {
 	switch code {
 	case wire.EndServed:
 		return policy.Served
 	case wire.EndTurnedAway:
-		return policy.TurnedAway
+		return policy.Rejected
 	case wire.EndTimedOut:
 		return policy.TimedOut
 	case wire.EndNoConnection:
-		return policy.NoConnection
+		return policy.ConnectionFailed
 	case wire.EndBroken:
-		return policy.Broken
+		return policy.ConnectionReset
 	case wire.EndCancelled:
 		return policy.Cancelled
 	case wire.EndNotSent:
 		return policy.NotSent
 	}
-	return policy.Errored // it may have run, as may whatever is not known
+	return policy.ServerError // it may have run, as may whatever is not known
 }
 
-func servers(entries []wire.Entry) []policy.Server {
-	list := make([]policy.Server, len(entries))
+func servers(entries []wire.Entry) []policy.Endpoint {
+	list := make([]policy.Endpoint, len(entries))
 	for i, e := range entries {
-		list[i] = policy.Server{
-			ID: policy.ServerID(e.Upstream), Zone: int(e.Area), Cell: int(e.Cohort), Weight: e.Rating, Started: e.Boot,
+		list[i] = policy.Endpoint{
+			ID: policy.EndpointID(e.Upstream), Zone: int(e.Area), Cell: int(e.Cohort), Weight: e.Rating, StartedAt: e.Boot,
 		}
 		switch e.Status {
 		case wire.StateReady:
-			list[i].State = policy.Ready
+			list[i].Health = policy.Ready
 		case wire.StateGone:
-			list[i].State = policy.Gone
+			list[i].Health = policy.Removed
 		default:
-			list[i].State = policy.Draining // nothing new, whatever it is
+			list[i].Health = policy.Draining // nothing new, whatever it is
 		}
 	}
 	return list
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -209,10 +209,10 @@
 }
 
 func TestEndings(t *testing.T) {
-	for code, want := range map[uint16]policy.Ending{
-		wire.EndServed: policy.Served, wire.EndErrored: policy.Errored, wire.EndTurnedAway: policy.TurnedAway,
-		wire.EndTimedOut: policy.TimedOut, wire.EndNoConnection: policy.NoConnection, wire.EndBroken: policy.Broken,
-		wire.EndCancelled: policy.Cancelled, wire.EndNotSent: policy.NotSent, 999: policy.Errored,
+	for code, want := range map[uint16]policy.AttemptResult{
+		wire.EndServed: policy.Served, wire.EndErrored: policy.ServerError, wire.EndTurnedAway: policy.Rejected,
+		wire.EndTimedOut: policy.TimedOut, wire.EndNoConnection: policy.ConnectionFailed, wire.EndBroken: policy.ConnectionReset,
+		wire.EndCancelled: policy.Cancelled, wire.EndNotSent: policy.NotSent, 999: policy.ServerError,
 	} {
 		if got := ending(code); got != want {
 			t.Errorf("ending %d becomes %v, want %v", code, got, want)
@@ -225,8 +225,8 @@
 		{Upstream: 9, Area: 1, Cohort: 3, Status: wire.StateReady, Rating: 2.5, Boot: time.Second},
 		{Status: wire.StateGone}, {Status: wire.StateDraining}, {Status: 77},
 	})
-	if got[0] != (policy.Server{ID: 9, Zone: 1, Cell: 3, State: policy.Ready, Weight: 2.5, Started: time.Second}) ||
-		got[1].State != policy.Gone || got[2].State != policy.Draining || got[3].State != policy.Draining {
+	if got[0] != (policy.Endpoint{ID: 9, Zone: 1, Cell: 3, Health: policy.Ready, Weight: 2.5, StartedAt: time.Second}) ||
+		got[1].Health != policy.Removed || got[2].Health != policy.Draining || got[3].Health != policy.Draining {
 		t.Fatalf("servers %+v", got)
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -21,15 +21,15 @@
 	left    struct{ req *Request } // the client has gone
 	ended   struct {
 		attempt *attempt
-		ending  policy.Ending
-		answer  *Answer // with Served
+		ending  policy.AttemptResult
+		answer  *Response // with Served
 	}
 	probed struct {
 		probe *probe
-		load  policy.Load
+		load  policy.LoadReport
 		err   error
 	}
-	listed     struct{ news News }
+	listed     struct{ news EndpointUpdate }
 	listFailed struct{}
 	looked     struct{ state chan<- State }
 	quit       struct{}
@@ -39,15 +39,15 @@
 type probe struct {
 	host *host
 	done bool
-	load policy.Load
+	load policy.LoadReport
 	err  error
 }
 
 // host is an upstream of the list.
 type host struct {
-	id      policy.ServerID
-	entry   Instance
-	node    Node
+	id      policy.EndpointID
+	entry   Endpoint
+	node    Upstream
 	started time.Duration
 	probes  []*probe // in the order the module asked for them
 	// closedAt is when it was told to drain or left, since the core's begin; 0: it is up.
@@ -86,19 +86,19 @@
 
 // Config is what a Core is made of.
 type Config struct {
-	Policy policy.Config
-	Seed   uint64
-	Zones  []string            // by number
-	Known  *News               // the list as last held; nil where there is none
-	Reach  func(Instance) Node // makes the node of an instance, without I/O
+	Policy      policy.Config
+	Seed        uint64
+	Zones       []string                // by number
+	Cached      *EndpointUpdate         // the list as last held; nil where there is none
+	NewUpstream func(Endpoint) Upstream // makes the node of an instance, without I/O
 
 	// DrainGrace is how long after the news of a drain an attempt may begin, for the
 	// run-time check alone: the guard lets none begin. 0: DefaultDrainGrace.
 	DrainGrace time.Duration
 
-	// Answered hears of each final answer on the loop, and must not block; nil:
+	// OnResponse hears of each final answer on the loop, and must not block; nil:
 	// nobody wants to know. The time counts from when the request was taken.
-	Answered func(class int, v Verdict, took time.Duration)
+	OnResponse func(class int, v Result, took time.Duration)
 }
 
 // Core owns the Balancer: every event comes to it by a channel, and it carries
@@ -113,7 +113,7 @@
 	over   chan struct{} // closed once Run has returned: events wait for nobody then
 
 	checks  checks
-	givenUp [policy.ReasonsCount]atomic.Uint64
+	givenUp [policy.ReasonCount]atomic.Uint64
 	endings [policy.NotSent + 1]atomic.Uint64
 
 	begin    time.Time
@@ -125,9 +125,9 @@
 	lastID   policy.RequestID
 	requests map[policy.RequestID]*Request
 	names    names
-	lastHost policy.ServerID
+	lastHost policy.EndpointID
 	hosts    map[string]*host
-	byID     map[policy.ServerID]*host
+	byID     map[policy.EndpointID]*host
 	sites    map[string]int
 	nextSite int
 	alive    atomic.Int64          // when the loop handled something last, since begin
@@ -148,7 +148,7 @@
 		config: c, begin: time.Now(),
 		events: make(chan any, eventBacklog), asks: make(chan struct{}, 1), over: make(chan struct{}), timer: time.NewTimer(time.Hour),
 		requests: make(map[policy.RequestID]*Request), names: names{held: make(map[string]bool)},
-		hosts: make(map[string]*host), byID: make(map[policy.ServerID]*host), sites: make(map[string]int),
+		hosts: make(map[string]*host), byID: make(map[policy.EndpointID]*host), sites: make(map[string]int),
 	}
 	for i, z := range c.Zones {
 		l.sites[z] = i
@@ -162,8 +162,8 @@
 	l.beginNow = time.Duration(l.begin.UnixNano())
 	l.now = l.clock()
 	b.Start(l.now)
-	if c.Known != nil {
-		l.list(policy.ListCached, *c.Known)
+	if c.Cached != nil {
+		l.list(policy.CachedUpdate, *c.Cached)
 	}
 	return l, nil
 }
@@ -192,17 +192,17 @@
 // Abandon says that the client of a request has gone; Reply may still have been called.
 func (l *Core) Abandon(r *Request) { l.post(left{r}) }
 
-// Quit answers all that is held now, and refuses whatever still comes.
-func (l *Core) Quit() { l.post(quit{}) }
+// Shutdown answers all that is held now, and refuses whatever still comes.
+func (l *Core) Shutdown() { l.post(quit{}) }
 
 // Update passes news of the list on.
-func (l *Core) Update(n News) { l.post(listed{n}) }
+func (l *Core) Update(n EndpointUpdate) { l.post(listed{n}) }
 
 // UpdateFailed says that a call for the list failed or its watch ended.
 func (l *Core) UpdateFailed() { l.post(listFailed{}) }
 
-// Asks brings the module's calls for the list, where that is its to ask.
-func (l *Core) Asks() <-chan struct{} { return l.asks }
+// WatchRequests brings the module's calls for the list, where that is its to ask.
+func (l *Core) WatchRequests() <-chan struct{} { return l.asks }
 
 // Ready says whether a list is held.
 func (l *Core) Ready() bool { return l.ready.Load() }
@@ -215,9 +215,9 @@
 	caughtUpIn = 100 * time.Millisecond
 )
 
-// Arrived returns when bytes may have come at the earliest that were read just now.
+// EarliestArrival returns when bytes may have come at the earliest that were read just now.
 // Where the process was stopped, or had no processor, they may have waited since.
-func (l *Core) Arrived(now time.Time) time.Time {
+func (l *Core) EarliestArrival(now time.Time) time.Time {
 	alive, stalled := l.begin.Add(time.Duration(l.alive.Load())), l.stalled.Load()
 	switch {
 	case l.alive.Load() == 0:
@@ -233,14 +233,14 @@
 // stall is a time in which the loop did not run.
 type stall struct{ from, until time.Time }
 
-// Holds says whether a request of that name is held.
-func (l *Core) Holds(name string) bool { return l.names.has(name) }
+// HasRequest says whether a request of that name is held.
+func (l *Core) HasRequest(name string) bool { return l.names.has(name) }
 
 // State is how things stand.
 type State struct {
 	Counters  policy.Counters
 	Requests  int // that are held
-	Hosts     int // listed
+	Endpoints int // listed
 	SlotsFree []int
 	QueueFree []int // both by tenant
 }
@@ -266,7 +266,7 @@
 }
 
 func (l *Core) state() State {
-	s := State{Counters: l.b.Counters(), Requests: len(l.requests), Hosts: len(l.hosts)}
+	s := State{Counters: l.b.Counters(), Requests: len(l.requests), Endpoints: len(l.hosts)}
 	for i := range max(1, len(l.config.Policy.Tenants)) {
 		s.SlotsFree, s.QueueFree = append(s.SlotsFree, l.b.SlotsFree(i)), append(s.QueueFree, l.b.QueueFree(i))
 	}
@@ -279,7 +279,7 @@
 	counters.Each(l.b.Counters(), func(name string, n uint64) { attrs = append(attrs, slog.Uint64(name, n)) })
 	slog.Info("counters", attrs...)
 	attrs = nil
-	counters.Each(l.Checks(), func(name string, n uint64) { attrs = append(attrs, slog.Uint64(name, n)) })
+	counters.Each(l.Violations(), func(name string, n uint64) { attrs = append(attrs, slog.Uint64(name, n)) })
 	slog.Info("checks", attrs...)
 }
 
@@ -292,8 +292,8 @@
 	}
 }
 
-// GivenUp returns how many requests were refused or failed, by reason.
-func (l *Core) GivenUp() map[string]uint64 {
+// RejectionsByReason returns how many requests were refused or failed, by reason.
+func (l *Core) RejectionsByReason() map[string]uint64 {
 	counts := make(map[string]uint64)
 	for why := range l.givenUp {
 		if n := l.givenUp[why].Load(); n > 0 {
@@ -304,7 +304,7 @@
 }
 
 // noteEnded counts and logs how an attempt has ended.
-func (l *Core) noteEnded(a *attempt, ending policy.Ending) {
+func (l *Core) noteEnded(a *attempt, ending policy.AttemptResult) {
 	if ending >= 0 && int(ending) < len(l.endings) {
 		l.endings[ending].Add(1)
 	}
@@ -313,11 +313,11 @@
 	}
 }
 
-// Endings returns how many attempts have ended, by how.
-func (l *Core) Endings() map[string]uint64 {
+// AttemptsByResult returns how many attempts have ended, by how.
+func (l *Core) AttemptsByResult() map[string]uint64 {
 	counts := make(map[string]uint64)
 	for ending := range l.endings {
-		counts[policy.Ending(ending).String()] = l.endings[ending].Load()
+		counts[policy.AttemptResult(ending).String()] = l.endings[ending].Load()
 	}
 	return counts
 }
@@ -370,7 +370,7 @@
 		return
 	}
 	l.dueAt = 0
-	l.b.Wake(l.now)
+	l.b.TimerFired(l.now)
 }
 
 func (l *Core) handle(e any) {
@@ -381,7 +381,7 @@
 		if r := e.req; r.id != 0 && !r.over {
 			r.history.end(time.Now(), true)
 			l.close(r)
-			l.b.ClientGone(l.now, r.id)
+			l.b.ClientDisconnected(l.now, r.id)
 		}
 	case ended:
 		l.end(e)
@@ -390,15 +390,15 @@
 		p.done, p.load, p.err = true, e.load, e.err
 		l.probesDone(p.host)
 	case listed:
-		kind := policy.ListDelta
-		if e.news.Whole {
-			kind = policy.ListFull
+		kind := policy.DeltaUpdate
+		if e.news.Complete {
+			kind = policy.FullUpdate
 		}
 		l.list(kind, e.news)
 	case listFailed:
-		l.b.List(l.now, policy.ListFailed, nil)
+		l.b.EndpointsUpdated(l.now, policy.FailedUpdate, nil)
 	case quit:
-		l.b.Quit()
+		l.b.Shutdown()
 	case looked:
 		e.state <- l.state()
 	}
@@ -408,15 +408,15 @@
 	// One id, one request: a second one under the same id might run its effect twice.
 	if !l.names.claim(r.ID) {
 		r.over = true
-		r.Reply(Answer{Verdict: Duplicate})
+		r.Respond(Response{Result: Duplicate})
 		return
 	}
 	l.lastID++
 	r.id = l.lastID
 	l.requests[r.id] = r
 	r.taken = l.now
-	l.b.Request(l.now, policy.Request{
-		ID: r.id, Class: r.Class, Tenant: r.Tenant, Repeat: r.Repeat, Work: r.Work, Left: time.Until(r.Until),
+	l.b.RequestReceived(l.now, policy.Request{
+		ID: r.id, Class: r.Class, Tenant: r.Tenant, ClientRetry: r.ClientRetry, ExpectedWork: r.ExpectedWork, Timeout: time.Until(r.Deadline),
 	})
 }
 
@@ -430,7 +430,7 @@
 }
 
 // finish gives a request its one answer.
-func (l *Core) finish(id policy.RequestID, a Answer) {
+func (l *Core) finish(id policy.RequestID, a Response) {
 	if r := l.requests[id]; r != nil && !r.over {
 		r.history.end(time.Now(), false)
 		l.close(r)
@@ -438,10 +438,10 @@
 			violated(&l.checks.answeredTwice, "answered_twice", r.ID)
 		}
 		r.history.answered = true
-		if l.config.Answered != nil {
-			l.config.Answered(r.Class, a.Verdict, l.now-r.taken)
+		if l.config.OnResponse != nil {
+			l.config.OnResponse(r.Class, a.Result, l.now-r.taken)
 		}
-		r.Reply(a)
+		r.Respond(a)
 	}
 }
 
@@ -458,7 +458,7 @@
 	if r.over && r.out == 0 {
 		delete(l.requests, r.id)
 	}
-	l.b.Outcome(l.now, policy.Outcome{ID: r.id, Attempt: a.number, Ending: e.ending, Settled: r.over})
+	l.b.AttemptEnded(l.now, policy.AttemptOutcome{ID: r.id, Attempt: a.number, Result: e.ending, Completed: r.over})
 }
 
 // probesDone hands a host's probe results over in the order they were asked
@@ -467,26 +467,26 @@
 	for len(h.probes) > 0 && h.probes[0].done {
 		p := h.probes[0]
 		h.probes = h.probes[1:]
-		if errors.Is(p.err, ErrNotBegun) {
+		if errors.Is(p.err, ErrNotSent) {
 			l.b.ProbeNotSent(l.now, h.id)
 		} else {
-			l.b.Probed(l.now, h.id, p.err == nil, p.load)
+			l.b.ProbeCompleted(l.now, h.id, p.err == nil, p.load)
 		}
 	}
 }
 
 // list takes news of the list over and passes them to the module.
-func (l *Core) list(kind policy.ListKind, news News) {
-	servers := make([]policy.Server, 0, len(news.Instances))
+func (l *Core) list(kind policy.UpdateKind, news EndpointUpdate) {
+	servers := make([]policy.Endpoint, 0, len(news.Endpoints))
 	confirmed := time.Duration(0)
-	if !news.Confirmed.IsZero() {
-		confirmed = l.now - time.Since(news.Confirmed)
+	if !news.ConfirmedAt.IsZero() {
+		confirmed = l.now - time.Since(news.ConfirmedAt)
 	}
 	var named map[string]bool // a delta names what it changes, and that alone
-	if kind != policy.ListDelta {
-		named = make(map[string]bool, len(news.Instances))
+	if kind != policy.DeltaUpdate {
+		named = make(map[string]bool, len(news.Endpoints))
 	}
-	for _, e := range news.Instances {
+	for _, e := range news.Endpoints {
 		if named[e.Name] {
 			slog.Warn("discovery: host listed twice", "host", e.Name)
 		}
@@ -499,9 +499,9 @@
 			slog.Warn("discovery: entry passed over", "host", e.Name, "dial", e.Addr)
 		}
 	}
-	l.b.List(l.now, kind, servers)
-	if kind == policy.ListDelta { // at the cost of what changed, not of the list
-		for _, e := range news.Instances {
+	l.b.EndpointsUpdated(l.now, kind, servers)
+	if kind == policy.DeltaUpdate { // at the cost of what changed, not of the list
+		for _, e := range news.Endpoints {
 			if h := l.hosts[e.Name]; h != nil && h.entry.Health == Removed {
 				l.forget(e.Name, h)
 			}
@@ -514,10 +514,10 @@
 		}
 	}
 	l.forgetSites()
-	if len(l.hosts) > 0 || kind != policy.ListCached {
+	if len(l.hosts) > 0 || kind != policy.CachedUpdate {
 		l.ready.Store(true)
 	}
-	l.listed = l.listed || kind != policy.ListCached
+	l.listed = l.listed || kind != policy.CachedUpdate
 }
 
 func (l *Core) forget(name string, h *host) {
@@ -537,7 +537,7 @@
 	}
 	used := make(map[string]bool, len(l.hosts))
 	for _, h := range l.hosts {
-		used[h.entry.Site] = true
+		used[h.entry.Zone] = true
 	}
 	maps.DeleteFunc(l.sites, func(name string, number int) bool {
 		return number >= len(l.config.Zones) && !used[name]
@@ -546,31 +546,31 @@
 
 // enter takes one entry of the list over. A word for its health that is not
 // known means nothing new, as draining does.
-func (l *Core) enter(e Instance, confirmed time.Duration) (policy.Server, bool) {
+func (l *Core) enter(e Endpoint, confirmed time.Duration) (policy.Endpoint, bool) {
 	if e.Name == "" {
-		return policy.Server{}, false
+		return policy.Endpoint{}, false
 	}
 	h := l.hosts[e.Name]
 	appeared := h == nil && l.listed
 	if _, err := netip.ParseAddrPort(e.Addr); err != nil {
 		if h == nil || e.Health == Up {
-			return policy.Server{}, false
+			return policy.Endpoint{}, false
 		}
 		e.Addr = h.entry.Addr // it is to get nothing new: its address does not matter
 	}
 	if h == nil {
 		l.lastHost++
-		h = &host{id: l.lastHost, node: l.config.Reach(e)}
+		h = &host{id: l.lastHost, node: l.config.NewUpstream(e)}
 		l.hosts[e.Name], l.byID[h.id] = h, h
-	} else if h.entry.Addr != e.Addr || h.entry.Started != e.Started { // what was open to it leads nowhere now
+	} else if h.entry.Addr != e.Addr || h.entry.StartedAt != e.StartedAt { // what was open to it leads nowhere now
 		h.node.Retire()
-		h.node = l.config.Reach(e)
+		h.node = l.config.NewUpstream(e)
 	}
 	// Where it was placed, a start stays while the entry names the same one.
-	if h.entry.Started != e.Started || h.started == 0 {
+	if h.entry.StartedAt != e.StartedAt || h.started == 0 {
 		h.started = policy.StartedAt(policy.StartEvidence{
-			Told: e.Started, Now: l.now, Wall: time.Duration(time.Now().UnixNano()),
-			Changed: appeared || h.entry.Name != "" && h.entry.Started != e.Started, ConfirmedAt: confirmed,
+			Reported: e.StartedAt, Now: l.now, WallClock: time.Duration(time.Now().UnixNano()),
+			Changed: appeared || h.entry.Name != "" && h.entry.StartedAt != e.StartedAt, ConfirmedAt: confirmed,
 		})
 	}
 	h.entry = e
@@ -579,27 +579,27 @@
 	} else {
 		h.close(l.now - l.beginNow)
 	}
-	site, ok := l.sites[e.Site]
+	site, ok := l.sites[e.Zone]
 	if !ok {
 		site = l.nextSite
 		l.nextSite++
-		l.sites[e.Site] = site
+		l.sites[e.Zone] = site
 	}
-	s := policy.Server{ID: h.id, Zone: site, Weight: e.Weight, Started: h.started, State: policy.Draining}
+	s := policy.Endpoint{ID: h.id, Zone: site, Weight: e.Weight, StartedAt: h.started, Health: policy.Draining}
 	if s.Cell = -int(h.id); e.Cell != nil { // without a cell it shares its keys with no other
 		s.Cell = *e.Cell
 	}
 	switch e.Health {
 	case Up:
-		s.State = policy.Ready
+		s.Health = policy.Ready
 	case Removed:
-		s.State = policy.Gone
+		s.Health = policy.Removed
 	}
 	return s, true
 }
 
 // Send starts an attempt.
-func (l *Core) Send(id policy.RequestID, to policy.ServerID, timeout, within time.Duration) {
+func (l *Core) Send(id policy.RequestID, to policy.EndpointID, timeout, within time.Duration) {
 	r, h := l.requests[id], l.byID[to]
 	if r == nil {
 		return
@@ -607,7 +607,7 @@
 	a := &attempt{req: r, number: len(r.attempts)}
 	r.attempts = append(r.attempts, a)
 	r.out++
-	until, m := r.Until, r.Message
+	until, m := r.Deadline, r.Message
 	if timeout != 0 {
 		if cut := time.Now().Add(timeout); cut.Before(until) {
 			until = cut
@@ -618,7 +618,7 @@
 		m.guard = &attemptGuard{core: l, request: r, host: h, number: a.number}
 	}
 	if within > 0 { // from the module's own now: the event may have taken its time
-		m.By = time.Now().Add(within - (l.clock() - l.now))
+		m.WriteDeadline = time.Now().Add(within - (l.clock() - l.now))
 	}
 	a.ctx, a.cancel = context.WithDeadline(context.Background(), until)
 	if h == nil || r.over {
@@ -629,15 +629,15 @@
 	node := h.node
 	go func() {
 		defer a.cancel()
-		ending, ans := node.Try(a.ctx, &m)
+		ending, ans := node.RoundTrip(a.ctx, &m)
 		l.post(ended{a, ending, ans})
 	}()
 }
 
-// Refuse tells the client that trying again is harmless.
-func (l *Core) Refuse(id policy.RequestID, pause time.Duration) {
+// Reject tells the client that trying again is harmless.
+func (l *Core) Reject(id policy.RequestID, pause time.Duration) {
 	l.noteGivenUp(id, "refused")
-	l.finish(id, Answer{Verdict: Refused, Pause: pause})
+	l.finish(id, Response{Result: Rejected, RetryAfter: pause})
 }
 
 // Fail answers without a promise.
@@ -647,7 +647,7 @@
 	if r := l.requests[id]; r != nil && (r.timedOut || r.out > 0) { // time ran out, whoever noticed first
 		verdict = TimedOut
 	}
-	l.finish(id, Answer{Verdict: verdict})
+	l.finish(id, Response{Result: verdict})
 }
 
 // Cancel gives an attempt up.
@@ -657,14 +657,14 @@
 	}
 }
 
-// Wake arms the one timer. The module asks again only for an earlier time.
-func (l *Core) Wake(d time.Duration) {
+// SetTimer arms the one timer. The module asks again only for an earlier time.
+func (l *Core) SetTimer(d time.Duration) {
 	l.dueAt = l.now + d
 	l.timer.Reset(d)
 }
 
 // Probe asks an upstream for its load.
-func (l *Core) Probe(to policy.ServerID) {
+func (l *Core) Probe(to policy.EndpointID) {
 	h := l.byID[to]
 	if h == nil {
 		return
@@ -678,8 +678,8 @@
 	}()
 }
 
-// WatchList subscribes to the list, where that is the module's to ask.
-func (l *Core) WatchList() {
+// RequestWatch subscribes to the list, where that is the module's to ask.
+func (l *Core) RequestWatch() {
 	select {
 	case l.asks <- struct{}{}:
 	default: // one is waiting already
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -16,11 +16,11 @@
 	h := l.hosts["s-1"]
 	first, second := &probe{host: h}, &probe{host: h}
 	h.probes = []*probe{first, second}
-	l.handle(probed{second, policy.Load{InFlight: 1}, nil})
+	l.handle(probed{second, policy.LoadReport{InFlight: 1}, nil})
 	if len(h.probes) != 2 {
 		t.Fatal("the second result went before the first")
 	}
-	l.handle(probed{first, policy.Load{InFlight: -1}, ErrNotBegun})
+	l.handle(probed{first, policy.LoadReport{InFlight: -1}, ErrNotSent})
 	if len(h.probes) != 0 {
 		t.Errorf("%d results are held back", len(h.probes))
 	}
@@ -48,16 +48,16 @@
 
 func TestExactlyOneAnswer(t *testing.T) {
 	l := newTestLoop(t)
-	answers := make(chan Answer, 1)
-	r := &Request{ID: "x", id: 7, Reply: func(a Answer) { answers <- a }}
+	answers := make(chan Response, 1)
+	r := &Request{ID: "x", id: 7, Respond: func(a Response) { answers <- a }}
 	l.requests[r.id] = r
 	l.names.claim(r.ID)
 	l.Fail(r.id)
 	l.Fail(r.id)
-	l.Refuse(r.id, 0)
+	l.Reject(r.id, 0)
 	l.handle(left{r})
-	if a := peertest.Await(t, "the answer", answers); a.Verdict != Failed || len(answers) > 0 {
-		t.Errorf("answered %d, and %d times more", a.Verdict, len(answers))
+	if a := peertest.Await(t, "the answer", answers); a.Result != Failed || len(answers) > 0 {
+		t.Errorf("answered %d, and %d times more", a.Result, len(answers))
 	}
 	if len(l.requests) > 0 || l.names.has(r.ID) {
 		t.Errorf("%d requests are still held, name held: %v", len(l.requests), l.names.has(r.ID))
@@ -67,13 +67,13 @@
 // An answer that comes when its client has left finds nobody, but must not
 // leave the request behind.
 func TestLateAnswerLeavesNothingBehind(t *testing.T) {
-	answers := make(chan Answer, 1)
+	answers := make(chan Response, 1)
 	l := newTestLoop(t, up("s-1", "127.0.0.1:7"))
-	held := &Request{ID: "x", Class: 2, Until: time.Now().Add(peertest.Patience), Reply: func(a Answer) { answers <- a }}
+	held := &Request{ID: "x", Class: 2, Deadline: time.Now().Add(peertest.Patience), Respond: func(a Response) { answers <- a }}
 	l.now = l.clock()
 	l.handle(arrived{held})
 	l.handle(left{held})
-	l.handle(ended{held.attempts[0], policy.Served, &Answer{}})
+	l.handle(ended{held.attempts[0], policy.Served, &Response{}})
 	if len(l.requests) > 0 || len(answers) > 0 {
 		t.Errorf("%d requests are still held, %d answers given", len(l.requests), len(answers))
 	}
@@ -83,13 +83,13 @@
 // comes in: the client is told of a time-out either way.
 func TestTimeOutIsToldWhoeverNoticesFirst(t *testing.T) {
 	l := newTestLoop(t)
-	for want, r := range map[Verdict]*Request{TimedOut: {ID: "out", id: 7, out: 1}, Failed: {ID: "broken", id: 8}} {
-		answers := make(chan Answer, 1)
-		r.Reply = func(a Answer) { answers <- a }
+	for want, r := range map[Result]*Request{TimedOut: {ID: "out", id: 7, out: 1}, Failed: {ID: "broken", id: 8}} {
+		answers := make(chan Response, 1)
+		r.Respond = func(a Response) { answers <- a }
 		l.requests[r.id] = r
 		l.Fail(r.id)
-		if a := peertest.Await(t, "the answer", answers); a.Verdict != want {
-			t.Errorf("%s: answered %d, want %d", r.ID, a.Verdict, want)
+		if a := peertest.Await(t, "the answer", answers); a.Result != want {
+			t.Errorf("%s: answered %d, want %d", r.ID, a.Result, want)
 		}
 	}
 }
@@ -97,33 +97,33 @@
 // silent is a node that never answers.
 type silent struct{}
 
-func (silent) Try(ctx context.Context, _ *Message) (policy.Ending, *Answer) {
+func (silent) RoundTrip(ctx context.Context, _ *Message) (policy.AttemptResult, *Response) {
 	<-ctx.Done()
 	return policy.TimedOut, nil
 }
 
-func (silent) Probe(context.Context) (policy.Load, error) {
-	return policy.Load{InFlight: -1}, errors.New("silent")
+func (silent) Probe(context.Context) (policy.LoadReport, error) {
+	return policy.LoadReport{InFlight: -1}, errors.New("silent")
 }
 
 func (silent) Retire() {}
 
-func up(name, addr string) Instance {
-	return Instance{Name: name, Addr: addr, Site: "a", Health: Up, Weight: 1}
+func up(name, addr string) Endpoint {
+	return Endpoint{Name: name, Addr: addr, Zone: "a", Health: Up, Weight: 1}
 }
 
-func newTestLoop(t *testing.T, known ...Instance) *Core {
+func newTestLoop(t *testing.T, known ...Endpoint) *Core {
 	t.Helper()
-	class := func(e policy.Effect) policy.Class {
-		return policy.Class{Effect: e, Aim: 4 * time.Second, Deadline: 5 * time.Second, Worth: 1, Window: 5 * time.Second}
+	class := func(e policy.Idempotency) policy.Class {
+		return policy.Class{Idempotency: e, LatencyObjective: 4 * time.Second, Deadline: 5 * time.Second, PriorityWeight: 1, DedupWindow: 5 * time.Second}
 	}
 	l, err := New(Config{
 		Policy: policy.Config{
-			Balancers: 1, MaxAttempts: 3, MayCancel: true,
-			Classes: []policy.Class{class(policy.Safe), class(policy.Keyed), class(policy.Unsafe)},
+			FleetSize: 1, MaxAttempts: 3, CancelAllowed: true,
+			Classes: []policy.Class{class(policy.Idempotent), class(policy.IdempotentByKey), class(policy.NotIdempotent)},
 		},
-		Zones: []string{"a"}, Known: &News{Whole: true, Instances: known},
-		Reach: func(Instance) Node { return silent{} },
+		Zones: []string{"a"}, Cached: &EndpointUpdate{Complete: true, Endpoints: known},
+		NewUpstream: func(Endpoint) Upstream { return silent{} },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 
 func TestWrongEntriesArePassedOver(t *testing.T) {
 	l := newTestLoop(t)
-	l.list(policy.ListFull, News{Whole: true, Instances: []Instance{
+	l.list(policy.FullUpdate, EndpointUpdate{Complete: true, Endpoints: []Endpoint{
 		{}, {Addr: "127.0.0.1:7", Health: Up}, up("s-2", "nowhere"), up("s-1", "127.0.0.1:7"), up("s-3", "127.0.0.1:8"),
 	}})
 	if len(l.hosts) != 2 || l.hosts["s-1"] == nil || l.hosts["s-3"] == nil {
@@ -143,7 +143,7 @@
 
 func TestEntriesBecomeServers(t *testing.T) {
 	l := newTestLoop(t)
-	enter := func(e Instance) policy.Server {
+	enter := func(e Endpoint) policy.Endpoint {
 		s, ok := l.enter(e, 0)
 		if !ok {
 			t.Fatalf("%+v was passed over", e)
@@ -151,25 +151,25 @@
 		return s
 	}
 	cell := 3
-	e := Instance{Name: "s-1", Addr: "127.0.0.1:7", Site: "a", Cell: &cell, Health: Up, Weight: 1.5}
+	e := Endpoint{Name: "s-1", Addr: "127.0.0.1:7", Zone: "a", Cell: &cell, Health: Up, Weight: 1.5}
 	s := enter(e)
-	if s.State != policy.Ready || s.Weight != 1.5 || s.Cell != 3 || s.Zone != 0 || s.Started != 0 {
+	if s.Health != policy.Ready || s.Weight != 1.5 || s.Cell != 3 || s.Zone != 0 || s.StartedAt != 0 {
 		t.Errorf("server %+v", s)
 	}
 	e.Addr, e.Health = "127.0.0.1:8", Draining
-	if d := enter(e); d.ID != s.ID || d.State != policy.Draining || l.hosts["s-1"].entry.Addr != e.Addr {
+	if d := enter(e); d.ID != s.ID || d.Health != policy.Draining || l.hosts["s-1"].entry.Addr != e.Addr {
 		t.Errorf("at another address it is %+v, was %+v", d, s)
 	}
 	e.Health = Health(99)
-	if d := enter(e); d.State != policy.Draining {
-		t.Errorf("unknown health gives %v", d.State)
+	if d := enter(e); d.Health != policy.Draining {
+		t.Errorf("unknown health gives %v", d.Health)
 	}
 	e.Health, e.Addr = Removed, ""
-	if d := enter(e); d.ID != s.ID || d.State != policy.Gone {
+	if d := enter(e); d.ID != s.ID || d.Health != policy.Removed {
 		t.Errorf("removed without an address gives %+v", d)
 	}
-	other := enter(Instance{Name: "s-2", Addr: "127.0.0.1:9", Site: "elsewhere", Health: Up})
-	third := enter(Instance{Name: "s-3", Addr: "127.0.0.1:9", Site: "elsewhere", Health: Up})
+	other := enter(Endpoint{Name: "s-2", Addr: "127.0.0.1:9", Zone: "elsewhere", Health: Up})
+	third := enter(Endpoint{Name: "s-3", Addr: "127.0.0.1:9", Zone: "elsewhere", Health: Up})
 	if other.ID == s.ID || other.Zone == 0 || other.Zone != third.Zone || other.Cell == third.Cell {
 		t.Errorf("servers %+v and %+v", other, third)
 	}
@@ -180,14 +180,14 @@
 func TestEarlierStartIsNotLongAgo(t *testing.T) {
 	l := newTestLoop(t)
 	born := time.Duration(time.Now().Add(-2 * time.Second).UnixNano())
-	s, ok := l.enter(Instance{Name: "s-1", Addr: "127.0.0.1:7", Health: Up, Started: born}, 0)
-	if age := l.clock() - s.Started; !ok || s.Started <= 0 || age < time.Second || age > peertest.Patience {
-		t.Errorf("started at %v, %v ago by the module's clock", s.Started, age)
+	s, ok := l.enter(Endpoint{Name: "s-1", Addr: "127.0.0.1:7", Health: Up, StartedAt: born}, 0)
+	if age := l.clock() - s.StartedAt; !ok || s.StartedAt <= 0 || age < time.Second || age > peertest.Patience {
+		t.Errorf("started at %v, %v ago by the module's clock", s.StartedAt, age)
 	}
-	ahead := Instance{Name: "s-2", Addr: "127.0.0.1:7", Health: Up, Started: time.Duration(time.Now().Add(time.Hour).UnixNano())}
+	ahead := Endpoint{Name: "s-2", Addr: "127.0.0.1:7", Health: Up, StartedAt: time.Duration(time.Now().Add(time.Hour).UnixNano())}
 	first, _ := l.enter(ahead, 0)
 	l.now = l.clock() + time.Second
-	if again, _ := l.enter(ahead, 0); first.Started > l.now || again.Started != first.Started {
-		t.Errorf("a start ahead of the clock is %v and then %v", first.Started, again.Started)
+	if again, _ := l.enter(ahead, 0); first.StartedAt > l.now || again.StartedAt != first.StartedAt {
+		t.Errorf("a start ahead of the clock is %v and then %v", first.StartedAt, again.StartedAt)
 	}
 }
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -25,23 +25,23 @@
 	DefaultDrainGrace = time.Second
 )
 
-// Checks counts broken rules, as the run-time checks see them. All stay 0.
-type Checks struct {
-	SentToDraining  uint64 `metric:"sent_to_draining"`  // an attempt began later than the grace after a drain was told
-	SentForLeft     uint64 `metric:"sent_for_left"`     // an attempt began after its client had left
-	SentAfterAnswer uint64 `metric:"sent_after_answer"` // an attempt began after its request had its final answer
-	RepeatedUnsafe  uint64 `metric:"repeated_unsafe"`   // an attempt began though one before it may have run
-	RepeatedTooLate uint64 `metric:"repeated_too_late"` // a keyed repeat began after the servers' memory of the first
-	DeadlineTooLong uint64 `metric:"deadline_too_long"` // a server was told more time than its client has left
-	AnsweredTwice   uint64 `metric:"answered_twice"`    // a request got a second final answer
+// Violations counts broken rules, as the run-time checks see them. All stay 0.
+type Violations struct {
+	SentToDraining          uint64 `metric:"sent_to_draining"`  // an attempt began later than the grace after a drain was told
+	SentAfterClientGone     uint64 `metric:"sent_for_left"`     // an attempt began after its client had left
+	SentAfterResponse       uint64 `metric:"sent_after_answer"` // an attempt began after its request had its final answer
+	RetriedNotIdempotent    uint64 `metric:"repeated_unsafe"`   // an attempt began though one before it may have run
+	RetriedAfterDedupWindow uint64 `metric:"repeated_too_late"` // a keyed repeat began after the servers' memory of the first
+	TimeoutTooLong          uint64 `metric:"deadline_too_long"` // a server was told more time than its client has left
+	RespondedTwice          uint64 `metric:"answered_twice"`    // a request got a second final answer
 }
 
-// Withheld counts attempts that a guard kept from beginning, by reason.
-type Withheld struct {
-	Draining uint64 `metric:"draining"` // the server was told to drain, or has gone
-	Left     uint64 `metric:"left"`     // the client has left
-	Answered uint64 `metric:"answered"` // the request has its final answer
-	Window   uint64 `metric:"window"`   // the servers' memory of an earlier attempt has ended
+// PreventedSends counts attempts that a guard kept from beginning, by reason.
+type PreventedSends struct {
+	Draining    uint64 `metric:"draining"` // the server was told to drain, or has gone
+	ClientGone  uint64 `metric:"left"`     // the client has left
+	Responded   uint64 `metric:"answered"` // the request has its final answer
+	DedupWindow uint64 `metric:"window"`   // the servers' memory of an earlier attempt has ended
 }
 
 // checks are the counters in use.
@@ -51,19 +51,19 @@
 	draining, left, answered, window atomic.Uint64
 }
 
-// Checks returns what the run-time checks have counted.
-func (l *Core) Checks() Checks {
+// Violations returns what the run-time checks have counted.
+func (l *Core) Violations() Violations {
 	c := &l.checks
-	return Checks{
+	return Violations{
 		c.sentToDraining.Load(), c.sentForLeft.Load(), c.sentAfterAnswer.Load(), c.repeatedUnsafe.Load(),
 		c.repeatedTooLate.Load(), c.deadlineTooLong.Load(), c.answeredTwice.Load(),
 	}
 }
 
-// Withheld returns what the guards have withheld.
-func (l *Core) Withheld() Withheld {
+// PreventedSends returns what the guards have withheld.
+func (l *Core) PreventedSends() PreventedSends {
 	c := &l.checks
-	return Withheld{c.draining.Load(), c.left.Load(), c.answered.Load(), c.window.Load()}
+	return PreventedSends{c.draining.Load(), c.left.Load(), c.answered.Load(), c.window.Load()}
 }
 
 func violated(count *atomic.Uint64, rule, request string) {
@@ -98,12 +98,12 @@
 }
 
 // ended notes how an attempt has ended.
-func (h *history) ended(number int, ending policy.Ending) {
+func (h *history) ended(number int, ending policy.AttemptResult) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i := range h.begun {
 		if h.begun[i].number == number {
-			h.begun[i].never = ending == policy.TurnedAway || ending == policy.NoConnection || ending == policy.NotSent
+			h.begun[i].never = ending == policy.Rejected || ending == policy.ConnectionFailed || ending == policy.NotSent
 		}
 	}
 }
@@ -119,7 +119,7 @@
 
 // withhold says by which counter an attempt may not begin now; nil: it may.
 func (m *Message) withhold(now time.Time) (why func(*checks) *atomic.Uint64) {
-	if !m.By.IsZero() && !now.Before(m.By) {
+	if !m.WriteDeadline.IsZero() && !now.Before(m.WriteDeadline) {
 		return func(c *checks) *atomic.Uint64 { return &c.window }
 	}
 	if g := m.guard; g != nil {
@@ -137,16 +137,16 @@
 			return func(c *checks) *atomic.Uint64 { return &c.left }
 		}
 	}
-	if m.Gone != nil && m.Gone() {
+	if m.ClientGone != nil && m.ClientGone() {
 		return func(c *checks) *atomic.Uint64 { return &c.left }
 	}
 	return nil
 }
 
-// MayBegin is asked by transports right before the first byte is written, as
+// AllowSend is asked by transports right before the first byte is written, as
 // much may have happened since the module decided: connections come up late, servers
 // drain and clients leave. What may not begin has ended as policy.NotSent.
-func (m *Message) MayBegin(now time.Time) bool {
+func (m *Message) AllowSend(now time.Time) bool {
 	why := m.withhold(now)
 	if why == nil {
 		return true
@@ -157,9 +157,9 @@
 	return false
 }
 
-// Began takes that the last byte of an attempt was written, and how long the server was
+// SendCompleted takes that the last byte of an attempt was written, and how long the server was
 // told that it will be waited for; 0: it was told nothing.
-func (m *Message) Began(now time.Time, told time.Duration) {
+func (m *Message) SendCompleted(now time.Time, told time.Duration) {
 	g := m.guard
 	if g == nil {
 		return
@@ -168,7 +168,7 @@
 	if at := g.host.closedAt.Load(); at != 0 && now.Sub(g.core.begin)-time.Duration(at) > g.core.config.DrainGrace+heldUpSlack {
 		violated(&c.sentToDraining, "sent_to_draining", r.ID)
 	}
-	if told > max(r.Until.Sub(now), 0)+deadlineSlack+heldUpSlack {
+	if told > max(r.Deadline.Sub(now), 0)+deadlineSlack+heldUpSlack {
 		violated(&c.deadlineTooLong, "deadline_too_long", r.ID)
 	}
 	class := &g.core.config.Policy.Classes[r.Class]
@@ -184,10 +184,10 @@
 	}
 	for _, b := range h.begun {
 		switch {
-		case b.never || class.Effect == policy.Safe:
-		case class.Effect == policy.Unsafe:
+		case b.never || class.Idempotency == policy.Idempotent:
+		case class.Idempotency == policy.NotIdempotent:
 			violated(&c.repeatedUnsafe, "repeated_unsafe", r.ID)
-		case now.Sub(b.at) > class.Window+heldUpSlack:
+		case now.Sub(b.at) > class.DedupWindow+heldUpSlack:
 			violated(&c.repeatedTooLate, "repeated_too_late", r.ID)
 		}
 	}
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -23,8 +23,8 @@
 		want   string
 	}{
 		{"decisions", policy.Counters{}, "ordinary knocked passed trials shed retries refused failed"},
-		{"violations", core.Checks{}, "sent_to_draining sent_for_left sent_after_answer repeated_unsafe repeated_too_late deadline_too_long answered_twice"},
-		{"prevented sends", core.Withheld{}, "draining left answered window"},
+		{"violations", core.Violations{}, "sent_to_draining sent_for_left sent_after_answer repeated_unsafe repeated_too_late deadline_too_long answered_twice"},
+		{"prevented sends", core.PreventedSends{}, "draining left answered window"},
 		{"quota usage", quota.Usage{}, "own borrowed refused lent repaid"},
 		{"HTTP listener", httpfront.Counters{}, "connections taken rejected left failed closed_by_server closed_idle closed_drain closed_silent closed_unfinished closed_cut closed_unanswered"},
 		{"RPC listener", rpcfront.Counters{}, "connections taken rejected flooded repeated malformed stalled failed"},
--- a/internal/fleet/crowd.go
+++ b/internal/fleet/crowd.go
@@ -66,8 +66,8 @@
 	rng := rand.New(rand.NewPCG(c.Seed, 1))
 	callers := make([]*crowdCaller, c.Sidecars)
 	for i := range callers {
-		plan := resolver.New(resolver.Asked(), c.Seed+uint64(i))
-		plan.SetHeld(c.Held)
+		plan := resolver.New(resolver.ForPolledLists(), c.Seed+uint64(i))
+		plan.SetHasList(c.Held)
 		callers[i] = &crowdCaller{plan: plan, waits: make(map[resolver.CallID]bool), wakeAt: time.Duration(rng.Float64() * float64(c.Spread))}
 	}
 	var result CrowdResult
@@ -119,7 +119,7 @@
 		return id, true
 	}
 	step := caller.plan.Next(now)
-	for _, id := range step.GiveUp {
+	for _, id := range step.Cancel {
 		delete(caller.waits, id)
 	}
 	caller.wakeAt = now + step.Wait
@@ -133,7 +133,7 @@
 // another call of it is waited for.
 func (caller *crowdCaller) turnedAway(id resolver.CallID, now time.Duration, rng *rand.Rand) {
 	delete(caller.waits, id)
-	if caller.plan.Failed(id) && len(caller.waits) > 0 {
+	if caller.plan.CallFailed(id) && len(caller.waits) > 0 {
 		return
 	}
 	pause := min(250*time.Millisecond<<min(caller.fails, 16), 1500*time.Millisecond)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -57,7 +57,7 @@
 func TestBrokenRulesAreSeen(t *testing.T) {
 	for rule, do := range map[string]func(c *sidecar, x *request){
 		"rule 1: request 1 of sidecar 0 has a second answer": func(c *sidecar, x *request) { c.answer(x); c.answer(x) },
-		"rule 1: sidecar 0 refuses request 1":                func(c *sidecar, x *request) { c.Fail(x.id); c.Refuse(x.id, 0) },
+		"rule 1: sidecar 0 refuses request 1":                func(c *sidecar, x *request) { c.Fail(x.id); c.Reject(x.id, 0) },
 		"rule 1: request 2 of sidecar 0 has no answer before its deadline": func(c *sidecar, _ *request) {
 			c.nodes[0].hangs, c.nodes[1].hangs = true, true
 			y := c.newRequest(&client{class: 1, ends: time.Second}, 1)
@@ -104,7 +104,7 @@
 // run it: a policy that takes that for 'never ran' is caught.
 func TestFallBetweenLastByteAndAnswer(t *testing.T) {
 	s := calm(4, 0.7)
-	s.Classes[0].Effect, s.Classes[0].Work, s.Clients.Tries = Effect(policy.Unsafe), 200*ms, 3
+	s.Classes[0].Effect, s.Classes[0].Work, s.Clients.Tries = Effect(policy.NotIdempotent), 200*ms, 3
 	s.Network.Delay = 5 * ms
 	for i := range 40 {
 		s.Troubles = append(s.Troubles, Trouble{Kind: Restart, At: time.Duration(i+1) * time.Second, Node: i % 4})
@@ -131,7 +131,7 @@
 // have run, and its client hears that nothing is known.
 func TestAnswerOfAFallenNode(t *testing.T) {
 	s := calm(1, 0.5)
-	s.Classes[0].Effect, s.Network.Delay = Effect(policy.Unsafe), 50*ms
+	s.Classes[0].Effect, s.Network.Delay = Effect(policy.NotIdempotent), 50*ms
 	r, err := prepare(&s)
 	if err != nil {
 		t.Fatal(err)
@@ -150,11 +150,11 @@
 // careless takes a broken connection for proof that nothing ran.
 type careless struct{ decider }
 
-func (c *careless) Outcome(now time.Duration, o policy.Outcome) {
-	if o.Ending == policy.Broken {
-		o.Ending = policy.NotSent
+func (c *careless) AttemptEnded(now time.Duration, o policy.AttemptOutcome) {
+	if o.Result == policy.ConnectionReset {
+		o.Result = policy.NotSent
 	}
-	c.decider.Outcome(now, o)
+	c.decider.AttemptEnded(now, o)
 }
 
 // The same scenario gives the same result, whatever runs beside it.
--- a/internal/fleet/listing.go
+++ b/internal/fleet/listing.go
@@ -12,53 +12,53 @@
 func (r *run) cell(n *node) int { return n.number / max(1, r.s.List.Cell) }
 
 // hear takes news of a node.
-func (c *sidecar) hear(n *node, state policy.State) {
+func (c *sidecar) hear(n *node, state policy.Health) {
 	if c.off || !c.told {
 		return
 	}
 	if c.members != nil {
 		d := membership.Delta{Instance: c.instance(n, state)}
-		if state == policy.Gone {
+		if state == policy.Removed {
 			d.Op = membership.Delete
 		}
-		c.apply(c.members.Delta(c.time(), 0, "", []membership.Delta{d}))
+		c.apply(c.members.ApplyDelta(c.time(), 0, "", []membership.Delta{d}))
 		return
 	}
-	c.b.List(c.time(), policy.ListDelta, []policy.Server{c.entry(n, state)})
+	c.b.EndpointsUpdated(c.time(), policy.DeltaUpdate, []policy.Endpoint{c.entry(n, state)})
 }
 
 // hearAll takes a whole list.
-func (c *sidecar) hearAll(states []policy.State) {
+func (c *sidecar) hearAll(states []policy.Health) {
 	if c.off {
 		return
 	}
 	if c.members != nil {
 		var list []membership.Instance
 		for i, n := range c.nodes {
-			if states[i] != policy.Gone {
+			if states[i] != policy.Removed {
 				list = append(list, c.instance(n, states[i]))
 			}
 		}
-		changes, err := c.members.Whole(c.time(), 0, "", list)
+		changes, err := c.members.ReplaceList(c.time(), 0, "", list)
 		if err != nil {
 			c.breach("sidecar %d does not take the list: %v", c.number, err)
 		}
 		c.apply(changes)
 		return
 	}
-	var list []policy.Server
+	var list []policy.Endpoint
 	for i, n := range c.nodes {
-		if e := c.entry(n, states[i]); states[i] != policy.Gone {
+		if e := c.entry(n, states[i]); states[i] != policy.Removed {
 			list = append(list, e)
 		}
 	}
-	c.b.List(c.time(), policy.ListFull, list)
+	c.b.EndpointsUpdated(c.time(), policy.FullUpdate, list)
 }
 
 // entry is a line of the list for the balancer, where the list comes straight to it.
-func (c *sidecar) entry(n *node, state policy.State) policy.Server {
-	return policy.Server{
-		ID: c.heard(policy.ServerID(n.number+1), state), Cell: c.cell(n), Weight: c.s.Weight(n.number), State: state, Started: c.began(n),
+func (c *sidecar) entry(n *node, state policy.Health) policy.Endpoint {
+	return policy.Endpoint{
+		ID: c.heard(policy.EndpointID(n.number+1), state), Cell: c.cell(n), Weight: c.s.Weight(n.number), Health: state, StartedAt: c.began(n),
 	}
 }
 
@@ -72,18 +72,18 @@
 }
 
 // name gives a key its id.
-func (c *sidecar) name(key string, n *node) policy.ServerID {
+func (c *sidecar) name(key string, n *node) policy.EndpointID {
 	id, known := c.ids[key]
 	if !known {
 		c.servers = append(c.servers, server{node: n})
-		id = policy.ServerID(len(c.servers))
+		id = policy.EndpointID(len(c.servers))
 		c.ids[key] = id
 	}
 	return id
 }
 
 // heard notes since when an id is known to drain.
-func (c *sidecar) heard(id policy.ServerID, state policy.State) policy.ServerID {
+func (c *sidecar) heard(id policy.EndpointID, state policy.Health) policy.EndpointID {
 	drained := &c.servers[id-1].drained
 	switch {
 	case state == policy.Ready:
@@ -95,10 +95,10 @@
 }
 
 // instance is a node as a registry lists it.
-func (c *sidecar) instance(n *node, state policy.State) membership.Instance {
+func (c *sidecar) instance(n *node, state policy.Health) membership.Instance {
 	i := membership.Instance{
 		ID: fmt.Sprint("node-", n.number), Name: fmt.Sprint("node-", n.number), Addr: fmt.Sprint(n.number), Cell: fmt.Sprint(c.cell(n)), Weight: c.s.Weight(n.number),
-		Started: c.began(n), Updated: int64(c.now),
+		StartedAt: c.began(n), Updated: int64(c.now),
 	}
 	if state == policy.Draining {
 		i.Status = membership.OutOfService
@@ -111,8 +111,8 @@
 	if len(changes) == 0 {
 		return
 	}
-	states := [...]policy.State{membership.Gone: policy.Gone, membership.Draining: policy.Draining, membership.Ready: policy.Ready}
-	entries := make([]policy.Server, 0, len(changes))
+	states := [...]policy.Health{membership.Removed: policy.Removed, membership.Draining: policy.Draining, membership.Ready: policy.Ready}
+	entries := make([]policy.Endpoint, 0, len(changes))
 	for _, x := range changes {
 		var number int
 		fmt.Sscan(x.Addr, &number)
@@ -121,11 +121,11 @@
 		if x.Cell == "" { // it shares its keys with no other: numbers that no cell has
 			cell = -1 - len(c.servers)
 		}
-		entries = append(entries, policy.Server{
-			ID: c.heard(c.name(x.Key, n), states[x.State]), Cell: cell, Weight: x.Weight, State: states[x.State], Started: x.Started,
+		entries = append(entries, policy.Endpoint{
+			ID: c.heard(c.name(x.Key, n), states[x.State]), Cell: cell, Weight: x.Weight, Health: states[x.State], StartedAt: x.StartedAt,
 		})
 	}
-	c.b.List(c.time(), policy.ListDelta, entries)
+	c.b.EndpointsUpdated(c.time(), policy.DeltaUpdate, entries)
 }
 
 // link is a sidecar's connections to a node that wait for a request, newest last.
--- a/internal/fleet/quotas.go
+++ b/internal/fleet/quotas.go
@@ -18,7 +18,7 @@
 	if len(windows) == 0 {
 		windows = []time.Duration{time.Second, 10 * time.Second}
 	}
-	c := quota.Config{Reclaim: q.Reclaim, Repay: q.Repay, DebtAge: q.DebtAge}
+	c := quota.Config{LenderReserve: q.Reclaim, RepaymentShare: q.Repay, DebtLifetime: q.DebtAge}
 	node := func(name, parent string, rate, weight float64) {
 		n := quota.Node{Name: name, Parent: parent, Weight: weight}
 		for _, w := range windows {
@@ -48,25 +48,25 @@
 	if c.quota == nil {
 		return true
 	}
-	d := c.quota.Ask(c.time(), quota.Request{Node: tenantNode(x.tenant), Cost: quota.Cost{quota.Requests: 1}, Again: x.try > 1})
-	if d.Outcome != quota.Refused {
+	d := c.quota.Admit(c.time(), quota.Request{Node: tenantNode(x.tenant), Cost: quota.Cost{quota.Requests: 1}, Retry: x.try > 1})
+	if d.Outcome != quota.Rejected {
 		x.receipt = d.Receipt
 		return true
 	}
-	pause := d.Pause
+	pause := d.RetryAfter
 	if most := c.s.Clients.MaxPause; most > 0 {
 		pause = min(pause, most)
 	}
-	c.Refuse(x.id, max(pause, 10*time.Millisecond))
+	c.Reject(x.id, max(pause, 10*time.Millisecond))
 	return false
 }
 
 // spent gives a try's charge back where it never ran, and ends it otherwise.
-func (c *sidecar) spent(x *request, ending policy.Ending) {
+func (c *sidecar) spent(x *request, ending policy.AttemptResult) {
 	if c.quota == nil || x.receipt == nil {
 		return
 	}
-	if ending == policy.TurnedAway {
+	if ending == policy.Rejected {
 		c.quota.Refund(x.receipt)
 	} else {
 		c.quota.Release(x.receipt)
--- a/internal/fleet/reference.go
+++ b/internal/fleet/reference.go
@@ -12,12 +12,12 @@
 // decider is what a sidecar of the model asks; policy.Balancer is one.
 type decider interface {
 	Start(now time.Duration)
-	List(now time.Duration, kind policy.ListKind, entries []policy.Server)
-	Request(now time.Duration, q policy.Request)
-	Outcome(now time.Duration, o policy.Outcome)
-	ClientGone(now time.Duration, id policy.RequestID)
-	Probed(now time.Duration, id policy.ServerID, ok bool, l policy.Load)
-	Wake(now time.Duration)
+	EndpointsUpdated(now time.Duration, kind policy.UpdateKind, entries []policy.Endpoint)
+	RequestReceived(now time.Duration, q policy.Request)
+	AttemptEnded(now time.Duration, o policy.AttemptOutcome)
+	ClientDisconnected(now time.Duration, id policy.RequestID)
+	ProbeCompleted(now time.Duration, id policy.EndpointID, ok bool, l policy.LoadReport)
+	TimerFired(now time.Duration)
 }
 
 // Policy names what decides in every sidecar. The references are for comparison
@@ -68,7 +68,7 @@
 	}
 	r := &reference{
 		policy: s.Policy, retries: s.Retries, cfg: cfg, host: h, rng: stream(seed, "reference", 0),
-		known: make(map[policy.ServerID]*target), held: make(map[policy.RequestID]*referred), budget: budgetMost,
+		known: make(map[policy.EndpointID]*target), held: make(map[policy.RequestID]*referred), budget: budgetMost,
 	}
 	if s.Policy == Bulkhead {
 		r.wall(s)
@@ -84,7 +84,7 @@
 	host    policy.Host
 	rng     *rand.Rand
 	ready   []*target // in the list's order
-	known   map[policy.ServerID]*target
+	known   map[policy.EndpointID]*target
 	next    int
 	held    map[policy.RequestID]*referred
 	budget  float64
@@ -93,7 +93,7 @@
 
 // target is a server as a reference knows it.
 type target struct {
-	id   policy.ServerID
+	id   policy.EndpointID
 	out  int           // our own requests there
 	mean float64       // seconds, PeakEWMA's
 	asOf time.Duration // of mean
@@ -142,18 +142,18 @@
 // Start begins.
 func (r *reference) Start(time.Duration) {}
 
-// Probed has nothing to tell it.
-func (r *reference) Probed(time.Duration, policy.ServerID, bool, policy.Load) {}
+// ProbeCompleted has nothing to tell it.
+func (r *reference) ProbeCompleted(time.Duration, policy.EndpointID, bool, policy.LoadReport) {}
 
-// Wake has nothing to do.
-func (r *reference) Wake(time.Duration) {}
+// TimerFired has nothing to do.
+func (r *reference) TimerFired(time.Duration) {}
 
-// List takes the servers over that are ready.
-func (r *reference) List(_ time.Duration, kind policy.ListKind, entries []policy.Server) {
-	if kind == policy.ListFailed {
+// EndpointsUpdated takes the servers over that are ready.
+func (r *reference) EndpointsUpdated(_ time.Duration, kind policy.UpdateKind, entries []policy.Endpoint) {
+	if kind == policy.FailedUpdate {
 		return
 	}
-	if kind != policy.ListDelta {
+	if kind != policy.DeltaUpdate {
 		r.ready = nil
 	}
 	for _, e := range entries {
@@ -164,19 +164,19 @@
 		}
 		at := slices.Index(r.ready, t)
 		switch {
-		case e.State == policy.Ready && at < 0:
+		case e.Health == policy.Ready && at < 0:
 			r.ready = append(r.ready, t)
-		case e.State != policy.Ready && at >= 0:
+		case e.Health != policy.Ready && at >= 0:
 			r.ready = slices.Delete(r.ready, at, at+1)
 		}
 	}
 }
 
-// Request sends it, or lets it wait for a slot.
-func (r *reference) Request(now time.Duration, q policy.Request) {
-	x := &referred{class: q.Class, tenant: q.Tenant, until: now + q.Left, part: q.Left}
+// RequestReceived sends it, or lets it wait for a slot.
+func (r *reference) RequestReceived(now time.Duration, q policy.Request) {
+	x := &referred{class: q.Class, tenant: q.Tenant, until: now + q.Timeout, part: q.Timeout}
 	if r.retries != NeverRan {
-		x.part = q.Left / time.Duration(r.cfg.MaxAttempts)
+		x.part = q.Timeout / time.Duration(r.cfg.MaxAttempts)
 	}
 	r.held[q.ID] = x
 	r.budget = min(budgetMost, r.budget+budgetShare)
@@ -246,15 +246,15 @@
 // finish gives the request its answer: refused where that is harmless.
 func (r *reference) finish(id policy.RequestID, x *referred) {
 	delete(r.held, id)
-	if x.mayRun && r.cfg.Classes[x.class].Effect != policy.Safe {
+	if x.mayRun && r.cfg.Classes[x.class].Idempotency != policy.Idempotent {
 		r.host.Fail(id)
 	} else {
-		r.host.Refuse(id, 0)
+		r.host.Reject(id, 0)
 	}
 }
 
-// Outcome takes the end of an attempt: what may be sent again is.
-func (r *reference) Outcome(now time.Duration, o policy.Outcome) {
+// AttemptEnded takes the end of an attempt: what may be sent again is.
+func (r *reference) AttemptEnded(now time.Duration, o policy.AttemptOutcome) {
 	x := r.held[o.ID]
 	if x == nil {
 		return
@@ -266,11 +266,11 @@
 		r.walls[x.tenant].used--
 	}
 	defer r.feed(now, x.tenant)
-	if o.Settled {
+	if o.Completed {
 		delete(r.held, o.ID)
 		return
 	}
-	never := o.Ending == policy.TurnedAway || o.Ending == policy.NoConnection || o.Ending == policy.NotSent
+	never := o.Result == policy.Rejected || o.Result == policy.ConnectionFailed || o.Result == policy.NotSent
 	x.mayRun = x.mayRun || !never
 	if r.again(x) {
 		r.send(now, o.ID, x)
@@ -281,7 +281,7 @@
 
 // again says whether a request goes out once more.
 func (r *reference) again(x *referred) bool {
-	if len(x.sent) >= r.cfg.MaxAttempts || x.mayRun && r.cfg.Classes[x.class].Effect != policy.Safe {
+	if len(x.sent) >= r.cfg.MaxAttempts || x.mayRun && r.cfg.Classes[x.class].Idempotency != policy.Idempotent {
 		return false
 	}
 	if r.retries == Budget {
@@ -307,5 +307,5 @@
 	}
 }
 
-// ClientGone lets a request go.
-func (r *reference) ClientGone(_ time.Duration, id policy.RequestID) { delete(r.held, id) }
+// ClientDisconnected lets a request go.
+func (r *reference) ClientDisconnected(_ time.Duration, id policy.RequestID) { delete(r.held, id) }
--- a/internal/fleet/request.go
+++ b/internal/fleet/request.go
@@ -74,7 +74,7 @@
 	job     job
 	came    bool  // to its node, which took it
 	link    *link // whose connection it is on; nil: connections are not modelled
-	ending  policy.Ending
+	ending  policy.AttemptResult
 	over    bool
 	timeout timer
 }
@@ -100,7 +100,7 @@
 	case attemptEnds:
 		a.sidecar.end(a, a.ending)
 	case attemptBroken:
-		a.sidecar.end(a, policy.Broken)
+		a.sidecar.end(a, policy.ConnectionReset)
 	case attemptDropped:
 		a.node.drop(&a.job)
 	}
@@ -227,7 +227,7 @@
 	if !c.within(x) {
 		return
 	}
-	c.b.Request(c.time(), policy.Request{ID: x.id, Class: x.class, Tenant: x.tenant, Left: left, Repeat: x.try > 1})
+	c.b.RequestReceived(c.time(), policy.Request{ID: x.id, Class: x.class, Tenant: x.tenant, Timeout: left, ClientRetry: x.try > 1})
 }
 
 // act is that a try has no answer though its client waits no longer.
@@ -236,7 +236,7 @@
 	c.breach("rule 1: request %d of sidecar %d has no answer before its deadline", x.id, c.number)
 	c.result.Failed++ // for its client
 	c.answer(x)
-	c.b.ClientGone(c.time(), x.id)
+	c.b.ClientDisconnected(c.time(), x.id)
 }
 
 // answer gives a try its one answer.
@@ -297,7 +297,7 @@
 		d += c.delay()
 	}
 	if p.Most > 0 && a.node.open >= p.Most {
-		a.ending = policy.NoConnection
+		a.ending = policy.ConnectionFailed
 		c.put(d, a, attemptEnds)
 		return
 	}
@@ -315,9 +315,9 @@
 	case a.over || n.deaf: // given up on its way; or it never comes
 		return
 	case n.down:
-		a.ending = policy.NoConnection
+		a.ending = policy.ConnectionFailed
 	case a.process != n.process && a.link != nil: // its connection ended with the process before
-		a.ending = policy.Broken
+		a.ending = policy.ConnectionReset
 	default:
 		a.process = n.process
 		c.arrive(n, a.request.work)
@@ -325,7 +325,7 @@
 			c.effect(a.request, n)
 			return
 		}
-		a.ending = policy.TurnedAway
+		a.ending = policy.Rejected
 	}
 	c.put(c.delay(), a, attemptEnds)
 }
@@ -347,11 +347,11 @@
 func (c *sidecar) effect(x *request, n *node) {
 	k := &c.s.Classes[x.class]
 	times := 0
-	switch policy.Effect(k.Effect) {
-	case policy.Unsafe:
+	switch policy.Idempotency(k.Effect) {
+	case policy.NotIdempotent:
 		x.effects++
 		times = x.effects
-	case policy.Keyed:
+	case policy.IdempotentByKey:
 		cell := c.cell(n)
 		if k.Scope != Scope(policy.ScopeCell) {
 			cell = 0
@@ -370,13 +370,13 @@
 }
 
 // end ends an attempt once.
-func (c *sidecar) end(a *attempt, ending policy.Ending) {
+func (c *sidecar) end(a *attempt, ending policy.AttemptResult) {
 	x := a.request
 	if a.over {
 		return
 	}
 	if ending == policy.Served && a.process != a.node.process { // it fell between its last byte and its answer's coming
-		ending = policy.Broken
+		ending = policy.ConnectionReset
 	}
 	a.over = true
 	c.cancel(a.timeout)
@@ -394,19 +394,19 @@
 		c.answer(x)
 	}
 	c.forget(x)
-	c.b.Outcome(c.time(), policy.Outcome{ID: x.id, Attempt: a.number, Ending: ending, Settled: settled})
+	c.b.AttemptEnded(c.time(), policy.AttemptOutcome{ID: x.id, Attempt: a.number, Result: ending, Completed: settled})
 }
 
-var endings = map[policy.Ending]string{
-	policy.Served: "is answered", policy.TurnedAway: "is turned away", policy.TimedOut: "runs out of time", policy.NoConnection: "finds no connection",
-	policy.Broken: "ends with its connection", policy.Cancelled: "is called off",
+var endings = map[policy.AttemptResult]string{
+	policy.Served: "is answered", policy.Rejected: "is turned away", policy.TimedOut: "runs out of time", policy.ConnectionFailed: "finds no connection",
+	policy.ConnectionReset: "ends with its connection", policy.Cancelled: "is called off",
 }
 
 // letGo gives an attempt's connection back, or closes it.
-func (c *sidecar) letGo(a *attempt, ending policy.Ending) {
+func (c *sidecar) letGo(a *attempt, ending policy.AttemptResult) {
 	switch {
 	case a.link == nil || a.process != a.node.process || a.link.process != a.node.process:
-	case ending == policy.Served || ending == policy.TurnedAway:
+	case ending == policy.Served || ending == policy.Rejected:
 		a.link.rest()
 	default:
 		a.node.open--
@@ -414,7 +414,7 @@
 }
 
 // giveUp ends an attempt that nobody waits for; its node hears of it later.
-func (c *sidecar) giveUp(a *attempt, ending policy.Ending) {
+func (c *sidecar) giveUp(a *attempt, ending policy.AttemptResult) {
 	if a.over {
 		return
 	}
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -54,7 +54,7 @@
 type news struct {
 	at    time.Duration
 	node  *node
-	state policy.State
+	state policy.Health
 }
 
 // Run plays a scenario. The error says what is wrong with it; broken rules are
@@ -194,12 +194,12 @@
 		r.silent = r.now + t.For
 		for _, c := range r.sidecars {
 			if c.told = !r.s.List.Asked; !c.off {
-				c.b.List(c.time(), policy.ListFailed, nil)
+				c.b.EndpointsUpdated(c.time(), policy.FailedUpdate, nil)
 			}
 		}
 		return
 	case Stale:
-		r.tellAll(func(n *node) policy.State { return r.stateAt(n, r.now-t.For) })
+		r.tellAll(func(n *node) policy.Health { return r.stateAt(n, r.now-t.For) })
 		later(func() { r.tellAll(r.stateNow) })
 		return
 	case Burst:
@@ -247,9 +247,9 @@
 		for _, n := range hit {
 			out[n] = true
 		}
-		r.tellAll(func(n *node) policy.State {
+		r.tellAll(func(n *node) policy.Health {
 			if out[n] {
-				return policy.Gone
+				return policy.Removed
 			}
 			return r.stateNow(n)
 		})
@@ -304,7 +304,7 @@
 			return
 		}
 		n.restart(false)
-		r.tell(n, policy.Gone)
+		r.tell(n, policy.Removed)
 		later(func() {
 			n.restart(true)
 			r.tell(n, policy.Ready)
@@ -313,10 +313,10 @@
 }
 
 // stateNow is what a right list says of a node.
-func (r *run) stateNow(n *node) policy.State { return r.stateAt(n, r.now) }
+func (r *run) stateNow(n *node) policy.Health { return r.stateAt(n, r.now) }
 
 // stateAt is what the list said at a time.
-func (r *run) stateAt(n *node, at time.Duration) policy.State {
+func (r *run) stateAt(n *node, at time.Duration) policy.Health {
 	state := policy.Ready
 	for _, x := range r.news {
 		if x.node == n && x.at <= at {
@@ -327,7 +327,7 @@
 }
 
 // tell brings news of a node to every sidecar, to each after a delay of its own.
-func (r *run) tell(n *node, state policy.State) {
+func (r *run) tell(n *node, state policy.Health) {
 	r.news = append(r.news, news{r.now, n, state})
 	for _, c := range r.sidecars {
 		r.after(r.lag(), func() { c.hear(n, state) })
@@ -340,8 +340,8 @@
 }
 
 // tellAll brings a whole list to every sidecar.
-func (r *run) tellAll(state func(*node) policy.State) {
-	states := make([]policy.State, len(r.nodes))
+func (r *run) tellAll(state func(*node) policy.Health) {
+	states := make([]policy.Health, len(r.nodes))
 	for i, n := range r.nodes {
 		states[i] = state(n)
 	}
--- a/internal/fleet/scenario.go
+++ b/internal/fleet/scenario.go
@@ -69,11 +69,11 @@
 )
 
 // Effect is policy.Effect by name: safe, keyed or unsafe.
-type Effect policy.Effect
+type Effect policy.Idempotency
 
 // Scope is policy.Scope by name: all or cell. Each node is a cell of its own
 // unless Scenario.List has cells of more.
-type Scope policy.Scope
+type Scope policy.DedupScope
 
 var (
 	effects = []string{"safe", "keyed", "unsafe"}
--- a/internal/fleet/sidecar.go
+++ b/internal/fleet/sidecar.go
@@ -26,7 +26,7 @@
 	told    bool            // of the list: it was pushed, or asked for and not lost since
 	quota   *quota.Tree     // nil: there are none
 	members *membership.Set // nil: news come straight from the list
-	ids     map[string]policy.ServerID
+	ids     map[string]policy.EndpointID
 	servers []server // by id, less one
 }
 
@@ -40,16 +40,16 @@
 func (c *sidecar) start() error {
 	s := c.s
 	c.requests, c.links = make(map[policy.RequestID]*request), nil
-	c.members, c.ids, c.servers = nil, make(map[string]policy.ServerID), nil
+	c.members, c.ids, c.servers = nil, make(map[string]policy.EndpointID), nil
 	if s.Network.Handshake > 0 {
 		c.links = make([]*link, s.Nodes)
 	}
 	cfg := policy.Config{
-		Balancers: s.Sidecars, Slots: s.Slots, MaxAttempts: s.Attempts, MayCancel: true, MaxRetryAfter: s.Clients.MaxPause, MarksRepeat: true,
-		AskList: s.List.Asked, AskWithin: askWithin, MayProbe: s.Probes, Reports: s.Probes, ColdFrom: s.Node.ColdFrom, ColdTime: s.Node.ColdTime, ColdMultiple: s.Node.ColdMultiple,
+		FleetSize: s.Sidecars, Slots: s.Slots, MaxAttempts: s.Attempts, CancelAllowed: true, MaxRetryAfter: s.Clients.MaxPause, ClientsMarkRetries: true,
+		WatchOnRequest: s.List.Asked, WatchRequestWithin: askWithin, ProbesAllowed: s.Probes, ProbeLoadReports: s.Probes, SlowStartInitialShare: s.Node.ColdFrom, SlowStartDuration: s.Node.ColdTime, SlowStartOverloadFactor: s.Node.ColdMultiple,
 	}
 	for _, k := range s.Classes {
-		cfg.Classes = append(cfg.Classes, policy.Class{Aim: k.Aim, Deadline: k.Deadline, Worth: 1, Effect: policy.Effect(k.Effect), Scope: policy.Scope(k.Scope), Window: k.Window})
+		cfg.Classes = append(cfg.Classes, policy.Class{LatencyObjective: k.Aim, Deadline: k.Deadline, PriorityWeight: 1, Idempotency: policy.Idempotency(k.Effect), DedupScope: policy.DedupScope(k.Scope), DedupWindow: k.Window})
 	}
 	for _, t := range s.Tenants {
 		cfg.Tenants = append(cfg.Tenants, policy.Tenant{Share: t.Share, Quota: t.Quota})
@@ -82,8 +82,8 @@
 }
 
 // states are all nodes as the list has them now.
-func (c *sidecar) states() []policy.State {
-	states := make([]policy.State, len(c.nodes))
+func (c *sidecar) states() []policy.Health {
+	states := make([]policy.Health, len(c.nodes))
 	for i, n := range c.nodes {
 		states[i] = c.stateNow(n)
 	}
@@ -117,7 +117,7 @@
 func (c *sidecar) lose(x *request) {
 	c.result.Lost++
 	c.answer(x)
-	if c.s.Classes[x.class].Effect == Effect(policy.Safe) {
+	if c.s.Classes[x.class].Effect == Effect(policy.Idempotent) {
 		c.again(x, c.pause(x))
 	}
 }
@@ -143,10 +143,10 @@
 	switch {
 	case c.off:
 	case w == sidecarWakes:
-		c.b.Wake(c.time())
+		c.b.TimerFired(c.time())
 	case w == sidecarTicks:
 		if c.now >= c.silent {
-			c.apply(c.members.Heard(c.time(), 0))
+			c.apply(c.members.SourceResponded(c.time(), 0))
 		}
 		c.apply(c.members.Tick(c.time()))
 	}
@@ -156,7 +156,7 @@
 }
 
 // Send starts an attempt.
-func (c *sidecar) Send(id policy.RequestID, to policy.ServerID, timeout, _ time.Duration) {
+func (c *sidecar) Send(id policy.RequestID, to policy.EndpointID, timeout, _ time.Duration) {
 	x := c.requests[id]
 	if x == nil {
 		c.breach("sidecar %d sends request %d, which has ended", c.number, id)
@@ -177,8 +177,8 @@
 	c.connect(a)
 }
 
-// Refuse tells the client that trying again is harmless; it may.
-func (c *sidecar) Refuse(id policy.RequestID, pause time.Duration) {
+// Reject tells the client that trying again is harmless; it may.
+func (c *sidecar) Reject(id policy.RequestID, pause time.Duration) {
 	x := c.requests[id]
 	if x == nil || x.answered {
 		c.breach("rule 1: sidecar %d refuses request %d, which has its answer", c.number, id)
@@ -187,7 +187,7 @@
 	if c.watched(x) {
 		c.note(x, "refused, with a pause of %v", pause)
 	}
-	c.spent(x, policy.TurnedAway)
+	c.spent(x, policy.Rejected)
 	c.result.Refused++
 	c.seen.at(c.now).Refused++
 	c.answer(x)
@@ -210,11 +210,11 @@
 	if c.watched(x) {
 		c.note(x, "failed")
 	}
-	c.spent(x, policy.Errored)
+	c.spent(x, policy.ServerError)
 	c.result.Failed++
 	c.seen.at(c.now).Failed++
 	c.answer(x)
-	if !c.s.Clients.Insists || c.s.Classes[x.class].Effect != Effect(policy.Safe) || !c.again(x, c.pause(x)) {
+	if !c.s.Clients.Insists || c.s.Classes[x.class].Effect != Effect(policy.Idempotent) || !c.again(x, c.pause(x)) {
 		c.seen.notable(x, "failed", c.now-x.asked)
 	}
 }
@@ -226,8 +226,8 @@
 	}
 }
 
-// Wake arms the one timer.
-func (c *sidecar) Wake(d time.Duration) {
+// SetTimer arms the one timer.
+func (c *sidecar) SetTimer(d time.Duration) {
 	if !c.move(c.wake, d) {
 		c.wake = c.put(d, c, sidecarWakes)
 	}
@@ -237,21 +237,21 @@
 const probeTimeout = 300 * time.Millisecond
 
 // Probe asks a node what it holds, beside its queue.
-func (c *sidecar) Probe(to policy.ServerID) {
+func (c *sidecar) Probe(to policy.EndpointID) {
 	life, n := c.life, c.servers[to-1].node
-	tell := func(d time.Duration, ok bool, l policy.Load) {
+	tell := func(d time.Duration, ok bool, l policy.LoadReport) {
 		c.after(d, func() {
 			if c.life == life && !c.off {
-				c.b.Probed(c.time(), to, ok, l)
+				c.b.ProbeCompleted(c.time(), to, ok, l)
 			}
 		})
 	}
 	c.after(c.delay(), func() {
 		if n.down || n.hangs || n.mute || n.deaf {
-			tell(probeTimeout, false, policy.Load{InFlight: -1})
+			tell(probeTimeout, false, policy.LoadReport{InFlight: -1})
 			return
 		}
-		tell(c.delay(), true, policy.Load{InFlight: float64(len(n.held))})
+		tell(c.delay(), true, policy.LoadReport{InFlight: float64(len(n.held))})
 	})
 }
 
@@ -262,8 +262,8 @@
 	listCall  = time.Second
 )
 
-// WatchList subscribes to a list that must be asked for.
-func (c *sidecar) WatchList() {
+// RequestWatch subscribes to a list that must be asked for.
+func (c *sidecar) RequestWatch() {
 	life := c.life
 	answer := func(d time.Duration, do func()) {
 		c.after(d, func() {
@@ -273,7 +273,7 @@
 		})
 	}
 	if c.now < c.silent {
-		answer(listCall, func() { c.b.List(c.time(), policy.ListFailed, nil) })
+		answer(listCall, func() { c.b.EndpointsUpdated(c.time(), policy.FailedUpdate, nil) })
 		return
 	}
 	answer(c.lag(), func() {
--- a/internal/fleet/small.go
+++ b/internal/fleet/small.go
@@ -22,9 +22,9 @@
 		Attempts: 1 + rng.IntN(3), Probes: one(0.3), Skew: rng.Float64(),
 		Clients: Clients{Tries: 1 + rng.IntN(3), MaxPause: upTo(3, 500*ms), Heeds: rng.Float64(), Pause: upTo(4, 50*ms), Insists: one(0.3)},
 		Classes: []Class{
-			{Share: 3, Work: 20 * ms, Aim: 250 * ms, Deadline: 2 * time.Second, Effect: Effect(policy.Keyed), Window: 600 * ms, Scope: []Scope{Scope(policy.ScopeAll), Scope(policy.ScopeCell)}[rng.IntN(2)]},
-			{Share: 1, Work: 40 * ms, Aim: 500 * ms, Deadline: 3 * time.Second, Effect: Effect(policy.Unsafe), Spread: LogNormal, CV: 0.8},
-			{Share: 1, Work: 10 * ms, Aim: 250 * ms, Deadline: 2 * time.Second, Effect: Effect(policy.Safe), Spread: Fixed},
+			{Share: 3, Work: 20 * ms, Aim: 250 * ms, Deadline: 2 * time.Second, Effect: Effect(policy.IdempotentByKey), Window: 600 * ms, Scope: []Scope{Scope(policy.ScopeAll), Scope(policy.ScopeCell)}[rng.IntN(2)]},
+			{Share: 1, Work: 40 * ms, Aim: 500 * ms, Deadline: 3 * time.Second, Effect: Effect(policy.NotIdempotent), Spread: LogNormal, CV: 0.8},
+			{Share: 1, Work: 10 * ms, Aim: 250 * ms, Deadline: 2 * time.Second, Effect: Effect(policy.Idempotent), Spread: Fixed},
 		},
 		Tenants: []Tenant{{Share: 0.79}, {Share: 0.21}},
 		Load:    0.2 + rng.Float64(),
--- a/internal/front/httpfront/front.go
+++ b/internal/front/httpfront/front.go
@@ -37,7 +37,7 @@
 // Config is what a Front keeps to.
 type Config struct {
 	Classes     []string // names by number
-	Effects     []policy.Effect
+	Effects     []policy.Idempotency
 	Tenants     []string // empty: there is one, and requests need not name it
 	Connections int      // the most that are open at once
 	// Arrived returns when bytes that were read just now may have come at the earliest;
@@ -47,8 +47,8 @@
 
 // Front is the HTTP/1.1 side towards the application.
 type Front struct {
-	core     core.Taker
-	effects  []policy.Effect
+	core     core.Handler
+	effects  []policy.Idempotency
 	classes  map[string]int
 	tenants  map[string]int
 	listener *limitedListener
@@ -86,9 +86,9 @@
 }
 
 // New makes a Front on a listener; Serve starts it.
-func New(c Config, k core.Taker, ln net.Listener) *Front {
+func New(c Config, k core.Handler, ln net.Listener) *Front {
 	s := &Front{
-		core: k, effects: c.Effects, classes: core.Numbers(c.Classes), tenants: core.Numbers(c.Tenants),
+		core: k, effects: c.Effects, classes: core.IndexByName(c.Classes), tenants: core.IndexByName(c.Tenants),
 		listener: limitListener(ln, c.Connections),
 	}
 	s.listener.arrived = c.Arrived
@@ -144,7 +144,7 @@
 		w.WriteHeader(status)
 		return
 	}
-	answers := make(chan core.Answer, 1) // never blocks the core
+	answers := make(chan core.Response, 1) // never blocks the core
 	r, wrong := s.read(hr, c)
 	if wrong != nil {
 		s.rejected.Add(1)
@@ -154,11 +154,11 @@
 	if !c.take() {
 		panic(http.ErrAbortHandler) // it was closed as idle: the client sends the request once more
 	}
-	r.Reply = func(a core.Answer) { answers <- a }
-	r.Gone = c.left
+	r.Respond = func(a core.Response) { answers <- a }
+	r.ClientGone = c.left
 	s.taken.Add(1)
 	s.core.Submit(r)
-	var a core.Answer
+	var a core.Response
 	select {
 	case a = <-answers:
 	case <-hr.Context().Done():
@@ -171,7 +171,7 @@
 		slog.Error("a rule was broken", "rule", "closed_unanswered", "request", r.ID)
 	}
 	// A client that does not read by then has given up; its answer is not held for it.
-	http.NewResponseController(w).SetWriteDeadline(r.Until.Add(writeAfter))
+	http.NewResponseController(w).SetWriteDeadline(r.Deadline.Add(writeAfter))
 	s.write(w, a, c)
 }
 
@@ -251,22 +251,22 @@
 	// key could not be recognised as a repeat.
 	method := http.MethodPost
 	effect := s.effects[class]
-	if effect == policy.Safe {
+	if effect == policy.Idempotent {
 		method = http.MethodGet
 	}
 	if hr.Method != method {
 		return nil, &rejection{http.StatusMethodNotAllowed, method + " is the method of this class"}
 	}
-	if _, keyed := single(h, "Idempotency-Key"); keyed != (effect == policy.Keyed) || len(h["Idempotency-Key"]) > 1 {
-		if effect == policy.Keyed {
+	if _, keyed := single(h, "Idempotency-Key"); keyed != (effect == policy.IdempotentByKey) || len(h["Idempotency-Key"]) > 1 {
+		if effect == policy.IdempotentByKey {
 			return bad("one Idempotency-Key is needed: without it a repeat could not be told from a new request")
 		}
 		return bad("requests of this class have no Idempotency-Key")
 	}
-	if effect == policy.Safe && hr.ContentLength > 0 {
+	if effect == policy.Idempotent && hr.ContentLength > 0 {
 		return bad("requests of a class that is safe to repeat have no body")
 	}
-	if s.core.Holds(name) {
+	if s.core.HasRequest(name) {
 		return nil, &rejection{http.StatusConflict, "a request of this Request-Id is held"}
 	}
 	body, err := readRequestBody(hr)
@@ -275,13 +275,13 @@
 		return bad("the body was not whole in time")
 	case len(body) > http1.MaxBody:
 		return nil, &rejection{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", http1.MaxBody)}
-	case effect == policy.Safe && len(body) > 0:
+	case effect == policy.Idempotent && len(body) > 0:
 		return bad("requests of a class that is safe to repeat have no body")
 	}
 	return &core.Request{
-		ID: name, Class: class, Tenant: tenant, Repeat: h.Get("Client-Retry") == "1", Work: workHint(h),
-		Until:   arrival.Add(max(0, timeout-core.AnswerMargin)),
-		Message: core.Message{Method: method, Target: hr.URL.RequestURI(), Host: hr.Host, Fields: h, Body: body},
+		ID: name, Class: class, Tenant: tenant, ClientRetry: h.Get("Client-Retry") == "1", ExpectedWork: workHint(h),
+		Deadline: arrival.Add(max(0, timeout-core.AnswerMargin)),
+		Message:  core.Message{Method: method, Target: hr.URL.RequestURI(), Host: hr.Host, Fields: h, Body: body},
 	}, nil
 }
 
@@ -331,14 +331,14 @@
 // statuses are those of the verdicts. 429 and 503 stand for a refusal alone.
 var statuses = [...]int{
 	core.Served:    http.StatusOK,
-	core.Refused:   http.StatusServiceUnavailable,
+	core.Rejected:  http.StatusServiceUnavailable,
 	core.Failed:    http.StatusBadGateway,
 	core.TimedOut:  http.StatusGatewayTimeout,
 	core.Duplicate: http.StatusConflict,
 }
 
 // write writes an answer.
-func (s *Front) write(w http.ResponseWriter, a core.Answer, c *clientConn) {
+func (s *Front) write(w http.ResponseWriter, a core.Response, c *clientConn) {
 	h := w.Header()
 	if a.Fields != nil {
 		http1.DropHopByHop(a.Fields)
@@ -350,25 +350,25 @@
 			h["Content-Type"] = nil // not guessed from the body
 		}
 	}
-	if a.Pause > 0 {
-		h.Set("Retry-After", http1.Seconds(a.Pause))
+	if a.RetryAfter > 0 {
+		h.Set("Retry-After", http1.Seconds(a.RetryAfter))
 	}
 	if c.flooded.Load() || s.listener.isDraining() {
 		h.Set("Connection", "close")
 	}
-	if a.Text != "" {
+	if a.Detail != "" {
 		h.Set("Content-Type", "text/plain; charset=utf-8")
-		a.Body = []byte(a.Text + "\n")
+		a.Body = []byte(a.Detail + "\n")
 	}
-	if a.Unsized {
+	if a.DelimitedByClose {
 		h.Set("Connection", "close")
 		h.Set("Transfer-Encoding", "identity") // net/http names no length then, and sends no such field
 	} else {
 		h.Set("Content-Length", strconv.Itoa(len(a.Body)))
 	}
-	w.WriteHeader(statuses[a.Verdict])
+	w.WriteHeader(statuses[a.Result])
 	_, err := w.Write(a.Body)
-	if a.Unsized && errors.Join(err, http.NewResponseController(w).Flush()) != nil {
+	if a.DelimitedByClose && errors.Join(err, http.NewResponseController(w).Flush()) != nil {
 		c.reset() // an orderly end would make a whole answer of a part
 	}
 }
--- a/internal/front/httpfront/front_test.go
+++ b/internal/front/httpfront/front_test.go
@@ -23,17 +23,17 @@
 
 func (k *serving) Submit(r *core.Request) {
 	k.taken++
-	r.Reply(core.Answer{Verdict: core.Served, Body: k.body})
+	r.Respond(core.Response{Result: core.Served, Body: k.body})
 }
 
 func (k *serving) Abandon(*core.Request) {}
 
-func (k *serving) Holds(string) bool { return false }
+func (k *serving) HasRequest(string) bool { return false }
 
 func (k *serving) Ready() bool { return true }
 
 var testConfig = Config{
-	Classes: []string{"read", "keyed", "once"}, Effects: []policy.Effect{policy.Safe, policy.Keyed, policy.Unsafe},
+	Classes: []string{"read", "keyed", "once"}, Effects: []policy.Idempotency{policy.Idempotent, policy.IdempotentByKey, policy.NotIdempotent},
 	Tenants: []string{"acme"}, Connections: 4,
 }
 
@@ -95,7 +95,7 @@
 	k.taken <- r.ID
 	go func() {
 		<-k.pass
-		r.Reply(core.Answer{Verdict: core.Served})
+		r.Respond(core.Response{Result: core.Served})
 	}()
 }
 
--- a/internal/front/httpfront/unsized_test.go
+++ b/internal/front/httpfront/unsized_test.go
@@ -15,7 +15,7 @@
 type unsizedCore struct{ serving }
 
 func (k *unsizedCore) Submit(r *core.Request) {
-	r.Reply(core.Answer{Verdict: core.Served, Body: k.body, Unsized: true})
+	r.Respond(core.Response{Result: core.Served, Body: k.body, DelimitedByClose: true})
 }
 
 // The client sees of an answer without a length what the sidecar saw: no length, and an
--- a/internal/front/rpcfront/conn.go
+++ b/internal/front/rpcfront/conn.go
@@ -39,7 +39,7 @@
 // answer is one response in the making.
 type answer struct {
 	id    uint32
-	core  core.Answer
+	core  core.Response
 	fault *msgrpc.Fault // goes before core
 	plain []byte        // goes before both: a response that is made already
 }
@@ -234,8 +234,8 @@
 		return true
 	}
 	id := m.ID
-	r.Reply = func(a core.Answer) { c.reply(id, r, a) }
-	r.Gone = func() bool { return c.gone(id, r) }
+	r.Respond = func(a core.Response) { c.reply(id, r, a) }
+	r.ClientGone = func() bool { return c.gone(id, r) }
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
@@ -281,7 +281,7 @@
 }
 
 // reply takes the core's answer, on the core's goroutine.
-func (c *conn) reply(id uint32, r *core.Request, a core.Answer) {
+func (c *conn) reply(id uint32, r *core.Request, a core.Response) {
 	c.mu.Lock()
 	if c.open[id] != r { // given up meanwhile
 		c.mu.Unlock()
@@ -306,7 +306,7 @@
 
 // kinds are those of the verdicts.
 var kinds = [...]string{
-	core.Refused: msgrpc.KindRefused, core.Failed: msgrpc.KindFailed, core.TimedOut: msgrpc.KindTimeout, core.Duplicate: msgrpc.KindDuplicate,
+	core.Rejected: msgrpc.KindRefused, core.Failed: msgrpc.KindFailed, core.TimedOut: msgrpc.KindTimeout, core.Duplicate: msgrpc.KindDuplicate,
 }
 
 func (a *answer) append(b []byte, texts bool) []byte {
@@ -315,7 +315,7 @@
 	case a.plain != nil:
 		return append(b, a.plain...)
 	case fault != nil:
-	case a.core.Verdict == core.Served:
+	case a.core.Result == core.Served:
 		for name, values := range a.core.Fields { // of the hop, or what no client could read
 			if msgrpc.HopField(name) || !msgrpc.Plain(name) || slices.ContainsFunc(values, func(v string) bool { return !msgrpc.Plain(v) }) {
 				delete(a.core.Fields, name)
@@ -325,7 +325,7 @@
 		return r.Append(b, a.id)
 	}
 	if fault == nil {
-		fault = &msgrpc.Fault{Kind: kinds[a.core.Verdict], Pause: a.core.Pause, Text: a.core.Text}
+		fault = &msgrpc.Fault{Kind: kinds[a.core.Result], Pause: a.core.RetryAfter, Text: a.core.Detail}
 	}
 	if texts {
 		return fault.AppendText(b, a.id)
--- a/internal/front/rpcfront/errors_test.go
+++ b/internal/front/rpcfront/errors_test.go
@@ -26,11 +26,11 @@
 			}{
 				{func() {
 					c.ask(1, nil)
-					peertest.Await(t, "the request", k.taken).Reply(core.Answer{Verdict: core.Refused, Pause: 120 * time.Millisecond})
+					peertest.Await(t, "the request", k.taken).Respond(core.Response{Result: core.Rejected, RetryAfter: 120 * time.Millisecond})
 				}, "refused pause_ms=120"},
 				{func() {
 					c.ask(2, nil)
-					peertest.Await(t, "the request", k.taken).Reply(core.Answer{Verdict: core.TimedOut})
+					peertest.Await(t, "the request", k.taken).Respond(core.Response{Result: core.TimedOut})
 				}, "timeout"},
 				{func() { c.ask(3, func(m *msgrpc.Call) { m.Class = "no\x02such" }) }, "rejected: class: byte 0x02: no control bytes are allowed"},
 				{func() { c.ask(4, func(m *msgrpc.Call) { m.Target = strings.Repeat("x", 20_000) }) }, `rejected: target "` + strings.Repeat("x", 40) + `": it begins with '/'`},
--- a/internal/front/rpcfront/front.go
+++ b/internal/front/rpcfront/front.go
@@ -27,7 +27,7 @@
 // Config is what a Front keeps to. Zeros take the defaults.
 type Config struct {
 	Classes     []string // names by number
-	Effects     []policy.Effect
+	Effects     []policy.Idempotency
 	Tenants     []string                      // empty: there is one, and requests need not name it
 	Connections int                           // the most that are open at once
 	Open        int                           // requests of one connection that are taken and not answered; more are refused
@@ -96,7 +96,7 @@
 		c.Held = DefaultHeld
 	}
 	return &Front{
-		core: k, cfg: c, classes: core.Numbers(c.Classes), tenants: core.Numbers(c.Tenants), ln: sockets.Patient(ln),
+		core: k, cfg: c, classes: core.IndexByName(c.Classes), tenants: core.IndexByName(c.Tenants), ln: sockets.Patient(ln),
 		conns: make(map[*conn]struct{}), changed: make(chan struct{}), served: make(chan struct{}),
 	}
 }
@@ -250,15 +250,15 @@
 	}
 	effect := f.cfg.Effects[class]
 	switch {
-	case effect == policy.Keyed && call.Key == "":
+	case effect == policy.IdempotentByKey && call.Key == "":
 		return wrong("key is missing: without it a repeat could not be told from a new request")
-	case effect != policy.Keyed && call.Key != "":
+	case effect != policy.IdempotentByKey && call.Key != "":
 		return wrong("key: requests of this class have none")
-	case effect == policy.Safe && len(call.Body) > 0:
+	case effect == policy.Idempotent && len(call.Body) > 0:
 		return wrong("body: requests of a class that is safe to repeat have none")
 	}
 	method := "POST"
-	if effect == policy.Safe {
+	if effect == policy.Idempotent {
 		method = "GET"
 	}
 	host := call.Host
@@ -266,9 +266,9 @@
 		host = defaultHost
 	}
 	return &core.Request{
-		ID: call.ID, Class: class, Tenant: tenant, Repeat: call.Retry, Work: call.Work,
-		Until:   arrival.Add(max(0, call.Left-core.AnswerMargin)),
-		Message: core.Message{Method: method, Target: call.Target, Host: host, Fields: call.HTTPFields(), Body: call.Body, NeedsLength: true},
+		ID: call.ID, Class: class, Tenant: tenant, ClientRetry: call.Retry, ExpectedWork: call.Work,
+		Deadline: arrival.Add(max(0, call.Left-core.AnswerMargin)),
+		Message:  core.Message{Method: method, Target: call.Target, Host: host, Fields: call.HTTPFields(), Body: call.Body, RequiresLength: true},
 	}, nil
 }
 
--- a/internal/front/rpcfront/front_test.go
+++ b/internal/front/rpcfront/front_test.go
@@ -36,7 +36,7 @@
 func startFront(t *testing.T, c Config, k Core) *Front {
 	t.Helper()
 	c.Classes, c.Tenants = []string{"read", "keyed", "once"}, []string{"north"}
-	c.Effects = []policy.Effect{policy.Safe, policy.Keyed, policy.Unsafe}
+	c.Effects = []policy.Idempotency{policy.Idempotent, policy.IdempotentByKey, policy.NotIdempotent}
 	if c.Connections == 0 {
 		c.Connections = 10
 	}
@@ -131,8 +131,8 @@
 		m.Fields = map[string][]string{"x-apiary": {"1", "2"}, "Tenant": {"not this one"}}
 	})
 	r := peertest.Await(t, "the request", k.taken)
-	if r.ID != "r9" || r.Class != 1 || r.Tenant != 0 || !r.Repeat || r.Work != 1500*time.Microsecond || r.Method != "POST" || r.Target != "/a?b=c" ||
-		string(r.Body) != "{}" || time.Until(r.Until) > 5*time.Second || time.Until(r.Until) < 3*time.Second {
+	if r.ID != "r9" || r.Class != 1 || r.Tenant != 0 || !r.ClientRetry || r.ExpectedWork != 1500*time.Microsecond || r.Method != "POST" || r.Target != "/a?b=c" ||
+		string(r.Body) != "{}" || time.Until(r.Deadline) > 5*time.Second || time.Until(r.Deadline) < 3*time.Second {
 		t.Errorf("request %+v", r)
 	}
 	want := map[string]string{"Request-Id": "r9", "Request-Class": "keyed", "Tenant": "north", "Idempotency-Key": "k1",
@@ -145,7 +145,7 @@
 	if len(r.Fields) != len(want) {
 		t.Errorf("fields %v", r.Fields)
 	}
-	r.Reply(core.Answer{Verdict: core.Served, Body: []byte("honey"), Fields: map[string][]string{"X-Grade": {"1"}, "Connection": {"close"}, "X-Odd": {"a\x01b"}}})
+	r.Respond(core.Response{Result: core.Served, Body: []byte("honey"), Fields: map[string][]string{"X-Grade": {"1"}, "Connection": {"close"}, "X-Odd": {"a\x01b"}}})
 	m := c.next(t)
 	got, err := msgrpc.ParseResult(m.Result)
 	if err != nil || m.ID != 9 || m.Fault != nil || string(got.Body) != "honey" || len(got.Fields) != 1 {
@@ -156,13 +156,13 @@
 func TestVerdictsBecomeFaults(t *testing.T) {
 	k := newHolding()
 	c := dial(t, startFront(t, Config{}, k))
-	for want, a := range map[string]core.Answer{
-		msgrpc.KindRefused: {Verdict: core.Refused, Pause: 120 * time.Millisecond}, msgrpc.KindFailed: {Verdict: core.Failed},
-		msgrpc.KindTimeout: {Verdict: core.TimedOut}, msgrpc.KindDuplicate: {Verdict: core.Duplicate},
+	for want, a := range map[string]core.Response{
+		msgrpc.KindRefused: {Result: core.Rejected, RetryAfter: 120 * time.Millisecond}, msgrpc.KindFailed: {Result: core.Failed},
+		msgrpc.KindTimeout: {Result: core.TimedOut}, msgrpc.KindDuplicate: {Result: core.Duplicate},
 	} {
 		c.ask(1, nil)
-		peertest.Await(t, "the request", k.taken).Reply(a)
-		if f := c.fault(t, 1); f.Kind != want || f.Pause != a.Pause {
+		peertest.Await(t, "the request", k.taken).Respond(a)
+		if f := c.fault(t, 1); f.Kind != want || f.Pause != a.RetryAfter {
 			t.Errorf("%+v becomes %+v", a, f)
 		}
 	}
@@ -216,7 +216,7 @@
 	r := peertest.Await(t, "the request", k.taken)
 	c.ask(3, func(m *msgrpc.Call) { m.ID = "another" })
 	c.protocolError(t)
-	r.Reply(core.Answer{Verdict: core.Served, Body: []byte("first")})
+	r.Respond(core.Response{Result: core.Served, Body: []byte("first")})
 	if m := c.next(t); m.ID != 3 || m.Fault != nil {
 		t.Errorf("got %+v", m)
 	}
@@ -247,7 +247,7 @@
 		answers[m.ID]++
 	}
 	for range 8 {
-		peertest.Await(t, "a request", k.taken).Reply(core.Answer{Verdict: core.Served})
+		peertest.Await(t, "a request", k.taken).Respond(core.Response{Result: core.Served})
 		answers[c.next(t).ID]++
 	}
 	for id, times := range answers {
@@ -281,7 +281,7 @@
 		for {
 			select {
 			case r := <-k.taken:
-				r.Reply(core.Answer{Verdict: core.Served, Body: make([]byte, 512<<10)})
+				r.Respond(core.Response{Result: core.Served, Body: make([]byte, 512<<10)})
 			case <-over:
 				return
 			}
@@ -323,7 +323,7 @@
 		c.ask(uint32(i), nil)
 	}
 	for range 32 {
-		peertest.Await(t, "a request", k.taken).Reply(core.Answer{Verdict: core.Served, Body: make([]byte, 1<<20)})
+		peertest.Await(t, "a request", k.taken).Respond(core.Response{Result: core.Served, Body: make([]byte, 1<<20)})
 	}
 	peertest.Until(t, "the connection's end", func() bool {
 		f.mu.Lock()
@@ -351,7 +351,7 @@
 			t.Fatal("one was left twice, or never open")
 		}
 		delete(open, r)
-		r.Reply(core.Answer{Verdict: core.Served}) // too late: it must go nowhere
+		r.Respond(core.Response{Result: core.Served}) // too late: it must go nowhere
 	}
 }
 
@@ -367,10 +367,10 @@
 	if f := c.fault(t, 1); f.Kind != msgrpc.KindCancelled {
 		t.Errorf("got %+v", f)
 	}
-	r.Reply(core.Answer{Verdict: core.Served}) // it came too late
-	c.Write(msgrpc.AppendCancel(nil, 1))       // and is not open any more
+	r.Respond(core.Response{Result: core.Served}) // it came too late
+	c.Write(msgrpc.AppendCancel(nil, 1))          // and is not open any more
 	c.ask(2, nil)
-	peertest.Await(t, "the next", k.taken).Reply(core.Answer{Verdict: core.Served})
+	peertest.Await(t, "the next", k.taken).Respond(core.Response{Result: core.Served})
 	if m := c.next(t); m.ID != 2 {
 		t.Errorf("got an answer to %d, want one to 2 alone", m.ID)
 	}
@@ -389,7 +389,7 @@
 		t.Fatalf("got %+v, want word of the drain", m)
 	}
 	c.ask(2, nil) // it crossed the word
-	peertest.Await(t, "the one that crossed", k.taken).Reply(core.Answer{Verdict: core.Served})
+	peertest.Await(t, "the one that crossed", k.taken).Respond(core.Response{Result: core.Served})
 	if m := c.next(t); m.ID != 2 || m.Fault != nil {
 		t.Errorf("got %+v", m)
 	}
@@ -407,7 +407,7 @@
 		t.Fatal("ended with a request unanswered")
 	default:
 	}
-	held.Reply(core.Answer{Verdict: core.Served, Body: []byte("held")})
+	held.Respond(core.Response{Result: core.Served, Body: []byte("held")})
 	if m := c.next(t); m.ID != 1 || m.Fault != nil {
 		t.Errorf("got %+v", m)
 	}
@@ -520,7 +520,7 @@
 	busy.ask(1, nil)
 	r := peertest.Await(t, "the request", k.taken)
 	idle.ask(1, nil)
-	peertest.Await(t, "the other's", k.taken).Reply(core.Answer{Verdict: core.Served})
+	peertest.Await(t, "the other's", k.taken).Respond(core.Response{Result: core.Served})
 	idle.next(t)
 	third := dial(t, f)
 	if _, err := idle.read(); err == nil {
@@ -528,7 +528,7 @@
 	}
 	third.ask(1, nil)
 	peertest.Await(t, "the third's", k.taken)
-	r.Reply(core.Answer{Verdict: core.Served})
+	r.Respond(core.Response{Result: core.Served})
 	if m := busy.next(t); m.ID != 1 || m.Fault != nil {
 		t.Errorf("the busy one got %+v", m)
 	}
@@ -558,15 +558,15 @@
 		t.Errorf("%s was given up", r.ID)
 	}
 	for id, r := range all {
-		if r.Gone() != (id == "r32") {
-			t.Errorf("%s: gone is %v", id, r.Gone())
+		if r.ClientGone() != (id == "r32") {
+			t.Errorf("%s: gone is %v", id, r.ClientGone())
 		}
 	}
 	c.fault(t, 32)
 	c.Close()
 	peertest.Until(t, "all to be gone", func() bool {
 		for _, r := range all {
-			if !r.Gone() {
+			if !r.ClientGone() {
 				return false
 			}
 		}
@@ -584,7 +584,7 @@
 	f.Drain()
 	ended := make(chan error, 1)
 	go func() { ended <- f.Shutdown(t.Context()) }()
-	r.Reply(core.Answer{Verdict: core.Served, Body: []byte("ok")})
+	r.Respond(core.Response{Result: core.Served, Body: []byte("ok")})
 	served := false
 	for {
 		m, err := c.read()
--- a/internal/front/rpcfront/shutdown_test.go
+++ b/internal/front/rpcfront/shutdown_test.go
@@ -37,7 +37,7 @@
 			go func() { done <- f.Shutdown(t.Context()) }()
 			time.Sleep(speakIn / 2) // the client's pace
 			c.Write(text[first:])
-			peertest.Await(t, "the request", k.taken).Reply(core.Answer{Verdict: core.Served})
+			peertest.Await(t, "the request", k.taken).Respond(core.Response{Result: core.Served})
 			for {
 				m := c.next(t)
 				if m.Kind == msgrpc.Response {
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -179,10 +179,10 @@
 		ID: fmt.Sprintf("%d-%d-%d", g.Scenario.Seed, number, try), Class: className(&g.Scenario, p.Class), Tenant: tenantName(&g.Scenario, p.Tenant),
 		Timeout: left, Retry: try > 1, Body: fmt.Appendf(nil, "%s%d", workField, p.Work.Microseconds()),
 	}
-	switch policy.Effect(k.Effect) {
-	case policy.Keyed:
+	switch policy.Idempotency(k.Effect) {
+	case policy.IdempotentByKey:
 		c.Key = fmt.Sprintf("%d-%d", g.Scenario.Seed, number)
-	case policy.Unsafe:
+	case policy.NotIdempotent:
 		c.Unsafe = true
 	}
 	return c
@@ -264,7 +264,7 @@
 		return got.Pause, true
 	case got.Verdict == peers.Refused:
 		return own(), true
-	case got.Verdict != peers.Served && policy.Effect(k.Effect) == policy.Safe && (c.Insists || got.Verdict == peers.Lost):
+	case got.Verdict != peers.Served && policy.Idempotency(k.Effect) == policy.Idempotent && (c.Insists || got.Verdict == peers.Lost):
 		return own(), true
 	}
 	return 0, false
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -20,8 +20,8 @@
 		Seed: 1, Duration: 2 * time.Second, Nodes: 3, Sidecars: 2, Load: 0.3, Attempts: 3, Clients: fleet.Clients{Tries: 2, Heeds: 1, MaxPause: 500 * ms},
 		Node: fleet.NodeParams{Cores: 2, Speed: 1, Queue: 50},
 		Classes: []fleet.Class{
-			{Name: "reading", Share: 0.7, Work: 10 * ms, Aim: 500 * ms, Deadline: time.Second, Effect: fleet.Effect(policy.Keyed), Window: time.Second},
-			{Name: "entry", Share: 0.3, Work: 15 * ms, Aim: 500 * ms, Deadline: 2 * time.Second, Effect: fleet.Effect(policy.Unsafe)},
+			{Name: "reading", Share: 0.7, Work: 10 * ms, Aim: 500 * ms, Deadline: time.Second, Effect: fleet.Effect(policy.IdempotentByKey), Window: time.Second},
+			{Name: "entry", Share: 0.3, Work: 15 * ms, Aim: 500 * ms, Deadline: 2 * time.Second, Effect: fleet.Effect(policy.NotIdempotent)},
 		},
 		Tenants: []fleet.Tenant{{Name: "north", Share: 0.8}, {Name: "south", Share: 0.2}},
 	}
--- a/internal/load/world.go
+++ b/internal/load/world.go
@@ -58,7 +58,7 @@
 		return fmt.Errorf("list.membership, list.cell and network.handshake are the model's alone")
 	}
 	for i, k := range s.Classes {
-		if policy.Effect(k.Effect) == policy.Keyed && k.Scope != fleet.Scope(policy.ScopeAll) {
+		if policy.Idempotency(k.Effect) == policy.IdempotentByKey && k.Scope != fleet.Scope(policy.ScopeAll) {
 			return fmt.Errorf("class %d: the stand-in nodes remember keys in common: scope all is meant", i)
 		}
 	}
--- a/internal/plugin/breaker/breaker.go
+++ b/internal/plugin/breaker/breaker.go
@@ -18,20 +18,20 @@
 
 // Config holds the bounds of a Breaker. Zeros take the defaults.
 type Config struct {
-	Strikes   int           // bad calls within Window that open it
-	Window    time.Duration //
-	Pause     time.Duration // before the first trial; doubled each time a trial is bad, or it opens again soon
-	MostPause time.Duration
-	Trials    int // good calls in a row that close it
+	MaxFailures     int           // bad calls within Window that open it
+	Window          time.Duration //
+	OpenDuration    time.Duration // before the first trial; doubled each time a trial is bad, or it opens again soon
+	MaxOpenDuration time.Duration
+	TrialSuccesses  int // good calls in a row that close it
 }
 
 // The defaults of Config.
 const (
-	DefaultStrikes   = 5
-	DefaultWindow    = 10 * time.Second
-	DefaultPause     = time.Second
-	DefaultMostPause = 5 * time.Minute
-	DefaultTrials    = 3
+	DefaultMaxFailures     = 5
+	DefaultWindow          = 10 * time.Second
+	DefaultOpenDuration    = time.Second
+	DefaultMaxOpenDuration = 5 * time.Minute
+	DefaultTrialSuccesses  = 3
 )
 
 // soon is within how many of its last pauses it opens again soon.
@@ -64,12 +64,12 @@
 			*v = d
 		}
 	}
-	set(&c.Strikes, DefaultStrikes)
-	set(&c.Trials, DefaultTrials)
+	set(&c.MaxFailures, DefaultMaxFailures)
+	set(&c.TrialSuccesses, DefaultTrialSuccesses)
 	setTime(&c.Window, DefaultWindow)
-	setTime(&c.Pause, DefaultPause)
-	setTime(&c.MostPause, DefaultMostPause)
-	return &Breaker{cfg: c, pause: c.Pause}
+	setTime(&c.OpenDuration, DefaultOpenDuration)
+	setTime(&c.MaxOpenDuration, DefaultMaxOpenDuration)
+	return &Breaker{cfg: c, pause: c.OpenDuration}
 }
 
 // State is what it is in now.
@@ -104,34 +104,34 @@
 		b.trial = false
 		if bad {
 			b.worst = now
-			b.pause = min(2*b.pause, b.cfg.MostPause)
+			b.pause = min(2*b.pause, b.cfg.MaxOpenDuration)
 			b.open(now)
 			return false // it had not closed
 		}
-		if b.good++; b.good < b.cfg.Trials {
+		if b.good++; b.good < b.cfg.TrialSuccesses {
 			return false
 		}
 		b.state, b.strikes, b.closedAt = Closed, b.strikes[:0], now
 		return true
 	}
 	if !bad {
-		if now > b.worst+2*b.cfg.MostPause {
-			b.pause = b.cfg.Pause // long ago: it begins anew
+		if now > b.worst+2*b.cfg.MaxOpenDuration {
+			b.pause = b.cfg.OpenDuration // long ago: it begins anew
 		}
 		return false
 	}
 	b.worst = now
-	if len(b.strikes) == b.cfg.Strikes {
+	if len(b.strikes) == b.cfg.MaxFailures {
 		b.strikes = append(b.strikes[:0], b.strikes[1:]...)
 	}
 	b.strikes = append(b.strikes, now)
-	if len(b.strikes) < b.cfg.Strikes || now-b.strikes[0] > b.cfg.Window {
+	if len(b.strikes) < b.cfg.MaxFailures || now-b.strikes[0] > b.cfg.Window {
 		return false
 	}
 	// Where only some calls are bad the trials are likely good ones, and it would
 	// open and close for ever.
 	if b.closedAt > 0 && now < b.closedAt+soon*b.pause {
-		b.pause = min(2*b.pause, b.cfg.MostPause)
+		b.pause = min(2*b.pause, b.cfg.MaxOpenDuration)
 	}
 	b.open(now)
 	return true
--- a/internal/plugin/breaker/breaker_test.go
+++ b/internal/plugin/breaker/breaker_test.go
@@ -10,7 +10,7 @@
 
 // The whole way: closed, open, half open, open for longer, closed again.
 func TestBreaker(t *testing.T) {
-	b := New(Config{Strikes: 3, Window: 10 * s, Pause: s, MostPause: 3 * s, Trials: 2})
+	b := New(Config{MaxFailures: 3, Window: 10 * s, OpenDuration: s, MaxOpenDuration: 3 * s, TrialSuccesses: 2})
 	for i, x := range []struct {
 		at      time.Duration
 		allowed bool
@@ -40,7 +40,7 @@
 
 // Half open, one call at a time goes through; one that never ends makes room.
 func TestOneTrial(t *testing.T) {
-	b := New(Config{Strikes: 1, Window: 10 * s, Pause: s})
+	b := New(Config{MaxFailures: 1, Window: 10 * s, OpenDuration: s})
 	b.Allow(0)
 	b.Done(0, true)
 	if !b.Allow(2*s) || b.Allow(3*s) || b.Allow(11*s) || !b.Allow(12*s) {
@@ -53,10 +53,10 @@
 func TestRandom(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		cfg := Config{Strikes: 1 + rng.IntN(5), Window: time.Duration(1+rng.IntN(20)) * s, Pause: s, MostPause: 8 * s, Trials: 1 + rng.IntN(3)}
+		cfg := Config{MaxFailures: 1 + rng.IntN(5), Window: time.Duration(1+rng.IntN(20)) * s, OpenDuration: s, MaxOpenDuration: 8 * s, TrialSuccesses: 1 + rng.IntN(3)}
 		b := New(cfg)
 		var now, openedAt, worst, closedAt time.Duration
-		pause := cfg.Pause
+		pause := cfg.OpenDuration
 		var bads []time.Duration
 		for step := range 300 {
 			now += time.Duration(rng.IntN(3000)) * time.Millisecond
@@ -77,8 +77,8 @@
 			switch {
 			case bad:
 				worst = now
-			case !trial && now > worst+2*cfg.MostPause:
-				pause = cfg.Pause
+			case !trial && now > worst+2*cfg.MaxOpenDuration:
+				pause = cfg.OpenDuration
 			}
 			recent := 0
 			for _, x := range bads {
@@ -88,16 +88,16 @@
 			}
 			switch {
 			case trial && bad:
-				openedAt, pause = now, min(2*pause, cfg.MostPause)
-			case !trial && bad && recent >= cfg.Strikes:
+				openedAt, pause = now, min(2*pause, cfg.MaxOpenDuration)
+			case !trial && bad && recent >= cfg.MaxFailures:
 				if openedAt = now; closedAt > 0 && now < closedAt+soon*pause {
-					pause = min(2*pause, cfg.MostPause)
+					pause = min(2*pause, cfg.MaxOpenDuration)
 				}
 			case trial && b.State() == Closed:
 				bads, closedAt = nil, now
 			}
-			if !trial && (b.State() == Open) != (bad && recent >= cfg.Strikes) {
-				t.Fatalf("seed %d, step %d: %v after %d strikes of %d", seed, step, b.State(), recent, cfg.Strikes)
+			if !trial && (b.State() == Open) != (bad && recent >= cfg.MaxFailures) {
+				t.Fatalf("seed %d, step %d: %v after %d strikes of %d", seed, step, b.State(), recent, cfg.MaxFailures)
 			}
 		}
 	}
--- a/internal/plugin/gate.go
+++ b/internal/plugin/gate.go
@@ -30,11 +30,11 @@
 // front's goroutine, and those of outcomes on one of its own. It is a Taker for
 // the fronts.
 type Gate struct {
-	core.Taker // what requests go on to
-	cfg        Config
-	tenants    map[string]int
-	set        atomic.Pointer[set]
-	spaces     sync.Pool
+	core.Handler // what requests go on to
+	cfg          Config
+	tenants      map[string]int
+	set          atomic.Pointer[set]
+	spaces       sync.Pool
 
 	outcomes chan outcome
 	dropped  atomic.Uint64
@@ -54,13 +54,13 @@
 	set           *set
 	class, tenant int
 	id            string
-	verdict       core.Verdict
+	verdict       core.Result
 	took          time.Duration
 }
 
 // NewGate loads the plug-ins; the error names the first that is wrong, and where.
 func NewGate(c Config) (*Gate, error) {
-	g := &Gate{cfg: c, tenants: core.Numbers(c.Tenants), outcomes: make(chan outcome, outcomesHeld)}
+	g := &Gate{cfg: c, tenants: core.IndexByName(c.Tenants), outcomes: make(chan outcome, outcomesHeld)}
 	g.spaces.New = func() any { return new(workspace) }
 	if g.cfg.Now == nil {
 		g.cfg.Now = time.Now
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// Behind sets what requests go on to. It comes before the first of them.
-func (g *Gate) Behind(t core.Taker) { g.Taker = t }
+// SetNext sets what requests go on to. It comes before the first of them.
+func (g *Gate) SetNext(t core.Handler) { g.Handler = t }
 
 // Plugins are those that are loaded, with their counts, for who shows them.
 func (g *Gate) Plugins(each func(name, state string, c Counts, named map[string]uint64)) {
@@ -131,19 +131,19 @@
 	}
 	if len(s.request) > 0 {
 		if answer := g.request(s, r); answer != nil {
-			r.Reply(*answer)
+			r.Respond(*answer)
 			return
 		}
 	}
-	g.Taker.Submit(r)
+	g.Handler.Submit(r)
 }
 
 // follow has the outcome hooks hear of a request's final answer.
 func (g *Gate) follow(s *set, r *core.Request) {
-	began, reply, o := time.Now(), r.Reply, outcome{set: s, class: r.Class, tenant: r.Tenant, id: r.ID}
-	r.Reply = func(a core.Answer) {
+	began, reply, o := time.Now(), r.Respond, outcome{set: s, class: r.Class, tenant: r.Tenant, id: r.ID}
+	r.Respond = func(a core.Response) {
 		reply(a)
-		o.verdict, o.took = a.Verdict, time.Since(began)
+		o.verdict, o.took = a.Result, time.Since(began)
 		select { // on the core's goroutine: it must not wait
 		case g.outcomes <- o:
 		default:
@@ -153,12 +153,12 @@
 }
 
 // request runs the request hooks in their order; an answer is a refusal.
-func (g *Gate) request(s *set, r *core.Request) *core.Answer {
+func (g *Gate) request(s *set, r *core.Request) *core.Response {
 	w := g.spaces.Get().(*workspace)
 	defer g.spaces.Put(w)
 	for _, p := range s.request {
 		g.describe(w, r)
-		var refusal *core.Answer
+		var refusal *core.Response
 		skipped, err := p.run(w, func(effects []hook.Effect) error {
 			var err error
 			refusal, err = g.accept(p, r, effects)
@@ -171,7 +171,7 @@
 			return refusal
 		case (err != nil || skipped) && (p.spec.Refuse || slices.Contains(p.spec.Refused, g.cfg.Classes[r.Class])):
 			p.refused.Add(1)
-			return &core.Answer{Verdict: core.Refused, Pause: time.Second, Text: "the plug-in " + p.spec.Name + " does not work"}
+			return &core.Response{Result: core.Rejected, RetryAfter: time.Second, Detail: "the plug-in " + p.spec.Name + " does not work"}
 		}
 	}
 	return nil
@@ -187,8 +187,8 @@
 		hook.RequestClass: g.cfg.Classes[r.Class], hook.RequestTenant: g.tenant(r.Tenant), hook.RequestID: r.ID,
 		hook.RequestKey: first(r.Fields, "Idempotency-Key"), hook.RequestTarget: r.Target,
 	}
-	e.Int[hook.RequestSize], e.Int[hook.RequestLeft], e.Int[hook.RequestRetry] = int64(len(r.Body)), int64(time.Until(r.Until)), 0
-	if r.Repeat {
+	e.Int[hook.RequestSize], e.Int[hook.RequestLeft], e.Int[hook.RequestRetry] = int64(len(r.Body)), int64(time.Until(r.Deadline)), 0
+	if r.ClientRetry {
 		e.Int[hook.RequestRetry] = 1
 	}
 }
@@ -219,7 +219,7 @@
 }
 
 // accept checks all that a plug-in asks for and only then does it.
-func (g *Gate) accept(p *Plugin, r *core.Request, effects []hook.Effect) (refusal *core.Answer, err error) {
+func (g *Gate) accept(p *Plugin, r *core.Request, effects []hook.Effect) (refusal *core.Response, err error) {
 	var fields map[string][]string // what they are to be; nil: as they are
 	tenant := r.Tenant
 	var counts []string
@@ -270,7 +270,7 @@
 			if !p.spec.MayRefuse {
 				return nil, denied("a refusal: may_refuse of the plug-in's manifest is not set")
 			}
-			refusal = &core.Answer{Verdict: core.Refused, Pause: min(max(e.Pause, 0), mostPause), Text: reason(e.Text)}
+			refusal = &core.Response{Result: core.Rejected, RetryAfter: min(max(e.Pause, 0), mostPause), Detail: reason(e.Text)}
 		}
 	}
 	if size := fieldBytes(fields); size > mostFields {
@@ -353,31 +353,31 @@
 
 // Members gives the instances of the list what the member hooks label them with:
 // "kind" and "site", which the patterns of pools match.
-func (g *Gate) Members(n core.News) core.News {
+func (g *Gate) Members(n core.EndpointUpdate) core.EndpointUpdate {
 	s := g.set.Load()
 	if len(s.member) == 0 {
 		return n
 	}
 	w := g.spaces.Get().(*workspace)
 	defer g.spaces.Put(w)
-	n.Instances = slices.Clone(n.Instances)
-	for i := range n.Instances {
+	n.Endpoints = slices.Clone(n.Endpoints)
+	for i := range n.Endpoints {
 		for _, p := range s.member {
-			g.member(w, p, &n.Instances[i])
+			g.member(w, p, &n.Endpoints[i])
 		}
 	}
 	return n
 }
 
-func (g *Gate) member(w *workspace, p *Plugin, in *core.Instance) {
+func (g *Gate) member(w *workspace, p *Plugin, in *core.Endpoint) {
 	e := &w.event
 	e.Kind, e.Now, e.Heads = "member", g.cfg.Now(), nil
 	e.Text = [len(e.Text)]string{
-		hook.MemberName: in.Name, hook.MemberAddress: in.Addr, hook.MemberSite: in.Site, hook.MemberKind: in.Kind,
+		hook.MemberName: in.Name, hook.MemberAddress: in.Addr, hook.MemberSite: in.Zone, hook.MemberKind: in.MachineType,
 		hook.MemberState: [...]string{core.Draining: "draining", core.Up: "up", core.Removed: "removed"}[in.Health],
 	}
 	p.run(w, func(effects []hook.Effect) error {
-		site, kind := in.Site, in.Kind
+		site, kind := in.Zone, in.MachineType
 		var counts []string
 		for i := range effects {
 			switch x := &effects[i]; {
@@ -396,7 +396,7 @@
 				return err
 			}
 		}
-		in.Site, in.Kind = site, kind
+		in.Zone, in.MachineType = site, kind
 		return nil
 	})
 }
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -26,11 +26,11 @@
 	l.mu.Lock()
 	l.taken = append(l.taken, r)
 	l.mu.Unlock()
-	r.Reply(core.Answer{Verdict: core.Served})
+	r.Respond(core.Response{Result: core.Served})
 }
-func (l *last) Abandon(*core.Request) {}
-func (l *last) Holds(string) bool     { return false }
-func (l *last) Ready() bool           { return true }
+func (l *last) Abandon(*core.Request)  {}
+func (l *last) HasRequest(string) bool { return false }
+func (l *last) Ready() bool            { return true }
 
 // write puts programs into files of the test's own.
 func write(t testing.TB, programs ...string) []string {
@@ -53,18 +53,18 @@
 		t.Fatal(err)
 	}
 	l := new(last)
-	g.Behind(l)
+	g.SetNext(l)
 	return g, l
 }
 
 // send sends a request and gives its answers, as many as there are.
-func send(g *Gate, class int, fields map[string][]string) (*core.Request, []core.Answer) {
-	var answers []core.Answer
+func send(g *Gate, class int, fields map[string][]string) (*core.Request, []core.Response) {
+	var answers []core.Response
 	if fields == nil {
 		fields = make(map[string][]string)
 	}
-	r := &core.Request{ID: "r1", Class: class, Until: time.Now().Add(time.Second), Message: core.Message{Fields: fields}}
-	r.Reply = func(a core.Answer) { answers = append(answers, a) }
+	r := &core.Request{ID: "r1", Class: class, Deadline: time.Now().Add(time.Second), Message: core.Message{Fields: fields}}
+	r.Respond = func(a core.Response) { answers = append(answers, a) }
 	g.Submit(r)
 	return r, answers
 }
@@ -105,14 +105,14 @@
 		}
 		g, l := gate(t, s)
 		r, answers := send(g, 0, x.fields)
-		if len(answers) != 1 || (answers[0].Verdict == core.Served) != (x.want != nil) || (len(l.taken) == 1) != (x.want != nil) {
+		if len(answers) != 1 || (answers[0].Result == core.Served) != (x.want != nil) || (len(l.taken) == 1) != (x.want != nil) {
 			t.Errorf("%s: answers %+v, %d went on", x.name, answers, len(l.taken))
 			continue
 		}
 		if x.want != nil && (!reflect.DeepEqual(r.Fields, x.want) || r.Tenant != x.tenant) {
 			t.Errorf("%s: goes on with %q to tenant %d, want %q and %d", x.name, r.Fields, r.Tenant, x.want, x.tenant)
 		}
-		if x.want == nil && (answers[0].Verdict != core.Refused || answers[0].Pause < time.Second || strings.ContainsAny(answers[0].Text, "\r\n")) {
+		if x.want == nil && (answers[0].Result != core.Rejected || answers[0].RetryAfter < time.Second || strings.ContainsAny(answers[0].Detail, "\r\n")) {
 			t.Errorf("%s: %+v", x.name, answers[0])
 		}
 		if c := g.set.Load().all[0].Counts(); c.Failed != x.failed || c.Runs != 1 {
@@ -143,16 +143,16 @@
 func TestSuspension(t *testing.T) {
 	g, _ := gate(t, Spec{Name: "p", File: write(t, `state n: counter on request { add(n, 1)  while true { } }`)[0]})
 	for range 50 {
-		if _, answers := send(g, 0, nil); len(answers) != 1 || answers[0].Verdict != core.Served {
+		if _, answers := send(g, 0, nil); len(answers) != 1 || answers[0].Result != core.Served {
 			t.Fatalf("%+v", answers)
 		}
 	}
 	p := g.set.Load().all[0]
-	if c := p.Counts(); c.Exhausted != breaker.DefaultStrikes || c.Skipped != 50-breaker.DefaultStrikes || p.breaker.State() != breaker.Open {
+	if c := p.Counts(); c.Exhausted != breaker.DefaultMaxFailures || c.Skipped != 50-breaker.DefaultMaxFailures || p.breaker.State() != breaker.Open {
 		t.Errorf("%+v, %v", c, p.breaker.State())
 	}
 	p.spec.Refuse = true
-	if _, answers := send(g, 0, nil); len(answers) != 1 || answers[0].Verdict != core.Refused {
+	if _, answers := send(g, 0, nil); len(answers) != 1 || answers[0].Result != core.Rejected {
 		t.Errorf("left out, with a rule that refuses: %+v", answers)
 	}
 	if n := (&view{kept: p.kept, decls: p.program.States}).Value(0, ""); n != 0 {
@@ -169,7 +169,7 @@
 	if _, err := p.run(&w, func([]hook.Effect) error { panic("broken") }); err == nil || !strings.Contains(err.Error(), "the machine failed: broken") {
 		t.Errorf("%v", err)
 	}
-	if _, answers := send(g, 0, nil); len(answers) != 1 || answers[0].Verdict != core.Served {
+	if _, answers := send(g, 0, nil); len(answers) != 1 || answers[0].Result != core.Served {
 		t.Errorf("after it: %+v", answers)
 	}
 }
@@ -230,12 +230,12 @@
 	}
 	close(done)
 	<-ended
-	n := core.News{Instances: []core.Instance{{Name: "old-1", Kind: "m"}, {Name: "new-1", Kind: "m"}, {Name: "bad", Kind: "m"}}}
+	n := core.EndpointUpdate{Endpoints: []core.Endpoint{{Name: "old-1", MachineType: "m"}, {Name: "new-1", MachineType: "m"}, {Name: "bad", MachineType: "m"}}}
 	got := g.Members(n)
 	if named := p.Named(); named["served-harvest-entry"] != outcomesHeld || named["club=downs"] != outcomesHeld || named["old"] != 1 {
 		t.Errorf("counted %v", named)
 	}
-	if got.Instances[0].Kind != "slow" || got.Instances[1].Kind != "m" || got.Instances[2].Kind != "m" || n.Instances[0].Kind != "m" {
+	if got.Endpoints[0].MachineType != "slow" || got.Endpoints[1].MachineType != "m" || got.Endpoints[2].MachineType != "m" || n.Endpoints[0].MachineType != "m" {
 		t.Errorf("%+v, of %+v", got, n)
 	}
 }
@@ -347,8 +347,8 @@
 				specs = append(specs, Spec{Name: fmt.Sprint(i), File: "../../deploy/plugins/apiary-tags.hook", Headers: []string{"X-Apiary-*"}})
 			}
 			g, _ := gate(b, specs...)
-			r := &core.Request{Until: time.Now().Add(time.Hour), Reply: func(core.Answer) {}}
-			g.Behind(nothing{})
+			r := &core.Request{Deadline: time.Now().Add(time.Hour), Respond: func(core.Response) {}}
+			g.SetNext(nothing{})
 			b.ReportAllocs()
 			for b.Loop() {
 				r.Fields = map[string][]string{"Apiary": {"flat-1"}}
--- a/internal/quotas/form_test.go
+++ b/internal/quotas/form_test.go
@@ -12,10 +12,10 @@
 func TestFormOfTheView(t *testing.T) {
 	v := NodeView{
 		Name: "club", Parent: "service", Depth: 1,
-		Usage:   quota.Usage{Own: 1, Borrowed: 2, Refused: 3, Lent: 4, Repaid: 5},
-		Limits:  []LimitView{{Dimension: "requests", Rate: 10, Ceiling: 20, Window: "10s", Left: 4.5}},
-		Owes:    []OwedView{{To: "downs", Dimension: "requests", Amount: 2}},
-		Refusal: "nothing", RefusedAgo: 1.5,
+		Usage:     quota.Usage{WithinShare: 1, Borrowed: 2, Rejected: 3, Lent: 4, Repaid: 5},
+		Limits:    []LimitView{{Dimension: "requests", Rate: 10, Ceiling: 20, Window: "10s", Left: 4.5}},
+		Debts:     []DebtView{{To: "downs", Dimension: "requests", Amount: 2}},
+		Rejection: "nothing", RejectedAgo: 1.5,
 	}
 	const want = `{"Name":"club","Parent":"service","Depth":1,"Usage":{"Own":1,"Borrowed":2,"Refused":3,"Lent":4,"Repaid":5},` +
 		`"Limits":[{"Dimension":"requests","Rate":10,"Ceiling":20,"Window":"10s","Left":4.5}],"Owes":[{"To":"downs","Dimension":"requests","Amount":2}],` +
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -26,18 +26,18 @@
 
 // Config is what a Gate keeps to.
 type Config struct {
-	Tree    quota.Config
-	Matches map[string]Match // by node
-	Part    float64          // of every limit, that this sidecar may use
-	Tenants []string
-	Worth   []float64     // by class
-	Most    time.Duration // the longest pause that clients heed; 0: any
+	Tree            quota.Config
+	Matches         map[string]Match // by node
+	Share           float64          // of every limit, that this sidecar may use
+	Tenants         []string
+	PriorityWeights []float64     // by class
+	MaxRetryAfter   time.Duration // the longest pause that clients heed; 0: any
 }
 
 // Gate is a Taker for the fronts. It is safe for concurrent use.
 type Gate struct {
-	core.Taker // what requests go on to
-	begin      time.Time
+	core.Handler // what requests go on to
+	begin        time.Time
 
 	mu       sync.Mutex
 	cfg      Config
@@ -55,8 +55,8 @@
 // Load takes another tree in the place of the one there is, with the balances of
 // the nodes that stay. Requests under way give back to the tree that they took of.
 func (g *Gate) Load(c Config) error {
-	if !(c.Part > 0 && c.Part <= 1) {
-		return fmt.Errorf("quota: a part of %v for this sidecar: above 0, and 1 at most, is meant", c.Part)
+	if !(c.Share > 0 && c.Share <= 1) {
+		return fmt.Errorf("quota: a part of %v for this sidecar: above 0, and 1 at most, is meant", c.Share)
 	}
 	scaled := c.Tree
 	scaled.Nodes = slices.Clone(c.Tree.Nodes)
@@ -64,8 +64,8 @@
 		n := &scaled.Nodes[i]
 		n.Limits = slices.Clone(n.Limits)
 		for j := range n.Limits {
-			n.Limits[j].Rate *= c.Part
-			n.Limits[j].Ceiling *= c.Part
+			n.Limits[j].Rate *= c.Share
+			n.Limits[j].Ceiling *= c.Share
 		}
 	}
 	tree, err := quota.New(scaled)
@@ -84,14 +84,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.tree != nil {
-		tree.Keep(g.tree, g.now())
+		tree.RestoreFrom(g.tree, g.now())
 	}
 	g.cfg, g.tree, g.children, g.root = c, tree, children, scaled.Nodes[0].Name
 	return nil
 }
 
-// Behind sets what requests go on to. It comes before the first of them.
-func (g *Gate) Behind(t core.Taker) { g.Taker = t }
+// SetNext sets what requests go on to. It comes before the first of them.
+func (g *Gate) SetNext(t core.Handler) { g.Handler = t }
 
 func (g *Gate) now() time.Duration { return time.Since(g.begin) }
 
@@ -131,19 +131,19 @@
 // Submit passes a request on that is within its quota, or answers it.
 func (g *Gate) Submit(r *core.Request) {
 	g.mu.Lock()
-	q := quota.Request{Node: g.leaf(r), Again: r.Repeat, Cost: quota.Cost{quota.Requests: 1, quota.Worth: g.cfg.Worth[r.Class], quota.Bytes: float64(len(r.Body)), quota.Concurrent: 1}}
-	tree, most := g.tree, g.cfg.Most
-	d := tree.Ask(g.now(), q)
+	q := quota.Request{Node: g.leaf(r), Retry: r.ClientRetry, Cost: quota.Cost{quota.Requests: 1, quota.Priority: g.cfg.PriorityWeights[r.Class], quota.Bytes: float64(len(r.Body)), quota.Concurrent: 1}}
+	tree, most := g.tree, g.cfg.MaxRetryAfter
+	d := tree.Admit(g.now(), q)
 	g.mu.Unlock()
-	if d.Outcome == quota.Refused {
-		pause := max(d.Pause, leastPause)
+	if d.Outcome == quota.Rejected {
+		pause := max(d.RetryAfter, leastPause)
 		if most > 0 {
 			pause = min(pause, most)
 		}
-		r.Reply(core.Answer{Verdict: core.Refused, Pause: pause, Text: "over quota: " + d.Why.String()})
+		r.Respond(core.Response{Result: core.Rejected, RetryAfter: pause, Detail: "over quota: " + d.Rejection.String()})
 		return
 	}
-	reply := r.Reply
+	reply := r.Respond
 	var once sync.Once
 	end := func(ran bool) {
 		once.Do(func() {
@@ -156,32 +156,32 @@
 			}
 		})
 	}
-	r.Reply = func(a core.Answer) {
-		end(a.Verdict != core.Refused && a.Verdict != core.Duplicate)
+	r.Respond = func(a core.Response) {
+		end(a.Result != core.Rejected && a.Result != core.Duplicate)
 		reply(a)
 	}
-	r.Left = func() { end(true) } // there will be no answer
-	g.Taker.Submit(r)
+	r.OnClientGone = func() { end(true) } // there will be no answer
+	g.Handler.Submit(r)
 }
 
 // Abandon gives back what a request held at once whose client has left.
 func (g *Gate) Abandon(r *core.Request) {
-	g.Taker.Abandon(r)
-	if r.Left != nil {
-		r.Left()
+	g.Handler.Abandon(r)
+	if r.OnClientGone != nil {
+		r.OnClientGone()
 	}
 }
 
 // NodeView is a node's state for people.
 type NodeView struct {
-	Name       string      `json:"Name"`
-	Parent     string      `json:"Parent"`
-	Depth      int         `json:"Depth"`
-	Usage      quota.Usage `json:"Usage"`
-	Limits     []LimitView `json:"Limits"`
-	Owes       []OwedView  `json:"Owes"`
-	Refusal    string      `json:"Refusal,omitempty"`
-	RefusedAgo float64     `json:"RefusedAgo,omitempty"` // seconds
+	Name        string      `json:"Name"`
+	Parent      string      `json:"Parent"`
+	Depth       int         `json:"Depth"`
+	Usage       quota.Usage `json:"Usage"`
+	Limits      []LimitView `json:"Limits"`
+	Debts       []DebtView  `json:"Owes"`
+	Rejection   string      `json:"Refusal,omitempty"`
+	RejectedAgo float64     `json:"RefusedAgo,omitempty"` // seconds
 }
 
 // LimitView is a limit and what is left of it.
@@ -193,8 +193,8 @@
 	Left      float64 `json:"Left"`
 }
 
-// OwedView is a debt.
-type OwedView struct {
+// DebtView is a debt.
+type DebtView struct {
 	To        string  `json:"To"`
 	Dimension string  `json:"Dimension"`
 	Amount    float64 `json:"Amount"`
@@ -212,11 +212,11 @@
 		for _, l := range s.Limits {
 			v.Limits = append(v.Limits, LimitView{l.Dimension.String(), l.Rate, l.Ceiling, l.Window.String(), l.Left})
 		}
-		for _, o := range s.Owes {
-			v.Owes = append(v.Owes, OwedView{o.To, o.Dimension.String(), o.Amount})
+		for _, o := range s.Debts {
+			v.Debts = append(v.Debts, DebtView{o.To, o.Dimension.String(), o.Amount})
 		}
-		if s.Refusal != (quota.Refusal{}) {
-			v.Refusal, v.RefusedAgo = s.Refusal.String(), (now - s.Refused).Seconds()
+		if s.LastRejection != (quota.Rejection{}) {
+			v.Rejection, v.RejectedAgo = s.LastRejection.String(), (now - s.RejectedAt).Seconds()
 		}
 		out = append(out, v)
 	}
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -13,7 +13,7 @@
 
 func (h *held) Submit(r *core.Request) { h.taken = append(h.taken, r) }
 func (h *held) Abandon(*core.Request)  {}
-func (h *held) Holds(string) bool      { return false }
+func (h *held) HasRequest(string) bool { return false }
 func (h *held) Ready() bool            { return true }
 
 func limits(rate float64) []quota.Limit {
@@ -25,14 +25,14 @@
 		Tree: quota.Config{Nodes: []quota.Node{{Name: "all"}, {Name: "downs", Parent: "all", Limits: limits(1)}, {Name: "ridge", Parent: "downs", Limits: limits(0.5)},
 			{Name: "lockyer", Parent: "all", Limits: limits(1)}, {Name: "loud", Parent: "lockyer", Limits: limits(0.2)}}},
 		Matches: map[string]Match{"downs": {Tenant: "downs"}, "ridge": {Header: "Site", Value: "ridge"}, "lockyer": {Tenant: "lockyer"}, "loud": {Tag: "loud"}},
-		Part:    1, Tenants: []string{"downs", "lockyer"}, Worth: []float64{1}, Most: time.Second,
+		Share:   1, Tenants: []string{"downs", "lockyer"}, PriorityWeights: []float64{1}, MaxRetryAfter: time.Second,
 	}
 }
 
-func ask(g *Gate, tenant int, fields map[string][]string) (*core.Request, *[]core.Answer) {
-	answers := new([]core.Answer)
+func ask(g *Gate, tenant int, fields map[string][]string) (*core.Request, *[]core.Response) {
+	answers := new([]core.Response)
 	r := &core.Request{Tenant: tenant, Message: core.Message{Fields: fields}}
-	r.Reply = func(a core.Answer) { *answers = append(*answers, a) }
+	r.Respond = func(a core.Response) { *answers = append(*answers, a) }
 	g.Submit(r)
 	return r, answers
 }
@@ -64,12 +64,12 @@
 		end  func(*Gate, *core.Request)
 		left float64 // of the 10 requests that are saved up
 	}{
-		"served":  {func(_ *Gate, r *core.Request) { r.Reply(core.Answer{Verdict: core.Served}) }, 9},
-		"failed":  {func(_ *Gate, r *core.Request) { r.Reply(core.Answer{Verdict: core.Failed}) }, 9},
-		"refused": {func(_ *Gate, r *core.Request) { r.Reply(core.Answer{Verdict: core.Refused}) }, 10},
+		"served":  {func(_ *Gate, r *core.Request) { r.Respond(core.Response{Result: core.Served}) }, 9},
+		"failed":  {func(_ *Gate, r *core.Request) { r.Respond(core.Response{Result: core.Failed}) }, 9},
+		"refused": {func(_ *Gate, r *core.Request) { r.Respond(core.Response{Result: core.Rejected}) }, 10},
 		"left":    {func(g *Gate, r *core.Request) { g.Abandon(r) }, 9},
 		"served and left": {func(g *Gate, r *core.Request) {
-			r.Reply(core.Answer{Verdict: core.Served})
+			r.Respond(core.Response{Result: core.Served})
 			g.Abandon(r)
 		}, 9},
 	} {
@@ -78,11 +78,11 @@
 			t.Fatal(err)
 		}
 		k := new(held)
-		g.Behind(k)
+		g.SetNext(k)
 		ask(g, 0, nil)
 		_, second := ask(g, 0, nil)
 		_, third := ask(g, 0, nil)
-		if len(k.taken) != 2 || len(*second) != 0 || len(*third) != 1 || (*third)[0].Verdict != core.Refused || (*third)[0].Text == "" {
+		if len(k.taken) != 2 || len(*second) != 0 || len(*third) != 1 || (*third)[0].Result != core.Rejected || (*third)[0].Detail == "" {
 			t.Fatalf("%s: %d of two at once are taken; the third is answered %+v", name, len(k.taken), *third)
 		}
 		x.end(g, k.taken[0])
@@ -101,26 +101,26 @@
 // Pauses stay within what clients heed, and a part of the quotas is a part.
 func TestPauseAndPart(t *testing.T) {
 	c := config()
-	c.Part = 0.5
+	c.Share = 0.5
 	g, err := New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Behind(new(held))
+	g.SetNext(new(held))
 	served := 0
 	for range 20 {
 		r, answers := ask(g, 1, nil)
 		if len(*answers) == 0 {
 			served++
-			r.Reply(core.Answer{Verdict: core.Served})
-		} else if p := (*answers)[0].Pause; p <= 0 || p > time.Second {
+			r.Respond(core.Response{Result: core.Served})
+		} else if p := (*answers)[0].RetryAfter; p <= 0 || p > time.Second {
 			t.Errorf("a pause of %v", p)
 		}
 	}
 	if served != 5 {
 		t.Errorf("%d of half a request a second over 10 s", served)
 	}
-	for _, bad := range []func(*Config){func(c *Config) { c.Part = 0 }, func(c *Config) { c.Matches["downs"] = Match{Tenant: "nobody"} }, func(c *Config) { c.Tree.Nodes[1].Name = "all" }} {
+	for _, bad := range []func(*Config){func(c *Config) { c.Share = 0 }, func(c *Config) { c.Matches["downs"] = Match{Tenant: "nobody"} }, func(c *Config) { c.Tree.Nodes[1].Name = "all" }} {
 		c := config()
 		bad(&c)
 		if err := g.Load(c); err == nil {
--- a/internal/registry/merge/form_test.go
+++ b/internal/registry/merge/form_test.go
@@ -15,12 +15,12 @@
 		Now: time.Hour, Ready: 3,
 		Members: []membership.Member{{
 			Change: membership.Change{
-				Key: "records-1@10.0.0.1:80#1", Name: "records-1", Addr: "10.0.0.1:80", Site: "a", Kind: "m2", Cell: "4",
-				Protocol: "http", Weight: 1.5, Started: time.Minute, State: membership.Ready, Reason: "UP by registry",
+				Key: "records-1@10.0.0.1:80#1", Name: "records-1", Addr: "10.0.0.1:80", Zone: "a", MachineType: "m2", Cell: "4",
+				Protocol: "http", Weight: 1.5, StartedAt: time.Minute, State: membership.Ready, Reason: "UP by registry",
 			},
 			Claims: []string{"registry i1: UP"},
 		}},
-		Sources: []membership.SourceState{{Name: "registry", Live: 2, Lost: 1, Heard: time.Second, Reason: "silent"}},
+		Sources: []membership.SourceState{{Name: "registry", Live: 2, Held: 1, LastResponseAt: time.Second, Reason: "silent"}},
 	}
 	const want = `{"Now":3600000000000,"Ready":3,"Members":[{"Key":"records-1@10.0.0.1:80#1","Name":"records-1","Addr":"10.0.0.1:80",` +
 		`"Site":"a","Kind":"m2","Cell":"4","Protocol":"http","Weight":1.5,"Started":60000000000,"State":2,"Reason":"UP by registry",` +
--- a/internal/registry/merge/mapping.go
+++ b/internal/registry/merge/mapping.go
@@ -12,25 +12,25 @@
 // Mapping names the metadata of an instance that say what the registry's own
 // fields do not. Empty names map nothing.
 type Mapping struct {
-	Site     string
-	Kind     string
-	Cell     string
-	Weight   string // a number above 0
-	Protocol string
-	Started  string // Unix time in ms
-	Secure   bool   // nodes are reached at their secure port
+	Zone          string
+	MachineType   string
+	Cell          string
+	Weight        string // a number above 0
+	Protocol      string
+	StartedAt     string // Unix time in ms
+	UseSecurePort bool   // nodes are reached at their secure port
 }
 
-// Uses says whether any field is told by that metadata's name.
-func (m *Mapping) Uses(key string) bool {
-	return key != "" && (key == m.Site || key == m.Kind || key == m.Cell || key == m.Weight || key == m.Protocol || key == m.Started)
+// UsesKey says whether any field is told by that metadata's name.
+func (m *Mapping) UsesKey(key string) bool {
+	return key != "" && (key == m.Zone || key == m.MachineType || key == m.Cell || key == m.Weight || key == m.Protocol || key == m.StartedAt)
 }
 
 // instance makes a registry's instance one of the membership module's; false
 // where it has no address.
 func (m *Mapping) instance(i *eureka.Instance) (membership.Delta, bool) {
 	port := i.Port
-	if m.Secure {
+	if m.UseSecurePort {
 		port = i.SecurePort
 	}
 	host := i.IP
@@ -48,7 +48,7 @@
 	}
 	d := membership.Delta{Instance: membership.Instance{
 		ID: i.ID, Name: i.ID, Addr: net.JoinHostPort(host, strconv.Itoa(port)), Status: status(i.Status),
-		Site: of(m.Site), Kind: of(m.Kind), Cell: of(m.Cell), Protocol: of(m.Protocol), Weight: 1, Dirty: i.Dirty, Updated: i.Updated,
+		Zone: of(m.Zone), MachineType: of(m.MachineType), Cell: of(m.Cell), Protocol: of(m.Protocol), Weight: 1, Dirty: i.Dirty, Updated: i.Updated,
 	}}
 	if i.Override != "" && i.Override != "UNKNOWN" {
 		// The registry shows the override as the status; where it does not, the stricter counts.
@@ -57,8 +57,8 @@
 	if w, err := strconv.ParseFloat(of(m.Weight), 64); err == nil && w > 0 && w < 1e6 {
 		d.Weight = w
 	}
-	if ms, err := strconv.ParseInt(of(m.Started), 10, 64); err == nil && ms > 0 && ms < 1<<43 {
-		d.Started = time.Duration(ms) * time.Millisecond
+	if ms, err := strconv.ParseInt(of(m.StartedAt), 10, 64); err == nil && ms > 0 && ms < 1<<43 {
+		d.StartedAt = time.Duration(ms) * time.Millisecond
 	}
 	if i.Action == "DELETED" {
 		d.Op = membership.Delete
--- a/internal/registry/merge/merge.go
+++ b/internal/registry/merge/merge.go
@@ -16,7 +16,7 @@
 // Merger merges sources. Its methods may be called concurrently.
 type Merger struct {
 	set    *membership.Set
-	update func(core.News)
+	update func(core.EndpointUpdate)
 	begin  time.Time
 	events chan func(now time.Duration)
 	reason []string // why each source is not trusted, as it was logged last
@@ -32,7 +32,7 @@
 const tick = 500 * time.Millisecond
 
 // New makes a Merger of a Set; update takes the merged view's changes, in order.
-func New(set *membership.Set, update func(core.News)) *Merger {
+func New(set *membership.Set, update func(core.EndpointUpdate)) *Merger {
 	return &Merger{
 		set: set, update: update, begin: time.Now(), events: make(chan func(time.Duration), 16),
 		reason: make([]string, len(set.Sources())), cells: make(map[string]int), nextCell: firstCell,
@@ -81,19 +81,19 @@
 	if len(changes) == 0 {
 		return
 	}
-	n := core.News{Instances: make([]core.Instance, 0, len(changes))}
+	n := core.EndpointUpdate{Endpoints: make([]core.Endpoint, 0, len(changes))}
 	for _, c := range changes {
-		i := core.Instance{
-			Name: c.Key, Host: c.Name, Addr: c.Addr, Site: c.Site, Kind: c.Kind, Protocol: c.Protocol, Weight: c.Weight, Started: c.Started,
+		i := core.Endpoint{
+			Name: c.Key, Host: c.Name, Addr: c.Addr, Zone: c.Zone, MachineType: c.MachineType, Protocol: c.Protocol, Weight: c.Weight, StartedAt: c.StartedAt,
 			Cell: m.cell(c.Cell),
 		}
 		switch c.State {
 		case membership.Ready:
 			i.Health = core.Up
-		case membership.Gone:
+		case membership.Removed:
 			i.Health = core.Removed
 		}
-		n.Instances = append(n.Instances, i)
+		n.Endpoints = append(n.Endpoints, i)
 	}
 	m.update(n)
 }
@@ -115,13 +115,13 @@
 	return &n
 }
 
-// Platform takes what the platform's discovery tells, as source number.
-func (m *Merger) Platform(number int, news core.News) {
+// UpdatePlatform takes what the platform's discovery tells, as source number.
+func (m *Merger) UpdatePlatform(number int, news core.EndpointUpdate) {
 	m.events <- func(now time.Duration) {
 		var whole []membership.Instance
 		var deltas []membership.Delta
-		for _, i := range news.Instances {
-			x := membership.Instance{ID: i.Name, Name: i.Name, Addr: i.Addr, Site: i.Site, Kind: i.Kind, Weight: i.Weight, Started: i.Started}
+		for _, i := range news.Endpoints {
+			x := membership.Instance{ID: i.Name, Name: i.Name, Addr: i.Addr, Zone: i.Zone, MachineType: i.MachineType, Weight: i.Weight, StartedAt: i.StartedAt}
 			if i.Cell != nil {
 				x.Cell = strconv.Itoa(*i.Cell)
 			}
@@ -135,11 +135,11 @@
 			whole = append(whole, x)
 			deltas = append(deltas, membership.Delta{Instance: x})
 		}
-		if !news.Whole {
-			m.tell(m.set.Delta(now, number, "", deltas))
+		if !news.Complete {
+			m.tell(m.set.ApplyDelta(now, number, "", deltas))
 			return
 		}
-		changes, err := m.set.Whole(now, number, "", whole)
+		changes, err := m.set.ReplaceList(now, number, "", whole)
 		if err != nil {
 			slog.Warn("membership: list refused, the last one stays", "err", err)
 		}
@@ -147,8 +147,8 @@
 	}
 }
 
-// Eureka takes what a Eureka registry tells, as source number, by a mapping.
-func (m *Merger) Eureka(number int, mapping Mapping, news eureka.News) {
+// UpdateEureka takes what a UpdateEureka registry tells, as source number, by a mapping.
+func (m *Merger) UpdateEureka(number int, mapping Mapping, news eureka.News) {
 	replica := news.Replica // the rest of the news is let go before they are merged
 	if !news.Whole {
 		list := make([]membership.Delta, 0, len(news.Instances))
@@ -157,7 +157,7 @@
 				list = append(list, d)
 			}
 		}
-		m.events <- func(now time.Duration) { m.tell(m.set.Delta(now, number, replica, list)) }
+		m.events <- func(now time.Duration) { m.tell(m.set.ApplyDelta(now, number, replica, list)) }
 		return
 	}
 	whole := make([]membership.Instance, 0, len(news.Instances))
@@ -167,7 +167,7 @@
 		}
 	}
 	m.events <- func(now time.Duration) {
-		changes, err := m.set.Whole(now, number, replica, whole)
+		changes, err := m.set.ReplaceList(now, number, replica, whole)
 		whole = nil // it is not needed while the changes are told
 		if err != nil {
 			slog.Warn("membership: list refused, the last one stays", "err", err)
@@ -176,10 +176,10 @@
 	}
 }
 
-// Static takes a list that does not change, as source number.
-func (m *Merger) Static(number int, list []membership.Instance) {
+// SetStatic takes a list that does not change, as source number.
+func (m *Merger) SetStatic(number int, list []membership.Instance) {
 	m.events <- func(now time.Duration) {
-		changes, err := m.set.Whole(now, number, "", list)
+		changes, err := m.set.ReplaceList(now, number, "", list)
 		if err != nil {
 			slog.Warn("membership: list refused", "err", err)
 		}
--- a/internal/registry/merge/merge_test.go
+++ b/internal/registry/merge/merge_test.go
@@ -12,20 +12,20 @@
 )
 
 func TestMapping(t *testing.T) {
-	m := Mapping{Site: "zone", Kind: "type", Cell: "cell", Weight: "weight", Protocol: "protocol", Started: "started_ms"}
+	m := Mapping{Zone: "zone", MachineType: "type", Cell: "cell", Weight: "weight", Protocol: "protocol", StartedAt: "started_ms"}
 	i := eureka.Instance{
 		ID: "r1", Host: "records.example.org", IP: "10.0.0.1", Port: 8080, SecurePort: 8443, Status: "UP", Dirty: 3, Updated: 4,
 		Metadata: map[string]string{"zone": "b", "type": "m2", "cell": "c7", "weight": "1.5", "protocol": "msgpack-rpc", "started_ms": "1500"},
 	}
 	d, ok := m.instance(&i)
 	want := membership.Instance{
-		ID: "r1", Name: "r1", Addr: "10.0.0.1:8080", Status: membership.Up, Site: "b", Kind: "m2", Cell: "c7", Protocol: "msgpack-rpc",
-		Weight: 1.5, Started: 1500 * time.Millisecond, Dirty: 3, Updated: 4,
+		ID: "r1", Name: "r1", Addr: "10.0.0.1:8080", Status: membership.Up, Zone: "b", MachineType: "m2", Cell: "c7", Protocol: "msgpack-rpc",
+		Weight: 1.5, StartedAt: 1500 * time.Millisecond, Dirty: 3, Updated: 4,
 	}
 	if !ok || d.Op != membership.Put || d.Instance != want {
 		t.Errorf("got %+v %v", d, ok)
 	}
-	m.Secure = true
+	m.UseSecurePort = true
 	if d, _ := m.instance(&i); d.Addr != "10.0.0.1:8443" {
 		t.Errorf("at its secure port it is %s", d.Addr)
 	}
@@ -58,8 +58,8 @@
 	for key, value := range map[string]string{"weight": "-1", "started_ms": "soon"} {
 		x := i
 		x.Metadata = map[string]string{key: value}
-		if d, _ := m.instance(&x); d.Weight != 1 || d.Started != 0 {
-			t.Errorf("%s=%s: weight %v, started %v", key, value, d.Weight, d.Started)
+		if d, _ := m.instance(&x); d.Weight != 1 || d.StartedAt != 0 {
+			t.Errorf("%s=%s: weight %v, started %v", key, value, d.Weight, d.StartedAt)
 		}
 	}
 }
@@ -70,8 +70,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	news := make(chan core.News, 10)
-	m := New(set, func(n core.News) { news <- n })
+	news := make(chan core.EndpointUpdate, 10)
+	m := New(set, func(n core.EndpointUpdate) { news <- n })
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
@@ -79,28 +79,28 @@
 		close(ended)
 	}()
 	cell := 3
-	m.Platform(0, core.News{Whole: true, Instances: []core.Instance{{Name: "s-1", Addr: "10.0.0.1:80", Site: "a", Cell: &cell, Health: core.Up, Weight: 2}}})
+	m.UpdatePlatform(0, core.EndpointUpdate{Complete: true, Endpoints: []core.Endpoint{{Name: "s-1", Addr: "10.0.0.1:80", Zone: "a", Cell: &cell, Health: core.Up, Weight: 2}}})
 	n := peertest.Await(t, "the platform's", news)
-	if len(n.Instances) != 1 || n.Whole {
+	if len(n.Endpoints) != 1 || n.Complete {
 		t.Fatalf("news %+v", n)
 	}
-	first := n.Instances[0]
-	if first.Host != "s-1" || first.Addr != "10.0.0.1:80" || *first.Cell != 3 || first.Health != core.Up || first.Weight != 2 || first.Site != "a" {
+	first := n.Endpoints[0]
+	if first.Host != "s-1" || first.Addr != "10.0.0.1:80" || *first.Cell != 3 || first.Health != core.Up || first.Weight != 2 || first.Zone != "a" {
 		t.Errorf("instance %+v", first)
 	}
-	m.Eureka(1, Mapping{Cell: "cell"}, eureka.News{Whole: true, Instances: []eureka.Instance{
+	m.UpdateEureka(1, Mapping{Cell: "cell"}, eureka.News{Whole: true, Instances: []eureka.Instance{
 		{ID: "s-1", IP: "10.0.0.1", Port: 80, Status: "OUT_OF_SERVICE"},
 		{ID: "s-2", IP: "10.0.0.2", Port: 80, Status: "UP", Metadata: map[string]string{"cell": "north"}},
 	}})
 	n = peertest.Await(t, "the registry's", news)
-	if len(n.Instances) != 2 || n.Instances[0].Name != first.Name || n.Instances[0].Health != core.Draining ||
-		n.Instances[1].Health != core.Up || *n.Instances[1].Cell < firstCell {
+	if len(n.Endpoints) != 2 || n.Endpoints[0].Name != first.Name || n.Endpoints[0].Health != core.Draining ||
+		n.Endpoints[1].Health != core.Up || *n.Endpoints[1].Cell < firstCell {
 		t.Errorf("news %+v", n)
 	}
-	m.Platform(0, core.News{Instances: []core.Instance{{Name: "s-3", Addr: "10.0.0.3:80", Health: core.Up}}})
+	m.UpdatePlatform(0, core.EndpointUpdate{Endpoints: []core.Endpoint{{Name: "s-3", Addr: "10.0.0.3:80", Health: core.Up}}})
 	peertest.Await(t, "one more", news)
-	m.Platform(0, core.News{Instances: []core.Instance{{Name: "s-3", Addr: "10.0.0.3:80", Health: core.Removed}}})
-	if n = peertest.Await(t, "its end", news); len(n.Instances) != 1 || n.Instances[0].Health != core.Removed {
+	m.UpdatePlatform(0, core.EndpointUpdate{Endpoints: []core.Endpoint{{Name: "s-3", Addr: "10.0.0.3:80", Health: core.Removed}}})
+	if n = peertest.Await(t, "its end", news); len(n.Endpoints) != 1 || n.Endpoints[0].Health != core.Removed {
 		t.Errorf("news %+v", n)
 	}
 	v, err := m.View(t.Context(), "", 10)
--- a/internal/registry/platform/call.go
+++ b/internal/registry/platform/call.go
@@ -32,15 +32,15 @@
 // is that of the last call that was waited for.
 func (d *Discovery) open(ctx context.Context, url string) (io.ReadCloser, error) {
 	c := &calls{ctx: ctx, url: url, answers: make(chan answer), cancels: make(map[resolver.CallID]context.CancelFunc)}
-	d.schedule.SetHeld(d.listed)
-	defer d.schedule.Abandon()
+	d.schedule.SetHasList(d.listed)
+	defer d.schedule.CancelAll()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
 			step := d.schedule.Next(time.Since(d.began))
-			for _, id := range step.GiveUp {
+			for _, id := range step.Cancel {
 				c.giveUp(id)
 			}
 			if step.Start {
@@ -49,12 +49,12 @@
 			timer.Reset(step.Wait)
 		case a := <-c.answers:
 			if a.err == nil {
-				d.schedule.Answered(time.Since(d.began), a.id)
+				d.schedule.CallAnswered(time.Since(d.began), a.id)
 				c.keep(a.id)
 				return a.body, nil
 			}
 			c.giveUp(a.id)
-			if !d.schedule.Failed(a.id) {
+			if !d.schedule.CallFailed(a.id) {
 				return nil, a.err
 			}
 		case <-ctx.Done():
--- a/internal/registry/platform/listing_test.go
+++ b/internal/registry/platform/listing_test.go
@@ -16,14 +16,14 @@
 	if err := json.Unmarshal([]byte(text), &l); err != nil {
 		t.Fatal(err)
 	}
-	n := l.News()
-	if n.Version != 1 || !n.Whole || len(n.Instances) != 4 || n.Instances[0].Name != "" || n.Instances[1].Name != "" {
+	n := l.EndpointUpdate()
+	if n.Version != 1 || !n.Complete || len(n.Endpoints) != 4 || n.Endpoints[0].Name != "" || n.Endpoints[1].Name != "" {
 		t.Fatalf("news %+v", n)
 	}
-	if i := n.Instances[2]; i.Name != "s-1" || i.Health != core.Up || i.Started.Seconds() != 4 || i.Weight != 1 || *i.Cell != 3 {
+	if i := n.Endpoints[2]; i.Name != "s-1" || i.Health != core.Up || i.StartedAt.Seconds() != 4 || i.Weight != 1 || *i.Cell != 3 {
 		t.Errorf("the good entry is %+v", i)
 	}
-	if i := n.Instances[3]; i.Name != "s-3" || i.Health != core.Draining {
+	if i := n.Endpoints[3]; i.Name != "s-3" || i.Health != core.Draining {
 		t.Errorf("a health that is not known: %+v, want draining", i)
 	}
 }
--- a/internal/registry/platform/platform.go
+++ b/internal/registry/platform/platform.go
@@ -50,13 +50,13 @@
 	return nil
 }
 
-// News is the listing in the core's terms.
-func (l Listing) News() core.News {
-	n := core.News{Version: l.Seq, Whole: l.Whole, Instances: make([]core.Instance, 0, len(l.Hosts))}
+// EndpointUpdate is the listing in the core's terms.
+func (l Listing) EndpointUpdate() core.EndpointUpdate {
+	n := core.EndpointUpdate{Version: l.Seq, Complete: l.Whole, Endpoints: make([]core.Endpoint, 0, len(l.Hosts))}
 	for _, e := range l.Hosts {
-		i := core.Instance{
-			Name: e.Host, Addr: e.Dial, Site: e.Site, Kind: e.Class, Cell: e.Block, Weight: e.Share,
-			Started: settings.Millis(e.BornMS),
+		i := core.Endpoint{
+			Name: e.Host, Addr: e.Dial, Zone: e.Site, MachineType: e.Class, Cell: e.Block, Weight: e.Share,
+			StartedAt: settings.Millis(e.BornMS),
 		}
 		switch e.Health {
 		case "up":
@@ -64,7 +64,7 @@
 		case "removed":
 			i.Health = core.Removed
 		}
-		n.Instances = append(n.Instances, i)
+		n.Endpoints = append(n.Endpoints, i)
 	}
 	return n
 }
@@ -79,8 +79,8 @@
 	maxListing  = 4 << 20
 )
 
-// Sockets is how many connections discovery holds at most.
-const Sockets = 2
+// MaxConnections is how many connections discovery holds at most.
+const MaxConnections = 2
 
 // errGap says that a change was missed or could not be read: only the whole list helps.
 var errGap = errors.New("gap in the list")
@@ -91,7 +91,7 @@
 	listed  bool   // some list is in force, which may be out of date
 	held    bool   // the list in force is discovery's own: changes may build on it
 	seq     uint64 // its version
-	deliver func(core.News)
+	deliver func(core.EndpointUpdate)
 
 	moves chan string // the address to go on with; holds the latest alone
 
@@ -106,14 +106,14 @@
 
 // New follows the discovery at an address, on from the list as last held, if
 // any; deliver takes its news, in order. Follow starts it.
-func New(addr string, known *Listing, deliver func(core.News)) *Discovery {
+func New(addr string, known *Listing, deliver func(core.EndpointUpdate)) *Discovery {
 	d := &Discovery{
 		base:    listURL(addr),
 		deliver: deliver,
 		moves:   make(chan string, 1),
 		began:   time.Now(),
 		// Calls to an agent on the own machine need no spread.
-		schedule: resolver.New(resolver.Pushed(), 0),
+		schedule: resolver.New(resolver.ForPushedLists(), 0),
 	}
 	if known != nil {
 		d.listed, d.held, d.seq = true, true, known.Seq
@@ -126,15 +126,15 @@
 // errMoved ends a watch at an address that is not discovery's any more.
 var errMoved = errors.New("discovery has moved")
 
-// Ask makes Follow wait for a call of asks before each watch, for installations
+// WatchOnRequest makes Follow wait for a call of asks before each watch, for installations
 // where asking has a cost; failed is told when a call failed or the watch has ended.
 // Calls work through in turn there; seed spreads those of one sidecar against the others'.
-func (d *Discovery) Ask(asks <-chan struct{}, failed func(), seed uint64) {
-	d.asks, d.failed, d.schedule = asks, failed, resolver.New(resolver.Asked(), seed)
+func (d *Discovery) WatchOnRequest(asks <-chan struct{}, failed func(), seed uint64) {
+	d.asks, d.failed, d.schedule = asks, failed, resolver.New(resolver.ForPolledLists(), seed)
 }
 
-// Move makes Follow go on at another address, at once. It must not be called concurrently.
-func (d *Discovery) Move(addr string) {
+// SetAddress makes Follow go on at another address, at once. It must not be called concurrently.
+func (d *Discovery) SetAddress(addr string) {
 	select {
 	case <-d.moves: // not taken yet, and out of date
 	default:
@@ -149,10 +149,10 @@
 	d.base, d.held = listURL(addr), false
 }
 
-// Follow watches the list until ctx ends. When a watch ends or falls silent it
+// Run watches the list until ctx ends. When a watch ends or falls silent it
 // opens the next one soon, or when the module asks, where asking is the module's.
 // The list that was held stays in force until there is another.
-func (d *Discovery) Follow(ctx context.Context) {
+func (d *Discovery) Run(ctx context.Context) {
 	pause, down, atOnce := firstReopen, false, false
 	for ctx.Err() == nil {
 		if d.asks != nil && !atOnce {
@@ -249,7 +249,7 @@
 	s.blank = func() {
 		d.heardAt = time.Now()
 		if !heard {
-			d.deliver(core.News{Version: d.seq}) // the watch is up and nothing has changed: the module's call went well
+			d.deliver(core.EndpointUpdate{Version: d.seq}) // the watch is up and nothing has changed: the module's call went well
 		}
 		heard = true
 	}
@@ -346,8 +346,8 @@
 		l.Hosts = nil
 	}
 	d.listed, d.held, d.seq = true, true, l.Seq
-	news := l.News()
-	news.Confirmed, d.heardAt = d.heardAt, time.Now()
+	news := l.EndpointUpdate()
+	news.ConfirmedAt, d.heardAt = d.heardAt, time.Now()
 	d.deliver(news)
 	return nil
 }
--- a/internal/registry/platform/platform_test.go
+++ b/internal/registry/platform/platform_test.go
@@ -13,11 +13,11 @@
 )
 
 // startDiscovery follows a fake registry and hands out what is delivered.
-func startDiscovery(t *testing.T, g *peertest.Registry, known *Listing) <-chan core.News {
+func startDiscovery(t *testing.T, g *peertest.Registry, known *Listing) <-chan core.EndpointUpdate {
 	t.Helper()
-	news := make(chan core.News, 10)
-	d := New(g.Addr, known, func(l core.News) { news <- l })
-	go d.Follow(t.Context())
+	news := make(chan core.EndpointUpdate, 10)
+	d := New(g.Addr, known, func(l core.EndpointUpdate) { news <- l })
+	go d.Run(t.Context())
 	return news
 }
 
@@ -39,7 +39,7 @@
 		health core.Health
 	}{{43, 1, core.Up}, {43, 0, 0}, {47, 1, core.Draining}} {
 		l := peertest.Await(t, "a change", news)
-		if l.Version != want.seq || len(l.Instances) != want.hosts || (want.hosts > 0 && l.Instances[0].Health != want.health) {
+		if l.Version != want.seq || len(l.Endpoints) != want.hosts || (want.hosts > 0 && l.Endpoints[0].Health != want.health) {
 			t.Errorf("change %d is %+v, want %+v", i, l, want)
 		}
 	}
@@ -60,7 +60,7 @@
 			w.Lines <- line
 			peertest.Await(t, "the call for the whole list", g.Asked)
 			g.Whole <- peertest.ListText(45, true, peertest.HostText("s-1", "127.0.0.1:7", "up", 0))
-			if l := peertest.Await(t, "the list", news); l.Version != 45 || !l.Whole || len(l.Instances) != 1 {
+			if l := peertest.Await(t, "the list", news); l.Version != 45 || !l.Complete || len(l.Endpoints) != 1 {
 				t.Errorf("delivered %+v", l)
 			}
 			if w := peertest.Await(t, "the next watch", g.Watches); w.From != "45" {
@@ -88,20 +88,20 @@
 	for name, held := range map[string]*Listing{"watching": {Seq: 41, Whole: true}, "waiting for a list": nil} {
 		t.Run(name, func(t *testing.T) {
 			old, fresh := peertest.NewRegistry(t), peertest.NewRegistry(t)
-			news := make(chan core.News, 10)
-			d := New(old.Addr, held, func(l core.News) { news <- l })
-			go d.Follow(t.Context())
+			news := make(chan core.EndpointUpdate, 10)
+			d := New(old.Addr, held, func(l core.EndpointUpdate) { news <- l })
+			go d.Run(t.Context())
 			if held == nil {
 				peertest.Await(t, "the call to the old one", old.Asked)
 			} else {
 				w := peertest.Await(t, "the old watch", old.Watches)
 				defer peertest.Await(t, "the old watch's end", w.Ended)
 			}
-			d.Move("127.0.0.1:1") // and at once on: the last one counts
-			d.Move(fresh.Addr)
+			d.SetAddress("127.0.0.1:1") // and at once on: the last one counts
+			d.SetAddress(fresh.Addr)
 			peertest.Await(t, "the call for the new list", fresh.Asked)
 			fresh.Whole <- peertest.ListText(7, true, peertest.HostText("s-1", "127.0.0.1:7", "up", 0))
-			if l := peertest.Await(t, "the list", news); l.Version != 7 || !l.Whole || len(l.Instances) != 1 {
+			if l := peertest.Await(t, "the list", news); l.Version != 7 || !l.Complete || len(l.Endpoints) != 1 {
 				t.Errorf("delivered %+v", l)
 			}
 			if w := peertest.Await(t, "the new watch", fresh.Watches); w.From != "7" {
@@ -118,16 +118,16 @@
 // wrong at the new address is told as ever.
 func TestMovedDiscoveryThatIsAsked(t *testing.T) {
 	old, fresh := peertest.NewRegistry(t), peertest.NewRegistry(t)
-	asks, failed, news := make(chan struct{}, 1), make(chan struct{}, 1), make(chan core.News, 10)
-	d := New(old.Addr, &Listing{Seq: 3, Whole: true}, func(l core.News) { news <- l })
+	asks, failed, news := make(chan struct{}, 1), make(chan struct{}, 1), make(chan core.EndpointUpdate, 10)
+	d := New(old.Addr, &Listing{Seq: 3, Whole: true}, func(l core.EndpointUpdate) { news <- l })
 	d.asks, d.failed = asks, func() { failed <- struct{}{} }
-	go d.Follow(t.Context())
+	go d.Run(t.Context())
 	asks <- struct{}{}
 	peertest.Await(t, "the old watch", old.Watches)
-	d.Move(fresh.Addr)
+	d.SetAddress(fresh.Addr)
 	peertest.Await(t, "the call for the new list", fresh.Asked)
 	fresh.Whole <- peertest.ListText(1, true)
-	if l := peertest.Await(t, "the list", news); l.Version != 1 || !l.Whole {
+	if l := peertest.Await(t, "the list", news); l.Version != 1 || !l.Complete {
 		t.Errorf("delivered %+v", l)
 	}
 	close(peertest.Await(t, "the new watch", fresh.Watches).Lines)
@@ -137,14 +137,14 @@
 // Where the list is asked for, the module asks, and hears of success and failure.
 func TestAskedListIsTheModulesToAsk(t *testing.T) {
 	g := peertest.NewRegistry(t)
-	asks, failed, news := make(chan struct{}, 1), make(chan struct{}, 1), make(chan core.News, 10)
-	d := New(g.Addr, &Listing{Seq: 3, Whole: true}, func(l core.News) { news <- l })
+	asks, failed, news := make(chan struct{}, 1), make(chan struct{}, 1), make(chan core.EndpointUpdate, 10)
+	d := New(g.Addr, &Listing{Seq: 3, Whole: true}, func(l core.EndpointUpdate) { news <- l })
 	d.asks, d.failed = asks, func() { failed <- struct{}{} }
-	go d.Follow(t.Context())
+	go d.Run(t.Context())
 	asks <- struct{}{}
 	w := peertest.Await(t, "the watch", g.Watches)
 	w.Lines <- "" // nothing has changed: the call went well all the same
-	if l := peertest.Await(t, "word of it", news); l.Version != 3 || l.Whole || len(l.Instances) != 0 {
+	if l := peertest.Await(t, "word of it", news); l.Version != 3 || l.Complete || len(l.Endpoints) != 0 {
 		t.Errorf("delivered %+v", l)
 	}
 	close(w.Lines)
@@ -200,7 +200,7 @@
 				if l.Version != 43 {
 					continue
 				}
-				if gone := l.Whole && len(l.Instances) == 1 && l.Instances[0].Name == "s-2"; !gone && l.Instances[0].Health != core.Draining {
+				if gone := l.Complete && len(l.Endpoints) == 1 && l.Endpoints[0].Name == "s-2"; !gone && l.Endpoints[0].Health != core.Draining {
 					t.Errorf("delivered %+v", l)
 				}
 				break
@@ -276,9 +276,9 @@
 			}
 		}
 	}()
-	news := make(chan core.News, 10)
-	d := New(ln.Addr().String(), &Listing{Seq: 41, Whole: true}, func(l core.News) { news <- l })
-	go d.Follow(t.Context())
+	news := make(chan core.EndpointUpdate, 10)
+	d := New(ln.Addr().String(), &Listing{Seq: 41, Whole: true}, func(l core.EndpointUpdate) { news <- l })
+	go d.Run(t.Context())
 	peertest.Await(t, "a call", silent)
 	peertest.Await(t, "a further call", silent)
 	returned := time.Now()
--- a/internal/registry/platform/slow_test.go
+++ b/internal/registry/platform/slow_test.go
@@ -50,17 +50,17 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			addr, calls, _ := slowDiscovery(t, c.answerIn)
-			news := make(chan core.News, 10)
-			d := New(addr, nil, func(n core.News) { news <- n })
+			news := make(chan core.EndpointUpdate, 10)
+			d := New(addr, nil, func(n core.EndpointUpdate) { news <- n })
 			if c.ask {
 				asks := make(chan struct{}, 1)
 				asks <- struct{}{}
-				d.Ask(asks, func() { asks <- struct{}{} }, 1)
+				d.WatchOnRequest(asks, func() { asks <- struct{}{} }, 1)
 			}
-			go d.Follow(t.Context())
+			go d.Run(t.Context())
 			select {
 			case n := <-news:
-				if n.Version != 7 || len(n.Instances) != 1 {
+				if n.Version != 7 || len(n.Endpoints) != 1 {
 					t.Errorf("delivered %+v", n)
 				}
 			case <-time.After(2*c.answerIn + time.Second):
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -181,22 +181,22 @@
 // Config turns the settings into the module's own.
 func (s *Settings) Config() (policy.Config, error) {
 	c := policy.Config{
-		Balancers:      s.count("balancers"),
-		Zone:           s.count("zone"),
-		MaxAttempts:    s.count("caps.most_tries"),
-		MayCancel:      s.flag("caps.may_cancel"),
-		MayProbe:       s.flag("caps.probes"),
-		Reports:        s.flag("caps.probes") && s.text("telemetry.how") != "silent",
-		MaxRetryAfter:  Millis(s.number("caps.max_retry_after_ms", 0)),
-		MarksRepeat:    s.flag("client_habits.marks_retry"),
-		Tick:           Millis(s.number("period_ms", 0)),
-		AskList:        s.text("discovery") == "ask",
-		AskWithin:      Millis(s.number("rules.ask_within_ms", 0)),
-		ColdFrom:       s.number("rules.cold_from", 0),
-		ColdTime:       Millis(s.number("rules.cold_ms", 0)),
-		ColdMultiple:   s.number("rules.fall_multiple", 0),
-		ProbePrice:     s.number("charges.probe", 0),
-		CrossZonePrice: s.number("charges.cross_zone", 0),
+		FleetSize:               s.count("balancers"),
+		Zone:                    s.count("zone"),
+		MaxAttempts:             s.count("caps.most_tries"),
+		CancelAllowed:           s.flag("caps.may_cancel"),
+		ProbesAllowed:           s.flag("caps.probes"),
+		ProbeLoadReports:        s.flag("caps.probes") && s.text("telemetry.how") != "silent",
+		MaxRetryAfter:           Millis(s.number("caps.max_retry_after_ms", 0)),
+		ClientsMarkRetries:      s.flag("client_habits.marks_retry"),
+		EventResolution:         Millis(s.number("period_ms", 0)),
+		WatchOnRequest:          s.text("discovery") == "ask",
+		WatchRequestWithin:      Millis(s.number("rules.ask_within_ms", 0)),
+		SlowStartInitialShare:   s.number("rules.cold_from", 0),
+		SlowStartDuration:       Millis(s.number("rules.cold_ms", 0)),
+		SlowStartOverloadFactor: s.number("rules.fall_multiple", 0),
+		ProbeCost:               s.number("charges.probe", 0),
+		CrossZoneCost:           s.number("charges.cross_zone", 0),
 	}
 	s.above0("balancers", "balancers in all")
 	s.above0("caps.most_tries", "attempts for a request")
@@ -206,26 +206,26 @@
 	for i := range s.count("classes.count") {
 		p := fmt.Sprintf("classes.%d.", i)
 		k := policy.Class{
-			Aim:        Millis(s.above0(p+"aim_ms", "milliseconds")),
-			AimStretch: s.number(p+"aim_stretch", 0),
-			Deadline:   Millis(s.above0(p+"hard_limit_ms", "milliseconds")),
-			LateShare:  s.number(p+"late_share", 0),
-			Worth:      s.number(p+"worth", 0),
-			Window:     Millis(s.number(p+"window_ms", 0)),
-			Effect:     policy.Unsafe, // an unknown word is taken for the strictest
-			Scope:      policy.ScopeCell,
+			LatencyObjective: Millis(s.above0(p+"aim_ms", "milliseconds")),
+			ObjectiveStretch: s.number(p+"aim_stretch", 0),
+			Deadline:         Millis(s.above0(p+"hard_limit_ms", "milliseconds")),
+			LateValueShare:   s.number(p+"late_share", 0),
+			PriorityWeight:   s.number(p+"worth", 0),
+			DedupWindow:      Millis(s.number(p+"window_ms", 0)),
+			Idempotency:      policy.NotIdempotent, // an unknown word is taken for the strictest
+			DedupScope:       policy.ScopeCell,
 		}
 		switch s.text(p + "semantics") {
 		case "free":
-			k.Effect = policy.Safe
+			k.Idempotency = policy.Idempotent
 		case "guarded":
-			k.Effect = policy.Keyed
+			k.Idempotency = policy.IdempotentByKey
 		}
 		switch s.text(p + "dedup_scope") {
 		case "all":
-			k.Scope = policy.ScopeAll
+			k.DedupScope = policy.ScopeAll
 		case "zone":
-			k.Scope = policy.ScopeZone
+			k.DedupScope = policy.ScopeZone
 		}
 		c.Classes = append(c.Classes, k)
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -57,14 +57,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Balancers != 3 || c.Zone != 2 || c.MaxAttempts != 3 || !c.MayCancel || !c.MayProbe ||
-		!c.AskList || c.ColdFrom != 0.32 || c.CrossZonePrice != 0.03 {
+	if c.FleetSize != 3 || c.Zone != 2 || c.MaxAttempts != 3 || !c.CancelAllowed || !c.ProbesAllowed ||
+		!c.WatchOnRequest || c.SlowStartInitialShare != 0.32 || c.CrossZoneCost != 0.03 {
 		t.Errorf("config %+v", c)
 	}
-	if k := c.Classes[0]; k.Effect != policy.Keyed || k.Scope != policy.ScopeCell || k.Window != 600*time.Millisecond {
+	if k := c.Classes[0]; k.Idempotency != policy.IdempotentByKey || k.DedupScope != policy.ScopeCell || k.DedupWindow != 600*time.Millisecond {
 		t.Errorf("class 0 %+v", k)
 	}
-	if c.Classes[1].Effect != policy.Unsafe {
+	if c.Classes[1].Idempotency != policy.NotIdempotent {
 		t.Error("an unknown effect is not taken for the strictest")
 	}
 	if c.Tenants[0].Quota != 342 || c.Tenants[0].Share != 0.79 {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -205,19 +205,19 @@
 
 // known is the list as last held, in the core's terms. Where sources are merged
 // it goes to the merger.
-func (c *Config) known() *core.News {
+func (c *Config) known() *core.EndpointUpdate {
 	if c.Known == nil || c.Operator.Merges() {
 		return nil
 	}
-	n := c.Known.News()
+	n := c.Known.EndpointUpdate()
 	return &n
 }
 
 // effects are those of the classes, by number.
-func (c *Config) effects() []policy.Effect {
-	e := make([]policy.Effect, len(c.Policy.Classes))
+func (c *Config) effects() []policy.Idempotency {
+	e := make([]policy.Idempotency, len(c.Policy.Classes))
 	for i, k := range c.Policy.Classes {
-		e[i] = k.Effect
+		e[i] = k.Idempotency
 	}
 	return e
 }
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -347,7 +347,7 @@
 	c := testConfig(t, options{}, "127.0.0.1:1", first, peertest.HostText("s-2", late.Addr, "up", 0))
 	c.DialTimeout = 3 * time.Second
 	for i := range c.Policy.Classes {
-		c.Policy.Classes[i].Window = 400 * time.Millisecond
+		c.Policy.Classes[i].DedupWindow = 400 * time.Millisecond
 	}
 	addr, _, _ := startSidecar(t, c)
 	begun := time.Now()
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -18,15 +18,15 @@
 	if !c.Operator.Admin.Metrics {
 		return nil
 	}
-	return metrics.New(c.Classes, core.Verdicts())
+	return metrics.New(c.Classes, core.ResultNames())
 }
 
 // answered is what the core tells of each answer; nil where nobody asks.
-func answered(m *metrics.Metrics) func(int, core.Verdict, time.Duration) {
+func answered(m *metrics.Metrics) func(int, core.Result, time.Duration) {
 	if m == nil {
 		return nil
 	}
-	return func(class int, v core.Verdict, took time.Duration) { m.Answered(class, int(v), took) }
+	return func(class int, v core.Result, took time.Duration) { m.Answered(class, int(v), took) }
 }
 
 // showState shows how the core and the merged list stand, where they are.
@@ -39,16 +39,16 @@
 			return // it is ending
 		}
 		s.Counters("decisions_total", "What the decision module did, as the README's counters.", "decision", state.Counters)
-		s.Counters("violations_total", "Rules that were broken, as the run-time checks saw it.", "rule", k.Checks())
-		s.Counters("withheld_total", "Attempts that a guard kept from beginning, by reason.", "reason", k.Withheld())
-		for reason, n := range k.GivenUp() {
+		s.Counters("violations_total", "Rules that were broken, as the run-time checks saw it.", "rule", k.Violations())
+		s.Counters("withheld_total", "Attempts that a guard kept from beginning, by reason.", "reason", k.PreventedSends())
+		for reason, n := range k.RejectionsByReason() {
 			s.Count("given_up_total", "Requests refused or failed by the decision module, by reason.", float64(n), "reason", reason)
 		}
-		for ending, n := range k.Endings() {
+		for ending, n := range k.AttemptsByResult() {
 			s.Count("attempts_total", "Attempts that ended, by how.", float64(n), "ending", ending)
 		}
 		s.Gauge("requests", "Requests that are held.", float64(state.Requests))
-		s.Gauge("nodes", "Nodes that are listed.", float64(state.Hosts))
+		s.Gauge("nodes", "Nodes that are listed.", float64(state.Endpoints))
 		for i := range state.SlotsFree {
 			tenant := strconv.Itoa(i)
 			if i < len(c.Tenants) {
@@ -81,9 +81,9 @@
 			}
 			s.Gauge("source_trusted", "Whether a source of the list is trusted.", trusted, "source", src.Name)
 			s.Gauge("source_nodes", "Nodes that a source lists.", float64(src.Live), "source", src.Name)
-			s.Gauge("source_held", "Nodes that a source lost with too many others, and that are held.", float64(src.Lost), "source", src.Name)
-			if src.Heard > 0 {
-				s.Gauge("source_age_seconds", "Since a source's last news.", (v.Now - src.Heard).Seconds(), "source", src.Name)
+			s.Gauge("source_held", "Nodes that a source lost with too many others, and that are held.", float64(src.Held), "source", src.Name)
+			if src.LastResponseAt > 0 {
+				s.Gauge("source_age_seconds", "Since a source's last news.", (v.Now - src.LastResponseAt).Seconds(), "source", src.Name)
 			}
 		}
 	})
--- a/internal/sidecar/plugins.go
+++ b/internal/sidecar/plugins.go
@@ -15,7 +15,7 @@
 
 // plugins puts the operators' plug-ins between the fronts and the core; nil
 // where there is none.
-func (c *Config) plugins(ctx context.Context, k core.Taker, figures *metrics.Metrics, loops *sync.WaitGroup) (*plugin.Gate, error) {
+func (c *Config) plugins(ctx context.Context, k core.Handler, figures *metrics.Metrics, loops *sync.WaitGroup) (*plugin.Gate, error) {
 	if len(c.Operator.Plugins) == 0 {
 		return nil, nil
 	}
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.Behind(k)
+	g.SetNext(k)
 	loops.Go(func() { g.Run(ctx.Done()) })
 	if figures != nil {
 		figures.Add(func(s *metrics.Show) {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -24,7 +24,7 @@
 )
 
 // quotas puts the operators' quotas before the core; nil where there is none.
-func (c *Config) quotas(behind core.Taker, figures *metrics.Metrics) (*quotas.Gate, error) {
+func (c *Config) quotas(behind core.Handler, figures *metrics.Metrics) (*quotas.Gate, error) {
 	if len(c.Operator.Quotas) == 0 {
 		return nil, nil
 	}
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.Behind(behind)
+	g.SetNext(behind)
 	if figures != nil {
 		figures.Add(func(s *metrics.Show) {
 			for _, n := range g.View() {
@@ -51,13 +51,13 @@
 	l := &f.Lending
 	out := quotas.Config{
 		Tree: quota.Config{
-			Reclaim: cmp.Or(l.Reclaim.Value(), defaultReclaim), Repay: cmp.Or(float64(l.Repay), defaultRepay), DebtAge: cmp.Or(l.DebtAge.Value(), defaultDebtAge),
+			LenderReserve: cmp.Or(l.Reclaim.Value(), defaultReclaim), RepaymentShare: cmp.Or(float64(l.Repay), defaultRepay), DebtLifetime: cmp.Or(l.DebtAge.Value(), defaultDebtAge),
 		},
-		Matches: make(map[string]quotas.Match), Tenants: c.Tenants, Most: c.Policy.MaxRetryAfter,
-		Part: cmp.Or(l.Part, min(1, unevenPart/float64(max(1, c.Policy.Balancers)))),
+		Matches: make(map[string]quotas.Match), Tenants: c.Tenants, MaxRetryAfter: c.Policy.MaxRetryAfter,
+		Share: cmp.Or(l.Part, min(1, unevenPart/float64(max(1, c.Policy.FleetSize)))),
 	}
 	for _, k := range c.Policy.Classes {
-		out.Worth = append(out.Worth, k.Worth)
+		out.PriorityWeights = append(out.PriorityWeights, k.PriorityWeight)
 	}
 	for i := range f.Quotas {
 		q := &f.Quotas[i]
@@ -73,7 +73,7 @@
 			for _, x := range []struct {
 				d    quota.Dimension
 				rate float64
-			}{{quota.Requests, q.Requests}, {quota.Worth, q.Worth}, {quota.Bytes, q.Bytes}} {
+			}{{quota.Requests, q.Requests}, {quota.Priority, q.Worth}, {quota.Bytes, q.Bytes}} {
 				if x.rate > 0 {
 					n.Limits = append(n.Limits, quota.Limit{Dimension: x.d, Rate: x.rate, Window: w, Ceiling: x.rate * q.Ceiling})
 				}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -44,7 +44,7 @@
 
 // connections divides the sockets between the two sides.
 func (l Limits) connections() (clients, upstreams int) {
-	most := l.Sockets - socketsSpare - platform.Sockets
+	most := l.Sockets - socketsSpare - platform.MaxConnections
 	clients = most * clientPart / 10
 	return clients, most - clients
 }
@@ -81,7 +81,7 @@
 
 // transport carries out attempts by one protocol.
 type transport interface {
-	Node(addr string) core.Node
+	Node(addr string) core.Upstream
 	Sweep(now time.Time) // closes what has been idle for too long
 }
 
@@ -100,7 +100,7 @@
 	if n := int(c.Operator.Limits.Slots); n > 0 {
 		p.Slots = n
 	}
-	k, err := core.New(core.Config{Policy: p, Seed: c.Seed, Zones: c.Zones, Known: c.known(), Reach: reach, DrainGrace: c.DrainGrace, Answered: answered(figures)})
+	k, err := core.New(core.Config{Policy: p, Seed: c.Seed, Zones: c.Zones, Cached: c.known(), NewUpstream: reach, DrainGrace: c.DrainGrace, OnResponse: answered(figures)})
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 		end()
 		loops.Wait()
 	}()
-	var taker core.Taker = k // what fronts give requests to: plug-ins, quotas and the core, where there are those
+	var taker core.Handler = k // what fronts give requests to: plug-ins, quotas and the core, where there are those
 	shares, err := c.quotas(k, figures)
 	if err != nil {
 		return err
@@ -124,7 +124,7 @@
 	}
 	update := k.Update
 	if gate != nil {
-		taker, update = gate, func(n core.News) { k.Update(gate.Members(n)) }
+		taker, update = gate, func(n core.EndpointUpdate) { k.Update(gate.Members(n)) }
 	}
 	d, m, err := c.follow(run, k, update, &loops)
 	if err != nil {
@@ -146,12 +146,12 @@
 	loops.Go(func() { k.Run(run) })
 	go sweep(run, transports)
 
-	fronts := c.fronts(taker, k.Arrived, lns, forClients, figures)
+	fronts := c.fronts(taker, k.EarliestArrival, lns, forClients, figures)
 	served := make(chan error, len(fronts))
 	for _, f := range fronts {
 		go func() { served <- f.Serve() }()
 	}
-	slog.Info("serving", "name", c.Name, "listen", c.Listen, "balancers", c.Policy.Balancers)
+	slog.Info("serving", "name", c.Name, "listen", c.Listen, "balancers", c.Policy.FleetSize)
 	for {
 		select {
 		case err := <-served:
@@ -167,14 +167,14 @@
 			if err := c.reload(); err != nil {
 				slog.Error("configuration: the old one stays in force", "err", err)
 			} else if c.Discovery != was && d != nil {
-				d.Move(c.Discovery)
+				d.SetAddress(c.Discovery)
 			}
 		}
 	}
 }
 
 // fronts makes the front of each listener; they share the clients' connections evenly.
-func (c *Config) fronts(k core.Taker, arrived func(time.Time) time.Time, lns []net.Listener, connections int, figures *metrics.Metrics) []front {
+func (c *Config) fronts(k core.Handler, arrived func(time.Time) time.Time, lns []net.Listener, connections int, figures *metrics.Metrics) []front {
 	each, effects := connections/len(lns), c.effects()
 	overHTTP := httpfront.Config{Classes: c.Classes, Effects: effects, Tenants: c.Tenants, Connections: each, Arrived: arrived}
 	fronts := make([]front, len(lns))
@@ -204,7 +204,7 @@
 }
 
 // transports makes those that the pools need, and finds the one of an instance.
-func (c *Config) transports(connections int, figures *metrics.Metrics) (func(core.Instance) core.Node, []transport) {
+func (c *Config) transports(connections int, figures *metrics.Metrics) (func(core.Endpoint) core.Upstream, []transport) {
 	show := func(pool string, p operator.Protocol, counts func() any) {
 		if figures != nil {
 			figures.Add(func(s *metrics.Show) {
@@ -219,7 +219,7 @@
 	}
 	overHTTP := httpnode.New(httpnode.Config{
 		DialTimeout: c.DialTimeout, ConnIdle: c.ConnIdle, Connections: connections - forRPC,
-		LoadField: c.LoadField, Reports: c.Policy.Reports,
+		LoadField: c.LoadField, Reports: c.Policy.ProbeLoadReports,
 	})
 	show("", operator.HTTP, func() any { return overHTTP.Counters() })
 	all := []transport{overHTTP}
@@ -241,13 +241,13 @@
 		ofPool, all = append(ofPool, t), append(all, t)
 		show(p.Name, operator.RPC, func() any { return t.Counters() })
 	}
-	return func(i core.Instance) core.Node {
+	return func(i core.Endpoint) core.Upstream {
 		for n := range c.Operator.Pools {
 			p := &c.Operator.Pools[n]
 			if i.Protocol != "" && i.Protocol != string(p.Protocol) {
 				continue // its source says otherwise
 			}
-			if p.Matches(cmp.Or(i.Host, i.Name), i.Site, i.Kind) {
+			if p.Matches(cmp.Or(i.Host, i.Name), i.Zone, i.MachineType) {
 				return ofPool[n].Node(i.Addr)
 			}
 		}
@@ -264,7 +264,7 @@
 	for _, f := range fronts {
 		f.Drain() // none that is idle may get a request after the listener has gone
 	}
-	defer time.AfterFunc(time.Until(killed.Add(-answerBefore)), k.Quit).Stop()
+	defer time.AfterFunc(time.Until(killed.Add(-answerBefore)), k.Shutdown).Stop()
 	time.Sleep(lastConnections)
 	ctx, cancel := context.WithDeadline(context.Background(), killed.Add(-leaveBefore))
 	defer cancel()
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -118,9 +118,9 @@
 		}
 		ms := func(f float64) time.Duration { return time.Duration(f * float64(time.Millisecond)) }
 		for i, k := range s.Class {
-			got, effects := c.Policy.Classes[i], map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
-			if c.Classes[i] != k.Name || got.Effect != effects[k.Effect] || got.Aim != ms(k.Aim) || got.Deadline != ms(k.Deadline) ||
-				got.LateShare != k.Late || got.Worth != k.Worth || (k.Effect == "keyed" && got.Window != ms(k.Window)) {
+			got, effects := c.Policy.Classes[i], map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NotIdempotent}
+			if c.Classes[i] != k.Name || got.Idempotency != effects[k.Effect] || got.LatencyObjective != ms(k.Aim) || got.Deadline != ms(k.Deadline) ||
+				got.LateValueShare != k.Late || got.PriorityWeight != k.Worth || (k.Effect == "keyed" && got.DedupWindow != ms(k.Window)) {
 				t.Errorf("%s: class %s is %+v", s.Name, k.Name, got)
 			}
 		}
@@ -130,8 +130,8 @@
 			}
 		}
 		p := c.Policy
-		if !reflect.DeepEqual(c.Zones, s.Net.Zones) || p.MaxAttempts != s.Allow.MaxAttempts || p.MayProbe != s.Allow.Probes ||
-			p.AskList != (s.Discovery.Mode == "ask") || p.MarksRepeat != s.Clients.MarksRetry || p.ColdMultiple != s.Rules.FallMultiple ||
+		if !reflect.DeepEqual(c.Zones, s.Net.Zones) || p.MaxAttempts != s.Allow.MaxAttempts || p.ProbesAllowed != s.Allow.Probes ||
+			p.WatchOnRequest != (s.Discovery.Mode == "ask") || p.ClientsMarkRetries != s.Clients.MarksRetry || p.SlowStartOverloadFactor != s.Rules.FallMultiple ||
 			c.DialTimeout != ms(s.Tier[0].Conn.Connect) || c.ConnIdle != ms(1000*s.Tier[0].Conn.Idle) ||
 			c.LoadField != map[bool]string{true: "busy_reqs"}[len(s.Tier[0].Report.Fields) > 0] ||
 			c.killedIn() != min(longest(p.Classes), longestWait)+killedAfter {
--- a/internal/sidecar/sources.go
+++ b/internal/sidecar/sources.go
@@ -23,7 +23,7 @@
 // follow starts to follow the sources of the list. Where the platform's
 // discovery is the only one its news go to the core as they come; else the
 // membership module merges them. It returns the platform's, if that is one.
-func (c *Config) follow(ctx context.Context, k *core.Core, update func(core.News), loops *sync.WaitGroup) (*platform.Discovery, *merge.Merger, error) {
+func (c *Config) follow(ctx context.Context, k *core.Core, update func(core.EndpointUpdate), loops *sync.WaitGroup) (*platform.Discovery, *merge.Merger, error) {
 	o := &c.Operator
 	var m *merge.Merger
 	if o.Merges() {
@@ -36,9 +36,9 @@
 		if o.UsesPlatform() {
 			number++
 			if c.Known != nil {
-				m.Platform(0, c.Known.News())
+				m.UpdatePlatform(0, c.Known.EndpointUpdate())
 			}
-			update = func(n core.News) { m.Platform(0, n) }
+			update = func(n core.EndpointUpdate) { m.UpdatePlatform(0, n) }
 		}
 		if err := c.followOthers(ctx, m, number, loops); err != nil {
 			return nil, nil, err
@@ -48,10 +48,10 @@
 		}
 	}
 	d := platform.New(c.Discovery, c.Known, update)
-	if c.Policy.AskList {
-		d.Ask(k.Asks(), k.UpdateFailed, c.Seed)
+	if c.Policy.WatchOnRequest {
+		d.WatchOnRequest(k.WatchRequests(), k.UpdateFailed, c.Seed)
 	}
-	go d.Follow(ctx)
+	go d.Run(ctx)
 	return d, m, nil
 }
 
@@ -126,14 +126,14 @@
 		return n
 	}
 	if c.Limits.MemoryMB <= 0 {
-		return membership.DefaultMostNodes
+		return membership.DefaultMaxNodes
 	}
 	fit := (c.Limits.MemoryMB<<20 - withoutNodes) / nodeBytes
-	return int(min(max(fit, leastNodes), membership.DefaultMostNodes))
+	return int(min(max(fit, leastNodes), membership.DefaultMaxNodes))
 }
 
 // merger makes the one for the sources of the operators' file.
-func (c *Config) merger(update func(core.News)) (*merge.Merger, error) {
+func (c *Config) merger(update func(core.EndpointUpdate)) (*merge.Merger, error) {
 	o := &c.Operator
 	var sources []membership.Source
 	if o.UsesPlatform() {
@@ -147,8 +147,8 @@
 	}
 	b := &o.Membership
 	set, err := membership.New(membership.Config{
-		MaxLoss: float64(b.MaxLoss), LossWindow: b.Window.Value(), HoldFor: b.HoldFor.Value(), SilentAfter: b.Silent.Value(),
-		TombstoneFor: b.Tombstone.Value(), Settle: b.Settle.Value(), FreshFor: b.Fresh.Value(), MostNodes: c.mostNodes(),
+		MaxLoss: float64(b.MaxLoss), LossWindow: b.Window.Value(), LossHold: b.HoldFor.Value(), SilentAfter: b.Silent.Value(),
+		TombstoneLifetime: b.Tombstone.Value(), StaleUpdateHold: b.Settle.Value(), NewProcessPeriod: b.Fresh.Value(), MaxNodes: c.mostNodes(),
 	}, sources...)
 	if err != nil {
 		return nil, err
@@ -162,20 +162,20 @@
 		e, source := &c.Operator.Eureka[i], number
 		number++
 		mapping := merge.Mapping{
-			Site: e.Metadata.Site, Kind: e.Metadata.Kind, Cell: e.Metadata.Cell, Weight: e.Metadata.Weight,
-			Protocol: e.Metadata.Protocol, Started: e.Metadata.Started, Secure: e.Secure,
+			Zone: e.Metadata.Site, MachineType: e.Metadata.Kind, Cell: e.Metadata.Cell, Weight: e.Metadata.Weight,
+			Protocol: e.Metadata.Protocol, StartedAt: e.Metadata.Started, UseSecurePort: e.Secure,
 		}
 		client, err := eureka.NewClient(eureka.Config{
 			Replicas: e.URLs(), Apps: e.Apps, VIPs: e.VIPs, XML: e.Format == operator.XML,
-			Interval: e.Interval.Value(), Timeout: e.Timeout.Value(), MostMB: int(e.MostMB), Keep: mapping.Uses, Seed: c.Seed + uint64(i),
-		}, func(n eureka.News) { m.Eureka(source, mapping, n) })
+			Interval: e.Interval.Value(), Timeout: e.Timeout.Value(), MostMB: int(e.MostMB), Keep: mapping.UsesKey, Seed: c.Seed + uint64(i),
+		}, func(n eureka.News) { m.UpdateEureka(source, mapping, n) })
 		if err != nil {
 			return fmt.Errorf("registry %s: %w", e.Name, err)
 		}
 		loops.Go(func() { client.Follow(ctx) })
 	}
 	for i := range c.Operator.Static {
-		m.Static(number, staticList(&c.Operator.Static[i]))
+		m.SetStatic(number, staticList(&c.Operator.Static[i]))
 		number++
 	}
 	return nil
@@ -185,7 +185,7 @@
 	list := make([]membership.Instance, 0, len(s.Nodes))
 	for _, a := range s.Nodes {
 		addr := string(a)
-		list = append(list, membership.Instance{ID: addr, Name: s.Name + "/" + addr, Addr: addr, Site: s.Site, Kind: s.Kind, Weight: 1})
+		list = append(list, membership.Instance{ID: addr, Name: s.Name + "/" + addr, Addr: addr, Zone: s.Site, MachineType: s.Kind, Weight: 1})
 	}
 	return list
 }
--- a/internal/transport/httpnode/local_test.go
+++ b/internal/transport/httpnode/local_test.go
@@ -14,10 +14,10 @@
 // end says is.
 func TestWhatThisMachineLacksIsNoWordAgainstAnUpstream(t *testing.T) {
 	u := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("honey")))
-	for errno, want := range map[syscall.Errno]policy.Ending{
+	for errno, want := range map[syscall.Errno]policy.AttemptResult{
 		syscall.EMFILE: policy.NotSent, syscall.ENFILE: policy.NotSent, syscall.ENOBUFS: policy.NotSent, syscall.ENOMEM: policy.NotSent,
 		syscall.EADDRNOTAVAIL: policy.NotSent, syscall.ENETUNREACH: policy.NotSent, syscall.ENETDOWN: policy.NotSent, syscall.EAGAIN: policy.NotSent,
-		syscall.ECONNREFUSED: policy.NoConnection, syscall.EHOSTUNREACH: policy.NoConnection, syscall.ETIMEDOUT: policy.NoConnection,
+		syscall.ECONNREFUSED: policy.ConnectionFailed, syscall.EHOSTUNREACH: policy.ConnectionFailed, syscall.ETIMEDOUT: policy.ConnectionFailed,
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			p := testPool(2)
@@ -26,7 +26,7 @@
 			if got, _ := tryOnce(t.Context(), p, to); got != want {
 				t.Errorf("ending %v, want %v", got, want)
 			}
-			if _, err := tr.probe(t.Context(), to); err == nil || errors.Is(err, core.ErrNotBegun) != (want == policy.NotSent) {
+			if _, err := tr.probe(t.Context(), to); err == nil || errors.Is(err, core.ErrNotSent) != (want == policy.NotSent) {
 				t.Errorf("probe: %v", err)
 			}
 			if len(p.slots) != 0 {
--- a/internal/transport/httpnode/transport.go
+++ b/internal/transport/httpnode/transport.go
@@ -71,7 +71,7 @@
 }
 
 // Node makes the node at an address.
-func (t *Transport) Node(addr string) core.Node { return &node{t, &peer{addr: addr}} }
+func (t *Transport) Node(addr string) core.Upstream { return &node{t, &peer{addr: addr}} }
 
 // Sweep closes the idle connections that are of no use any more.
 func (t *Transport) Sweep(now time.Time) { t.pool.sweep(now) }
@@ -81,22 +81,22 @@
 	to *peer
 }
 
-func (n *node) Try(ctx context.Context, m *core.Message) (policy.Ending, *core.Answer) {
+func (n *node) RoundTrip(ctx context.Context, m *core.Message) (policy.AttemptResult, *core.Response) {
 	return n.t.try(ctx, n.to, m)
 }
 
-func (n *node) Probe(ctx context.Context) (policy.Load, error) { return n.t.probe(ctx, n.to) }
+func (n *node) Probe(ctx context.Context) (policy.LoadReport, error) { return n.t.probe(ctx, n.to) }
 
 func (n *node) Retire() { n.t.pool.retire(n.to) }
 
 // try carries an attempt out. What it returns follows the protocol's table: as
 // long as the request's last byte has not been written, it never ran.
-func (t *Transport) try(ctx context.Context, to *peer, m *core.Message) (policy.Ending, *core.Answer) {
+func (t *Transport) try(ctx context.Context, to *peer, m *core.Message) (policy.AttemptResult, *core.Response) {
 	var a answer
 	wrote := false
 	reach, cancel := ctx, context.CancelFunc(func() {})
-	if !m.By.IsZero() { // a connection that is up by then is of no use
-		reach, cancel = context.WithDeadline(ctx, m.By)
+	if !m.WriteDeadline.IsZero() { // a connection that is up by then is of no use
+		reach, cancel = context.WithDeadline(ctx, m.WriteDeadline)
 	}
 	c, err := t.pool.get(reach, to)
 	cancel()
@@ -104,30 +104,30 @@
 		a, wrote, err = t.exchange(ctx, c, m)
 	}
 	switch {
-	case err != nil && !wrote && (errors.Is(ctx.Err(), context.Canceled) || errors.Is(err, core.ErrNotBegun) || !m.MayBegin(time.Now())):
+	case err != nil && !wrote && (errors.Is(ctx.Err(), context.Canceled) || errors.Is(err, core.ErrNotSent) || !m.AllowSend(time.Now())):
 		return policy.NotSent, nil // no word against the upstream: nobody waited for it any more
 	case err != nil && !wrote && sockets.Local(err):
 		return policy.NotSent, nil // nor is what this machine lacks
 	case err != nil && !wrote:
-		return policy.NoConnection, nil
+		return policy.ConnectionFailed, nil
 	case err != nil && errors.Is(ctx.Err(), context.Canceled):
 		return policy.Cancelled, nil
 	case err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return policy.TimedOut, nil
 	case err != nil:
-		return policy.Broken, nil
-	case a.StatusCode == http.StatusOK && a.unsized && m.NeedsLength:
-		return policy.Broken, nil
+		return policy.ConnectionReset, nil
+	case a.StatusCode == http.StatusOK && a.unsized && m.RequiresLength:
+		return policy.ConnectionReset, nil
 	case a.StatusCode == http.StatusOK:
 		if a.unsized {
 			t.unsized.Add(1)
 		}
-		return policy.Served, &core.Answer{Verdict: core.Served, Fields: a.Header, Body: a.body, Unsized: a.unsized}
+		return policy.Served, &core.Response{Result: core.Served, Fields: a.Header, Body: a.body, DelimitedByClose: a.unsized}
 	case (a.StatusCode == http.StatusServiceUnavailable || a.StatusCode == http.StatusGatewayTimeout) &&
 		a.Header.Get("Not-Started") == "1":
-		return policy.TurnedAway, nil
+		return policy.Rejected, nil
 	}
-	return policy.Errored, nil
+	return policy.ServerError, nil
 }
 
 // exchange writes one request and reads the whole answer. It takes the
@@ -155,17 +155,17 @@
 	if err := ctx.Err(); err != nil {
 		return a, false, err
 	}
-	if !m.MayBegin(time.Now()) {
-		return a, false, core.ErrNotBegun
+	if !m.AllowSend(time.Now()) {
+		return a, false, core.ErrNotSent
 	}
-	if !m.By.IsZero() { // its last byte counts, and the upstream may be slow to read
-		c.SetWriteDeadline(m.By)
+	if !m.WriteDeadline.IsZero() { // its last byte counts, and the upstream may be slow to read
+		c.SetWriteDeadline(m.WriteDeadline)
 		defer c.SetWriteDeadline(time.Time{})
 	}
 	if n, err := c.Write(c.out.Bytes()); n < c.out.Len() {
 		return a, false, fmt.Errorf("write request: %w", err)
 	}
-	m.Began(time.Now(), left)
+	m.SendCompleted(time.Now(), left)
 	if a.Response, a.head, err = c.readHead(); err == nil {
 		c.limit.N = maxAnswerBody + 1
 		err = a.readBody(c)
@@ -271,13 +271,13 @@
 
 // probe asks an upstream for a sign of life and its load. Without any answer in
 // the time that a connection may take to come up, it has failed.
-func (t *Transport) probe(ctx context.Context, to *peer) (policy.Load, error) {
-	unknown := policy.Load{InFlight: -1}
+func (t *Transport) probe(ctx context.Context, to *peer) (policy.LoadReport, error) {
+	unknown := policy.LoadReport{InFlight: -1}
 	ctx, cancel := context.WithTimeout(ctx, t.pool.dialTimeout)
 	defer cancel()
 	c, err := t.pool.get(ctx, to)
 	if err != nil && sockets.Local(err) {
-		return unknown, fmt.Errorf("%w: %w", core.ErrNotBegun, err)
+		return unknown, fmt.Errorf("%w: %w", core.ErrNotSent, err)
 	}
 	if err != nil {
 		return unknown, err
@@ -293,7 +293,7 @@
 	if report == "" {
 		report = string(a.body[:min(len(a.body), maxReport)])
 	}
-	return policy.Load{InFlight: t.inFlight(report)}, nil
+	return policy.LoadReport{InFlight: t.inFlight(report)}, nil
 }
 
 // inFlight takes the number of requests held out of a report of the form
--- a/internal/transport/httpnode/transport_test.go
+++ b/internal/transport/httpnode/transport_test.go
@@ -23,7 +23,7 @@
 	for name, c := range map[string]struct {
 		text string
 		end  bool
-		want policy.Ending
+		want policy.AttemptResult
 	}{
 		"served":                  {text: peertest.Answer200("honey"), want: policy.Served},
 		"twice the same length":   {text: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nhoney", want: policy.Served},
@@ -32,33 +32,33 @@
 		"chunked":                 {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Served},
 		"many chunks, a trailer":  {text: "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;a=b\r\nho\r\n3\r\nney\r\n0\r\nX-Sum: 1\r\n\r\n", want: policy.Served},
 		"chunks and more":         {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n" + peertest.Answer200("again"), want: policy.Served},
-		"chunks without the last": {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n", end: true, want: policy.Broken},
-		"a last without its end":  {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n", end: true, want: policy.Broken},
-		"too large in chunks":     {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n200000\r\n" + strings.Repeat("x", 0x200000) + "\r\n0\r\n\r\n", want: policy.Broken},
-		"a length beside chunks":  {text: "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\nCONTENT-LENGTH: 5\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Broken},
-		"chunks beside a length":  {text: "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Broken},
-		"broken chunk":            {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\nzz\r\n", want: policy.Broken},
+		"chunks without the last": {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n", end: true, want: policy.ConnectionReset},
+		"a last without its end":  {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n", end: true, want: policy.ConnectionReset},
+		"too large in chunks":     {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n200000\r\n" + strings.Repeat("x", 0x200000) + "\r\n0\r\n\r\n", want: policy.ConnectionReset},
+		"a length beside chunks":  {text: "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\nCONTENT-LENGTH: 5\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.ConnectionReset},
+		"chunks beside a length":  {text: "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.ConnectionReset},
+		"broken chunk":            {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\nzz\r\n", want: policy.ConnectionReset},
 		"no length, and closed":   {text: "HTTP/1.1 200 OK\r\n\r\nhoney", end: true, want: policy.Served}, // more in unsized_test.go
-		"two lengths":             {text: "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nhoney", want: policy.Broken},
-		"negative length":         {text: "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nhoney", want: policy.Broken},
-		"status that is none":     {text: "HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhoney", want: policy.Broken},
-		"another protocol":        {text: "ICY 200 OK\r\nContent-Length: 5\r\n\r\nhoney", want: policy.Broken},
-		"line without a colon":    {text: "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 5\r\n\r\nhoney", want: policy.Broken},
-		"said to have 3 GB":       {text: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhoney", want: policy.Broken},
+		"two lengths":             {text: "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nhoney", want: policy.ConnectionReset},
+		"negative length":         {text: "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nhoney", want: policy.ConnectionReset},
+		"status that is none":     {text: "HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhoney", want: policy.ConnectionReset},
+		"another protocol":        {text: "ICY 200 OK\r\nContent-Length: 5\r\n\r\nhoney", want: policy.ConnectionReset},
+		"line without a colon":    {text: "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 5\r\n\r\nhoney", want: policy.ConnectionReset},
+		"said to have 3 GB":       {text: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhoney", want: policy.ConnectionReset},
 		"after an interim answer": {text: "HTTP/1.1 100 Continue\r\n\r\n" + peertest.Answer200("honey"), want: policy.Served},
-		"error":                   {text: "HTTP/1.1 500 x\r\n" + none, want: policy.Errored},
-		"turned away 503":         {text: "HTTP/1.1 503 x\r\nNot-Started: 1\r\n" + none, want: policy.TurnedAway},
-		"turned away 504":         {text: "HTTP/1.1 504 x\r\nNot-Started: 1\r\n" + none, want: policy.TurnedAway},
-		"503 may have run":        {text: "HTTP/1.1 503 x\r\n" + none, want: policy.Errored},
-		"504 not said":            {text: "HTTP/1.1 504 x\r\nNot-Started: 0\r\n" + none, want: policy.Errored},
-		"500 with the mark":       {text: "HTTP/1.1 500 x\r\nNot-Started: 1\r\n" + none, want: policy.Errored},
-		"429 may have run":        {text: "HTTP/1.1 429 x\r\n" + none, want: policy.Errored},
-		"no answer at all":        {end: true, want: policy.Broken},
-		"cut body":                {text: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhoney", end: true, want: policy.Broken},
-		"cut chunk":               {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n", end: true, want: policy.Broken},
-		"no HTTP":                 {text: "hello\r\n\r\n", end: true, want: policy.Broken},
-		"too large":               {text: peertest.Answer200(strings.Repeat("x", maxAnswerBody+1)), want: policy.Broken},
-		"endless header":          {text: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxAnswerHead), want: policy.Broken},
+		"error":                   {text: "HTTP/1.1 500 x\r\n" + none, want: policy.ServerError},
+		"turned away 503":         {text: "HTTP/1.1 503 x\r\nNot-Started: 1\r\n" + none, want: policy.Rejected},
+		"turned away 504":         {text: "HTTP/1.1 504 x\r\nNot-Started: 1\r\n" + none, want: policy.Rejected},
+		"503 may have run":        {text: "HTTP/1.1 503 x\r\n" + none, want: policy.ServerError},
+		"504 not said":            {text: "HTTP/1.1 504 x\r\nNot-Started: 0\r\n" + none, want: policy.ServerError},
+		"500 with the mark":       {text: "HTTP/1.1 500 x\r\nNot-Started: 1\r\n" + none, want: policy.ServerError},
+		"429 may have run":        {text: "HTTP/1.1 429 x\r\n" + none, want: policy.ServerError},
+		"no answer at all":        {end: true, want: policy.ConnectionReset},
+		"cut body":                {text: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhoney", end: true, want: policy.ConnectionReset},
+		"cut chunk":               {text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n", end: true, want: policy.ConnectionReset},
+		"no HTTP":                 {text: "hello\r\n\r\n", end: true, want: policy.ConnectionReset},
+		"too large":               {text: peertest.Answer200(strings.Repeat("x", maxAnswerBody+1)), want: policy.ConnectionReset},
+		"endless header":          {text: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxAnswerHead), want: policy.ConnectionReset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := peertest.NewUpstream(t, func(peertest.Received) (string, bool) { return c.text, c.end })
@@ -103,7 +103,7 @@
 func TestTooLargeAnswerIsNotWaitedFor(t *testing.T) {
 	text := peertest.Answer200(strings.Repeat("x", maxAnswerBody+2))
 	u := peertest.NewUpstream(t, peertest.Always(text[:len(text)-1])) // the last byte never comes
-	if got, _ := tryOnce(t.Context(), testPool(2), &peer{addr: u.Addr}); got != policy.Broken {
+	if got, _ := tryOnce(t.Context(), testPool(2), &peer{addr: u.Addr}); got != policy.ConnectionReset {
 		t.Errorf("ending %v, want broken", got)
 	}
 	peertest.Await(t, "the connection's end", u.Closed)
@@ -112,7 +112,7 @@
 func TestRefusedConnectionNeverRan(t *testing.T) {
 	ln := peertest.Listen(t)
 	ln.Close()
-	if got, _ := tryOnce(context.Background(), testPool(2), &peer{addr: ln.Addr().String()}); got != policy.NoConnection {
+	if got, _ := tryOnce(context.Background(), testPool(2), &peer{addr: ln.Addr().String()}); got != policy.ConnectionFailed {
 		t.Errorf("ending %v, want no connection", got)
 	}
 }
@@ -413,7 +413,7 @@
 		return peertest.Answer200("ok"), false
 	})
 	nodes, to := &Transport{pool: testPool(2)}, &peer{addr: u.Addr}
-	try := func(id string) policy.Ending {
+	try := func(id string) policy.AttemptResult {
 		ending, _ := nodes.try(t.Context(), to, &core.Message{
 			Method: "GET", Target: "/", Host: "x", Fields: http.Header{"Request-Id": {id}, "Idempotency-Key": {"k"}},
 		})
@@ -423,7 +423,7 @@
 		t.Fatalf("first: ending %v", got)
 	}
 	to.idle[0].idle = time.Now().Add(-restFor) // it has rested, and so is used again
-	if got := try("breaks"); got != policy.Broken {
+	if got := try("breaks"); got != policy.ConnectionReset {
 		t.Errorf("on a breaking connection: ending %v, want broken", got)
 	}
 	if len(u.Requests) != 2 || len(u.Accepted) != 1 {
@@ -432,7 +432,7 @@
 }
 
 // tryOnce carries one attempt out over a pool of its own.
-func tryOnce(ctx context.Context, p *pool, to *peer) (policy.Ending, *core.Answer) {
+func tryOnce(ctx context.Context, p *pool, to *peer) (policy.AttemptResult, *core.Response) {
 	m := &core.Message{Method: "POST", Target: "/api", Host: "service.internal", Fields: http.Header{"Request-Id": {"x"}}, Body: []byte("{}")}
 	return (&Transport{pool: p}).try(ctx, to, m)
 }
@@ -446,11 +446,11 @@
 		m    core.Message
 		wait time.Duration // for a place among the connections
 	}{
-		"the client has gone":         {m: core.Message{Gone: gone}},
-		"gone while it waited":        {m: core.Message{Gone: gone}, wait: 20 * time.Millisecond},
-		"its time is over":            {m: core.Message{By: time.Now().Add(-time.Millisecond)}},
-		"its time ends as it waits":   {m: core.Message{By: time.Now().Add(10 * time.Millisecond)}, wait: 50 * time.Millisecond},
-		"both, and the client waited": {m: core.Message{By: time.Now().Add(10 * time.Millisecond), Gone: gone}, wait: 50 * time.Millisecond},
+		"the client has gone":         {m: core.Message{ClientGone: gone}},
+		"gone while it waited":        {m: core.Message{ClientGone: gone}, wait: 20 * time.Millisecond},
+		"its time is over":            {m: core.Message{WriteDeadline: time.Now().Add(-time.Millisecond)}},
+		"its time ends as it waits":   {m: core.Message{WriteDeadline: time.Now().Add(10 * time.Millisecond)}, wait: 50 * time.Millisecond},
+		"both, and the client waited": {m: core.Message{WriteDeadline: time.Now().Add(10 * time.Millisecond), ClientGone: gone}, wait: 50 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("ok")))
@@ -485,7 +485,7 @@
 			t.Cleanup(func() { c.Close() })
 		}
 	}()
-	m := &core.Message{Method: "POST", Target: "/", Host: "x", Body: make([]byte, 16<<20), By: time.Now().Add(200 * time.Millisecond)}
+	m := &core.Message{Method: "POST", Target: "/", Host: "x", Body: make([]byte, 16<<20), WriteDeadline: time.Now().Add(200 * time.Millisecond)}
 	begun := time.Now()
 	got, _ := (&Transport{pool: testPool(1)}).try(t.Context(), &peer{addr: ln.Addr().String()}, m)
 	if took := time.Since(begun); got != policy.NotSent || took > time.Second {
@@ -505,7 +505,7 @@
 		to.pace = quick // the one connection is waited for
 		want := policy.Served
 		if i == len(answers)-1 {
-			want = policy.Broken
+			want = policy.ConnectionReset
 		}
 		if ending, a := tryOnce(t.Context(), p, to); ending != want || (a != nil && string(a.Body) != "honey") {
 			t.Errorf("answer %d: ending %v, %+v", i, ending, a)
