--- a/internal/transport/httpnode/unsized_test.go
+++ b/internal/transport/httpnode/unsized_test.go
@@ -21,26 +21,26 @@
 	for name, c := range map[string]struct {
 		text  string
 		reset bool // the connection is reset in place of closed
-		want  policy.Ending
+		want  policy.AttemptResult
 	}{
 		"plain close":          {text: head + "\r\nhoney", want: policy.Served},
 		"close is told":        {text: head + "Connection: close\r\n\r\nhoney", want: policy.Served},
 		"behind interim heads": {text: "HTTP/1.1 103 Early Hints\r\n\r\n" + head + "\r\nhoney", want: policy.Served},
 		"version 1.0":          {text: "HTTP/1.0 200 OK\r\n\r\nhoney", want: policy.Served},
-		"reset":                {text: head + "\r\nhoney", reset: true, want: policy.Broken},
-		"reset behind nothing": {text: head + "\r\n", reset: true, want: policy.Broken},
-		"over the bound":       {text: head + "\r\n" + strings.Repeat("x", maxAnswerBody+1), want: policy.Broken},
+		"reset":                {text: head + "\r\nhoney", reset: true, want: policy.ConnectionReset},
+		"reset behind nothing": {text: head + "\r\n", reset: true, want: policy.ConnectionReset},
+		"over the bound":       {text: head + "\r\n" + strings.Repeat("x", maxAnswerBody+1), want: policy.ConnectionReset},
 		"chunks in version 1.0": {
-			text: "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.Broken,
+			text: "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n0\r\n\r\n", want: policy.ConnectionReset,
 		},
-		"chunks that do not end":  {text: head + "Transfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n", want: policy.Broken},
-		"an encoding not known":   {text: head + "Transfer-Encoding: gzip\r\n\r\nhoney", want: policy.Broken},
-		"two lengths":             {text: head + "Content-Length: 3\r\nContent-Length: 5\r\n\r\nhoney", want: policy.Broken},
-		"a length that is none":   {text: head + "Content-Length: five\r\n\r\nhoney", want: policy.Broken},
-		"an error":                {text: "HTTP/1.1 500 x\r\n\r\nhoney", want: policy.Errored},
-		"an error that is reset":  {text: "HTTP/1.1 500 x\r\n\r\nho", reset: true, want: policy.Errored},
-		"turned away":             {text: "HTTP/1.1 503 x\r\nNot-Started: 1\r\n\r\nbusy", want: policy.TurnedAway},
-		"turned away, then reset": {text: "HTTP/1.1 503 x\r\nNot-Started: 1\r\n\r\n", reset: true, want: policy.TurnedAway},
+		"chunks that do not end":  {text: head + "Transfer-Encoding: chunked\r\n\r\n5\r\nhoney\r\n", want: policy.ConnectionReset},
+		"an encoding not known":   {text: head + "Transfer-Encoding: gzip\r\n\r\nhoney", want: policy.ConnectionReset},
+		"two lengths":             {text: head + "Content-Length: 3\r\nContent-Length: 5\r\n\r\nhoney", want: policy.ConnectionReset},
+		"a length that is none":   {text: head + "Content-Length: five\r\n\r\nhoney", want: policy.ConnectionReset},
+		"an error":                {text: "HTTP/1.1 500 x\r\n\r\nhoney", want: policy.ServerError},
+		"an error that is reset":  {text: "HTTP/1.1 500 x\r\n\r\nho", reset: true, want: policy.ServerError},
+		"turned away":             {text: "HTTP/1.1 503 x\r\nNot-Started: 1\r\n\r\nbusy", want: policy.Rejected},
+		"turned away, then reset": {text: "HTTP/1.1 503 x\r\nNot-Started: 1\r\n\r\n", reset: true, want: policy.Rejected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := peertest.NewUpstream(t, func(r peertest.Received) (string, bool) {
@@ -77,8 +77,8 @@
 // A front that cannot show an answer's end as it was gets none: it may have run.
 func TestFrontThatNeedsALength(t *testing.T) {
 	u := peertest.NewUpstream(t, func(peertest.Received) (string, bool) { return "HTTP/1.1 200 OK\r\n\r\nhoney", true })
-	m := &core.Message{Method: "POST", Target: "/api", Host: "service.internal", Body: []byte("{}"), NeedsLength: true}
-	if got, a := (&Transport{pool: testPool(2)}).try(t.Context(), &peer{addr: u.Addr}, m); got != policy.Broken || a != nil {
+	m := &core.Message{Method: "POST", Target: "/api", Host: "service.internal", Body: []byte("{}"), RequiresLength: true}
+	if got, a := (&Transport{pool: testPool(2)}).try(t.Context(), &peer{addr: u.Addr}, m); got != policy.ConnectionReset || a != nil {
 		t.Errorf("ending %v, answer %+v; want broken", got, a)
 	}
 }
--- a/internal/transport/rpcnode/conn.go
+++ b/internal/transport/rpcnode/conn.go
@@ -275,14 +275,14 @@
 		if !over {
 			now := time.Now()
 			for _, x := range c.queue {
-				if x.m != nil && !x.m.MayBegin(now) {
+				if x.m != nil && !x.m.AllowSend(now) {
 					delete(c.open, x.id)
-					x.done <- reply{err: fmt.Errorf("%w: %w", errUnwritten, core.ErrNotBegun)}
+					x.done <- reply{err: fmt.Errorf("%w: %w", errUnwritten, core.ErrNotSent)}
 					c.settleLocked()
 					continue
 				}
-				if x.m != nil && !x.m.By.IsZero() && x.m.By.Before(by) {
-					by = x.m.By
+				if x.m != nil && !x.m.WriteDeadline.IsZero() && x.m.WriteDeadline.Before(by) {
+					by = x.m.WriteDeadline
 				}
 				x.stage = writing
 				b = x.append(b, now)
@@ -328,7 +328,7 @@
 		if err == nil || end <= n {
 			x.stage = written
 			if x.m != nil {
-				x.m.Began(now, x.told)
+				x.m.SendCompleted(now, x.told)
 			}
 		} else {
 			x.stage = queued
--- a/internal/transport/rpcnode/transport.go
+++ b/internal/transport/rpcnode/transport.go
@@ -91,7 +91,7 @@
 }
 
 // Node makes the node at an address.
-func (t *Transport) Node(addr string) core.Node { return &node{t: t, addr: addr} }
+func (t *Transport) Node(addr string) core.Upstream { return &node{t: t, addr: addr} }
 
 // Sweep closes the connections that have been idle for too long.
 func (t *Transport) Sweep(now time.Time) {
@@ -134,35 +134,35 @@
 	errAllOwing = errors.New("every connection to the node waits for answers that it owes")
 )
 
-// Try carries an attempt out.
-func (n *node) Try(ctx context.Context, m *core.Message) (policy.Ending, *core.Answer) {
+// RoundTrip carries an attempt out.
+func (n *node) RoundTrip(ctx context.Context, m *core.Message) (policy.AttemptResult, *core.Response) {
 	r, wrote := n.exchange(ctx, m, func(b []byte, id uint32, left time.Duration) []byte {
 		return outgoing(m, left).Append(b, id)
 	})
 	switch {
-	case r.err != nil && !wrote && (errors.Is(ctx.Err(), context.Canceled) || errors.Is(r.err, core.ErrNotBegun) || !m.MayBegin(time.Now())):
+	case r.err != nil && !wrote && (errors.Is(ctx.Err(), context.Canceled) || errors.Is(r.err, core.ErrNotSent) || !m.AllowSend(time.Now())):
 		return policy.NotSent, nil // no word against the node: nobody waited for it any more
 	case r.err != nil && !wrote && sockets.Local(r.err):
 		return policy.NotSent, nil // nor is what this machine lacks
 	case r.err != nil && !wrote:
-		return policy.NoConnection, nil
+		return policy.ConnectionFailed, nil
 	case r.err != nil && errors.Is(ctx.Err(), context.Canceled):
 		return policy.Cancelled, nil
 	case r.err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return policy.TimedOut, nil
 	case r.err != nil:
-		return policy.Broken, nil
+		return policy.ConnectionReset, nil
 	case r.fault != nil && r.fault.Kind == msgrpc.KindNotStarted:
-		return policy.TurnedAway, nil
+		return policy.Rejected, nil
 	case r.fault != nil:
-		return policy.Errored, nil
+		return policy.ServerError, nil
 	}
-	return policy.Served, &core.Answer{Verdict: core.Served, Fields: r.result.Fields, Body: r.result.Body}
+	return policy.Served, &core.Response{Result: core.Served, Fields: r.result.Fields, Body: r.result.Body}
 }
 
 // Probe asks for a sign of life and the load.
-func (n *node) Probe(ctx context.Context) (policy.Load, error) {
-	unknown := policy.Load{InFlight: -1}
+func (n *node) Probe(ctx context.Context) (policy.LoadReport, error) {
+	unknown := policy.LoadReport{InFlight: -1}
 	ctx, cancel := context.WithTimeout(ctx, n.t.cfg.DialTimeout)
 	defer cancel()
 	r, _ := n.exchange(ctx, nil, func(b []byte, id uint32, _ time.Duration) []byte {
@@ -170,13 +170,13 @@
 	})
 	switch {
 	case r.err != nil && sockets.Local(r.err):
-		return unknown, fmt.Errorf("%w: %w", core.ErrNotBegun, r.err)
+		return unknown, fmt.Errorf("%w: %w", core.ErrNotSent, r.err)
 	case r.err != nil:
 		return unknown, r.err
 	case r.fault != nil:
 		return unknown, errors.New("probe: " + r.fault.Kind)
 	}
-	return policy.Load{InFlight: r.result.InFlight}, nil
+	return policy.LoadReport{InFlight: r.result.InFlight}, nil
 }
 
 // exchange sends one request and waits for its answer. wrote tells whether the
@@ -184,9 +184,9 @@
 func (n *node) exchange(ctx context.Context, m *core.Message, frame framer) (r reply, wrote bool) {
 	reach := ctx
 	until, _ := ctx.Deadline()
-	if m != nil && !m.By.IsZero() {
+	if m != nil && !m.WriteDeadline.IsZero() {
 		var cancel context.CancelFunc
-		reach, cancel = context.WithDeadline(ctx, m.By)
+		reach, cancel = context.WithDeadline(ctx, m.WriteDeadline)
 		defer cancel()
 	}
 	for {
--- a/internal/transport/rpcnode/transport_test.go
+++ b/internal/transport/rpcnode/transport_test.go
@@ -104,14 +104,14 @@
 
 // ended is how an attempt ended.
 type ended struct {
-	ending policy.Ending
-	answer *core.Answer
+	ending policy.AttemptResult
+	answer *core.Response
 }
 
-func try(ctx context.Context, n core.Node, id string) <-chan ended {
+func try(ctx context.Context, n core.Upstream, id string) <-chan ended {
 	out := make(chan ended, 1)
 	go func() {
-		e, a := n.Try(ctx, message(id))
+		e, a := n.RoundTrip(ctx, message(id))
 		out <- ended{e, a}
 	}()
 	return out
@@ -125,21 +125,21 @@
 	}
 	for name, c := range map[string]struct {
 		answer func(id uint32) []byte
-		want   policy.Ending
+		want   policy.AttemptResult
 	}{
 		"served": {func(id uint32) []byte {
 			return (&msgrpc.Result{Body: []byte("honey"), Fields: map[string][]string{"X-A": {"1"}}, InFlight: 3}).Append(nil, id)
 		}, policy.Served},
-		"not started":          {fault(msgrpc.KindNotStarted), policy.TurnedAway},
-		"error":                {fault(msgrpc.KindError), policy.Errored},
-		"a kind not known":     {fault("later"), policy.Errored},
-		"refused may have run": {fault(msgrpc.KindRefused), policy.Errored},
-		"cancelled unasked":    {fault(msgrpc.KindCancelled), policy.Errored},
-		"result that is none":  {func(id uint32) []byte { return []byte{0x94, 1, byte(id), 0xc0, 7} }, policy.Broken},
-		"error that is none":   {func(id uint32) []byte { return []byte{0x94, 1, byte(id), 7, 0xc0} }, policy.Broken},
-		"no MessagePack":       {func(uint32) []byte { return []byte{0xc1} }, policy.Broken},
-		"4 GB announced":       {func(uint32) []byte { return []byte{0x94, 1, 0, 0xc0, 0xc6, 0xff, 0xff, 0xff, 0xff} }, policy.Broken},
-		"too deep":             {func(uint32) []byte { return []byte(strings.Repeat("\x91", 10000)) }, policy.Broken},
+		"not started":          {fault(msgrpc.KindNotStarted), policy.Rejected},
+		"error":                {fault(msgrpc.KindError), policy.ServerError},
+		"a kind not known":     {fault("later"), policy.ServerError},
+		"refused may have run": {fault(msgrpc.KindRefused), policy.ServerError},
+		"cancelled unasked":    {fault(msgrpc.KindCancelled), policy.ServerError},
+		"result that is none":  {func(id uint32) []byte { return []byte{0x94, 1, byte(id), 0xc0, 7} }, policy.ConnectionReset},
+		"error that is none":   {func(id uint32) []byte { return []byte{0x94, 1, byte(id), 7, 0xc0} }, policy.ConnectionReset},
+		"no MessagePack":       {func(uint32) []byte { return []byte{0xc1} }, policy.ConnectionReset},
+		"4 GB announced":       {func(uint32) []byte { return []byte{0x94, 1, 0, 0xc0, 0xc6, 0xff, 0xff, 0xff, 0xff} }, policy.ConnectionReset},
+		"too deep":             {func(uint32) []byte { return []byte(strings.Repeat("\x91", 10000)) }, policy.ConnectionReset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRaw(t)
@@ -250,10 +250,10 @@
 	big.Body = make([]byte, msgrpc.MaxBody)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	endings := make(map[policy.Ending]int)
+	endings := make(map[policy.AttemptResult]int)
 	start := func() {
 		wg.Go(func() {
-			e, _ := n.Try(t.Context(), big)
+			e, _ := n.RoundTrip(t.Context(), big)
 			mu.Lock()
 			endings[e]++
 			mu.Unlock()
@@ -291,13 +291,13 @@
 	nc.(*net.TCPConn).SetLinger(0)
 	nc.Close()
 	wg.Wait()
-	if len(endings) > 2 || endings[policy.Broken]+endings[policy.NoConnection] != 50 {
+	if len(endings) > 2 || endings[policy.ConnectionReset]+endings[policy.ConnectionFailed] != 50 {
 		t.Fatalf("endings %v", endings)
 	}
 	// What the node had whole must count as maybe run; what is still in line
 	// behind a megabyte of buffers certainly never ran.
-	if endings[policy.Broken] < whole {
-		t.Errorf("%d count as maybe run, though %d reached the node whole", endings[policy.Broken], whole)
+	if endings[policy.ConnectionReset] < whole {
+		t.Errorf("%d count as maybe run, though %d reached the node whole", endings[policy.ConnectionReset], whole)
 	}
 }
 
@@ -396,7 +396,7 @@
 			return out == i+1
 		})
 	}
-	if e := peertest.Await(t, "the end of one more", try(t.Context(), n, "more")); e.ending != policy.NoConnection {
+	if e := peertest.Await(t, "the end of one more", try(t.Context(), n, "more")); e.ending != policy.ConnectionFailed {
 		t.Errorf("one more: ending %v, want no connection", e.ending)
 	}
 	if len(r.conns) != perNode {
@@ -502,14 +502,14 @@
 	ln.Close()
 	tr := testTransport(Config{})
 	n := tr.Node(ln.Addr().String())
-	if e, _ := n.Try(t.Context(), message("x")); e != policy.NoConnection {
+	if e, _ := n.RoundTrip(t.Context(), message("x")); e != policy.ConnectionFailed {
 		t.Errorf("ending %v, want no connection", e)
 	}
-	if load, err := n.Probe(t.Context()); err == nil || errors.Is(err, core.ErrNotBegun) || load.InFlight >= 0 {
+	if load, err := n.Probe(t.Context()); err == nil || errors.Is(err, core.ErrNotSent) || load.InFlight >= 0 {
 		t.Errorf("probe: %v %v", load, err)
 	}
 	n.Retire()
-	if e, _ := n.Try(t.Context(), message("x")); e != policy.NoConnection || tr.Counters().Dials != 2 {
+	if e, _ := n.RoundTrip(t.Context(), message("x")); e != policy.ConnectionFailed || tr.Counters().Dials != 2 {
 		t.Errorf("of a node that left: ending %v after %d dials", e, tr.Counters().Dials)
 	}
 	if len(tr.slots) != 0 {
@@ -522,7 +522,7 @@
 	n := r.node(testTransport(Config{}))
 	type result struct {
 		ok   bool
-		load policy.Load
+		load policy.LoadReport
 	}
 	out := make(chan result, 1)
 	go func() {
@@ -563,8 +563,8 @@
 // core.Message.MayBegin. Nothing is written, and others on the connection go on.
 func TestWhatMayNotBeginWritesNothing(t *testing.T) {
 	for name, m := range map[string]core.Message{
-		"the client has gone": {Gone: func() bool { return true }},
-		"its time is over":    {By: time.Now().Add(-time.Millisecond)},
+		"the client has gone": {ClientGone: func() bool { return true }},
+		"its time is over":    {WriteDeadline: time.Now().Add(-time.Millisecond)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRaw(t)
@@ -573,7 +573,7 @@
 			conn := peertest.Await(t, "the connection", r.conns)
 			conn.serve(peertest.Await(t, "the first", conn.calls).msgID, "ok")
 			peertest.Await(t, "its answer", first)
-			if e, a := n.Try(t.Context(), &m); e != policy.NotSent || a != nil {
+			if e, a := n.RoundTrip(t.Context(), &m); e != policy.NotSent || a != nil {
 				t.Errorf("ending %v, answer %+v; want not sent", e, a)
 			}
 			other := try(t.Context(), n, "other")
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -263,11 +263,11 @@
 }
 
 // Load takes the number of requests held out of that column; it is negative where absent.
-func (r Report) Load(column int) policy.Load {
+func (r Report) Load(column int) policy.LoadReport {
 	if column < 0 || column >= r.N {
-		return policy.Load{InFlight: -1}
+		return policy.LoadReport{InFlight: -1}
 	}
-	return policy.Load{InFlight: float64(r.Values[column])}
+	return policy.LoadReport{InFlight: float64(r.Values[column])}
 }
 
 // Entry is one line of a server list.
--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -31,8 +31,8 @@
 	digest, ready := golden.NewDigest(), 0
 	record := func(changes []membership.Change) {
 		for _, c := range changes {
-			digest.Text('c', strings.Join([]string{c.Key, c.Name, c.Addr, c.Site, c.Kind, c.Cell, c.Protocol}, "\t"))
-			digest.Numbers('s', int64(c.State), int64(c.Started))
+			digest.Text('c', strings.Join([]string{c.Key, c.Name, c.Addr, c.Zone, c.MachineType, c.Cell, c.Protocol}, "\t"))
+			digest.Numbers('s', int64(c.State), int64(c.StartedAt))
 			digest.Float('w', c.Weight)
 		}
 		digest.Numbers('r', int64(set.Ready()))
@@ -45,13 +45,13 @@
 		}
 		i := membership.Instance{
 			ID: fmt.Sprint("i", id), Name: fmt.Sprint("records-", id), Addr: fmt.Sprint("10.0.0.", id%23, ":80"),
-			Site: fmt.Sprint("z", id%3), Weight: float64(id % 4), Dirty: dirty, Updated: dirty + int64(rng.IntN(3)),
+			Zone: fmt.Sprint("z", id%3), Weight: float64(id % 4), Dirty: dirty, Updated: dirty + int64(rng.IntN(3)),
 		}
 		if rng.IntN(6) == 0 {
 			i.Status = membership.Status(rng.IntN(5))
 		}
 		if rng.IntN(3) > 0 {
-			i.Started = time.Duration(1+rng.IntN(3)) * time.Minute
+			i.StartedAt = time.Duration(1+rng.IntN(3)) * time.Minute
 		}
 		if rng.IntN(4) > 0 {
 			i.Cell = fmt.Sprint("cell-", id%5)
@@ -75,9 +75,9 @@
 		}
 		if flapping && every > 0 && rng.IntN(every) == 0 {
 			flaps++
-			i := membership.Instance{ID: "flapping", Name: "flapping", Addr: "10.0.1.1:80", Started: time.Minute, Dirty: int64(flaps)}
+			i := membership.Instance{ID: "flapping", Name: "flapping", Addr: "10.0.1.1:80", StartedAt: time.Minute, Dirty: int64(flaps)}
 			i.Status = membership.Status(flaps % 2 * int(membership.Down))
-			record(set.Delta(now, 1, replica, []membership.Delta{{Op: membership.Put, Instance: i}}))
+			record(set.ApplyDelta(now, 1, replica, []membership.Delta{{Op: membership.Put, Instance: i}}))
 		}
 		switch rng.IntN(12) {
 		case 0:
@@ -93,13 +93,13 @@
 			if rng.IntN(8) == 0 {
 				list = list[:rng.IntN(len(list))]
 			}
-			changes, err := set.Whole(now, source, replica, list)
+			changes, err := set.ReplaceList(now, source, replica, list)
 			if err != nil {
 				t.Fatal(err)
 			}
 			record(changes)
 		case 1:
-			record(set.Heard(now, source))
+			record(set.SourceResponded(now, source))
 		case 2, 3, 4:
 			record(set.Tick(now))
 		default:
@@ -107,7 +107,7 @@
 			if rng.IntN(4) == 0 {
 				d.Op = membership.Delete
 			}
-			record(set.Delta(now, source, replica, []membership.Delta{d}))
+			record(set.ApplyDelta(now, source, replica, []membership.Delta{d}))
 		}
 	}
 	return fmt.Sprintf("%s %.2f", digest, float64(ready)/goldenSteps)
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -37,16 +37,16 @@
 
 // Instance is what a source knows of one instance.
 type Instance struct {
-	ID       string // in its source
-	Name     string // for people and for the patterns of pools
-	Addr     string // address and port: what identifies a node across sources
-	Status   Status // an override counts before the instance's own word
-	Site     string
-	Kind     string
-	Cell     string // empty: it shares its keys with no other
-	Protocol string
-	Weight   float64
-	Started  time.Duration // Unix time of its process's start; 0: not known
+	ID          string // in its source
+	Name        string // for people and for the patterns of pools
+	Addr        string // address and port: what identifies a node across sources
+	Status      Status // an override counts before the instance's own word
+	Zone        string
+	MachineType string
+	Cell        string // empty: it shares its keys with no other
+	Protocol    string
+	Weight      float64
+	StartedAt   time.Duration // Unix time of its process's start; 0: not known
 	// Dirty and Updated order the news of one instance: Dirty by its own clock,
 	// Updated by its registry's. They are compared with nothing else, as either
 	// clock may be wrong.
@@ -55,26 +55,26 @@
 
 // Config holds the bounds of a Set. Zeros take the defaults.
 type Config struct {
-	MaxLoss      float64       // share of a source's instances that may vanish within LossWindow
-	LossWindow   time.Duration // what counts as at once
-	HoldFor      time.Duration // a greater loss is believed after the source kept to it this long; an empty list never is
-	SilentAfter  time.Duration // without news for this long a source is silent
-	TombstoneFor time.Duration // how long a deleted instance is remembered
-	Settle       time.Duration // news that seem old are believed after their source kept to them this long
-	FreshFor     time.Duration // a new process at an old address shares no keys for this long
-	MostNodes    int           // of one source; a list of more is refused whole
+	MaxLoss           float64       // share of a source's instances that may vanish within LossWindow
+	LossWindow        time.Duration // what counts as at once
+	LossHold          time.Duration // a greater loss is believed after the source kept to it this long; an empty list never is
+	SilentAfter       time.Duration // without news for this long a source is silent
+	TombstoneLifetime time.Duration // how long a deleted instance is remembered
+	StaleUpdateHold   time.Duration // news that seem old are believed after their source kept to them this long
+	NewProcessPeriod  time.Duration // a new process at an old address shares no keys for this long
+	MaxNodes          int           // of one source; a list of more is refused whole
 }
 
 // The defaults of Config.
 const (
-	DefaultMaxLoss      = 0.3
-	DefaultLossWindow   = time.Minute
-	DefaultHoldFor      = 10 * time.Minute
-	DefaultSilentAfter  = 90 * time.Second
-	DefaultTombstoneFor = time.Minute
-	DefaultSettle       = 30 * time.Second
-	DefaultFreshFor     = 30 * time.Second
-	DefaultMostNodes    = 20000
+	DefaultMaxLoss           = 0.3
+	DefaultLossWindow        = time.Minute
+	DefaultLossHold          = 10 * time.Minute
+	DefaultSilentAfter       = 90 * time.Second
+	DefaultTombstoneLifetime = time.Minute
+	DefaultStaleUpdateHold   = 30 * time.Second
+	DefaultNewProcessPeriod  = 30 * time.Second
+	DefaultMaxNodes          = 20000
 )
 
 // Flap damping, after RFC 2439: each time a node stops being Up it earns a
@@ -93,7 +93,7 @@
 
 // The states of a node.
 const (
-	Gone     State = iota // it has left
+	Removed  State = iota // it has left
 	Draining              // nothing new
 	Ready
 )
@@ -102,17 +102,17 @@
 
 // Change is the new view of one node.
 type Change struct {
-	Key      string        `json:"Key"` // names this process at this address; never used for another
-	Name     string        `json:"Name"`
-	Addr     string        `json:"Addr"`
-	Site     string        `json:"Site"`
-	Kind     string        `json:"Kind"`
-	Cell     string        `json:"Cell"`
-	Protocol string        `json:"Protocol"`
-	Weight   float64       `json:"Weight"`
-	Started  time.Duration `json:"Started"`
-	State    State         `json:"State"`
-	Reason   string        `json:"Reason"` // why it is in that state
+	Key         string        `json:"Key"` // names this process at this address; never used for another
+	Name        string        `json:"Name"`
+	Addr        string        `json:"Addr"`
+	Zone        string        `json:"Site"`
+	MachineType string        `json:"Kind"`
+	Cell        string        `json:"Cell"`
+	Protocol    string        `json:"Protocol"`
+	Weight      float64       `json:"Weight"`
+	StartedAt   time.Duration `json:"Started"`
+	State       State         `json:"State"`
+	Reason      string        `json:"Reason"` // why it is in that state
 }
 
 // record is what one source holds of one instance.
@@ -126,7 +126,7 @@
 	doubtAt time.Duration
 }
 
-func (r *record) process() process { return process{r.source, r.ID, r.Started} }
+func (r *record) process() process { return process{r.source, r.ID, r.StartedAt} }
 
 // node is an address with all that claims it.
 type node struct {
@@ -198,15 +198,15 @@
 	if cfg.MaxLoss == 0 {
 		cfg.MaxLoss = DefaultMaxLoss
 	}
-	if cfg.MostNodes == 0 {
-		cfg.MostNodes = DefaultMostNodes
+	if cfg.MaxNodes == 0 {
+		cfg.MaxNodes = DefaultMaxNodes
 	}
 	for _, d := range []struct {
 		field  *time.Duration
 		absent time.Duration
 	}{
-		{&cfg.LossWindow, DefaultLossWindow}, {&cfg.HoldFor, DefaultHoldFor}, {&cfg.SilentAfter, DefaultSilentAfter},
-		{&cfg.TombstoneFor, DefaultTombstoneFor}, {&cfg.Settle, DefaultSettle}, {&cfg.FreshFor, DefaultFreshFor},
+		{&cfg.LossWindow, DefaultLossWindow}, {&cfg.LossHold, DefaultLossHold}, {&cfg.SilentAfter, DefaultSilentAfter},
+		{&cfg.TombstoneLifetime, DefaultTombstoneLifetime}, {&cfg.StaleUpdateHold, DefaultStaleUpdateHold}, {&cfg.NewProcessPeriod, DefaultNewProcessPeriod},
 	} {
 		if *d.field < 0 {
 			return nil, fmt.Errorf("membership: a time of %v is negative", *d.field)
@@ -226,13 +226,13 @@
 	return s, nil
 }
 
-// Whole takes a source's whole list, as one of its replicas tells it. Instances
+// ReplaceList takes a source's whole list, as one of its replicas tells it. Instances
 // that it held and that are absent have vanished: see MaxLoss. The error names
 // what is wrong with the list; nothing of it is taken then.
-func (s *Set) Whole(now time.Duration, number int, replica string, list []Instance) ([]Change, error) {
+func (s *Set) ReplaceList(now time.Duration, number int, replica string, list []Instance) ([]Change, error) {
 	src := s.sources[number]
-	if len(list) > s.cfg.MostNodes {
-		return nil, fmt.Errorf("%s: a list of %d instances, %d at most", src.name, len(list), s.cfg.MostNodes)
+	if len(list) > s.cfg.MaxNodes {
+		return nil, fmt.Errorf("%s: a list of %d instances, %d at most", src.name, len(list), s.cfg.MaxNodes)
 	}
 	s.hear(now, src)
 	named := make(map[string]bool, len(list))
@@ -262,9 +262,9 @@
 	Instance
 }
 
-// Delta takes changes of a source in their order. Its cost is that of the
+// ApplyDelta takes changes of a source in their order. Its cost is that of the
 // changes, not of the list.
-func (s *Set) Delta(now time.Duration, number int, replica string, deltas []Delta) []Change {
+func (s *Set) ApplyDelta(now time.Duration, number int, replica string, deltas []Delta) []Change {
 	src := s.sources[number]
 	s.hear(now, src)
 	for i := range deltas {
@@ -287,8 +287,8 @@
 	return s.settle(now)
 }
 
-// Heard says that a source answered and had nothing new.
-func (s *Set) Heard(now time.Duration, number int) []Change {
+// SourceResponded says that a source answered and had nothing new.
+func (s *Set) SourceResponded(now time.Duration, number int) []Change {
 	s.hear(now, s.sources[number])
 	return s.settle(now)
 }
@@ -351,7 +351,7 @@
 	}
 	copied := *i
 	r.doubted = &copied
-	return now-r.doubtAt < s.cfg.Settle
+	return now-r.doubtAt < s.cfg.StaleUpdateHold
 }
 
 // vanish handles those that a whole list does not name any more.
@@ -464,17 +464,17 @@
 	for _, r := range slices.Clone(n.claims) {
 		src := s.sources[r.source]
 		switch {
-		case r.deleted && now-r.since >= s.cfg.TombstoneFor:
+		case r.deleted && now-r.since >= s.cfg.TombstoneLifetime:
 			delete(src.records, r.ID)
 			s.release(r)
-		case r.lost && now-r.since >= s.cfg.HoldFor && src.live > 0 && !src.silent:
+		case r.lost && now-r.since >= s.cfg.LossHold && src.live > 0 && !src.silent:
 			s.bury(now, src, r)
 			again = true
 		case r.deleted || r.lost:
 			again = true
 		}
 		if r.doubted != nil {
-			if now-r.doubtAt < s.cfg.Settle || src.silent {
+			if now-r.doubtAt < s.cfg.StaleUpdateHold || src.silent {
 				again = true
 			} else if i := *r.doubted; !r.deleted {
 				r.doubted = nil
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -36,7 +36,7 @@
 		if w.gone[c.Key] {
 			w.t.Fatalf("key %s is used again", c.Key)
 		}
-		if c.State == Gone {
+		if c.State == Removed {
 			if _, there := w.nodes[c.Key]; !there {
 				w.t.Fatalf("%s has gone and never was", c.Key)
 			}
@@ -63,7 +63,7 @@
 
 func (w *world) whole(source int, list ...Instance) {
 	w.t.Helper()
-	changes, err := w.s.Whole(w.now, source, "r1", list)
+	changes, err := w.s.ReplaceList(w.now, source, "r1", list)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 
 func (w *world) put(source int, i Instance) {
 	w.t.Helper()
-	w.apply(w.s.Delta(w.now, source, "r1", []Delta{{Put, i}}))
+	w.apply(w.s.ApplyDelta(w.now, source, "r1", []Delta{{Put, i}}))
 }
 
 func (w *world) del(source int, ids ...string) {
@@ -81,7 +81,7 @@
 	for _, id := range ids {
 		d = append(d, Delta{Delete, Instance{ID: id}})
 	}
-	w.apply(w.s.Delta(w.now, source, "r1", d))
+	w.apply(w.s.ApplyDelta(w.now, source, "r1", d))
 }
 
 func (w *world) pass(d time.Duration) {
@@ -99,7 +99,7 @@
 			return c
 		}
 	}
-	return Change{State: Gone}
+	return Change{State: Removed}
 }
 
 func (w *world) want(addr string, state State, reason string) {
@@ -163,14 +163,14 @@
 	}
 	w.want(inst(0, Up, 0).Addr, Ready, "held")
 	w.whole(eureka, many(5, Up)...)
-	if src := w.s.Sources()[eureka]; src.Reason != "" || src.Live != 5 || src.Lost != 0 {
+	if src := w.s.Sources()[eureka]; src.Reason != "" || src.Live != 5 || src.Held != 0 {
 		t.Errorf("back to normal it is %+v", src)
 	}
 	w.pass(time.Hour)
 	if src := w.s.Sources()[eureka]; w.s.Ready() != 5 || !strings.Contains(src.Reason, "silent") {
 		t.Errorf("%d ready, source %+v", w.s.Ready(), src)
 	}
-	w.apply(w.s.Heard(w.now, eureka))
+	w.apply(w.s.SourceResponded(w.now, eureka))
 	if src := w.s.Sources()[eureka]; src.Reason != "" {
 		t.Errorf("heard again it is %+v", src)
 	}
@@ -199,8 +199,8 @@
 				w.pass(30 * time.Second)
 				w.whole(eureka, many(5, Up)...)
 			}
-			if w.s.Ready() != 5 || w.at("10.0.0.9:80").State != Gone {
-				t.Errorf("%d are ready after it kept to it for over %v", w.s.Ready(), DefaultHoldFor)
+			if w.s.Ready() != 5 || w.at("10.0.0.9:80").State != Removed {
+				t.Errorf("%d are ready after it kept to it for over %v", w.s.Ready(), DefaultLossHold)
 			}
 		})
 	}
@@ -230,7 +230,7 @@
 	w := newWorld(t, Config{})
 	new1, old1 := inst(1, OutOfService, 9), inst(1, Up, 5)
 	w.whole(eureka, new1, inst(2, Up, 1), inst(3, Up, 1))
-	changes, err := w.s.Whole(w.now, eureka, "behind", []Instance{old1, inst(2, Up, 1), inst(3, Up, 1)})
+	changes, err := w.s.ReplaceList(w.now, eureka, "behind", []Instance{old1, inst(2, Up, 1), inst(3, Up, 1)})
 	if err != nil || len(changes) != 0 {
 		t.Errorf("an older list changes %+v, %v", changes, err)
 	}
@@ -238,18 +238,18 @@
 	// The same news of an instance, by a registry's clock an hour behind.
 	behind := inst(2, OutOfService, 1)
 	behind.Updated = -3600_000
-	changes, _ = w.s.Whole(w.now, eureka, "behind", []Instance{old1, behind, inst(3, Up, 1)})
+	changes, _ = w.s.ReplaceList(w.now, eureka, "behind", []Instance{old1, behind, inst(3, Up, 1)})
 	w.apply(changes)
 	w.want(behind.Addr, Draining, "OUT_OF_SERVICE")
 	// Back in service by the same clock: believed at once by the same replica.
 	back := behind
 	back.Status, back.Updated = Up, behind.Updated+1
-	w.apply(w.s.Delta(w.now, eureka, "behind", []Delta{{Put, back}}))
+	w.apply(w.s.ApplyDelta(w.now, eureka, "behind", []Delta{{Put, back}}))
 	w.want(back.Addr, Ready, "UP")
 	// What is older and stays so is believed in the end: the instance's own clock was set back.
 	for range 40 {
 		w.pass(time.Second)
-		changes, _ = w.s.Whole(w.now, eureka, "behind", []Instance{old1, back, inst(3, Up, 1)})
+		changes, _ = w.s.ReplaceList(w.now, eureka, "behind", []Instance{old1, back, inst(3, Up, 1)})
 		w.apply(changes)
 	}
 	w.want(old1.Addr, Ready, "UP")
@@ -260,13 +260,13 @@
 	w := newWorld(t, Config{})
 	w.whole(eureka, many(5, Up)...)
 	w.del(eureka, "i4")
-	w.want("10.0.0.4:80", Gone, "")
+	w.want("10.0.0.4:80", Removed, "")
 	w.put(eureka, inst(4, Up, 1))
-	w.want("10.0.0.4:80", Gone, "")
+	w.want("10.0.0.4:80", Removed, "")
 	w.put(eureka, inst(4, Up, 2)) // it registered again
 	w.want("10.0.0.4:80", Ready, "UP")
 	w.del(eureka, "i4")
-	w.pass(DefaultTombstoneFor + time.Second)
+	w.pass(DefaultTombstoneLifetime + time.Second)
 	if len(w.s.sources[eureka].records) != 4 || len(w.s.nodes) != 4 {
 		t.Errorf("%d records and %d nodes are kept", len(w.s.sources[eureka].records), len(w.s.nodes))
 	}
@@ -282,25 +282,25 @@
 	next.ID = "i1-again"
 	w.put(eureka, next) // the old lease is still listed
 	fresh := w.at("10.0.0.1:80")
-	if fresh.Key == old.Key || fresh.State != Ready || fresh.Started != w.now || fresh.Cell != "" || old.Cell != "c" {
+	if fresh.Key == old.Key || fresh.State != Ready || fresh.StartedAt != w.now || fresh.Cell != "" || old.Cell != "c" {
 		t.Fatalf("old %+v, new %+v", old, fresh)
 	}
-	if last := w.log[len(w.log)-2]; last.Key != old.Key || last.State != Gone {
+	if last := w.log[len(w.log)-2]; last.Key != old.Key || last.State != Removed {
 		t.Errorf("before it came %+v, want the old one's end", last)
 	}
 	w.del(eureka, "i1") // the old lease ends
 	if got := w.at("10.0.0.1:80"); got.Key != fresh.Key || got.State != Ready {
 		t.Errorf("after the old lease's end it is %+v", got)
 	}
-	w.pass(DefaultFreshFor + time.Second)
-	if got := w.at("10.0.0.1:80"); got.Key != fresh.Key || got.Cell != "c" || got.Started != fresh.Started {
+	w.pass(DefaultNewProcessPeriod + time.Second)
+	if got := w.at("10.0.0.1:80"); got.Key != fresh.Key || got.Cell != "c" || got.StartedAt != fresh.StartedAt {
 		t.Errorf("later it is %+v", got)
 	}
 	// The same id with a later start is another process too.
 	restarted := next
-	restarted.Started, restarted.Dirty = w.now, 8
+	restarted.StartedAt, restarted.Dirty = w.now, 8
 	w.put(eureka, restarted)
-	if got := w.at("10.0.0.1:80"); got.Key == fresh.Key || got.Started != w.now || got.Cell != "" {
+	if got := w.at("10.0.0.1:80"); got.Key == fresh.Key || got.StartedAt != w.now || got.Cell != "" {
 		t.Errorf("restarted it is %+v", got)
 	}
 }
@@ -325,8 +325,8 @@
 	w.whole(eureka, many(2, Up)...)
 	w.put(eureka, inst(7, Up, 1))
 	w.want("10.0.0.7:80", Ready, "UP")
-	if got := w.at("10.0.0.7:80"); got.Started != w.now {
-		t.Errorf("one that came later started at %v, want now: nothing is known of it", got.Started)
+	if got := w.at("10.0.0.7:80"); got.StartedAt != w.now {
+		t.Errorf("one that came later started at %v, want now: nothing is known of it", got.StartedAt)
 	}
 	w.del(eureka, "never")
 	if w.s.Ready() != 3 {
@@ -346,7 +346,7 @@
 	w.want("10.0.0.2:80", Draining, "DOWN by platform")
 	w.del(eureka, "i0")
 	w.want("10.0.0.0:80", Draining, "deleted by eureka, though UP by platform")
-	w.pass(DefaultTombstoneFor + time.Second)
+	w.pass(DefaultTombstoneLifetime + time.Second)
 	w.want("10.0.0.0:80", Ready, "UP by platform")
 	if len(w.gone) > 0 {
 		t.Errorf("%v went", w.gone)
@@ -391,9 +391,9 @@
 }
 
 func TestTooLargeAListIsRefusedWhole(t *testing.T) {
-	w := newWorld(t, Config{MostNodes: 3})
+	w := newWorld(t, Config{MaxNodes: 3})
 	w.whole(eureka, many(3, Up)...)
-	if _, err := w.s.Whole(w.now, eureka, "r1", many(4, OutOfService)); err == nil || w.s.Ready() != 3 {
+	if _, err := w.s.ReplaceList(w.now, eureka, "r1", many(4, OutOfService)); err == nil || w.s.Ready() != 3 {
 		t.Errorf("error %v, %d ready", err, w.s.Ready())
 	}
 }
@@ -405,12 +405,12 @@
 	moved := inst(1, Up, 2)
 	moved.Addr = "10.0.0.99:80"
 	w.put(eureka, moved)
-	w.want("10.0.0.1:80", Gone, "")
+	w.want("10.0.0.1:80", Removed, "")
 	w.want("10.0.0.99:80", Ready, "UP")
 }
 
 func TestConfig(t *testing.T) {
-	for name, c := range map[string]Config{"loss": {MaxLoss: 1}, "negative": {HoldFor: -1}} {
+	for name, c := range map[string]Config{"loss": {MaxLoss: 1}, "negative": {LossHold: -1}} {
 		if _, err := New(c, Source{"a", false}); err == nil {
 			t.Errorf("%s: no error", name)
 		}
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -74,9 +74,9 @@
 		live := m.live(source)
 		silent := source == eureka && m.now-m.heard[source] >= DefaultSilentAfter
 		for id, w := range m.said[source] {
-			if w.deleted && m.now-w.since >= DefaultTombstoneFor {
+			if w.deleted && m.now-w.since >= DefaultTombstoneLifetime {
 				delete(m.said[source], id)
-			} else if w.lost && m.now-w.since >= DefaultHoldFor && live > 0 && !silent {
+			} else if w.lost && m.now-w.since >= DefaultLossHold && live > 0 && !silent {
 				w.deleted, w.lost, w.since = true, false, m.now
 			}
 		}
@@ -103,7 +103,7 @@
 	}
 	switch {
 	case !listed:
-		return Gone
+		return Removed
 	case strictest != Up || buried:
 		return Draining
 	}
@@ -145,7 +145,7 @@
 			status = Status(rng.IntN(5))
 		}
 		i := inst(rng.IntN(ids), status, dirty)
-		i.Started = time.Minute // known: what it is when it is not has tests of its own
+		i.StartedAt = time.Minute // known: what it is when it is not has tests of its own
 		return i
 	}
 	for step := range 200 {
@@ -223,7 +223,7 @@
 			for i := range b.N {
 				x := list[i%n]
 				x.Dirty, x.Status = int64(2+i), Status(i/n%2)*OutOfService
-				s.Delta(time.Hour+time.Duration(i)*time.Second, 0, "r1", []Delta{{Put, x}})
+				s.ApplyDelta(time.Hour+time.Duration(i)*time.Second, 0, "r1", []Delta{{Put, x}})
 			}
 		})
 	}
@@ -235,7 +235,7 @@
 			s, list := benchSet(b, n)
 			b.ReportAllocs()
 			for i := range b.N {
-				if _, err := s.Whole(time.Hour+time.Duration(i)*time.Second, 0, "r1", list); err != nil {
+				if _, err := s.ReplaceList(time.Hour+time.Duration(i)*time.Second, 0, "r1", list); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -253,7 +253,7 @@
 		list[i] = inst(i, Up, 1)
 		list[i].Addr = fmt.Sprintf("10.%d.%d.%d:80", i>>16, i>>8&255, i&255)
 	}
-	if _, err := s.Whole(time.Hour, 0, "r1", list); err != nil {
+	if _, err := s.ReplaceList(time.Hour, 0, "r1", list); err != nil {
 		b.Fatal(err)
 	}
 	return s, list
--- a/membership/view.go
+++ b/membership/view.go
@@ -41,7 +41,7 @@
 	best, status, reason := s.judge(now, n)
 	if best == nil {
 		if n.is {
-			out = s.tell(n, Change{Key: n.key, Name: n.shown.Name, Addr: n.addr, State: Gone, Reason: reason}, out)
+			out = s.tell(n, Change{Key: n.key, Name: n.shown.Name, Addr: n.addr, State: Removed, Reason: reason}, out)
 			n.is, n.process = false, process{}
 		}
 		if len(n.claims) == 0 {
@@ -54,11 +54,11 @@
 		out = s.replace(now, n, best, out)
 	}
 	c := Change{
-		Key: n.key, Name: best.Name, Addr: n.addr, Site: best.Site, Kind: best.Kind, Cell: best.Cell, Protocol: best.Protocol,
-		Weight: best.Weight, Started: n.shown.Started, State: Draining, Reason: reason,
+		Key: n.key, Name: best.Name, Addr: n.addr, Zone: best.Zone, MachineType: best.MachineType, Cell: best.Cell, Protocol: best.Protocol,
+		Weight: best.Weight, StartedAt: n.shown.StartedAt, State: Draining, Reason: reason,
 	}
-	if best.Started > 0 {
-		c.Started = best.Started
+	if best.StartedAt > 0 {
+		c.StartedAt = best.StartedAt
 	}
 	if now < n.freshTo {
 		c.Cell = "" // what the process before it knew, it does not know
@@ -155,8 +155,8 @@
 	switch {
 	case a.lost != b.lost:
 		return b.lost
-	case a.Started != b.Started:
-		return a.Started > b.Started
+	case a.StartedAt != b.StartedAt:
+		return a.StartedAt > b.StartedAt
 	case a.Dirty != b.Dirty:
 		return a.Dirty > b.Dirty
 	}
@@ -186,20 +186,20 @@
 	src := s.sources[r.source]
 	first := n.replaced == 0 && !n.is
 	if n.is {
-		out = s.tell(n, Change{Key: n.key, Name: n.shown.Name, Addr: n.addr, State: Gone, Reason: "another process is at its address"}, out)
+		out = s.tell(n, Change{Key: n.key, Name: n.shown.Name, Addr: n.addr, State: Removed, Reason: "another process is at its address"}, out)
 		n.is = false
 	}
 	n.replaced++
 	s.processes++
 	n.key = fmt.Sprintf("%s@%s#%d", r.Name, n.addr, s.processes)
 	if !first {
-		n.freshTo = now + s.cfg.FreshFor
+		n.freshTo = now + s.cfg.NewProcessPeriod
 		n.penalty, n.damped = 0, false
 	}
 	n.process = r.process()
-	n.shown = Change{Started: r.Started}
-	if r.Started == 0 && (!first || src.listed) { // it came later than the list: take it for new
-		n.shown.Started = now
+	n.shown = Change{StartedAt: r.StartedAt}
+	if r.StartedAt == 0 && (!first || src.listed) { // it came later than the list: take it for new
+		n.shown.StartedAt = now
 	}
 	return out
 }
@@ -255,11 +255,11 @@
 
 // SourceState is how a source does.
 type SourceState struct {
-	Name   string        `json:"Name"`
-	Live   int           `json:"Live"`   // instances that it lists
-	Lost   int           `json:"Lost"`   // that it lost with too many others: held
-	Heard  time.Duration `json:"Heard"`  // its last news; 0: never
-	Reason string        `json:"Reason"` // why it is not trusted; empty where it is
+	Name           string        `json:"Name"`
+	Live           int           `json:"Live"`   // instances that it lists
+	Held           int           `json:"Lost"`   // that it lost with too many others: held
+	LastResponseAt time.Duration `json:"Heard"`  // its last news; 0: never
+	Reason         string        `json:"Reason"` // why it is not trusted; empty where it is
 }
 
 // Sources lists the sources by number.
@@ -274,6 +274,6 @@
 // Ready says how many nodes are ready.
 func (s *Set) Ready() int { return s.ready }
 
-// Timed says whether something is to end by itself: Tick is then wanted every
+// HasTimers says whether something is to end by itself: Tick is then wanted every
 // second or so, and else as often as a silent source should be noticed.
-func (s *Set) Timed() bool { return len(s.timed) > 0 }
+func (s *Set) HasTimers() bool { return len(s.timed) > 0 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -12,39 +12,39 @@
 // RequestID names a request; the host picks it and never uses one twice.
 type RequestID uint64
 
-// ServerID names a server; it stays the same when the server restarts.
-type ServerID uint64
+// EndpointID names a server; it stays the same when the server restarts.
+type EndpointID uint64
 
-// Effect says what repeating a request of a class may do.
-type Effect int
+// Idempotency says what repeating a request of a class may do.
+type Idempotency int
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // may be repeated and refused at will
-	Keyed                // repeats are dropped within a group of servers, for a while
-	Unsafe               // must never run twice
+	Idempotent      Idempotency = iota // may be repeated and refused at will
+	IdempotentByKey                    // repeats are dropped within a group of servers, for a while
+	NotIdempotent                      // must never run twice
 )
 
-// Scope is the group of servers that drops repeats of a keyed request.
-type Scope int
+// DedupScope is the group of servers that drops repeats of a keyed request.
+type DedupScope int
 
 // The scopes of a keyed class.
 const (
-	ScopeAll Scope = iota
+	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Aim        time.Duration // answers within this earn full worth
-	AimStretch float64       // the aim grows by this multiple of the request's expected work
-	Deadline   time.Duration // the client's whole wait, over all its tries
-	LateShare  float64       // share of the worth that an answer after the aim still earns
-	Worth      float64
-	Effect     Effect
-	Scope      Scope         // keyed only
-	Window     time.Duration // keyed only: how long repeats are dropped, from the first send on
+	LatencyObjective time.Duration // answers within this earn full worth
+	ObjectiveStretch float64       // the aim grows by this multiple of the request's expected work
+	Deadline         time.Duration // the client's whole wait, over all its tries
+	LateValueShare   float64       // share of the worth that an answer after the aim still earns
+	PriorityWeight   float64
+	Idempotency      Idempotency
+	DedupScope       DedupScope    // keyed only
+	DedupWindow      time.Duration // keyed only: how long repeats are dropped, from the first send on
 }
 
 // Tenant is one customer with a share of the service.
@@ -55,101 +55,101 @@
 
 // Config holds the settings a Balancer starts with; it does not change them.
 type Config struct {
-	Balancers int // balancers that send to the same servers, this one included
+	FleetSize int // balancers that send to the same servers, this one included
 	Zone      int // the zone this balancer is in
 	Classes   []Class
 	Tenants   []Tenant // may be empty: then there is one, number 0
 
 	Slots int // slots of this balancer over all compartments; 0 derives them from the rest
 
-	MaxAttempts   int           // attempts for one request at most
-	MayCancel     bool          // Host.Cancel may be used
-	MayProbe      bool          // Host.Probe may be used
-	Reports       bool          // probes bring load reports
-	MaxRetryAfter time.Duration // the longest pause that clients heed
-	MarksRepeat   bool          // clients mark their own further tries: Request.Repeat
+	MaxAttempts        int           // attempts for one request at most
+	CancelAllowed      bool          // Host.Cancel may be used
+	ProbesAllowed      bool          // Host.Probe may be used
+	ProbeLoadReports   bool          // probes bring load reports
+	MaxRetryAfter      time.Duration // the longest pause that clients heed
+	ClientsMarkRetries bool          // clients mark their own further tries: Request.Repeat
 
-	Tick time.Duration // events come at most this often
+	EventResolution time.Duration // events come at most this often
 
-	AskList   bool          // the server list must be asked for
-	AskWithin time.Duration // without asking this long, a change counts as told; 0: not known
+	WatchOnRequest     bool          // the server list must be asked for
+	WatchRequestWithin time.Duration // without asking this long, a change counts as told; 0: not known
 
-	ColdFrom     float64       // a server starts with at least this share of its capacity
-	ColdTime     time.Duration // and has all of it after this
-	ColdMultiple float64       // sent more than this multiple of what it can do at that moment, it falls over
+	SlowStartInitialShare   float64       // a server starts with at least this share of its capacity
+	SlowStartDuration       time.Duration // and has all of it after this
+	SlowStartOverloadFactor float64       // sent more than this multiple of what it can do at that moment, it falls over
 
-	ProbePrice     float64 // price of a probe for each request, against a worth of 1
-	CrossZonePrice float64 // price of an attempt that leaves the zone, against a worth of 1
+	ProbeCost     float64 // price of a probe for each request, against a worth of 1
+	CrossZoneCost float64 // price of an attempt that leaves the zone, against a worth of 1
 }
 
-// State is what the server list says of a server.
-type State int
+// Health is what the server list says of a server.
+type Health int
 
 // The states of a server.
 const (
-	Gone State = iota
+	Removed Health = iota
 	Draining
 	Ready
 )
 
-// Server is one entry of the server list.
-type Server struct {
-	ID      ServerID
-	Zone    int
-	Cell    int // servers of one cell share the keys they have seen
-	State   State
-	Weight  float64       // nominal size, set against the other servers' weights
-	Started time.Duration // time of its last start; 0 means long ago
+// Endpoint is one entry of the server list.
+type Endpoint struct {
+	ID        EndpointID
+	Zone      int
+	Cell      int // servers of one cell share the keys they have seen
+	Health    Health
+	Weight    float64       // nominal size, set against the other servers' weights
+	StartedAt time.Duration // time of its last start; 0 means long ago
 }
 
-// ListKind says how the entries of a list event apply.
-type ListKind int
+// UpdateKind says how the entries of a list event apply.
+type UpdateKind int
 
 // The kinds of list events.
 const (
-	ListFull   ListKind = iota // all servers; one that is absent has left
-	ListDelta                  // only changed entries
-	ListCached                 // all servers as last known, maybe old
-	ListFailed                 // the call failed or the subscription broke; no entries
+	FullUpdate   UpdateKind = iota // all servers; one that is absent has left
+	DeltaUpdate                    // only changed entries
+	CachedUpdate                   // all servers as last known, maybe old
+	FailedUpdate                   // the call failed or the subscription broke; no entries
 )
 
 // Request is one client request.
 type Request struct {
-	ID     RequestID
-	Class  int
-	Tenant int
-	Left   time.Duration // until the client gives up
-	Work   time.Duration // expected work; 0 where unknown
-	Repeat bool          // known to be a client's own further try
+	ID           RequestID
+	Class        int
+	Tenant       int
+	Timeout      time.Duration // until the client gives up
+	ExpectedWork time.Duration // expected work; 0 where unknown
+	ClientRetry  bool          // known to be a client's own further try
 }
 
-// Ending says how an attempt ended.
-type Ending int
+// AttemptResult says how an attempt ended.
+type AttemptResult int
 
-// The endings of an attempt. TurnedAway, NoConnection and NotSent prove that
+// The endings of an attempt. Rejected, ConnectionFailed and NotSent prove that
 // it never ran; every other one but Served means that it may have run, and so
 // does a value not listed here.
 const (
-	Served Ending = iota
-	Errored
-	TurnedAway
+	Served AttemptResult = iota
+	ServerError
+	Rejected
 	TimedOut
-	NoConnection
-	Broken
+	ConnectionFailed
+	ConnectionReset
 	Cancelled
 	NotSent
 )
 
-// Outcome is the end of one attempt.
-type Outcome struct {
-	ID      RequestID
-	Attempt int // numbered from 0 in the order of Host.Send for this request
-	Ending  Ending
-	Settled bool // the request is over; nothing more is owed for it
+// AttemptOutcome is the end of one attempt.
+type AttemptOutcome struct {
+	ID        RequestID
+	Attempt   int // numbered from 0 in the order of Host.Send for this request
+	Result    AttemptResult
+	Completed bool // the request is over; nothing more is owed for it
 }
 
-// Load is what a server reports of itself. A negative number is unknown.
-type Load struct {
+// LoadReport is what a server reports of itself. A negative number is unknown.
+type LoadReport struct {
 	InFlight float64 // requests it holds
 }
 
@@ -159,30 +159,30 @@
 	// Send starts the next attempt of a request, given up after timeout. Where
 	// within is above 0 its last byte must be written within that, or never: the
 	// servers' memory of an earlier attempt ends then.
-	Send(id RequestID, to ServerID, timeout, within time.Duration)
-	// Refuse ends a request; trying again is harmless, best after the pause.
-	Refuse(id RequestID, pause time.Duration)
+	Send(id RequestID, to EndpointID, timeout, within time.Duration)
+	// Reject ends a request; trying again is harmless, best after the pause.
+	Reject(id RequestID, pause time.Duration)
 	// Fail ends a request with no promise about its effect.
 	Fail(id RequestID)
 	// Cancel calls off one attempt; its Outcome still comes.
 	Cancel(id RequestID, attempt int)
-	// Wake asks for a call of Balancer.Wake after d.
-	Wake(d time.Duration)
+	// SetTimer asks for a call of Balancer.SetTimer after d.
+	SetTimer(d time.Duration)
 	// Probe asks a server for a load report; Balancer.Probed brings it, or
 	// Balancer.ProbeNotSent that nothing was sent.
-	Probe(to ServerID)
-	// WatchList subscribes to the server list; Balancer.List brings changes.
-	WatchList()
+	Probe(to EndpointID)
+	// RequestWatch subscribes to the server list; Balancer.List brings changes.
+	RequestWatch()
 }
 
 // Counters tell what a Balancer did since it was made.
 type Counters struct {
-	Ordinary uint64 `metric:"ordinary"` // turns given by the ordinary path: a slot, and the server whose turn it was; two for a knock
-	Knocked  uint64 `metric:"knocked"`  // sends to the first or least loaded of the servers probed for the request
-	Passed   uint64 `metric:"passed"`   // turns moved on past a server that held its portion or was judged unwell
-	Trials   uint64 `metric:"trials"`   // turns of a server judged unwell
-	Shed     uint64 `metric:"shed"`     // requests refused at once: late, or too few of the last were answered within their aim
-	Retries  uint64 `metric:"retries"`  // further attempts after one that failed
-	Refused  uint64 `metric:"refused"`
-	Failed   uint64 `metric:"failed"`
+	RoundRobinPicks uint64 `metric:"ordinary"` // turns given by the ordinary path: a slot, and the server whose turn it was; two for a knock
+	ProbedSends     uint64 `metric:"knocked"`  // sends to the first or least loaded of the servers probed for the request
+	SkippedPicks    uint64 `metric:"passed"`   // turns moved on past a server that held its portion or was judged unwell
+	TrialRequests   uint64 `metric:"trials"`   // turns of a server judged unwell
+	LoadShed        uint64 `metric:"shed"`     // requests refused at once: late, or too few of the last were answered within their aim
+	Retries         uint64 `metric:"retries"`  // further attempts after one that failed
+	Rejected        uint64 `metric:"refused"`
+	Failed          uint64 `metric:"failed"`
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -35,79 +35,79 @@
 	{name: "busy", gap: 0.15, service: 0.3, faults: 0.05, restart: 0.1, listMS: 700},
 	{name: "faulty", gap: 0.6, service: 0.15, faults: 0.4, restart: 0.1, listMS: 2000},
 	{name: "slots set", gap: 0.3, service: 0.2, faults: 0.05, restart: 0.1, listMS: 700, adjust: func(c *policy.Config) {
-		c.Slots, c.MarksRepeat, c.MayCancel = 9, true, false
+		c.Slots, c.ClientsMarkRetries, c.CancelAllowed = 9, true, false
 	}},
 	{name: "no quotas", gap: 0.3, service: 0.2, faults: 0.05, restart: 0.5, listMS: 500, adjust: func(c *policy.Config) {
 		c.Tenants = nil
 	}},
 	{name: "zones", gap: 0.4, service: 0.2, faults: 0.1, restart: 0.1, listMS: 700, adjust: func(c *policy.Config) {
-		c.CrossZonePrice = 0.02
+		c.CrossZoneCost = 0.02
 	}},
 	{name: "asked list", gap: 3, service: 0.1, faults: 0.05, restart: 0.2, listMS: 4000, adjust: func(c *policy.Config) {
-		c.AskList = true
+		c.WatchOnRequest = true
 	}},
 	{name: "asked list without a bound", gap: 2, service: 0.1, faults: 0.05, restart: 0.2, listMS: 6000, adjust: func(c *policy.Config) {
-		c.AskList, c.AskWithin = true, 0
+		c.WatchOnRequest, c.WatchRequestWithin = true, 0
 	}},
 	{name: "restarts", gap: 0.2, service: 0.1, faults: 0.02, restart: 0.9, listMS: 400, adjust: func(c *policy.Config) {
-		c.ColdFrom = 0
+		c.SlowStartInitialShare = 0
 	}},
 	{name: "restarts, fleet", gap: 0.5, service: 0.1, faults: 0.02, restart: 0.9, listMS: 1500, adjust: func(c *policy.Config) {
-		c.Balancers, c.MayProbe = 60, true
+		c.FleetSize, c.ProbesAllowed = 60, true
 	}},
 	{name: "reports", gap: 0.3, service: 0.2, faults: 0.05, restart: 0.1, listMS: 700, adjust: func(c *policy.Config) {
-		c.MayProbe, c.Reports = true, true
+		c.ProbesAllowed, c.ProbeLoadReports = true, true
 	}},
 	{name: "low traffic", gap: 4, service: 0.2, faults: 0.15, restart: 0.1, listMS: 1500, adjust: func(c *policy.Config) {
-		c.Balancers, c.MayProbe = 60, true
+		c.FleetSize, c.ProbesAllowed = 60, true
 	}},
 	{name: "low traffic, reports", gap: 4, service: 0.25, faults: 0.1, restart: 0.1, listMS: 1500, adjust: func(c *policy.Config) {
-		c.Balancers, c.MayProbe, c.Reports, c.CrossZonePrice, c.Tick = 60, true, true, 0.02, 2*time.Millisecond
+		c.FleetSize, c.ProbesAllowed, c.ProbeLoadReports, c.CrossZoneCost, c.EventResolution = 60, true, true, 0.02, 2*time.Millisecond
 	}},
 	{name: "low traffic, costly probes", gap: 2, service: 0.12, faults: 0.02, restart: 0.05, listMS: 3000, adjust: func(c *policy.Config) {
-		c.Balancers, c.MayProbe, c.ProbePrice, c.Slots = 60, true, 0.06, 40
+		c.FleetSize, c.ProbesAllowed, c.ProbeCost, c.Slots = 60, true, 0.06, 40
 	}},
 	{name: "hardly any traffic", gap: 60, service: 0.3, faults: 0.3, restart: 0.05, listMS: 3000, adjust: func(c *policy.Config) {
-		c.Balancers, c.MayProbe, c.Reports = 60, true, true
-		c.Classes[0].Worth = 0
+		c.FleetSize, c.ProbesAllowed, c.ProbeLoadReports = 60, true, true
+		c.Classes[0].PriorityWeight = 0
 	}},
 	{name: "fast servers", gap: 0.1, service: 0.004, faults: 0.05, restart: 0.2, listMS: 400, adjust: func(c *policy.Config) {
-		c.Slots, c.ColdFrom = 100, 0
+		c.Slots, c.SlowStartInitialShare = 100, 0
 	}},
 	{name: "low traffic, overload", gap: 1, service: 0.7, faults: 0.15, restart: 0.05, listMS: 1500, adjust: func(c *policy.Config) {
-		c.Balancers, c.MayProbe, c.Reports, c.Slots = 60, true, true, 24
+		c.FleetSize, c.ProbesAllowed, c.ProbeLoadReports, c.Slots = 60, true, true, 24
 	}},
 	{name: "at the bound of low traffic", gap: 1, service: 0.2, faults: 0.1, restart: 0.1, listMS: 300, adjust: func(c *policy.Config) {
-		c.Balancers, c.MayProbe, c.Reports = 10, true, true
+		c.FleetSize, c.ProbesAllowed, c.ProbeLoadReports = 10, true, true
 	}},
 	{name: "stretched objectives", gap: 0.5, service: 0.4, faults: 0.1, restart: 0.1, listMS: 700, adjust: func(c *policy.Config) {
 		for i := range c.Classes {
-			c.Classes[i].AimStretch, c.Classes[i].LateShare = 1.5, 0.3*float64(i%2)
+			c.Classes[i].ObjectiveStretch, c.Classes[i].LateValueShare = 1.5, 0.3*float64(i%2)
 		}
 	}},
 }
 
 func goldenConfig() policy.Config {
-	class := func(e policy.Effect, s policy.Scope, objective time.Duration, priority float64) policy.Class {
-		return policy.Class{Aim: objective, Deadline: 3 * objective, Worth: priority, Effect: e, Scope: s, Window: objective * 7 / 10}
+	class := func(e policy.Idempotency, s policy.DedupScope, objective time.Duration, priority float64) policy.Class {
+		return policy.Class{LatencyObjective: objective, Deadline: 3 * objective, PriorityWeight: priority, Idempotency: e, DedupScope: s, DedupWindow: objective * 7 / 10}
 	}
 	return policy.Config{
-		Balancers: 3,
+		FleetSize: 3,
 		Classes: []policy.Class{
-			class(policy.Safe, policy.ScopeAll, 300*time.Millisecond, 1), class(policy.Keyed, policy.ScopeAll, 400*time.Millisecond, 2),
-			class(policy.Keyed, policy.ScopeZone, 500*time.Millisecond, 0.5), class(policy.Keyed, policy.ScopeCell, 300*time.Millisecond, 3),
-			class(policy.Unsafe, policy.ScopeAll, 600*time.Millisecond, 4),
+			class(policy.Idempotent, policy.ScopeAll, 300*time.Millisecond, 1), class(policy.IdempotentByKey, policy.ScopeAll, 400*time.Millisecond, 2),
+			class(policy.IdempotentByKey, policy.ScopeZone, 500*time.Millisecond, 0.5), class(policy.IdempotentByKey, policy.ScopeCell, 300*time.Millisecond, 3),
+			class(policy.NotIdempotent, policy.ScopeAll, 600*time.Millisecond, 4),
 		},
-		Tenants:       []policy.Tenant{{Share: 0.6, Quota: 60}, {Share: 0.25, Quota: 25}, {Share: 0.15, Quota: 15}},
-		MaxAttempts:   3,
-		MayCancel:     true,
-		MaxRetryAfter: time.Second,
-		Tick:          5 * time.Millisecond,
-		AskWithin:     4 * time.Second,
-		ColdFrom:      0.2,
-		ColdTime:      4 * time.Second,
-		ColdMultiple:  2,
-		ProbePrice:    0.004,
+		Tenants:                 []policy.Tenant{{Share: 0.6, Quota: 60}, {Share: 0.25, Quota: 25}, {Share: 0.15, Quota: 15}},
+		MaxAttempts:             3,
+		CancelAllowed:           true,
+		MaxRetryAfter:           time.Second,
+		EventResolution:         5 * time.Millisecond,
+		WatchRequestWithin:      4 * time.Second,
+		SlowStartInitialShare:   0.2,
+		SlowStartDuration:       4 * time.Second,
+		SlowStartOverloadFactor: 2,
+		ProbeCost:               0.004,
 	}
 }
 
@@ -136,7 +136,7 @@
 }
 
 type goldenServer struct {
-	entry    policy.Server
+	entry    policy.Endpoint
 	inFlight int
 	slow     float64
 	hangs    bool
@@ -172,7 +172,7 @@
 	return time.Duration(h.rng.ExpFloat64() * mean * float64(time.Millisecond))
 }
 
-func (h *goldenHost) Send(id policy.RequestID, to policy.ServerID, timeout, within time.Duration) {
+func (h *goldenHost) Send(id policy.RequestID, to policy.EndpointID, timeout, within time.Duration) {
 	h.digest.Numbers('s', int64(id), int64(to), int64(timeout), int64(within))
 	r := h.requests[id]
 	number := r.attempts
@@ -186,15 +186,15 @@
 	case s.hangs || took > timeout:
 		took, ending = timeout, policy.TimedOut
 	case draw < h.scenario.faults:
-		ending = []policy.Ending{policy.Errored, policy.TurnedAway, policy.NoConnection, policy.Broken, policy.NotSent}[h.rng.IntN(5)]
+		ending = []policy.AttemptResult{policy.ServerError, policy.Rejected, policy.ConnectionFailed, policy.ConnectionReset, policy.NotSent}[h.rng.IntN(5)]
 		took /= 4
 	case draw > 0.995:
-		h.after(took/2, func() { h.b.StreamBegun(id) })
+		h.after(took/2, func() { h.b.ResponseStarted(id) })
 	}
 	h.after(took, func() { h.end(id, number, to, ending) })
 }
 
-func (h *goldenHost) end(id policy.RequestID, number int, server policy.ServerID, ending policy.Ending) {
+func (h *goldenHost) end(id policy.RequestID, number int, server policy.EndpointID, ending policy.AttemptResult) {
 	r := h.requests[id]
 	if !r.out[number] {
 		return
@@ -204,7 +204,7 @@
 	if ending == policy.Served {
 		r.ended = true
 	}
-	h.b.Outcome(h.now, policy.Outcome{ID: id, Attempt: number, Ending: ending, Settled: r.ended})
+	h.b.AttemptEnded(h.now, policy.AttemptOutcome{ID: id, Attempt: number, Result: ending, Completed: r.ended})
 	h.forget(id)
 }
 
@@ -214,7 +214,7 @@
 	}
 }
 
-func (h *goldenHost) Refuse(id policy.RequestID, pause time.Duration) {
+func (h *goldenHost) Reject(id policy.RequestID, pause time.Duration) {
 	h.digest.Numbers('r', int64(id), int64(pause), int64(h.b.Reason()))
 	h.requests[id].ended = true
 	h.after(0, func() { h.forget(id) })
@@ -230,17 +230,17 @@
 	h.digest.Numbers('c', int64(id), int64(attempt))
 }
 
-func (h *goldenHost) Wake(d time.Duration) {
+func (h *goldenHost) SetTimer(d time.Duration) {
 	h.digest.Numbers('w', int64(d))
-	h.after(d, func() { h.b.Wake(h.now) })
+	h.after(d, func() { h.b.TimerFired(h.now) })
 }
 
-func (h *goldenHost) Probe(to policy.ServerID) {
+func (h *goldenHost) Probe(to policy.EndpointID) {
 	h.digest.Numbers('p', int64(to))
 	s := &h.servers[to]
 	took := h.exponential(2 + 30*h.scenario.service*s.slow)
-	load := policy.Load{InFlight: -1}
-	if h.config.Reports {
+	load := policy.LoadReport{InFlight: -1}
+	if h.config.ProbeLoadReports {
 		load.InFlight = float64(s.inFlight + h.rng.IntN(12))
 	}
 	ok := h.rng.Float64() > h.scenario.faults/2
@@ -249,20 +249,20 @@
 			h.b.ProbeNotSent(h.now, to)
 			return
 		}
-		h.b.Probed(h.now, to, ok, load)
+		h.b.ProbeCompleted(h.now, to, ok, load)
 	})
 }
 
-func (h *goldenHost) WatchList() {
+func (h *goldenHost) RequestWatch() {
 	h.digest.Numbers('l')
 	answer := h.rng.IntN(8)
 	h.after(h.exponential(20), func() {
 		switch answer {
 		case 0, 1, 2: // silent
 		case 3:
-			h.list(policy.ListFull)
+			h.list(policy.FullUpdate)
 		default:
-			h.list(policy.ListFailed)
+			h.list(policy.FailedUpdate)
 		}
 	})
 }
@@ -279,18 +279,18 @@
 	if h.rng.IntN(1000) == 0 {
 		left = 2 * time.Hour
 	}
-	q := policy.Request{ID: id, Class: class, Left: left, Repeat: h.rng.IntN(10) == 0}
+	q := policy.Request{ID: id, Class: class, Timeout: left, ClientRetry: h.rng.IntN(10) == 0}
 	if len(h.config.Tenants) > 0 {
 		q.Tenant = h.rng.IntN(len(h.config.Tenants))
 	}
 	if h.rng.IntN(3) == 0 {
-		q.Work = h.exponential(50)
+		q.ExpectedWork = h.exponential(50)
 	}
 	if h.rng.IntN(500) == 0 {
 		q.Class = -1
 	}
 	h.requests[id] = &goldenRequest{out: make(map[int]bool), deadline: h.now + left}
-	h.b.Request(h.now, q)
+	h.b.RequestReceived(h.now, q)
 	if h.rng.IntN(30) == 0 {
 		h.after(h.exponential(100), func() { h.leave(id) })
 	}
@@ -300,22 +300,22 @@
 func (h *goldenHost) leave(id policy.RequestID) {
 	if r := h.requests[id]; r != nil && !r.ended {
 		r.ended = true
-		h.b.ClientGone(h.now, id)
+		h.b.ClientDisconnected(h.now, id)
 		h.forget(id)
 	}
 }
 
 // change alters some servers, tells it, and plans the next change.
 func (h *goldenHost) change() {
-	var changed []policy.Server
+	var changed []policy.Endpoint
 	for range 1 + h.rng.IntN(2) {
 		s := &h.servers[h.rng.IntN(goldenServers)]
 		s.slow = []float64{0.7, 1, 1, 1.3, 6}[h.rng.IntN(5)]
 		s.hangs = h.rng.IntN(12) == 0
-		s.entry.State = []policy.State{policy.Ready, policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[h.rng.IntN(6)]
+		s.entry.Health = []policy.Health{policy.Ready, policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Removed}[h.rng.IntN(6)]
 		if h.rng.Float64() < h.scenario.restart {
-			s.entry.Started = policy.StartedAt(policy.StartEvidence{
-				Told: h.now - h.exponential(2500), Now: h.now, Wall: h.now + time.Duration(h.rng.IntN(3)-1)*h.exponential(2000),
+			s.entry.StartedAt = policy.StartedAt(policy.StartEvidence{
+				Reported: h.now - h.exponential(2500), Now: h.now, WallClock: h.now + time.Duration(h.rng.IntN(3)-1)*h.exponential(2000),
 				Changed: h.rng.IntN(2) == 0, ConfirmedAt: h.now - h.exponential(1500),
 			})
 		}
@@ -323,26 +323,26 @@
 	}
 	switch h.rng.IntN(6) {
 	case 0:
-		h.list(policy.ListFull)
+		h.list(policy.FullUpdate)
 	case 1:
-		h.list(policy.ListFailed)
+		h.list(policy.FailedUpdate)
 	default:
-		h.b.List(h.now, policy.ListDelta, changed)
+		h.b.EndpointsUpdated(h.now, policy.DeltaUpdate, changed)
 	}
 	h.after(h.exponential(h.scenario.listMS), h.change)
 }
 
-func (h *goldenHost) list(kind policy.ListKind) {
-	var entries []policy.Server
+func (h *goldenHost) list(kind policy.UpdateKind) {
+	var entries []policy.Endpoint
 	for i := range h.servers {
-		if h.servers[i].entry.State != policy.Gone {
+		if h.servers[i].entry.Health != policy.Removed {
 			entries = append(entries, h.servers[i].entry)
 		}
 	}
-	if kind == policy.ListFailed {
+	if kind == policy.FailedUpdate {
 		entries = nil
 	}
-	h.b.List(h.now, kind, entries)
+	h.b.EndpointsUpdated(h.now, kind, entries)
 }
 
 // play returns the digest of all actions of a scenario.
@@ -357,8 +357,8 @@
 	}
 	for i := range h.servers {
 		h.servers[i].slow = 1
-		h.servers[i].entry = policy.Server{
-			ID: policy.ServerID(i), Zone: i % 2, Cell: i % 4, State: policy.Ready, Weight: float64(i % 4),
+		h.servers[i].entry = policy.Endpoint{
+			ID: policy.EndpointID(i), Zone: i % 2, Cell: i % 4, Health: policy.Ready, Weight: float64(i % 4),
 		}
 	}
 	b, err := policy.New(h.config, seed, h)
@@ -367,7 +367,7 @@
 	}
 	h.b = b
 	b.Start(h.now)
-	h.list(policy.ListCached)
+	h.list(policy.CachedUpdate)
 	h.after(0, h.request)
 	h.after(0, h.change)
 	for h.handled = 0; h.handled < goldenEvents; h.handled++ {
@@ -378,10 +378,10 @@
 			h.digest.Numbers('n', int64(b.SlotsFree(0)), int64(b.QueueFree(0)))
 		}
 	}
-	b.Quit()
+	b.Shutdown()
 	counted := b.Counters()
 	return fmt.Sprintf("%s %d", h.digest, []uint64{
-		counted.Ordinary, counted.Knocked, counted.Passed, counted.Trials, counted.Shed, counted.Retries, counted.Refused, counted.Failed,
+		counted.RoundRobinPicks, counted.ProbedSends, counted.SkippedPicks, counted.TrialRequests, counted.LoadShed, counted.Retries, counted.Rejected, counted.Failed,
 	})
 }
 
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -7,14 +7,14 @@
 func (r *request) mayRepeat(now time.Duration, s *server) bool {
 	first := r.ran()
 	switch {
-	case first == nil || r.class.Effect == Safe:
+	case first == nil || r.class.Idempotency == Idempotent:
 		return true
-	case r.class.Effect == Unsafe || now >= first.sent+r.class.Window:
+	case r.class.Idempotency == NotIdempotent || now >= first.sent+r.class.DedupWindow:
 		return false
-	case s == nil || r.class.Scope == ScopeAll:
+	case s == nil || r.class.DedupScope == ScopeAll:
 		return true
 	}
-	return s.Zone == first.to.Zone && (r.class.Scope == ScopeZone || s.Cell == first.to.Cell)
+	return s.Zone == first.to.Zone && (r.class.DedupScope == ScopeZone || s.Cell == first.to.Cell)
 }
 
 // mayGo is the gate: whether the rules let a request go to a server now.
@@ -22,7 +22,7 @@
 	switch {
 	case r.over || r.begun || now >= r.deadline || len(r.attempts) >= b.cfg.MaxAttempts:
 		return false // rule 1, and the limit on attempts
-	case s.State != Ready:
+	case s.Health != Ready:
 		return false // rule 3: at once, long before the grace is over
 	case now < s.warmAt && now < s.coldAt:
 		return false // rule 4
@@ -41,8 +41,8 @@
 		s.coldAt = now + b.coldGap(now, s)
 	}
 	within := time.Duration(0) // a connection may come up late
-	if first := r.ran(); first != nil && r.class.Effect == Keyed {
-		within = first.sent + r.class.Window - now
+	if first := r.ran(); first != nil && r.class.Idempotency == IdempotentByKey {
+		within = first.sent + r.class.DedupWindow - now
 	}
 	r.attempts = append(r.attempts, attempt{to: s, sent: now})
 	r.out++
@@ -63,12 +63,12 @@
 	if b.quota == 0 {
 		rate = s.Weight * float64(max(1, b.ready)) / max(b.weight, s.Weight) / b.pace.Seconds()
 	}
-	rate *= coldPart * max(b.cfg.ColdMultiple, 1) * b.warmth(now, s) / float64(b.cfg.Balancers)
+	rate *= coldPart * max(b.cfg.SlowStartOverloadFactor, 1) * b.warmth(now, s) / float64(b.cfg.FleetSize)
 	return time.Duration(min(float64(time.Second)/rate, float64(time.Hour)))
 }
 
 // warmth is the share of its capacity that a server has at least.
 func (b *Balancer) warmth(now time.Duration, s *server) float64 {
-	left := float64(max(0, s.warmAt-now)) / float64(max(1, b.cfg.ColdTime))
-	return max(0.05, 1-left*(1-b.cfg.ColdFrom))
+	left := float64(max(0, s.warmAt-now)) / float64(max(1, b.cfg.SlowStartDuration))
+	return max(0.05, 1-left*(1-b.cfg.SlowStartInitialShare))
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -17,10 +17,10 @@
 }
 
 // judge learns from the end of an attempt.
-func (b *Balancer) judge(now time.Duration, r *request, a *attempt, end Ending) {
+func (b *Balancer) judge(now time.Duration, r *request, a *attempt, end AttemptResult) {
 	s, took := a.to, now-a.sent
 	if end == Served || end == TimedOut {
-		x := float64(took) / float64(r.class.Aim)
+		x := float64(took) / float64(r.class.LatencyObjective)
 		s.used += (x*x - s.used) / 8
 	}
 	switch end {
@@ -32,15 +32,15 @@
 		if s.heard <= a.sent {
 			b.strike(now, s) // nothing at all came from it meanwhile
 		}
-	case Errored, Broken: // one may be chance; a server that fails all it gets is not
-		if end == Broken && a.sent < s.brokeAt {
+	case ServerError, ConnectionReset: // one may be chance; a server that fails all it gets is not
+		if end == ConnectionReset && a.sent < s.brokeAt {
 			break // its connections broke all at once
 		}
 		if s.brokeAt = now; s.doubted {
 			b.strike(now, s)
 		}
 		s.doubted = true
-	case TurnedAway, NoConnection:
+	case Rejected, ConnectionFailed:
 		b.strike(now, s)
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -11,7 +11,7 @@
 // sent is one attempt that a test host was asked to start.
 type sent struct {
 	id      RequestID
-	to      ServerID
+	to      EndpointID
 	timeout time.Duration
 }
 
@@ -23,7 +23,7 @@
 	cancelled []RequestID
 	wakes     []time.Duration
 	at        []time.Duration // when the sends went out, where a test notes that
-	probes    []ServerID
+	probes    []EndpointID
 	asks      int
 	trace     []string
 }
@@ -36,12 +36,12 @@
 	h.trace = append(h.trace, fmt.Sprintf(format, args...))
 }
 
-func (h *fakeHost) Send(id RequestID, to ServerID, timeout, within time.Duration) {
+func (h *fakeHost) Send(id RequestID, to EndpointID, timeout, within time.Duration) {
 	h.sends = append(h.sends, sent{id, to, timeout})
 	h.note("send %d %d %v", id, to, timeout)
 }
 
-func (h *fakeHost) Refuse(id RequestID, pause time.Duration) {
+func (h *fakeHost) Reject(id RequestID, pause time.Duration) {
 	h.refused[id] = pause
 	h.note("refuse %d %v", id, pause)
 }
@@ -56,23 +56,23 @@
 	h.note("cancel %d %d", id, attempt)
 }
 
-func (h *fakeHost) Wake(d time.Duration) {
+func (h *fakeHost) SetTimer(d time.Duration) {
 	h.wakes = append(h.wakes, d)
 	h.note("wake %v", d)
 }
 
-func (h *fakeHost) Probe(to ServerID) {
+func (h *fakeHost) Probe(to EndpointID) {
 	h.probes = append(h.probes, to)
 	h.note("probe %d", to)
 }
 
-func (h *fakeHost) WatchList() {
+func (h *fakeHost) RequestWatch() {
 	h.asks++
 	h.note("watch")
 }
 
 // sentTo counts the attempts sent to a server.
-func (h *fakeHost) sentTo(id ServerID) int {
+func (h *fakeHost) sentTo(id EndpointID) int {
 	n := 0
 	for _, s := range h.sends {
 		if s.to == id {
@@ -92,38 +92,38 @@
 )
 
 func testConfig() Config {
-	class := func(e Effect, s Scope) Class {
-		return Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: e, Scope: s, Window: 700 * ms}
+	class := func(e Idempotency, s DedupScope) Class {
+		return Class{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: e, DedupScope: s, DedupWindow: 700 * ms}
 	}
 	return Config{
-		Balancers: 2,
+		FleetSize: 2,
 		Classes: []Class{
-			class(Safe, ScopeAll), class(Keyed, ScopeAll), class(Keyed, ScopeZone), class(Keyed, ScopeCell),
-			class(Unsafe, ScopeAll),
+			class(Idempotent, ScopeAll), class(IdempotentByKey, ScopeAll), class(IdempotentByKey, ScopeZone), class(IdempotentByKey, ScopeCell),
+			class(NotIdempotent, ScopeAll),
 		},
-		Tenants:       []Tenant{{Share: 0.75, Quota: 75}, {Share: 0.25, Quota: 25}},
-		Slots:         8,
-		MaxAttempts:   3,
-		MayCancel:     true,
-		MaxRetryAfter: time.Second,
-		Tick:          5 * ms,
-		AskWithin:     10 * time.Second,
-		ColdFrom:      0.3,
-		ColdTime:      8 * time.Second,
-		ColdMultiple:  3,
+		Tenants:                 []Tenant{{Share: 0.75, Quota: 75}, {Share: 0.25, Quota: 25}},
+		Slots:                   8,
+		MaxAttempts:             3,
+		CancelAllowed:           true,
+		MaxRetryAfter:           time.Second,
+		EventResolution:         5 * ms,
+		WatchRequestWithin:      10 * time.Second,
+		SlowStartInitialShare:   0.3,
+		SlowStartDuration:       8 * time.Second,
+		SlowStartOverloadFactor: 3,
 	}
 }
 
-func ready(ids ...ServerID) []Server {
-	var list []Server
+func ready(ids ...EndpointID) []Endpoint {
+	var list []Endpoint
 	for _, id := range ids {
-		list = append(list, Server{ID: id, State: Ready, Weight: 1})
+		list = append(list, Endpoint{ID: id, Health: Ready, Weight: 1})
 	}
 	return list
 }
 
 // start makes a Balancer that holds a list of servers.
-func start(t testing.TB, cfg Config, list []Server) (*Balancer, *fakeHost) {
+func start(t testing.TB, cfg Config, list []Endpoint) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := newFakeHost()
 	b, err := New(cfg, 1, h)
@@ -131,16 +131,16 @@
 		t.Fatalf("New: %v", err)
 	}
 	b.Start(0)
-	b.List(0, ListFull, list)
+	b.EndpointsUpdated(0, FullUpdate, list)
 	return b, h
 }
 
 // ask hands in a request of tenant 0.
 func ask(b *Balancer, now time.Duration, id RequestID, class int) {
-	b.Request(now, Request{ID: id, Class: class, Left: 2 * time.Second})
+	b.RequestReceived(now, Request{ID: id, Class: class, Timeout: 2 * time.Second})
 }
 
 // end ends an attempt of a request.
-func end(b *Balancer, now time.Duration, id RequestID, attempt int, e Ending) {
-	b.Outcome(now, Outcome{ID: id, Attempt: attempt, Ending: e, Settled: e == Served})
+func end(b *Balancer, now time.Duration, id RequestID, attempt int, e AttemptResult) {
+	b.AttemptEnded(now, AttemptOutcome{ID: id, Attempt: attempt, Result: e, Completed: e == Served})
 }
--- a/policy/pages_test.go
+++ b/policy/pages_test.go
@@ -4,6 +4,7 @@
 	"os"
 	"reflect"
 	"regexp"
+	"strings"
 	"testing"
 )
 
@@ -17,6 +18,9 @@
 	counters := reflect.TypeFor[Counters]()
 	for i := range counters.NumField() {
 		known[counters.Field(i).Name] = false
+		if name := counters.Field(i).Tag.Get("metric"); !strings.Contains(string(page), "| `"+name+"` | `"+counters.Field(i).Name+"` |") {
+			t.Errorf("the page has no row for %s as the log names it", name)
+		}
 	}
 	for _, m := range regexp.MustCompile("`([A-Z][A-Za-z]+)`").FindAllSubmatch(page, -1) {
 		if _, ok := known[string(m[1])]; !ok {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -44,12 +44,12 @@
 		cfg.Tenants = []Tenant{{Share: 1}}
 	}
 	b := &Balancer{cfg: cfg, host: host}
-	b.requests, b.known = make(map[RequestID]*request), make(map[ServerID]*server)
+	b.requests, b.known = make(map[RequestID]*request), make(map[EndpointID]*server)
 	b.parts = make([]compartment, len(cfg.Tenants))
 	b.rng = rand.New(rand.NewPCG(seed, 0))
 	for _, c := range cfg.Classes {
-		b.classes = append(b.classes, class{Class: c, pace: c.Aim / 8})
-		b.aim += c.Aim.Seconds() / float64(len(cfg.Classes))
+		b.classes = append(b.classes, class{Class: c, pace: c.LatencyObjective / 8})
+		b.aim += c.LatencyObjective.Seconds() / float64(len(cfg.Classes))
 	}
 	b.pace = time.Duration(b.aim / 8 * float64(time.Second))
 	b.deriveSlots()
@@ -67,7 +67,7 @@
 		b.quota += t.Quota
 	}
 	b.mean = cmp.Or(b.quota*b.aim*slotAim, serverSlots*float64(len(b.servers)))
-	total, room := b.mean*min(1, heavyShare/float64(b.cfg.Balancers)), spread
+	total, room := b.mean*min(1, heavyShare/float64(b.cfg.FleetSize)), spread
 	if b.cfg.Slots > 0 {
 		total, room = float64(b.cfg.Slots), 0
 	}
@@ -82,39 +82,40 @@
 
 // Start begins the Balancer's life; it must be the first event.
 func (b *Balancer) Start(now time.Duration) {
-	if b.cfg.AskList {
+	if b.cfg.WatchOnRequest {
 		b.ask(now)
 	}
 	b.wake(now, idleTick)
 }
 
-// Request takes a request on. It is answered exactly once, by an Outcome that
+// RequestReceived takes a request on. It is answered exactly once, by an Outcome that
 // settles it or through the Host, before its time left is up. An id that is
 // still held is passed over; an unknown class or tenant, or no time left, is
 // refused at once.
-func (b *Balancer) Request(now time.Duration, q Request) {
+func (b *Balancer) RequestReceived(now time.Duration, q Request) {
 	if _, held := b.requests[q.ID]; held {
 		return
 	}
 	unknown := q.Class < 0 || q.Class >= len(b.classes) || q.Tenant < 0 || q.Tenant >= len(b.parts)
-	if unknown || q.Left <= 0 || b.quit {
-		b.count.Refused++
-		b.reason = UnknownClass
+	if unknown || q.Timeout <= 0 || b.quit {
+		b.count.Rejected++
+		b.reason = InvalidRequest
 		if b.quit {
-			b.reason = ProcessEnds
+			b.reason = ShuttingDown
 		}
-		b.host.Refuse(q.ID, 0)
+		b.host.Reject(q.ID, 0)
 		return
 	}
 	r := &request{id: q.ID, class: &b.classes[q.Class], home: &b.parts[q.Tenant]}
-	r.deadline = now + min(q.Left, time.Hour)
+	r.deadline = now + min(q.Timeout, time.Hour)
 	begun := now // of the client's first try; a later one comes with less time left than others lately
-	r.class.longest = max(q.Left, r.class.longest-(r.class.longest-q.Left)/64)
-	if (q.Repeat || !b.cfg.MarksRepeat) && q.Left < r.class.longest-2*busyTick {
+	r.class.longest = max(q.Timeout, r.class.longest-(r.class.longest-q.Timeout)/64)
+	if (q.ClientRetry || !b.cfg.ClientsMarkRetries) && q.Timeout < r.class.longest-2*busyTick {
 		begun = min(now, r.deadline-r.class.Deadline)
 	}
-	r.aimAt = min(r.deadline, begun+r.class.Aim+time.Duration(r.class.AimStretch*float64(q.Work)))
-	if r.useful = r.aimAt; r.class.LateShare > 0 || (r.class.AimStretch > 0 && q.Work == 0) {
+	stretch := time.Duration(r.class.ObjectiveStretch * float64(q.ExpectedWork))
+	r.aimAt = min(r.deadline, begun+r.class.LatencyObjective+stretch)
+	if r.useful = r.aimAt; r.class.LateValueShare > 0 || (r.class.ObjectiveStretch > 0 && q.ExpectedWork == 0) {
 		r.useful = r.deadline
 	}
 	b.requests[r.id] = r
@@ -126,41 +127,41 @@
 		r.useful, r.aimAt = r.deadline, r.deadline
 	}
 	if b.thin && (late || b.shed(now, r)) {
-		b.count.Shed++
-		b.finish(r, either(late, Late, Shed))
+		b.count.LoadShed++
+		b.finish(r, either(late, TooLate, LoadShedding))
 		return
 	}
 	switch {
 	case b.dispatch(now, r):
 	case late || len(r.home.queue) >= r.home.places:
-		b.finish(r, either(late, Late, QueueFull)) // refuse promptly
+		b.finish(r, either(late, TooLate, QueueFull)) // refuse promptly
 	default:
 		r.home.queue = append(r.home.queue, r)
 	}
 }
 
-// Outcome takes the end of an attempt. What is unknown or came before is passed over.
-func (b *Balancer) Outcome(now time.Duration, o Outcome) {
+// AttemptEnded takes the end of an attempt. What is unknown or came before is passed over.
+func (b *Balancer) AttemptEnded(now time.Duration, o AttemptOutcome) {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].state != inFlight {
 		return
 	}
 	a := &r.attempts[o.Attempt]
 	a.state = mayHaveRun
-	if o.Ending == TurnedAway || o.Ending == NoConnection || o.Ending == NotSent {
+	if o.Result == Rejected || o.Result == ConnectionFailed || o.Result == NotSent {
 		a.state = neverRan
 	}
 	a.to.out--
 	r.out--
 	r.home.used--
-	b.judge(now, r, a, o.Ending)
-	if o.Ending == Served && !r.over && now <= r.aimAt {
+	b.judge(now, r, a, o.Result)
+	if o.Result == Served && !r.over && now <= r.aimAt {
 		b.good++
 	}
 	switch {
 	case r.over && r.out == 0:
 		delete(b.requests, r.id)
-	case !r.over && (o.Settled || o.Ending == Served || r.begun):
+	case !r.over && (o.Completed || o.Result == Served || r.begun):
 		b.settle(r)
 	case !r.over && r.out == 0:
 		b.further(now, r)
@@ -168,38 +169,38 @@
 	b.feed(now)
 }
 
-// ClientGone takes that a client quit: nothing more is owed for the request.
-func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
+// ClientDisconnected takes that a client quit: nothing more is owed for the request.
+func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.over {
 		b.settle(r)
 		b.feed(now)
 	}
 }
 
-// StreamBegun takes that a request's answer has begun to stream: the client owns it now.
-func (b *Balancer) StreamBegun(id RequestID) {
+// ResponseStarted takes that a request's answer has begun to stream: the client owns it now.
+func (b *Balancer) ResponseStarted(id RequestID) {
 	if r := b.requests[id]; r != nil {
 		r.begun = true
 	}
 }
 
-// Wake takes that a time asked for with Host.Wake has come.
-func (b *Balancer) Wake(now time.Duration) {
+// TimerFired takes that a time asked for with Host.TimerFired has come.
+func (b *Balancer) TimerFired(now time.Duration) {
 	if now < b.wakeAt {
 		return // an older timer
 	}
-	if b.cfg.AskList && b.askAt > 0 && now >= b.askAt {
+	if b.cfg.WatchOnRequest && b.askAt > 0 && now >= b.askAt {
 		b.ask(now)
 	}
 	b.feed(now)
-	soon := now + 2*max(busyTick, b.cfg.Tick)
+	soon := now + 2*max(busyTick, b.cfg.EventResolution)
 	for _, r := range b.open {
 		if r.knocking && now >= r.goAt {
 			b.enterBest(now, r)
 		}
 		waited := r.out == 0 && (soon > r.deadline || now >= r.lateIn() || !r.mayRepeat(now, nil))
 		if !r.over && !r.begun && (waited || now >= r.deadline) {
-			b.finish(r, WaitedTooLong)
+			b.finish(r, QueueTimeout)
 		}
 	}
 	b.open = slices.DeleteFunc(b.open, func(r *request) bool { return r.over })
@@ -210,13 +211,13 @@
 	b.wake(now, idleTick)
 }
 
-// Quit ends the service: all that is held gets its answer now, refused where that
+// Shutdown ends the service: all that is held gets its answer now, refused where that
 // is true, and whatever still comes is refused.
-func (b *Balancer) Quit() {
+func (b *Balancer) Shutdown() {
 	b.quit = true
 	for _, r := range b.open {
 		if !r.over && !r.begun {
-			b.finish(r, ProcessEnds)
+			b.finish(r, ShuttingDown)
 		}
 	}
 }
@@ -231,14 +232,16 @@
 	b.good, b.tried, b.asked, b.cheap = b.good*fade, b.tried*fade, b.asked*fade, b.cheap*fade
 	room := b.good * (1 + math.Pow(b.good/max(b.tried, b.good, 1), shedSharp))
 	pass := (shedSlack + room) / (b.asked + shedSlack)
-	r.cheap = 1 / max(r.class.Worth, 1e-9)
+	r.cheap = 1 / max(r.class.PriorityWeight, 1e-9)
 	r.shed = pass < 1 && // the exponent is set against its mean, so that no more is shed than meant
 		b.rng.Float64() > math.Pow(pass, r.cheap*(b.asked+1)/(b.cheap+r.cheap))
 	return r.shed
 }
 
 // lateIn is when a wait stops being worth it: servers would work for answers that come late.
-func (r *request) lateIn() time.Duration { return r.aimAt - min(2*r.class.pace, r.class.Aim/2) }
+func (r *request) lateIn() time.Duration {
+	return r.aimAt - min(2*r.class.pace, r.class.LatencyObjective/2)
+}
 
 // dispatch sends a request if a slot of its compartment and a server are free.
 func (b *Balancer) dispatch(now time.Duration, r *request) bool {
@@ -247,7 +250,7 @@
 	}
 	s := b.pick(now, r)
 	// Probes have a price: as long as less goes wrong than they cost, the turn alone decides.
-	if s != nil && b.thin && 1+b.asked-b.good > knocks*b.cfg.ProbePrice*(b.asked+knockPrior) {
+	if s != nil && b.thin && 1+b.asked-b.good > knocks*b.cfg.ProbeCost*(b.asked+knockPrior) {
 		return b.knock(now, r, s)
 	}
 	return s != nil && b.send(now, r, s)
@@ -267,11 +270,11 @@
 func (b *Balancer) whyNoFurther(now time.Duration, r *request) Reason {
 	switch {
 	case !r.mayRepeat(now, nil):
-		return MayNotRepeat
+		return RetryNotAllowed
 	case now >= r.lateIn():
-		return Late
+		return TooLate
 	}
-	return AttemptsSpent
+	return AttemptsExhausted
 }
 
 // either returns the one or the other reason.
@@ -290,7 +293,7 @@
 		for n := 0; n < len(c.queue) && c.used < c.slots; {
 			switch r := c.queue[n]; {
 			case now >= r.lateIn():
-				b.finish(r, WaitedTooLong) // which takes it out of the queue
+				b.finish(r, QueueTimeout) // which takes it out of the queue
 			case b.dispatch(now, r):
 				c.queue = slices.Delete(c.queue, n, n+1)
 			default:
@@ -307,7 +310,7 @@
 func (b *Balancer) pick(now time.Duration, r *request) *server {
 	var best *server
 	total, lost := 0.0, math.Inf(-1)
-	for near := b.cfg.CrossZonePrice > 0; ; near = false {
+	for near := b.cfg.CrossZoneCost > 0; ; near = false {
 		for _, s := range b.servers {
 			switch {
 			case (near && (s.Zone != b.cfg.Zone || b.thin && s.spare)) || r.tried(s) || !b.mayGo(now, r, s):
@@ -332,12 +335,12 @@
 	case best == nil:
 		return nil
 	case best.unwell:
-		b.count.Trials++
+		b.count.TrialRequests++
 		best.trialAt = now + b.backoff(best.strikes, lastPause)
 	case best.turn >= lost:
-		b.count.Ordinary++
+		b.count.RoundRobinPicks++
 	default:
-		b.count.Passed++
+		b.count.SkippedPicks++
 	}
 	best.turn -= total
 	return best
@@ -349,31 +352,32 @@
 	return max(1, b.part(float64(b.slots), s)*min(1, crowdedAt*crowdedAt/max(s.used, 1e-4)))
 }
 
-// List takes news of the server list.
-func (b *Balancer) List(now time.Duration, kind ListKind, entries []Server) {
-	if kind == ListFailed {
+// EndpointsUpdated takes news of the server list.
+func (b *Balancer) EndpointsUpdated(now time.Duration, kind UpdateKind, entries []Endpoint) {
+	if kind == FailedUpdate {
 		b.askAt = now + b.backoff(b.askFails, lastAsk)
 		b.askFails++
 		return
 	}
-	if kind != ListCached && b.cfg.AskList {
+	if kind != CachedUpdate && b.cfg.WatchOnRequest {
 		b.askAt, b.askFails = 0, 0
 	}
 	b.fade(now)
-	if kind != ListDelta {
+	if kind != DeltaUpdate {
 		for _, s := range b.servers {
-			s.State = Gone // until the list names it
+			s.Health = Removed // until the list names it
 		}
 	}
 	for _, e := range entries {
 		b.enter(now, e)
 	}
-	gone := func(s *server) bool { return s.State == Gone }
-	if kind != ListDelta || slices.ContainsFunc(entries, func(e Server) bool { return e.State == Gone }) {
+	gone := func(s *server) bool { return s.Health == Removed }
+	named := slices.ContainsFunc(entries, func(e Endpoint) bool { return e.Health == Removed })
+	if kind != DeltaUpdate || named {
 		b.servers = slices.DeleteFunc(b.servers, gone)
-		maps.DeleteFunc(b.known, func(_ ServerID, s *server) bool { return gone(s) })
+		maps.DeleteFunc(b.known, func(_ EndpointID, s *server) bool { return gone(s) })
 	}
-	if kind != ListDelta { // all anew, and so without what rounding added up to
+	if kind != DeltaUpdate { // all anew, and so without what rounding added up to
 		b.weight, b.well, b.ready, b.fit = 0, 0, 0, 0
 		for _, s := range b.servers {
 			b.weigh(s, 1)
@@ -388,12 +392,12 @@
 		b.deriveSlots() // no quotas: the first list is all there is to go by
 	}
 	b.full = max(b.full, b.weight)
-	b.thin = b.cfg.MayProbe && b.quota/float64(b.cfg.Balancers*max(1, len(b.servers))) < thinRate
+	b.thin = b.cfg.ProbesAllowed && b.quota/float64(b.cfg.FleetSize*max(1, len(b.servers))) < thinRate
 	b.feed(now)
 }
 
 // enter takes over one line of the list.
-func (b *Balancer) enter(now time.Duration, e Server) {
+func (b *Balancer) enter(now time.Duration, e Endpoint) {
 	if !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
 		e.Weight = 1 // no weights, even turns
 	}
@@ -403,11 +407,11 @@
 		b.servers = append(b.servers, s)
 		b.known[e.ID] = s
 	}
-	fresh := e.Started > s.Started
+	fresh := e.StartedAt > s.StartedAt
 	was := *s
-	s.Server = e
+	s.Endpoint = e
 	if fresh { // cold, and nothing known of it holds any more
-		s.warmAt = max(s.warmAt, e.Started+b.cfg.ColdTime)
+		s.warmAt = max(s.warmAt, e.StartedAt+b.cfg.SlowStartDuration)
 		s.unwell, s.strikes, s.doubted, s.heard = false, 0, false, now
 		b.fresh = append(b.fresh, s)
 	}
@@ -417,17 +421,19 @@
 
 // ask subscribes to the list. Without any word it asks again before its silence counts as being told.
 func (b *Balancer) ask(now time.Duration) {
-	b.askAt = now + cmp.Or(b.cfg.AskWithin*3/4, lastPause)
-	b.host.WatchList()
+	b.askAt = now + cmp.Or(b.cfg.WatchRequestWithin*3/4, lastPause)
+	b.host.RequestWatch()
 }
 
 // finish is the one place that answers: refused where that is true, failed where it is not.
 func (b *Balancer) finish(r *request, why Reason) {
 	b.reason = why
-	if r.ran() == nil || r.class.Effect == Safe || (r.class.Effect == Keyed && r.class.Scope == ScopeAll) {
-		b.count.Refused++
+	harmless := r.class.Idempotency == Idempotent ||
+		(r.class.Idempotency == IdempotentByKey && r.class.DedupScope == ScopeAll)
+	if r.ran() == nil || harmless {
+		b.count.Rejected++
 		pause := time.Duration((1 + b.rng.Float64()) * float64(b.pace)) // spread: not all at once
-		b.host.Refuse(r.id, min(b.cfg.MaxRetryAfter, pause))
+		b.host.Reject(r.id, min(b.cfg.MaxRetryAfter, pause))
 	} else {
 		b.count.Failed++
 		b.host.Fail(r.id)
@@ -452,7 +458,7 @@
 		r.home.queue = slices.Delete(r.home.queue, i, i+1)
 	}
 	for i := range r.attempts {
-		if r.attempts[i].state == inFlight && b.cfg.MayCancel {
+		if r.attempts[i].state == inFlight && b.cfg.CancelAllowed {
 			b.host.Cancel(r.id, i)
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -26,7 +26,7 @@
 	if b.SlotsFree(1) != 2 {
 		t.Fatalf("tenant 1 lost slots to tenant 0")
 	}
-	b.Request(0, Request{ID: 20, Class: safeClass, Tenant: 1, Left: 2 * time.Second})
+	b.RequestReceived(0, Request{ID: 20, Class: safeClass, Tenant: 1, Timeout: 2 * time.Second})
 	if len(h.sends) != 7 {
 		t.Fatalf("the other compartment did not send past the full one")
 	}
@@ -39,7 +39,9 @@
 // Guards against this: a client's later tries are served when nothing can be earned by them any more.
 func TestLateTriesGiveWay(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	left := func(id RequestID, d time.Duration) { b.Request(0, Request{ID: id, Class: safeClass, Left: d}) }
+	left := func(id RequestID, d time.Duration) {
+		b.RequestReceived(0, Request{ID: id, Class: safeClass, Timeout: d})
+	}
 	left(1, 2800*ms) // first tries come with this much of the class's 3 s
 	left(2, 2500*ms) // begun half a second ago
 	left(3, 1500*ms) // begun 1.5 s ago, late already, but answers are quick
@@ -64,7 +66,7 @@
 		if id >= 20 {
 			left = 2200 * ms
 		}
-		b.Request(now, Request{ID: id, Class: safeClass, Left: left})
+		b.RequestReceived(now, Request{ID: id, Class: safeClass, Timeout: left})
 		end(b, now+5*ms, id, 0, Served)
 	}
 	if last := h.sends[len(h.sends)-1]; last.timeout != time.Second {
@@ -74,11 +76,11 @@
 
 func TestUnmarkedTriesAreFirstTriesWhereClientsMark(t *testing.T) {
 	cfg := testConfig()
-	cfg.MarksRepeat = true
+	cfg.ClientsMarkRetries = true
 	b, h := start(t, cfg, ready(1, 2))
-	b.Request(0, Request{ID: 1, Class: safeClass, Left: 2800 * ms})
-	b.Request(0, Request{ID: 2, Class: safeClass, Left: 2500 * ms})
-	b.Request(0, Request{ID: 3, Class: safeClass, Left: 2500 * ms, Repeat: true})
+	b.RequestReceived(0, Request{ID: 1, Class: safeClass, Timeout: 2800 * ms})
+	b.RequestReceived(0, Request{ID: 2, Class: safeClass, Timeout: 2500 * ms})
+	b.RequestReceived(0, Request{ID: 3, Class: safeClass, Timeout: 2500 * ms, ClientRetry: true})
 	if h.sends[1].timeout != time.Second || h.sends[2].timeout != 500*ms {
 		t.Fatalf("sends %v: want only the marked one cut", h.sends)
 	}
@@ -91,7 +93,7 @@
 		t.Fatal("refused at once, though the queue has room")
 	}
 	for now := time.Duration(0); now <= time.Second; now += 10 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 	}
 	if _, ok := h.refused[1]; !ok {
 		t.Fatal("still held when its aim had passed")
@@ -103,11 +105,11 @@
 func TestWaitEndsWhileAnAnswerCanStillCome(t *testing.T) {
 	b, h := start(t, testConfig(), nil)
 	ask(b, 0, 1, safeClass) // an aim of 1 s, answers usually take 125 ms
-	b.Wake(740 * ms)
+	b.TimerFired(740 * ms)
 	if len(h.refused) != 0 {
 		t.Fatal("refused with over twice the usual time left")
 	}
-	b.List(760*ms, ListFull, ready(1))
+	b.EndpointsUpdated(760*ms, FullUpdate, ready(1))
 	if _, refused := h.refused[1]; !refused {
 		t.Fatalf("sent %v with less than twice the usual time left after a wait", h.sends)
 	}
@@ -125,13 +127,13 @@
 	if h.sentTo(1) != 10 || h.sentTo(2) != 10 || h.sentTo(3) != 20 {
 		t.Fatalf("turns %d %d %d, want 10 10 20", h.sentTo(1), h.sentTo(2), h.sentTo(3))
 	}
-	if c := b.Counters(); c.Ordinary != 40 {
-		t.Fatalf("ordinary sends %d of 40", c.Ordinary)
+	if c := b.Counters(); c.RoundRobinPicks != 40 {
+		t.Fatalf("ordinary sends %d of 40", c.RoundRobinPicks)
 	}
 }
 
 func TestZeroWeightsMeanEvenTurns(t *testing.T) {
-	list := []Server{{ID: 1, State: Ready}, {ID: 2, State: Ready, Weight: math.NaN()}}
+	list := []Endpoint{{ID: 1, Health: Ready}, {ID: 2, Health: Ready, Weight: math.NaN()}}
 	b, h := start(t, testConfig(), list)
 	for id := range RequestID(10) {
 		now := time.Duration(id) * 20 * ms
@@ -145,11 +147,11 @@
 
 func TestAttemptIsCutWhereItsAnswerIsWorthless(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[1].LateShare = 0.5
+	cfg.Classes[1].LateValueShare = 0.5
 	b, h := start(t, cfg, ready(1, 2))
 	ask(b, 0, 1, safeClass)
 	ask(b, 0, 2, keyedAll)
-	b.Request(0, Request{ID: 3, Class: keyedCell, Left: 300 * ms})
+	b.RequestReceived(0, Request{ID: 3, Class: keyedCell, Timeout: 300 * ms})
 	if got := h.sends[0].timeout; got != time.Second {
 		t.Errorf("time-out %v, want the aim", got)
 	}
@@ -165,19 +167,19 @@
 	for _, c := range []struct {
 		name  string
 		class int
-		ends  Ending
+		ends  AttemptResult
 		again bool
 		fails bool // where it is not sent again
 	}{
-		{"safe after an error", safeClass, Errored, true, false},
-		{"keyed after a reset", keyedAll, Broken, true, false},
-		{"unsafe turned away", unsafeClass, TurnedAway, true, false},
-		{"unsafe without a connection", unsafeClass, NoConnection, true, false},
+		{"safe after an error", safeClass, ServerError, true, false},
+		{"keyed after a reset", keyedAll, ConnectionReset, true, false},
+		{"unsafe turned away", unsafeClass, Rejected, true, false},
+		{"unsafe without a connection", unsafeClass, ConnectionFailed, true, false},
 		{"unsafe never sent", unsafeClass, NotSent, true, false},
-		{"unsafe after an error", unsafeClass, Errored, false, true},
-		{"unsafe after a reset", unsafeClass, Broken, false, true},
+		{"unsafe after an error", unsafeClass, ServerError, false, true},
+		{"unsafe after a reset", unsafeClass, ConnectionReset, false, true},
 		{"unsafe after a time-out", unsafeClass, TimedOut, false, true},
-		{"unsafe after an unknown end", unsafeClass, Ending(99), false, true},
+		{"unsafe after an unknown end", unsafeClass, AttemptResult(99), false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, h := start(t, testConfig(), ready(1, 2, 3))
@@ -200,7 +202,7 @@
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5))
 	ask(b, 0, 1, unsafeClass)
 	for i := range 3 {
-		end(b, time.Duration(i+1)*ms, 1, i, NoConnection)
+		end(b, time.Duration(i+1)*ms, 1, i, ConnectionFailed)
 	}
 	if _, ok := h.refused[1]; len(h.sends) != 3 || !ok {
 		t.Fatalf("sends %d, refused %v; want 3 and a refusal: it provably never ran", len(h.sends), ok)
@@ -208,11 +210,11 @@
 }
 
 func TestKeyedStaysInItsGroup(t *testing.T) {
-	list := []Server{
-		{ID: 1, State: Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, State: Ready, Weight: 1, Zone: 0, Cell: 11},
-		{ID: 3, State: Ready, Weight: 1, Zone: 1, Cell: 12}, {ID: 4, State: Ready, Weight: 1, Zone: 1, Cell: 12},
+	list := []Endpoint{
+		{ID: 1, Health: Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, Health: Ready, Weight: 1, Zone: 0, Cell: 11},
+		{ID: 3, Health: Ready, Weight: 1, Zone: 1, Cell: 12}, {ID: 4, Health: Ready, Weight: 1, Zone: 1, Cell: 12},
 	}
-	byID := func(id ServerID) Server { return list[id-1] }
+	byID := func(id EndpointID) Endpoint { return list[id-1] }
 	for id := range RequestID(8) { // the turns make the first attempt meet every server
 		for _, class := range []int{keyedZone, keyedCell} {
 			b, h := start(t, testConfig(), list)
@@ -223,7 +225,7 @@
 			h.sends = nil
 			ask(b, 2*ms, 1, class)
 			first := byID(h.sends[0].to)
-			end(b, 30*ms, 1, 0, Broken)
+			end(b, 30*ms, 1, 0, ConnectionReset)
 			if len(h.sends) < 2 {
 				if class == keyedZone || first.Zone == 1 {
 					t.Fatalf("class %d from server %d was not sent again", class, first.ID)
@@ -239,25 +241,25 @@
 }
 
 func TestKeyedGroupCountsFromTheAttemptThatMayHaveRun(t *testing.T) {
-	list := []Server{{ID: 1, State: Ready, Weight: 1, Zone: 0}, {ID: 2, State: Ready, Weight: 1, Zone: 1},
-		{ID: 3, State: Ready, Weight: 1, Zone: 1}}
+	list := []Endpoint{{ID: 1, Health: Ready, Weight: 1, Zone: 0}, {ID: 2, Health: Ready, Weight: 1, Zone: 1},
+		{ID: 3, Health: Ready, Weight: 1, Zone: 1}}
 	b, h := start(t, testConfig(), list)
 	for h.sentTo(1) == 0 || len(h.sends) == 0 || h.sends[len(h.sends)-1].to != 1 {
 		id := RequestID(100 + len(h.sends))
 		ask(b, 0, id, safeClass)
 		end(b, ms, id, 0, Served)
 	}
-	b.List(ms, ListDelta, []Server{{ID: 3, State: Gone}})
+	b.EndpointsUpdated(ms, DeltaUpdate, []Endpoint{{ID: 3, Health: Removed}})
 	h.sends = nil
 	ask(b, 2*ms, 1, keyedZone) // it is the turn of server 2, in zone 1
 	if h.sends[0].to != 2 {
 		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
 	}
-	end(b, 3*ms, 1, 0, TurnedAway) // it never ran there, so zone 1 does not bind
+	end(b, 3*ms, 1, 0, Rejected) // it never ran there, so zone 1 does not bind
 	if len(h.sends) != 2 || h.sends[1].to != 1 {
 		t.Fatalf("sends %v, want a second attempt at server 1", h.sends)
 	}
-	end(b, 4*ms, 1, 1, Broken) // may have run in zone 0: server 2 is barred now
+	end(b, 4*ms, 1, 1, ConnectionReset) // may have run in zone 0: server 2 is barred now
 	if len(h.sends) != 2 {
 		t.Fatalf("sent outside the group: %v", h.sends)
 	}
@@ -266,21 +268,21 @@
 func TestKeyedWindowAndRefusal(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3))
 	ask(b, 0, 1, keyedAll)
-	end(b, 700*ms, 1, 0, Errored) // the window of 700 ms since its send is over
+	end(b, 700*ms, 1, 0, ServerError) // the window of 700 ms since its send is over
 	if _, refused := h.refused[1]; len(h.sends) != 1 || !refused {
 		t.Fatalf("sends %d, refused %v; want 1 and a refusal, as all servers drop repeats", len(h.sends), refused)
 	}
 	ask(b, 800*ms, 2, keyedZone)
-	end(b, 1500*ms, 2, 0, Errored)
+	end(b, 1500*ms, 2, 0, ServerError)
 	if !h.failed[2] {
 		t.Fatal("a keyed request that may have run, with a group of one zone, must be failed and not refused")
 	}
 }
 
 func TestDrainingServerGetsNothingMore(t *testing.T) {
-	for _, state := range []State{Draining, Gone} {
+	for _, state := range []Health{Draining, Removed} {
 		b, h := start(t, testConfig(), ready(1, 2))
-		b.List(10*ms, ListDelta, []Server{{ID: 1, State: state, Weight: 1}})
+		b.EndpointsUpdated(10*ms, DeltaUpdate, []Endpoint{{ID: 1, Health: state, Weight: 1}})
 		for id := range RequestID(10) {
 			ask(b, 10*ms, id, safeClass)
 			end(b, 20*ms, id, 0, Served)
@@ -290,7 +292,7 @@
 		}
 	}
 	b, h := start(t, testConfig(), ready(1, 2))
-	b.List(10*ms, ListFull, ready(2)) // absent from a full list
+	b.EndpointsUpdated(10*ms, FullUpdate, ready(2)) // absent from a full list
 	for id := range RequestID(4) {
 		ask(b, 10*ms, id, safeClass)
 	}
@@ -302,11 +304,11 @@
 func TestColdServerIsSpared(t *testing.T) {
 	for _, balancers := range []int{1, 4} {
 		cfg := testConfig()
-		cfg.Balancers = balancers
+		cfg.FleetSize = balancers
 		list := ready(1, 2)
 		b, h := start(t, cfg, list)
-		list[0].Started = 10 * time.Second // restarted under the same id
-		b.List(10*time.Second, ListDelta, list[:1])
+		list[0].StartedAt = 10 * time.Second // restarted under the same id
+		b.EndpointsUpdated(10*time.Second, DeltaUpdate, list[:1])
 		id := RequestID(0)
 		sends := map[bool]int{} // by whether in the first window
 		for now := 10 * time.Second; now < 20*time.Second; now += 2 * ms {
@@ -339,7 +341,7 @@
 			end(b, now+5*ms, id, 0, Served)
 		}
 		now += 10 * ms
-		b.Wake(now)
+		b.TimerFired(now)
 		for i := range h.sends { // server 1 answers nothing: time-outs after the aim
 			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].sent+s.timeout <= now {
 				end(b, now, s.id, 0, TimedOut)
@@ -349,7 +351,7 @@
 	if n := h.sentTo(1); n > 60 {
 		t.Fatalf("a server that never answered got %d of 300 first sends", n)
 	}
-	if b.Counters().Trials == 0 {
+	if b.Counters().TrialRequests == 0 {
 		t.Fatalf("counters %+v: want trials", b.Counters())
 	}
 }
@@ -360,7 +362,7 @@
 	for id := range RequestID(100) {
 		now := time.Duration(id) * 20 * ms
 		ask(b, now, id, unsafeClass) // never sent again after an error
-		end(b, now+5*ms, id, 0, map[bool]Ending{true: Errored, false: Served}[h.sends[len(h.sends)-1].to == 1])
+		end(b, now+5*ms, id, 0, map[bool]AttemptResult{true: ServerError, false: Served}[h.sends[len(h.sends)-1].to == 1])
 	}
 	if n := h.sentTo(1); n < 3 || n > 5 {
 		t.Fatalf("a server that only fails got %d of 100 sends", n)
@@ -373,7 +375,7 @@
 	id, now := RequestID(0), time.Duration(0)
 	for ; h.sentTo(1) == 0; id++ {
 		ask(b, now, id, safeClass)
-		end(b, now, id, 0, map[bool]Ending{true: NoConnection, false: Served}[h.sends[len(h.sends)-1].to == 1])
+		end(b, now, id, 0, map[bool]AttemptResult{true: ConnectionFailed, false: Served}[h.sends[len(h.sends)-1].to == 1])
 		end(b, now, id, 1, Served)
 	}
 	if !b.known[1].unwell {
@@ -382,7 +384,7 @@
 	before := h.sentTo(1)
 	for ; now < 3*time.Second; id++ {
 		now += 20 * ms
-		b.Wake(now)
+		b.TimerFired(now)
 		ask(b, now, id, safeClass)
 		end(b, now+5*ms, id, 0, Served)
 	}
@@ -394,8 +396,8 @@
 func TestAllUnwellStillServes(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
 	ask(b, 0, 1, safeClass)
-	end(b, 0, 1, 0, NoConnection)
-	end(b, 0, 1, 1, NoConnection)
+	end(b, 0, 1, 0, ConnectionFailed)
+	end(b, 0, 1, 1, ConnectionFailed)
 	if b.well != 0 {
 		t.Fatal("set-up: a server is still held to be well")
 	}
@@ -421,9 +423,9 @@
 // Guards against this: all walls together let servers pass into their slower state.
 func TestReportedLoadWallsTheFleet(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe, cfg.Reports = true, true
+	cfg.ProbesAllowed, cfg.ProbeLoadReports = true, true
 	b, h := start(t, cfg, ready(1, 2))
-	b.Probed(ms, 1, true, Load{InFlight: 50})
+	b.ProbeCompleted(ms, 1, true, LoadReport{InFlight: 50})
 	for id := range RequestID(4) {
 		ask(b, ms, id, safeClass)
 	}
@@ -433,8 +435,8 @@
 	if len(h.probes) != 2 {
 		t.Fatalf("%d probes for 4 requests, want 2", len(h.probes))
 	}
-	b.Probed(2*ms, 9, true, Load{InFlight: 1})   // a server not listed
-	b.Probed(2*ms, 1, false, Load{InFlight: -1}) // a failed probe
+	b.ProbeCompleted(2*ms, 9, true, LoadReport{InFlight: 1})   // a server not listed
+	b.ProbeCompleted(2*ms, 1, false, LoadReport{InFlight: -1}) // a failed probe
 	for id := RequestID(10); id < 12; id++ {
 		ask(b, 2*time.Second, id, safeClass) // the report is old by now
 	}
@@ -446,16 +448,16 @@
 // Guards against this: a fleet shrinks, and what is left is handed the portions of what went.
 func TestPortionsDoNotGrowWhenServersLeave(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe = true
+	cfg.ProbesAllowed = true
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.List(ms, ListFull, ready(1))
+	b.EndpointsUpdated(ms, FullUpdate, ready(1))
 	for id := range RequestID(6) {
 		ask(b, ms, id, safeClass)
 	}
 	if h.sentTo(1) != 2 {
 		t.Fatalf("%d of 8 slots at the last of four servers, want its portion of 2", h.sentTo(1))
 	}
-	b.Probed(2*ms, 1, true, Load{InFlight: 6}) // 12 at the quotas, a fourth of it at one server
+	b.ProbeCompleted(2*ms, 1, true, LoadReport{InFlight: 6}) // 12 at the quotas, a fourth of it at one server
 	end(b, 3*ms, h.sends[0].id, 0, Served)
 	ask(b, 3*ms, 10, safeClass)
 	if h.sentTo(1) != 2 {
@@ -466,7 +468,7 @@
 // Guards against crossing zones on every request where it is priced.
 func TestNearServersFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.CrossZonePrice, cfg.Zone = 0.02, 1
+	cfg.CrossZoneCost, cfg.Zone = 0.02, 1
 	list := ready(1, 2, 3)
 	list[2].Zone = 1
 	b, h := start(t, cfg, list)
@@ -485,33 +487,33 @@
 
 func TestAsksForTheListAndAgain(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList = true
+	cfg.WatchOnRequest = true
 	b, h := start(t, cfg, ready(1))
 	if h.asks != 1 {
 		t.Fatalf("asked %d times at the start", h.asks)
 	}
 	gaps, last, asked := []time.Duration{}, time.Duration(0), 1
-	b.List(0, ListFailed, nil)
+	b.EndpointsUpdated(0, FailedUpdate, nil)
 	for now := 10 * ms; now < 40*time.Second; now += 10 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 		if h.asks > asked {
 			asked = h.asks
 			gaps = append(gaps, now-last)
 			last = now
-			b.List(now, ListFailed, nil)
+			b.EndpointsUpdated(now, FailedUpdate, nil)
 		}
 	}
 	// With 3 s after which a call is given up and 2 s that the next may wait, what could
 	// be had is known 8 s later: told after 6 s, a drain is kept after 2 s more.
-	if len(gaps) < 4 || slices.Max(gaps) >= 3*time.Second || slices.Max(gaps) >= cfg.AskWithin || gaps[0] >= gaps[len(gaps)-1] {
-		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.AskWithin)
+	if len(gaps) < 4 || slices.Max(gaps) >= 3*time.Second || slices.Max(gaps) >= cfg.WatchRequestWithin || gaps[0] >= gaps[len(gaps)-1] {
+		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.WatchRequestWithin)
 	}
 	if b.known[1] == nil {
 		t.Fatal("a failed call dropped the old list")
 	}
-	b.List(40*time.Second, ListFull, ready(1))
+	b.EndpointsUpdated(40*time.Second, FullUpdate, ready(1))
 	for now := 40 * time.Second; now < 60*time.Second; now += 10 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 	}
 	if h.asks != asked {
 		t.Fatal("asks again though it is subscribed")
@@ -520,12 +522,12 @@
 
 func TestUnansweredCallIsRepeated(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList = true
+	cfg.WatchOnRequest = true
 	h := newFakeHost()
 	b, _ := New(cfg, 1, h)
 	b.Start(0)
-	for now := time.Duration(0); now < cfg.AskWithin; now += 50 * ms {
-		b.Wake(now)
+	for now := time.Duration(0); now < cfg.WatchRequestWithin; now += 50 * ms {
+		b.TimerFired(now)
 	}
 	if h.asks < 2 {
 		t.Fatal("silence of the list service would have counted as being told")
@@ -535,12 +537,12 @@
 // Guards against asking at every Wake, or never again, where it is not known how soon silence counts.
 func TestUnansweredCallIsRepeatedNowAndThenWithoutALimit(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList, cfg.AskWithin = true, 0
+	cfg.WatchOnRequest, cfg.WatchRequestWithin = true, 0
 	h := newFakeHost()
 	b, _ := New(cfg, 1, h)
 	b.Start(0)
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 	}
 	if h.asks != 3 {
 		t.Fatalf("asked %d times in 10 s, want at the start and every 4 s", h.asks)
@@ -549,11 +551,11 @@
 
 func TestOddEventsArePassedOver(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	b.Request(0, Request{ID: 1, Class: 99, Left: time.Second})
-	b.Request(0, Request{ID: 2, Class: -1, Left: time.Second})
-	b.Request(0, Request{ID: 3, Tenant: 7, Left: time.Second})
-	b.Request(0, Request{ID: 4, Left: 0})
-	b.Request(0, Request{ID: 5, Left: -time.Second})
+	b.RequestReceived(0, Request{ID: 1, Class: 99, Timeout: time.Second})
+	b.RequestReceived(0, Request{ID: 2, Class: -1, Timeout: time.Second})
+	b.RequestReceived(0, Request{ID: 3, Tenant: 7, Timeout: time.Second})
+	b.RequestReceived(0, Request{ID: 4, Timeout: 0})
+	b.RequestReceived(0, Request{ID: 5, Timeout: -time.Second})
 	if len(h.refused) != 5 || len(h.sends) != 0 {
 		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.refused), len(h.sends))
 	}
@@ -562,8 +564,8 @@
 	end(b, 0, 6, 3, Served)
 	end(b, 0, 6, -1, Served)
 	end(b, 0, 77, 0, Served)
-	b.ClientGone(0, 77)
-	b.StreamBegun(77)
+	b.ClientDisconnected(0, 77)
+	b.ResponseStarted(77)
 	if len(h.sends) != 1 || b.SlotsFree(0) != 5 {
 		t.Fatalf("sends %d, slots free %d; want 1 and 5", len(h.sends), b.SlotsFree(0))
 	}
@@ -577,7 +579,7 @@
 func TestClientGoneFreesAndForgets(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
 	ask(b, 0, 1, safeClass)
-	b.ClientGone(ms, 1)
+	b.ClientDisconnected(ms, 1)
 	if len(h.cancelled) != 1 || b.SlotsFree(0) != 5 {
 		t.Fatal("the attempt was not called off, or its slot freed before it ended")
 	}
@@ -590,14 +592,14 @@
 func TestStreamIsLeftAlone(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
 	ask(b, 0, 1, safeClass)
-	b.StreamBegun(1)
+	b.ResponseStarted(1)
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 	}
 	if len(h.refused)+len(h.failed)+len(h.cancelled) != 0 || len(h.sends) != 1 {
 		t.Fatal("a stream that had begun was answered, called off or sent again")
 	}
-	b.Outcome(11*time.Second, Outcome{ID: 1, Ending: Broken, Settled: true})
+	b.AttemptEnded(11*time.Second, AttemptOutcome{ID: 1, Result: ConnectionReset, Completed: true})
 	if len(b.requests) != 0 {
 		t.Fatal("the ended stream is still held")
 	}
@@ -612,19 +614,19 @@
 		case 0:
 			end(b, now+ms, id, 0, Served)
 		case 1:
-			b.ClientGone(now+ms, id)
+			b.ClientDisconnected(now+ms, id)
 			end(b, now+2*ms, id, 0, Cancelled)
 		case 2:
-			end(b, now+ms, id, 0, Broken)
+			end(b, now+ms, id, 0, ConnectionReset)
 			end(b, now+2*ms, id, 1, Served)
 		}
 		if id%100 == 0 {
-			b.List(now, ListDelta, []Server{{ID: ServerID(1000 + id), State: Ready, Weight: 1}})
-			b.List(now, ListDelta, []Server{{ID: ServerID(1000 + id), State: Gone}})
+			b.EndpointsUpdated(now, DeltaUpdate, []Endpoint{{ID: EndpointID(1000 + id), Health: Ready, Weight: 1}})
+			b.EndpointsUpdated(now, DeltaUpdate, []Endpoint{{ID: EndpointID(1000 + id), Health: Removed}})
 		}
-		b.Wake(now + 3*ms)
+		b.TimerFired(now + 3*ms)
 	}
-	b.Wake(time.Hour)
+	b.TimerFired(time.Hour)
 	if len(b.requests) > 3 || len(b.open) > 3 || len(b.servers) != 2 || cap(b.open) > 100 {
 		t.Fatalf("held: %d requests, %d open (room for %d), %d servers",
 			len(b.requests), len(b.open), cap(b.open), len(b.servers))
@@ -635,7 +637,7 @@
 	cfg := testConfig()
 	cfg.Slots = 0
 	for _, balancers := range []int{1, 4, 64} {
-		cfg.Balancers = balancers
+		cfg.FleetSize = balancers
 		b, _ := start(t, cfg, ready(1))
 		whole := 100*1*slotAim + 2*spread*math.Sqrt(100*slotAim) + 2
 		if b.slots < 2 || float64(b.slots) > whole {
@@ -645,9 +647,9 @@
 			t.Errorf("%d balancers: compartments %d and %d", balancers, b.SlotsFree(0), b.SlotsFree(1))
 		}
 	}
-	cfg.Tenants, cfg.Balancers = nil, 4 // no tenants and no quota: one compartment, sized by the first list
+	cfg.Tenants, cfg.FleetSize = nil, 4 // no tenants and no quota: one compartment, sized by the first list
 	b, h := start(t, cfg, ready(1, 2))
-	b.Request(0, Request{ID: 1, Left: time.Second})
+	b.RequestReceived(0, Request{ID: 1, Timeout: time.Second})
 	if len(b.parts) != 1 || b.slots != 7 || len(h.sends) != 1 {
 		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.parts), b.slots, len(h.sends))
 	}
@@ -655,20 +657,20 @@
 
 func TestNewNamesTheUnusableField(t *testing.T) {
 	for field, spoil := range map[string]func(*Config){
-		"Balancers":     func(c *Config) { c.Balancers = 0 },
+		"Balancers":     func(c *Config) { c.FleetSize = 0 },
 		"Classes":       func(c *Config) { c.Classes = nil },
 		"MaxAttempts":   func(c *Config) { c.MaxAttempts = 0 },
 		"Slots":         func(c *Config) { c.Slots = -1 },
-		"ColdFrom":      func(c *Config) { c.ColdFrom = 1.5 },
-		"ColdMultiple":  func(c *Config) { c.ColdMultiple = math.Inf(1) },
-		"ColdTime":      func(c *Config) { c.ColdTime = -1 },
-		"ProbePrice":    func(c *Config) { c.ProbePrice = math.NaN() },
-		"CrossZone":     func(c *Config) { c.CrossZonePrice = -1 },
-		"AskWithin":     func(c *Config) { c.AskWithin = -1 },
-		"Tick":          func(c *Config) { c.Tick = -1 },
-		"Aim":           func(c *Config) { c.Classes[2].Aim = 0 },
+		"ColdFrom":      func(c *Config) { c.SlowStartInitialShare = 1.5 },
+		"ColdMultiple":  func(c *Config) { c.SlowStartOverloadFactor = math.Inf(1) },
+		"ColdTime":      func(c *Config) { c.SlowStartDuration = -1 },
+		"ProbePrice":    func(c *Config) { c.ProbeCost = math.NaN() },
+		"CrossZone":     func(c *Config) { c.CrossZoneCost = -1 },
+		"AskWithin":     func(c *Config) { c.WatchRequestWithin = -1 },
+		"Tick":          func(c *Config) { c.EventResolution = -1 },
+		"Aim":           func(c *Config) { c.Classes[2].LatencyObjective = 0 },
 		"Deadline":      func(c *Config) { c.Classes[0].Deadline = -1 },
-		"LateShare":     func(c *Config) { c.Classes[0].LateShare = math.NaN() },
+		"LateShare":     func(c *Config) { c.Classes[0].LateValueShare = math.NaN() },
 		"Share":         func(c *Config) { c.Tenants[1].Share = -0.1 },
 		"Quota":         func(c *Config) { c.Tenants[1].Quota = math.NaN() },
 		"adds up to 0":  func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} },
@@ -687,7 +689,7 @@
 func TestFirstSendsToAFreshServerAreSpread(t *testing.T) {
 	const balancers = 200
 	cfg := testConfig()
-	cfg.Balancers = balancers
+	cfg.FleetSize = balancers
 	sends := 0
 	for seed := range uint64(balancers) {
 		h := newFakeHost()
@@ -697,9 +699,9 @@
 		}
 		list := ready(1, 2)
 		b.Start(0)
-		b.List(0, ListFull, list)
-		list[0].Started = 10 * time.Second
-		b.List(10*time.Second, ListDelta, list[:1])
+		b.EndpointsUpdated(0, FullUpdate, list)
+		list[0].StartedAt = 10 * time.Second
+		b.EndpointsUpdated(10*time.Second, DeltaUpdate, list[:1])
 		for id := range RequestID(20) {
 			now := 10*time.Second + time.Duration(id)*100*ms
 			ask(b, now, id, safeClass)
@@ -716,7 +718,7 @@
 // thinConfig has so many balancers that each sees too little of a server.
 func thinConfig() Config {
 	cfg := testConfig()
-	cfg.Balancers, cfg.MayProbe, cfg.Slots = 1000, true, 8
+	cfg.FleetSize, cfg.ProbesAllowed, cfg.Slots = 1000, true, 8
 	return cfg
 }
 
@@ -726,17 +728,17 @@
 	tests := []struct {
 		name    string
 		reports bool
-		answers []Load // by server 1 and 2, in that order; nil: neither answers
-		to      ServerID
+		answers []LoadReport // by server 1 and 2, in that order; nil: neither answers
+		to      EndpointID
 	}{
-		{"the first to answer", false, []Load{{InFlight: -1}}, 1},
-		{"the less loaded", true, []Load{{InFlight: 9}, {InFlight: 2}}, 2},
+		{"the first to answer", false, []LoadReport{{InFlight: -1}}, 1},
+		{"the less loaded", true, []LoadReport{{InFlight: 9}, {InFlight: 2}}, 2},
 		{"nobody", false, nil, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg := thinConfig()
-			cfg.Reports = tt.reports
+			cfg.ProbeLoadReports = tt.reports
 			b, h := start(t, cfg, ready(1, 2))
 			free := b.SlotsFree(0)
 			ask(b, 0, 1, unsafeClass)
@@ -745,10 +747,10 @@
 					h.probes, h.sends, b.SlotsFree(0), free)
 			}
 			for i, l := range tt.answers {
-				b.Probed(10*ms, ServerID(i+1), true, l)
+				b.ProbeCompleted(10*ms, EndpointID(i+1), true, l)
 			}
 			for now := 10 * ms; now <= 400*ms; now += 10 * ms {
-				b.Wake(now)
+				b.TimerFired(now)
 			}
 			_, refused := h.refused[1]
 			switch {
@@ -769,7 +771,7 @@
 // Guards against this: a request with as good as no time left is lost while it waits for a knock's answer.
 func TestNoKnockWithoutTime(t *testing.T) {
 	b, h := start(t, thinConfig(), ready(1, 2))
-	b.Request(0, Request{ID: 1, Class: safeClass, Left: ms})
+	b.RequestReceived(0, Request{ID: 1, Class: safeClass, Timeout: ms})
 	if _, refused := h.refused[1]; !refused {
 		t.Fatal("a request without time to knock was not refused at once")
 	}
@@ -785,7 +787,7 @@
 			now := from + time.Duration(id-first)*100*ms
 			ask(b, now, id, safeClass)
 			for k := len(h.probes) - 2; k >= 0 && k < len(h.probes); k++ {
-				b.Probed(now, h.probes[k], true, Load{InFlight: -1})
+				b.ProbeCompleted(now, h.probes[k], true, LoadReport{InFlight: -1})
 			}
 			if len(h.sends) > before+sent {
 				sent++
@@ -809,7 +811,7 @@
 // Guards against this: on a quiet day two probes for every request cost more than all that goes wrong.
 func TestKnocksOnlyWhereTheyPay(t *testing.T) {
 	cfg := thinConfig()
-	cfg.ProbePrice = 0.05
+	cfg.ProbeCost = 0.05
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
 	for id := range RequestID(20) {
 		now := time.Duration(id) * 200 * ms
@@ -833,13 +835,13 @@
 // fills the servers' tables, and open most of them anew for each request.
 func TestThinTrafficKeepsToHalfOfTheNearServers(t *testing.T) {
 	reached := func(cfg Config) int {
-		cfg.CrossZonePrice, cfg.ProbePrice = 0.02, 1 // and no knocks
-		var list []Server
-		for id := range ServerID(20) {
-			list = append(list, Server{ID: id, State: Ready, Weight: 1})
+		cfg.CrossZoneCost, cfg.ProbeCost = 0.02, 1 // and no knocks
+		var list []Endpoint
+		for id := range EndpointID(20) {
+			list = append(list, Endpoint{ID: id, Health: Ready, Weight: 1})
 		}
 		b, h := start(t, cfg, list)
-		to := map[ServerID]bool{}
+		to := map[EndpointID]bool{}
 		for id := range RequestID(100) {
 			now := time.Duration(id) * 100 * ms
 			ask(b, now, id, safeClass)
@@ -852,7 +854,7 @@
 		t.Errorf("%d of 20 servers used where traffic is thin, want about half", n)
 	}
 	full := testConfig()
-	full.Balancers = 1
+	full.FleetSize = 1
 	full.Tenants[0].Quota, full.Tenants[1].Quota = 750, 250
 	if n := reached(full); n != 20 {
 		t.Errorf("%d of 20 servers used where traffic is not thin", n)
@@ -878,11 +880,11 @@
 	b, _ := start(t, testConfig(), ready(1, 2))
 	portion := func() float64 { return b.portion(b.known[1]) }
 	alone := portion()
-	b.List(time.Second, ListFull, ready(1, 2, 3, 4))
+	b.EndpointsUpdated(time.Second, FullUpdate, ready(1, 2, 3, 4))
 	overlap := portion()
-	b.List(2*time.Second, ListFull, ready(1, 3))
+	b.EndpointsUpdated(2*time.Second, FullUpdate, ready(1, 3))
 	after := portion()
-	b.List(10*time.Minute, ListDelta, nil)
+	b.EndpointsUpdated(10*time.Minute, DeltaUpdate, nil)
 	if late := portion(); overlap > alone*0.6 || after > overlap*1.1 || late < alone*0.99 {
 		t.Errorf("portions: %v, in the overlap %v, right after it %v, much later %v", alone, overlap, after, late)
 	}
@@ -894,19 +896,19 @@
 func TestOneBrokenConnectionIsChance(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
 	ask(b, 0, 1, unsafeClass)
-	end(b, ms, 1, 0, Broken)
+	end(b, ms, 1, 0, ConnectionReset)
 	if b.known[1].unwell {
 		t.Error("unwell by one broken connection")
 	}
 	ask(b, 2*ms, 2, safeClass)
 	end(b, 3*ms, 2, 0, Served)
 	ask(b, 4*ms, 3, unsafeClass)
-	end(b, 5*ms, 3, 0, Broken)
+	end(b, 5*ms, 3, 0, ConnectionReset)
 	if b.known[1].unwell {
 		t.Error("unwell though it answered between two broken connections")
 	}
 	ask(b, 6*ms, 4, unsafeClass)
-	end(b, 7*ms, 4, 0, Broken)
+	end(b, 7*ms, 4, 0, ConnectionReset)
 	if !b.known[1].unwell || len(h.sends) != 4 {
 		t.Errorf("after two in a row: unwell %v, %d sends", b.known[1].unwell, len(h.sends))
 	}
@@ -919,13 +921,13 @@
 		ask(b, 0, id, unsafeClass)
 	}
 	for id := range RequestID(3) {
-		end(b, ms+time.Duration(id)*100*time.Microsecond, id, 0, Broken)
+		end(b, ms+time.Duration(id)*100*time.Microsecond, id, 0, ConnectionReset)
 	}
 	if len(h.sends) != 3 || b.known[1].unwell {
 		t.Errorf("%d were out as the connections broke, unwell %v", len(h.sends), b.known[1].unwell)
 	}
 	ask(b, 2*ms, 9, unsafeClass)
-	end(b, 3*ms, 9, 0, Broken)
+	end(b, 3*ms, 9, 0, ConnectionReset)
 	if !b.known[1].unwell {
 		t.Error("well, though the next one broke too")
 	}
@@ -935,18 +937,18 @@
 // more than the rest of the balancers usually hold there, it is not full.
 func TestReportedLoadLeavesRoom(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe, cfg.Reports = true, true
+	cfg.ProbesAllowed, cfg.ProbeLoadReports = true, true
 	b, h := start(t, cfg, ready(1, 2))
 	room := b.part(b.mean, b.known[1])
-	for _, id := range []ServerID{1, 2} {
-		b.Probed(0, id, true, Load{InFlight: room + 1})
+	for _, id := range []EndpointID{1, 2} {
+		b.ProbeCompleted(0, id, true, LoadReport{InFlight: room + 1})
 	}
 	ask(b, ms, 1, safeClass)
 	if len(h.sends) != 1 {
 		t.Error("nothing is sent with a place free at each server")
 	}
-	for _, id := range []ServerID{1, 2} {
-		b.Probed(2*ms, id, true, Load{InFlight: room + 4})
+	for _, id := range []EndpointID{1, 2} {
+		b.ProbeCompleted(2*ms, id, true, LoadReport{InFlight: room + 4})
 	}
 	ask(b, 3*ms, 2, safeClass)
 	if len(h.sends) != 1 {
@@ -965,7 +967,7 @@
 		for seed := range uint64(8) {
 			restarted := seed%2 == 1
 			cfg := testConfig()
-			cfg.Balancers, cfg.Slots = balancers, 40
+			cfg.FleetSize, cfg.Slots = balancers, 40
 			cfg.Tenants = []Tenant{{Share: 1, Quota: quota}}
 			capacity := quota / servers // requests a second of one server, warm
 			if quota == 0 {
@@ -974,14 +976,14 @@
 			seeds := rand.New(rand.NewPCG(seed, 1)) // near ones would make their first choices alike
 			now := time.Hour
 			fleet, hosts := make([]*Balancer, balancers), make([]*fakeHost, balancers)
-			begin := func(i int, list []Server) {
+			begin := func(i int, list []Endpoint) {
 				h := newFakeHost()
 				b, err := New(cfg, seeds.Uint64(), h)
 				if err != nil {
 					t.Fatal(err)
 				}
 				b.Start(now)
-				b.List(now, ListFull, list)
+				b.EndpointsUpdated(now, FullUpdate, list)
 				fleet[i], hosts[i] = b, h
 			}
 			for i := range fleet {
@@ -1010,21 +1012,21 @@
 				serve(false)
 			}
 			began := now
-			cold := Server{ID: 1, State: Ready, Weight: 1, Started: began}
+			cold := Endpoint{ID: 1, Health: Ready, Weight: 1, StartedAt: began}
 			for i := range fleet { // told at once, all of them, and with the whole list where they start anew themselves
 				if !restarted {
-					fleet[i].List(now, ListDelta, []Server{cold})
+					fleet[i].EndpointsUpdated(now, DeltaUpdate, []Endpoint{cold})
 					continue
 				}
-				begin(i, append([]Server{cold}, warm...))
+				begin(i, append([]Endpoint{cold}, warm...))
 			}
-			for ; now < began+cfg.ColdTime; now += 20 * ms {
+			for ; now < began+cfg.SlowStartDuration; now += 20 * ms {
 				serve(true)
 				for len(sends) > 0 && sends[0] <= now-time.Second {
 					sends = sends[1:]
 				}
-				warmth := cfg.ColdFrom + (1-cfg.ColdFrom)*float64(now-began)/float64(cfg.ColdTime)
-				budget := cfg.ColdMultiple * warmth * capacity
+				warmth := cfg.SlowStartInitialShare + (1-cfg.SlowStartInitialShare)*float64(now-began)/float64(cfg.SlowStartDuration)
+				budget := cfg.SlowStartOverloadFactor * warmth * capacity
 				if most := budget + 2*math.Sqrt(budget) + 2; float64(len(sends)) > most {
 					t.Errorf("%s, seed %d: %d requests within a second, %v after its start; it bears %.1f", name, seed, len(sends), now-began, most)
 				}
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -19,13 +19,13 @@
 	next    RequestID
 	held    map[RequestID]*asked
 	order   []RequestID // ids of held, in order, so that a run can be repeated
-	listed  map[ServerID]Server
+	listed  map[EndpointID]Endpoint
 	trace   []string
 	watches int
-	cold    map[ServerID][]time.Duration // sends to each cold server in the last second
+	cold    map[EndpointID][]time.Duration // sends to each cold server in the last second
 	timers  []time.Duration
-	probed  []ServerID // not answered yet
-	slots   []int      // of each compartment
+	probed  []EndpointID // not answered yet
+	slots   []int        // of each compartment
 }
 
 // asked is what the world knows of one request.
@@ -37,15 +37,15 @@
 }
 
 type tried struct {
-	to   Server
+	to   Endpoint
 	sent time.Duration
-	end  Ending
+	end  AttemptResult
 	out  bool
 }
 
 func (a *asked) mayHaveRun() *tried {
 	for i := range a.tries {
-		if e := a.tries[i].end; a.tries[i].out || (e != TurnedAway && e != NoConnection && e != NotSent) {
+		if e := a.tries[i].end; a.tries[i].out || (e != Rejected && e != ConnectionFailed && e != NotSent) {
 			return &a.tries[i]
 		}
 	}
@@ -56,14 +56,14 @@
 	w.trace = append(w.trace, fmt.Sprintf(format, args...))
 }
 
-func (w *world) Send(id RequestID, to ServerID, timeout, within time.Duration) {
+func (w *world) Send(id RequestID, to EndpointID, timeout, within time.Duration) {
 	w.note("send %d %d %v", id, to, timeout)
 	a, s := w.held[id], w.listed[to]
 	switch {
 	case a == nil || a.answered:
 		w.t.Fatalf("rule 1: attempt for request %d, which is over", id)
-	case s.State != Ready:
-		w.t.Fatalf("rule 3: attempt at server %d in state %d", to, s.State)
+	case s.Health != Ready:
+		w.t.Fatalf("rule 3: attempt at server %d in state %d", to, s.Health)
 	case timeout <= 0 || w.now+timeout > a.deadline:
 		w.t.Fatalf("rule 1: time-out %v at %v runs past the deadline %v", timeout, w.now, a.deadline)
 	case len(a.tries) >= w.cfg.MaxAttempts:
@@ -72,14 +72,14 @@
 	class := w.cfg.Classes[a.q.Class]
 	if first := a.mayHaveRun(); first != nil {
 		switch {
-		case class.Effect == Keyed && (within <= 0 || w.now+within > first.sent+class.Window):
-			w.t.Fatalf("rule 2: keyed request %d may be written %v later, past its window of %v from %v", id, within, class.Window, first.sent)
-		case class.Effect == Unsafe:
+		case class.Idempotency == IdempotentByKey && (within <= 0 || w.now+within > first.sent+class.DedupWindow):
+			w.t.Fatalf("rule 2: keyed request %d may be written %v later, past its window of %v from %v", id, within, class.DedupWindow, first.sent)
+		case class.Idempotency == NotIdempotent:
 			w.t.Fatalf("rule 2: unsafe request %d sent again though it may have run", id)
-		case class.Effect == Keyed && w.now-first.sent >= class.Window:
+		case class.Idempotency == IdempotentByKey && w.now-first.sent >= class.DedupWindow:
 			w.t.Fatalf("rule 2: keyed request %d sent again %v after the first send", id, w.now-first.sent)
-		case class.Effect == Keyed && class.Scope == ScopeZone && s.Zone != first.to.Zone,
-			class.Effect == Keyed && class.Scope == ScopeCell && s.Cell != first.to.Cell:
+		case class.Idempotency == IdempotentByKey && class.DedupScope == ScopeZone && s.Zone != first.to.Zone,
+			class.Idempotency == IdempotentByKey && class.DedupScope == ScopeCell && s.Cell != first.to.Cell:
 			w.t.Fatalf("rule 2: keyed request %d sent outside its group", id)
 		}
 	}
@@ -89,22 +89,22 @@
 
 // watchCold checks that this balancer keeps to its even part of a cold server's budget in any
 // second, with one send of slack at each end of it.
-func (w *world) watchCold(s Server) {
-	if s.Started == 0 || w.now >= s.Started+w.cfg.ColdTime {
+func (w *world) watchCold(s Endpoint) {
+	if s.StartedAt == 0 || w.now >= s.StartedAt+w.cfg.SlowStartDuration {
 		return
 	}
-	weight := func(s Server) float64 { return max(s.Weight, 1) } // no weight counts as 1
+	weight := func(s Endpoint) float64 { return max(s.Weight, 1) } // no weight counts as 1
 	quota, total := 0.0, 0.0
 	for _, t := range w.cfg.Tenants {
 		quota += t.Quota
 	}
 	for _, o := range w.listed {
-		if o.State == Ready {
+		if o.Health == Ready {
 			total += weight(o)
 		}
 	}
-	warm := w.cfg.ColdFrom + (1-w.cfg.ColdFrom)*float64(w.now-s.Started)/float64(w.cfg.ColdTime)
-	budget := 2 + w.cfg.ColdMultiple*warm*quota/float64(w.cfg.Balancers)*weight(s)/total
+	warm := w.cfg.SlowStartInitialShare + (1-w.cfg.SlowStartInitialShare)*float64(w.now-s.StartedAt)/float64(w.cfg.SlowStartDuration)
+	budget := 2 + w.cfg.SlowStartOverloadFactor*warm*quota/float64(w.cfg.FleetSize)*weight(s)/total
 	recent := slices.DeleteFunc(w.cold[s.ID], func(at time.Duration) bool { return at <= w.now-time.Second })
 	w.cold[s.ID] = append(recent, w.now)
 	if n := float64(len(w.cold[s.ID])); n > budget {
@@ -124,11 +124,11 @@
 	return a
 }
 
-func (w *world) Refuse(id RequestID, pause time.Duration) {
+func (w *world) Reject(id RequestID, pause time.Duration) {
 	w.note("refuse %d %v", id, pause)
 	a := w.answer(id)
 	class := w.cfg.Classes[a.q.Class]
-	if a.mayHaveRun() != nil && (class.Effect == Unsafe || class.Effect == Keyed && class.Scope != ScopeAll) {
+	if a.mayHaveRun() != nil && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != ScopeAll) {
 		w.t.Fatalf("rule 2: request %d refused though it may have run", id)
 	}
 	if pause < 0 || pause > w.cfg.MaxRetryAfter {
@@ -138,18 +138,18 @@
 
 func (w *world) Fail(id RequestID)                { w.note("fail %d", id); w.answer(id) }
 func (w *world) Cancel(id RequestID, attempt int) { w.note("cancel %d %d", id, attempt) }
-func (w *world) Wake(d time.Duration)             { w.note("wake %v", d); w.timers = append(w.timers, w.now+d) }
-func (w *world) Probe(to ServerID)                { w.note("probe %d", to); w.probed = append(w.probed, to) }
-func (w *world) WatchList()                       { w.note("watch"); w.watches++ }
+func (w *world) SetTimer(d time.Duration)         { w.note("wake %v", d); w.timers = append(w.timers, w.now+d) }
+func (w *world) Probe(to EndpointID)              { w.note("probe %d", to); w.probed = append(w.probed, to) }
+func (w *world) RequestWatch()                    { w.note("watch"); w.watches++ }
 
 // drive runs a world; pick(n) chooses among n possibilities.
 func drive(t testing.TB, steps int, pick func(n int) int) []string {
 	cfg := testConfig()
-	cfg.AskList, cfg.MayProbe, cfg.Reports = true, true, pick(2) == 0
-	cfg.Balancers = []int{2, 1000}[pick(2)] // many: traffic too thin to know servers by
-	cfg.CrossZonePrice = float64(pick(2)) * 0.02
-	w := &world{t: t, cfg: cfg, held: map[RequestID]*asked{}, listed: map[ServerID]Server{}, now: time.Hour}
-	w.cold = map[ServerID][]time.Duration{}
+	cfg.WatchOnRequest, cfg.ProbesAllowed, cfg.ProbeLoadReports = true, true, pick(2) == 0
+	cfg.FleetSize = []int{2, 1000}[pick(2)] // many: traffic too thin to know servers by
+	cfg.CrossZoneCost = float64(pick(2)) * 0.02
+	w := &world{t: t, cfg: cfg, held: map[RequestID]*asked{}, listed: map[EndpointID]Endpoint{}, now: time.Hour}
+	w.cold = map[EndpointID][]time.Duration{}
 	b, err := New(cfg, uint64(pick(1000)), w)
 	if err != nil {
 		t.Fatal(err)
@@ -188,32 +188,32 @@
 	case 0, 1, 2:
 		w.next++
 		q := Request{ID: w.next, Class: pick(len(w.cfg.Classes)), Tenant: pick(2)}
-		q.Left = time.Duration(1+pick(2000)) * ms
+		q.Timeout = time.Duration(1+pick(2000)) * ms
 		if pick(8) == 0 {
-			q.Left /= 1000 // as good as none left
+			q.Timeout /= 1000 // as good as none left
 		}
-		w.held[q.ID] = &asked{q: q, deadline: w.now + q.Left}
+		w.held[q.ID] = &asked{q: q, deadline: w.now + q.Timeout}
 		w.order = append(w.order, q.ID)
-		w.b.Request(w.now, q)
+		w.b.RequestReceived(w.now, q)
 	case 3, 4, 5:
 		w.finish(pick)
 	case 6:
-		w.b.Wake(w.now) // one that nobody asked for
+		w.b.TimerFired(w.now) // one that nobody asked for
 	case 7:
 		w.list(pick)
 	case 8:
-		id := ServerID(pick(8)) // not asked for, now and then
+		id := EndpointID(pick(8)) // not asked for, now and then
 		if n := len(w.probed); n > 0 && pick(8) > 0 {
 			k := pick(n)
 			id = w.probed[k]
 			w.probed = slices.Delete(w.probed, k, k+1)
 		}
-		w.b.Probed(w.now, id, pick(3) > 0, Load{InFlight: float64(pick(40) - 1)})
+		w.b.ProbeCompleted(w.now, id, pick(3) > 0, LoadReport{InFlight: float64(pick(40) - 1)})
 	case 9:
 		if len(w.order) > 0 {
 			if id := w.order[pick(len(w.order))]; !w.held[id].answered {
 				w.held[id].answered = true
-				w.b.ClientGone(w.now, id)
+				w.b.ClientDisconnected(w.now, id)
 			}
 		}
 	}
@@ -228,19 +228,19 @@
 		id := w.order[pick(len(w.order))]
 		for i := range w.held[id].tries {
 			if w.held[id].tries[i].out {
-				w.end(id, i, []Ending{Served, Errored, TurnedAway, NoConnection, Broken, Cancelled, NotSent}[pick(7)])
+				w.end(id, i, []AttemptResult{Served, ServerError, Rejected, ConnectionFailed, ConnectionReset, Cancelled, NotSent}[pick(7)])
 				return
 			}
 		}
 	}
 }
 
-func (w *world) end(id RequestID, i int, e Ending) {
+func (w *world) end(id RequestID, i int, e AttemptResult) {
 	a := w.held[id]
 	a.tries[i].out, a.tries[i].end = false, e
 	settled := a.answered || e == Served
 	a.answered = settled
-	w.b.Outcome(w.now, Outcome{ID: id, Attempt: i, Ending: e, Settled: settled})
+	w.b.AttemptEnded(w.now, AttemptOutcome{ID: id, Attempt: i, Result: e, Completed: settled})
 }
 
 // wake calls the Balancer as often as its timers have come due, and no more.
@@ -248,7 +248,7 @@
 	due := len(w.timers)
 	w.timers = slices.DeleteFunc(w.timers, func(at time.Duration) bool { return at <= w.now })
 	for range due - len(w.timers) {
-		w.b.Wake(w.now)
+		w.b.TimerFired(w.now)
 	}
 }
 
@@ -266,33 +266,33 @@
 }
 
 func (w *world) list(pick func(int) int) {
-	entry := func() Server {
-		id := ServerID(pick(8))
-		s := Server{ID: id, Zone: int(id) % 2, Cell: int(id) / 2 % 2 * 2, State: State(pick(3)), Weight: float64(pick(4))}
+	entry := func() Endpoint {
+		id := EndpointID(pick(8))
+		s := Endpoint{ID: id, Zone: int(id) % 2, Cell: int(id) / 2 % 2 * 2, Health: Health(pick(3)), Weight: float64(pick(4))}
 		s.Cell += s.Zone // no two zones share a cell
 		if pick(4) == 0 {
-			s.Started = w.now - time.Duration(pick(10000))*ms
+			s.StartedAt = w.now - time.Duration(pick(10000))*ms
 		}
 		return s
 	}
-	kind := ListKind(pick(4))
-	if kind == ListFailed {
-		w.b.List(w.now, kind, nil)
+	kind := UpdateKind(pick(4))
+	if kind == FailedUpdate {
+		w.b.EndpointsUpdated(w.now, kind, nil)
 		return
 	}
-	var entries []Server
-	if kind != ListDelta {
+	var entries []Endpoint
+	if kind != DeltaUpdate {
 		clear(w.listed)
 	}
 	for range pick(8) {
 		s := entry()
-		if slices.ContainsFunc(entries, func(o Server) bool { return o.ID == s.ID }) {
+		if slices.ContainsFunc(entries, func(o Endpoint) bool { return o.ID == s.ID }) {
 			continue
 		}
 		entries = append(entries, s)
 		w.listed[s.ID] = s
 	}
-	w.b.List(w.now, kind, entries)
+	w.b.EndpointsUpdated(w.now, kind, entries)
 }
 
 // account checks that no compartment has more attempts out than slots, and forgets what is over.
@@ -376,7 +376,7 @@
 		{"a send after the answer", "rule 1", func(w *world) { w.Fail(1); w.Send(1, 1, ms, ms) }},
 		{"an answer far too late", "rule 1", func(w *world) { w.now += 3 * time.Second; w.Fail(1) }},
 		{"an unsafe request twice", "rule 2", func(w *world) { w.Send(1, 1, ms, ms); w.Send(1, 1, ms, ms) }},
-		{"a refusal of what may have run", "rule 2", func(w *world) { w.Send(1, 1, ms, ms); w.Refuse(1, 0) }},
+		{"a refusal of what may have run", "rule 2", func(w *world) { w.Send(1, 1, ms, ms); w.Reject(1, 0) }},
 		{"a burst to a cold server", "rule 4", func(w *world) {
 			for id := RequestID(10); id < 60; id++ {
 				w.held[id] = &asked{q: Request{ID: id}, deadline: w.now + time.Second}
@@ -388,10 +388,10 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := &caught{TB: t}
-			w := &world{t: c, cfg: testConfig(), held: map[RequestID]*asked{}, listed: map[ServerID]Server{}}
-			w.now, w.cold = time.Minute, map[ServerID][]time.Duration{}
-			w.listed[3] = Server{ID: 3, State: Ready, Started: w.now}
-			w.listed[1], w.listed[2] = Server{ID: 1, State: Ready}, Server{ID: 2, State: Draining}
+			w := &world{t: c, cfg: testConfig(), held: map[RequestID]*asked{}, listed: map[EndpointID]Endpoint{}}
+			w.now, w.cold = time.Minute, map[EndpointID][]time.Duration{}
+			w.listed[3] = Endpoint{ID: 3, Health: Ready, StartedAt: w.now}
+			w.listed[1], w.listed[2] = Endpoint{ID: 1, Health: Ready}, Endpoint{ID: 2, Health: Draining}
 			w.held[1] = &asked{q: Request{ID: 1, Class: unsafeClass}, deadline: w.now + 2*time.Second}
 			defer func() {
 				if p := recover(); p != nil && p != any(c) {
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -5,19 +5,19 @@
 
 // The reasons.
 const (
-	NoReason      Reason = iota
-	UnknownClass         // its class or tenant does not exist, or it came with no time left
-	Late                 // an answer would come too late to be of worth
-	Shed                 // too few of the last were answered in time: see Balancer.shed
-	QueueFull            // its compartment's slots and queue are full
-	AttemptsSpent        // it has had all its attempts
-	MayNotRepeat         // what may have run may not be sent again
-	WaitedTooLong        // no slot or server was free in its time
-	ProcessEnds          // nothing is taken any more
-	ReasonsCount         // how many there are
+	NoReason          Reason = iota
+	InvalidRequest           // its class or tenant does not exist, or it came with no time left
+	TooLate                  // an answer would come too late to be of worth
+	LoadShedding             // too few of the last were answered in time: see Balancer.shed
+	QueueFull                // its compartment's slots and queue are full
+	AttemptsExhausted        // it has had all its attempts
+	RetryNotAllowed          // what may have run may not be sent again
+	QueueTimeout             // no slot or server was free in its time
+	ShuttingDown             // nothing is taken any more
+	ReasonCount              // how many there are
 )
 
-var reasonNames = [ReasonsCount]string{
+var reasonNames = [ReasonCount]string{
 	"none", "unknown_class", "late", "shed", "queue_full", "attempts_spent", "may_not_repeat", "waited_too_long", "ending",
 }
 
@@ -27,7 +27,7 @@
 // called for. It may be called from within those.
 func (b *Balancer) Reason() Reason { return b.reason }
 
-func (e Ending) String() string {
+func (e AttemptResult) String() string {
 	names := [...]string{"served", "errored", "turned_away", "timed_out", "no_connection", "broken", "cancelled", "not_sent"}
 	if e < 0 || int(e) >= len(names) {
 		return "unknown"
--- a/policy/start.go
+++ b/policy/start.go
@@ -4,12 +4,12 @@
 
 // StartEvidence is what is known of when a server last started.
 type StartEvidence struct {
-	Told time.Duration // Unix time, as the list tells it; 0: long ago
+	Reported time.Duration // Unix time, as the list tells it; 0: long ago
 
 	// Now is the balancer's clock, which runs monotonically and began at what the wall
-	// clock said then; Wall is what the wall clock says now. They differ by as much as
+	// clock said then; WallClock is what the wall clock says now. They differ by as much as
 	// the wall clock was stepped since.
-	Now, Wall time.Duration
+	Now, WallClock time.Duration
 
 	// Changed says that the list held told another start of this server, or did not name
 	// it; ConfirmedAt is when that list was last known to hold, on the balancer's clock.
@@ -27,10 +27,10 @@
 // service for a while, a cold one that passes for warm falls over. A start is never in
 // the future.
 func StartedAt(e StartEvidence) time.Duration {
-	if e.Told <= 0 {
+	if e.Reported <= 0 {
 		return 0
 	}
-	started := max(e.Told, e.Now-(e.Wall-e.Told))
+	started := max(e.Reported, e.Now-(e.WallClock-e.Reported))
 	if e.Changed && e.ConfirmedAt > 0 && started < e.ConfirmedAt-noticeSlack {
 		started = e.ConfirmedAt // the clocks of this machine and of the list disagree
 	}
--- a/policy/start_test.go
+++ b/policy/start_test.go
@@ -36,7 +36,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := truth + c.atStart // the balancer's clock began at the wall clock of the start
-			e := StartEvidence{Told: truth - c.age, Now: now, Wall: truth + c.later, Changed: c.changed}
+			e := StartEvidence{Reported: truth - c.age, Now: now, WallClock: truth + c.later, Changed: c.changed}
 			if c.confirmed > 0 {
 				e.ConfirmedAt = now - c.confirmed
 			}
@@ -45,7 +45,7 @@
 			}
 		})
 	}
-	if StartedAt(StartEvidence{Now: truth, Wall: truth, Changed: true, ConfirmedAt: truth}) != 0 {
+	if StartedAt(StartEvidence{Now: truth, WallClock: truth, Changed: true, ConfirmedAt: truth}) != 0 {
 		t.Error("long ago is not kept")
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -8,7 +8,7 @@
 )
 
 type server struct {
-	Server
+	Endpoint
 	out     int           // this balancer's attempts there
 	turn    float64       // smooth weighted round robin: how much its turn is due
 	heard   time.Duration // its last answer, or restart
@@ -82,15 +82,15 @@
 	classes  []class
 	parts    []compartment
 	requests map[RequestID]*request
-	open     []*request           // in order of arrival; ended ones are swept out by Wake
-	servers  []*server            // in the order in which the list named them
-	known    map[ServerID]*server // the same, by name
-	fresh    []*server            // of the list under way: those that have just started
-	slots    int                  // of all compartments
-	mean     float64              // what the slots of all balancers hold while traffic is at the quotas
-	quota    float64              // of all tenants together
-	weight   float64              // of all ready servers
-	full     float64              // the most of it that there was, followed down
+	open     []*request             // in order of arrival; ended ones are swept out by Wake
+	servers  []*server              // in the order in which the list named them
+	known    map[EndpointID]*server // the same, by name
+	fresh    []*server              // of the list under way: those that have just started
+	slots    int                    // of all compartments
+	mean     float64                // what the slots of all balancers hold while traffic is at the quotas
+	quota    float64                // of all tenants together
+	weight   float64                // of all ready servers
+	full     float64                // the most of it that there was, followed down
 	fullAt   time.Duration
 	well     float64       // of those not judged unwell
 	ready    int           // how many are ready
@@ -159,7 +159,7 @@
 // Whatever changes its state, weight or health does so between the two, so that
 // a change of one server costs the same whatever the list holds.
 func (b *Balancer) weigh(s *server, sign int) {
-	if s.State != Ready {
+	if s.Health != Ready {
 		return
 	}
 	b.weight += float64(sign) * s.Weight
@@ -202,6 +202,6 @@
 func (b *Balancer) wake(now, d time.Duration) {
 	if b.wakeAt == 0 || now+d < b.wakeAt {
 		b.wakeAt = now + d
-		b.host.Wake(d)
+		b.host.SetTimer(d)
 	}
 }
--- a/policy/weights_test.go
+++ b/policy/weights_test.go
@@ -16,14 +16,14 @@
 	b, _ := start(t, testConfig(), nil)
 	for step := range 20_000 {
 		now := time.Duration(step) * ms
-		entry := func() Server {
-			return Server{ID: ServerID(1 + rng.IntN(8)), Weight: 0.1 * float64(1+rng.IntN(9)), State: State(rng.IntN(3)), Started: time.Duration(rng.IntN(step + 1))}
+		entry := func() Endpoint {
+			return Endpoint{ID: EndpointID(1 + rng.IntN(8)), Weight: 0.1 * float64(1+rng.IntN(9)), Health: Health(rng.IntN(3)), StartedAt: time.Duration(rng.IntN(step + 1))}
 		}
 		switch x := rng.IntN(20); {
 		case x == 0:
-			b.List(now, ListFull, []Server{entry(), entry(), entry()})
+			b.EndpointsUpdated(now, FullUpdate, []Endpoint{entry(), entry(), entry()})
 		case x < 10:
-			b.List(now, ListDelta, []Server{entry(), entry()})
+			b.EndpointsUpdated(now, DeltaUpdate, []Endpoint{entry(), entry()})
 		case len(b.servers) == 0:
 		case x < 15:
 			b.strike(now, b.servers[rng.IntN(len(b.servers))])
@@ -35,7 +35,7 @@
 			if b.known[s.ID] != s {
 				t.Fatalf("step %d: server %d is not known by its name", step, s.ID)
 			}
-			if s.State != Ready {
+			if s.Health != Ready {
 				continue
 			}
 			weight += s.Weight
--- a/quota/decide.go
+++ b/quota/decide.go
@@ -14,15 +14,15 @@
 	headStart = 4.0
 )
 
-// Ask decides on a request. Unknown nodes are an error of the caller: they are
+// Admit decides on a request. Unknown nodes are an error of the caller: they are
 // refused without a pause.
-func (t *Tree) Ask(now time.Duration, q Request) Decision {
+func (t *Tree) Admit(now time.Duration, q Request) Decision {
 	leaf := t.byName[q.Node]
 	if leaf == nil {
-		return Decision{Outcome: Refused}
+		return Decision{Outcome: Rejected}
 	}
 	r := new(Receipt)
-	d := Decision{Outcome: Own, Receipt: r}
+	d := Decision{Outcome: WithinShare, Receipt: r}
 	// Every limit on the way to the root counts: the leaf's and its ancestors'.
 	for n := leaf; n != nil; n = n.parent {
 		for in := range dimensions {
@@ -32,13 +32,13 @@
 			}
 			for i := range n.buckets[in] {
 				b := &n.buckets[in][i]
-				b.refill(now, t.cfg.Repay)
+				b.refill(now, t.cfg.RepaymentShare)
 				if b.tokens >= cost {
 					b.tokens -= cost
 					r.draws = append(r.draws, draw{of: n, bucket: b, amount: cost})
 					continue
 				}
-				if !q.Again && t.loan(now, n, b, cost, r, &d) {
+				if !q.Retry && t.loan(now, n, b, cost, r, &d) {
 					continue
 				}
 				t.undo(r)
@@ -49,7 +49,7 @@
 	if d.Outcome == Borrowed {
 		leaf.usage.Borrowed++
 	} else {
-		leaf.usage.Own++
+		leaf.usage.WithinShare++
 	}
 	return d
 }
@@ -57,11 +57,11 @@
 // refuse tells the pause after which the own share would do.
 func (t *Tree) refuse(now time.Duration, leaf, at *node, b *bucket, cost float64) Decision {
 	short := cost - b.tokens
-	leaf.usage.Refused++
-	leaf.refusal, leaf.refused = Refusal{at.Name, b.Dimension, b.Window, short}, now
-	d := Decision{Outcome: Refused, Why: leaf.refusal}
+	leaf.usage.Rejected++
+	leaf.refusal, leaf.refused = Rejection{at.Name, b.Dimension, b.Window, short}, now
+	d := Decision{Outcome: Rejected, Rejection: leaf.refusal}
 	if b.Dimension != Concurrent && cost <= b.most {
-		d.Pause = time.Duration(math.Ceil(short / b.Rate * float64(time.Second)))
+		d.RetryAfter = time.Duration(math.Ceil(short / b.Rate * float64(time.Second)))
 	}
 	return d
 }
@@ -92,7 +92,7 @@
 		r.draws = append(r.draws, draw{of: lender, bucket: of, amount: cost, way: loan, by: n, ceil: b, owed: t.owe(now, n, lender, b, cost)})
 		lender.usage.Lent++
 		d.Outcome = Borrowed
-		d.From = append(d.From, lender.Name)
+		d.Lenders = append(d.Lenders, lender.Name)
 		return true
 	}
 	return false
@@ -121,8 +121,8 @@
 		if x == nil {
 			continue
 		}
-		x.refill(now, t.cfg.Repay)
-		if spare := x.spare(t.cfg.Reclaim); spare >= cost && spare/s.Weight > most {
+		x.refill(now, t.cfg.RepaymentShare)
+		if spare := x.spare(t.cfg.LenderReserve); spare >= cost && spare/s.Weight > most {
 			most, best, of = spare/s.Weight, s, x
 		}
 	}
@@ -148,12 +148,12 @@
 
 // owe notes a loan and gives by how much the debt grew.
 func (t *Tree) owe(now time.Duration, n, to *node, b *bucket, amount float64) float64 {
-	if t.cfg.DebtAge <= 0 || t.cfg.Repay <= 0 || b.Dimension == Concurrent {
+	if t.cfg.DebtLifetime <= 0 || t.cfg.RepaymentShare <= 0 || b.Dimension == Concurrent {
 		return 0
 	}
-	x := n.debt(now, to, b.Dimension, t.cfg.DebtAge)
+	x := n.debt(now, to, b.Dimension, t.cfg.DebtLifetime)
 	was := x.amount
-	x.amount = min(b.Rate*t.cfg.Repay*t.cfg.DebtAge.Seconds(), was+amount)
+	x.amount = min(b.Rate*t.cfg.RepaymentShare*t.cfg.DebtLifetime.Seconds(), was+amount)
 	return x.amount - was
 }
 
@@ -180,7 +180,7 @@
 		if s == n || len(s.debts) == 0 {
 			continue
 		}
-		x := s.debt(now, n, b.Dimension, t.cfg.DebtAge)
+		x := s.debt(now, n, b.Dimension, t.cfg.DebtLifetime)
 		if x.amount < cost {
 			continue
 		}
@@ -188,7 +188,7 @@
 		if of == nil {
 			continue
 		}
-		of.refill(now, t.cfg.Repay)
+		of.refill(now, t.cfg.RepaymentShare)
 		// It pays out of what it holds and, below nothing, out of what it gains next,
 		// but no more than Repay of that.
 		if of.repay < cost {
@@ -259,13 +259,13 @@
 
 // State is how a node stands, for people.
 type State struct {
-	Name, Parent string
-	Depth        int
-	Usage        Usage
-	Limits       []LimitState
-	Owes         []Owed
-	Refusal      Refusal       // its last
-	Refused      time.Duration // when that was
+	Name, Parent  string
+	Depth         int
+	Usage         Usage
+	Limits        []LimitState
+	Debts         []Debt
+	LastRejection Rejection     // its last
+	RejectedAt    time.Duration // when that was
 }
 
 // LimitState is a limit and what is left of it.
@@ -274,8 +274,8 @@
 	Left float64
 }
 
-// Owed is a debt.
-type Owed struct {
+// Debt is a debt.
+type Debt struct {
 	To        string
 	Dimension Dimension
 	Amount    float64
@@ -285,17 +285,17 @@
 func (t *Tree) Explain(now time.Duration) []State {
 	out := make([]State, 0, len(t.nodes))
 	for _, n := range t.nodes {
-		s := State{Name: n.Name, Parent: n.Parent, Depth: n.depth, Usage: n.usage, Refusal: n.refusal, Refused: n.refused}
+		s := State{Name: n.Name, Parent: n.Parent, Depth: n.depth, Usage: n.usage, LastRejection: n.refusal, RejectedAt: n.refused}
 		for d := range dimensions {
 			for i := range n.buckets[d] {
 				b := &n.buckets[d][i]
-				b.refill(now, t.cfg.Repay)
+				b.refill(now, t.cfg.RepaymentShare)
 				s.Limits = append(s.Limits, LimitState{b.Limit, b.tokens})
 			}
 		}
 		for i := range n.debts {
-			if x := n.debt(now, n.debts[i].to, n.debts[i].in, t.cfg.DebtAge); x.amount > 0 {
-				s.Owes = append(s.Owes, Owed{x.to.Name, x.in, x.amount})
+			if x := n.debt(now, n.debts[i].to, n.debts[i].in, t.cfg.DebtLifetime); x.amount > 0 {
+				s.Debts = append(s.Debts, Debt{x.to.Name, x.in, x.amount})
 			}
 		}
 		out = append(out, s)
@@ -303,9 +303,9 @@
 	return out
 }
 
-// Keep takes over the balances of a tree that this one replaces, for the nodes
+// RestoreFrom takes over the balances of a tree that this one replaces, for the nodes
 // and limits that stay.
-func (t *Tree) Keep(old *Tree, now time.Duration) {
+func (t *Tree) RestoreFrom(old *Tree, now time.Duration) {
 	for _, n := range t.nodes {
 		was := old.byName[n.Name]
 		if was == nil {
@@ -316,7 +316,7 @@
 			for i := range n.buckets[d] {
 				b := &n.buckets[d][i]
 				if x := was.like(b); x != nil {
-					x.refill(now, t.cfg.Repay)
+					x.refill(now, t.cfg.RepaymentShare)
 					// By its part of what it can hold: a limit that grew is not full at once.
 					b.tokens, b.asOf = b.most*x.tokens/x.most, now
 				}
--- a/quota/golden_test.go
+++ b/quota/golden_test.go
@@ -21,7 +21,7 @@
 			all = append(all, quota.Limit{Dimension: quota.Requests, Rate: 90 * size * share, Window: time.Minute})
 		}
 		if rng.IntN(2) == 0 {
-			all = append(all, quota.Limit{Dimension: quota.Worth, Rate: 200 * size * share, Window: 10 * time.Second, Ceiling: 260 * size * share})
+			all = append(all, quota.Limit{Dimension: quota.Priority, Rate: 200 * size * share, Window: 10 * time.Second, Ceiling: 260 * size * share})
 		}
 		if rng.IntN(2) == 0 {
 			all = append(all, quota.Limit{Dimension: quota.Bytes, Rate: 40_000 * size * share, Window: 10 * time.Second})
@@ -32,8 +32,8 @@
 		return all
 	}
 	c := quota.Config{
-		Nodes:   []quota.Node{{Name: "root", Limits: limits(1.2)}},
-		Reclaim: time.Duration(rng.IntN(4)) * time.Second, Repay: rng.Float64() / 3, DebtAge: time.Duration(rng.IntN(90)) * time.Second,
+		Nodes:         []quota.Node{{Name: "root", Limits: limits(1.2)}},
+		LenderReserve: time.Duration(rng.IntN(4)) * time.Second, RepaymentShare: rng.Float64() / 3, DebtLifetime: time.Duration(rng.IntN(90)) * time.Second,
 	}
 	for i := range 3 {
 		club := fmt.Sprint("club-", i)
@@ -76,16 +76,16 @@
 		if rng.IntN(3) == 0 {
 			node = config.Nodes[rng.IntN(len(config.Nodes))]
 		}
-		d := tree.Ask(now, quota.Request{Node: node.Name, Again: rng.IntN(8) == 0, Cost: quota.Cost{
-			quota.Requests: 1, quota.Worth: rng.Float64() * 4, quota.Bytes: float64(rng.IntN(2000)), quota.Concurrent: 1,
+		d := tree.Admit(now, quota.Request{Node: node.Name, Retry: rng.IntN(8) == 0, Cost: quota.Cost{
+			quota.Requests: 1, quota.Priority: rng.Float64() * 4, quota.Bytes: float64(rng.IntN(2000)), quota.Concurrent: 1,
 		}})
 		outcomes[d.Outcome]++
 		if d.Receipt != nil {
 			open = append(open, d.Receipt)
 		}
-		digest.Numbers('d', int64(d.Outcome), int64(d.Pause), int64(d.Why.Dimension), int64(d.Why.Window))
-		digest.Float('s', d.Why.Short)
-		digest.Text('n', d.Why.Node+"\t"+strings.Join(d.From, "\t"))
+		digest.Numbers('d', int64(d.Outcome), int64(d.RetryAfter), int64(d.Rejection.Dimension), int64(d.Rejection.Window))
+		digest.Float('s', d.Rejection.Missing)
+		digest.Text('n', d.Rejection.Node+"\t"+strings.Join(d.Lenders, "\t"))
 		if i%1000 == 0 {
 			record(digest, tree.Explain(now))
 		}
@@ -95,7 +95,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			grown.Keep(tree, now)
+			grown.RestoreFrom(tree, now)
 			tree, open = grown, nil
 		}
 	}
@@ -104,11 +104,11 @@
 
 func record(digest golden.Digest, states []quota.State) {
 	for _, s := range states {
-		digest.Numbers('u', int64(s.Depth), int64(s.Usage.Own), int64(s.Usage.Borrowed), int64(s.Usage.Refused), int64(s.Usage.Lent), int64(s.Usage.Repaid))
+		digest.Numbers('u', int64(s.Depth), int64(s.Usage.WithinShare), int64(s.Usage.Borrowed), int64(s.Usage.Rejected), int64(s.Usage.Lent), int64(s.Usage.Repaid))
 		for _, l := range s.Limits {
 			digest.Float('l', l.Left)
 		}
-		for _, o := range s.Owes {
+		for _, o := range s.Debts {
 			digest.Text('o', o.To)
 			digest.Float('a', o.Amount)
 		}
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -24,7 +24,7 @@
 // The dimensions.
 const (
 	Requests   Dimension = iota // one for each
-	Worth                       // what the request's class is worth
+	Priority                    // what the request's class is worth
 	Bytes                       // of its body
 	Concurrent                  // requests at once: given back at the end
 	dimensions
@@ -65,21 +65,21 @@
 // Config is a whole tree and the terms of its loans.
 type Config struct {
 	Nodes []Node // parents before their children
-	// Reclaim is how much of a lender's rate stays back, in time: a lender that
+	// LenderReserve is how much of a lender's rate stays back, in time: a lender that
 	// comes back has at least that at once, and its own rate from then on.
-	Reclaim time.Duration
-	// Repay is the share of a debtor's rate that its lender may take back, while
+	LenderReserve time.Duration
+	// RepaymentShare is the share of a debtor's rate that its lender may take back, while
 	// the lender is short.
-	Repay float64
-	// DebtAge is how long a debt lasts, fading, and bounds it: no more is owed than
+	RepaymentShare float64
+	// DebtLifetime is how long a debt lasts, fading, and bounds it: no more is owed than
 	// the debtor's Repay of that time.
-	DebtAge time.Duration
+	DebtLifetime time.Duration
 }
 
 // Bounds of a tree.
 const (
-	MostNodes = 10_000
-	MostDepth = 8
+	MaxNodes = 10_000
+	MaxDepth = 8
 )
 
 // bucket holds what a node may use of one limit.
@@ -102,7 +102,7 @@
 	debts    []debt // to whom it owes
 	borrowed [dimensions]virtual
 	usage    Usage
-	refusal  Refusal
+	refusal  Rejection
 	refused  time.Duration
 }
 
@@ -123,11 +123,11 @@
 
 // Usage counts what became of a node's requests.
 type Usage struct {
-	Own      uint64 `json:"Own" metric:"own"`           // requests within its share
-	Borrowed uint64 `json:"Borrowed" metric:"borrowed"` // requests that took a loan
-	Refused  uint64 `json:"Refused" metric:"refused"`   // requests turned away
-	Lent     uint64 `json:"Lent" metric:"lent"`         // requests of others that took something of it
-	Repaid   uint64 `json:"Repaid" metric:"repaid"`     // requests of its own that took back what it had lent
+	WithinShare uint64 `json:"Own" metric:"own"`           // requests within its share
+	Borrowed    uint64 `json:"Borrowed" metric:"borrowed"` // requests that took a loan
+	Rejected    uint64 `json:"Refused" metric:"refused"`   // requests turned away
+	Lent        uint64 `json:"Lent" metric:"lent"`         // requests of others that took something of it
+	Repaid      uint64 `json:"Repaid" metric:"repaid"`     // requests of its own that took back what it had lent
 }
 
 // Tree decides. It is not safe for concurrent use.
@@ -140,11 +140,11 @@
 // New checks a tree; the error names the node and the mend.
 func New(c Config) (*Tree, error) {
 	t := &Tree{cfg: c, byName: make(map[string]*node)}
-	if len(c.Nodes) == 0 || len(c.Nodes) > MostNodes {
-		return nil, fmt.Errorf("quota: %d nodes: 1 to %d are meant", len(c.Nodes), MostNodes)
+	if len(c.Nodes) == 0 || len(c.Nodes) > MaxNodes {
+		return nil, fmt.Errorf("quota: %d nodes: 1 to %d are meant", len(c.Nodes), MaxNodes)
 	}
-	if c.Reclaim < 0 || c.DebtAge < 0 || !(c.Repay >= 0 && c.Repay <= 1) {
-		return nil, fmt.Errorf("quota: reclaim %v, debt age %v and repay %v: times of 0 or more and a share are meant", c.Reclaim, c.DebtAge, c.Repay)
+	if c.LenderReserve < 0 || c.DebtLifetime < 0 || !(c.RepaymentShare >= 0 && c.RepaymentShare <= 1) {
+		return nil, fmt.Errorf("quota: reclaim %v, debt age %v and repay %v: times of 0 or more and a share are meant", c.LenderReserve, c.DebtLifetime, c.RepaymentShare)
 	}
 	for i, n := range c.Nodes {
 		if err := t.add(n, i); err != nil {
@@ -179,8 +179,8 @@
 			return fmt.Errorf("the parent %q is not there before it: a cycle, or a name that is wrong", c.Parent)
 		}
 		n.depth = n.parent.depth + 1
-		if n.depth >= MostDepth {
-			return fmt.Errorf("nested %d deep: %d at most", n.depth+1, MostDepth)
+		if n.depth >= MaxDepth {
+			return fmt.Errorf("nested %d deep: %d at most", n.depth+1, MaxDepth)
 		}
 		n.parent.children = append(n.parent.children, n)
 	}
@@ -196,8 +196,8 @@
 			b.most = l.Rate
 		}
 		b.ceil = b.over()
-		b.repay = b.most * t.cfg.Repay
-		if b.most < 1 && l.Dimension != Worth {
+		b.repay = b.most * t.cfg.RepaymentShare
+		if b.most < 1 && l.Dimension != Priority {
 			return fmt.Errorf("%s: %v a second over %v is less than one: it would never let anything pass", l.Dimension, l.Rate, l.Window)
 		}
 		b.tokens = b.most
@@ -257,7 +257,7 @@
 type Request struct {
 	Node  string
 	Cost  Cost
-	Again bool // a further try: it takes of the own share alone
+	Retry bool // a further try: it takes of the own share alone
 }
 
 // Outcome is how a request stands.
@@ -265,35 +265,35 @@
 
 // The outcomes.
 const (
-	Own      Outcome = iota // within its share
-	Borrowed                // with a loan
-	Refused
+	WithinShare Outcome = iota // within its share
+	Borrowed                   // with a loan
+	Rejected
 )
 
 func (o Outcome) String() string { return [...]string{"own", "borrowed", "refused"}[o] }
 
 // Decision is the answer to a request.
 type Decision struct {
-	Outcome Outcome
-	From    []string      // lenders, where there are some
-	Pause   time.Duration // refused: after which the own share would do
-	Why     Refusal
-	Receipt *Receipt // admitted: for Release, and for Refund of what never ran
+	Outcome    Outcome
+	Lenders    []string      // lenders, where there are some
+	RetryAfter time.Duration // refused: after which the own share would do
+	Rejection  Rejection
+	Receipt    *Receipt // admitted: for Release, and for Refund of what never ran
 }
 
-// Refusal says which limit stood in the way; the zero one is none.
-type Refusal struct {
+// Rejection says which limit stood in the way; the zero one is none.
+type Rejection struct {
 	Node      string
 	Dimension Dimension
 	Window    time.Duration
-	Short     float64 // how much was missing
+	Missing   float64 // how much was missing
 }
 
-func (r Refusal) String() string {
+func (r Rejection) String() string {
 	if r.Node == "" {
 		return "nothing"
 	}
-	return fmt.Sprintf("%s of %s over %v: %.3g short", r.Dimension, r.Node, r.Window, r.Short)
+	return fmt.Sprintf("%s of %s over %v: %.3g short", r.Dimension, r.Node, r.Window, r.Missing)
 }
 
 // draw is something taken out of a bucket.
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -16,8 +16,8 @@
 func clubs(rate float64) Config {
 	limit := func(share float64) []Limit { return []Limit{{Dimension: Requests, Rate: rate * share, Window: 10 * s}} }
 	return Config{
-		Nodes:   []Node{{Name: "service", Limits: limit(1)}, {Name: "downs", Parent: "service", Weight: 0.79, Limits: limit(0.79)}, {Name: "lockyer", Parent: "service", Weight: 0.21, Limits: limit(0.21)}},
-		Reclaim: 2 * s, Repay: 0.1, DebtAge: time.Minute,
+		Nodes:         []Node{{Name: "service", Limits: limit(1)}, {Name: "downs", Parent: "service", Weight: 0.79, Limits: limit(0.79)}, {Name: "lockyer", Parent: "service", Weight: 0.21, Limits: limit(0.21)}},
+		LenderReserve: 2 * s, RepaymentShare: 0.1, DebtLifetime: time.Minute,
 	}
 }
 
@@ -53,8 +53,8 @@
 			return got
 		}
 		r := one(first)
-		r.Again = again
-		if q.Ask(next[first], r).Outcome != Refused {
+		r.Retry = again
+		if q.Admit(next[first], r).Outcome != Rejected {
 			got[first]++
 		}
 		next[first] += time.Duration(float64(s) / rates[first])
@@ -70,7 +70,7 @@
 	if n := float64(alone["lockyer"]); n < 0.8*100*60 || n > 100*60+1000 {
 		t.Errorf("alone a club of 21 a second had %v in a minute, want nearly all of 100 a second", n)
 	}
-	owes := q.Explain(60 * s)[2].Owes
+	owes := q.Explain(60 * s)[2].Debts
 	if len(owes) != 1 || owes[0].To != "downs" || owes[0].Amount > 21*0.1*60+1 || owes[0].Amount < 60 {
 		t.Errorf("it owes %+v, want something up to a tenth of its minute", owes)
 	}
@@ -123,16 +123,16 @@
 func TestPause(t *testing.T) {
 	q := tree(t, clubs(10))
 	now := time.Duration(0)
-	for q.Ask(now, Request{Node: "lockyer", Cost: Cost{Requests: 1}, Again: true}).Outcome != Refused {
+	for q.Admit(now, Request{Node: "lockyer", Cost: Cost{Requests: 1}, Retry: true}).Outcome != Rejected {
 	}
-	d := q.Ask(now, Request{Node: "lockyer", Cost: Cost{Requests: 1}, Again: true})
-	if d.Pause <= 0 || d.Why.Node != "lockyer" || d.Receipt != nil {
+	d := q.Admit(now, Request{Node: "lockyer", Cost: Cost{Requests: 1}, Retry: true})
+	if d.RetryAfter <= 0 || d.Rejection.Node != "lockyer" || d.Receipt != nil {
 		t.Fatalf("%+v", d)
 	}
-	if got := q.Ask(now+d.Pause-time.Millisecond, Request{Node: "lockyer", Cost: Cost{Requests: 1}, Again: true}); got.Outcome != Refused {
+	if got := q.Admit(now+d.RetryAfter-time.Millisecond, Request{Node: "lockyer", Cost: Cost{Requests: 1}, Retry: true}); got.Outcome != Rejected {
 		t.Error("before the pause is over it is let through")
 	}
-	if got := q.Ask(now+d.Pause, Request{Node: "lockyer", Cost: Cost{Requests: 1}, Again: true}); got.Outcome != Own {
+	if got := q.Admit(now+d.RetryAfter, Request{Node: "lockyer", Cost: Cost{Requests: 1}, Retry: true}); got.Outcome != WithinShare {
 		t.Errorf("after the pause: %+v", got)
 	}
 }
@@ -144,7 +144,7 @@
 	borrowed, repaid, refunds := 0, uint64(0), 0
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		c := Config{Reclaim: time.Duration(rng.IntN(3)) * s, Repay: 0.3 * rng.Float64(), DebtAge: time.Duration(1+rng.IntN(60)) * s}
+		c := Config{LenderReserve: time.Duration(rng.IntN(3)) * s, RepaymentShare: 0.3 * rng.Float64(), DebtLifetime: time.Duration(1+rng.IntN(60)) * s}
 		root := 20 + 80*rng.Float64()
 		windows := []time.Duration{s, 10 * s}[:1+rng.IntN(2)]
 		limits := func(rate float64) (out []Limit) {
@@ -199,16 +199,16 @@
 				}
 				continue
 			}
-			d := q.Ask(now, Request{Node: name, Cost: Cost{Requests: 1, Concurrent: 1}, Again: rng.IntN(5) == 0})
+			d := q.Admit(now, Request{Node: name, Cost: Cost{Requests: 1, Concurrent: 1}, Retry: rng.IntN(5) == 0})
 			switch d.Outcome {
-			case Refused:
-				if d.Receipt != nil || d.Why == (Refusal{}) {
+			case Rejected:
+				if d.Receipt != nil || d.Rejection == (Rejection{}) {
 					t.Fatalf("seed %d: %+v", seed, d)
 				}
 				continue
 			case Borrowed:
 				borrowed++
-				if len(d.From) == 0 {
+				if len(d.Lenders) == 0 {
 					t.Fatalf("seed %d: borrowed of nobody", seed)
 				}
 			}
@@ -222,7 +222,7 @@
 			for _, w := range windows {
 				// All buckets of this window together: full at first, refilled since, and
 				// below nothing by what they may owe.
-				if most := root * (w + now).Seconds() * (1 + c.Repay); sum > most+1e-6 {
+				if most := root * (w + now).Seconds() * (1 + c.RepaymentShare); sum > most+1e-6 {
 					t.Fatalf("seed %d, step %d at %v: %v admitted, %v at the most over %v", seed, step, now, sum, most, w)
 				}
 			}
@@ -233,7 +233,7 @@
 					bound += b.Rate
 				}
 				for _, x := range n.debts {
-					if most := n.buckets[Requests][0].Rate * c.Repay * c.DebtAge.Seconds() * float64(len(windows)); x.in == Requests && x.amount > most+1e-9 {
+					if most := n.buckets[Requests][0].Rate * c.RepaymentShare * c.DebtLifetime.Seconds() * float64(len(windows)); x.in == Requests && x.amount > most+1e-9 {
 						t.Fatalf("seed %d: %s owes %v, %v at the most", seed, n.Name, x.amount, most)
 					}
 				}
@@ -282,13 +282,13 @@
 	c := clubs(200)
 	c.Nodes = append(c.Nodes[:2:2], Node{Name: "new", Parent: "service"}, c.Nodes[2])
 	p := tree(t, c)
-	p.Keep(q, 30*s)
+	p.RestoreFrom(q, 30*s)
 	for i, name := range []string{"service", "downs", "", "lockyer"} {
 		if name == "" {
 			continue
 		}
 		x, was := p.Explain(30 * s)[i], old[min(i, 2)]
-		if x.Name != name || math.Abs(x.Limits[0].Left-2*was.Limits[0].Left) > 1e-6 || x.Usage != was.Usage || len(x.Owes) != len(was.Owes) {
+		if x.Name != name || math.Abs(x.Limits[0].Left-2*was.Limits[0].Left) > 1e-6 || x.Usage != was.Usage || len(x.Debts) != len(was.Debts) {
 			t.Errorf("%s: %+v, before %+v", name, x, was)
 		}
 	}
@@ -310,9 +310,9 @@
 		{func(c *Config) { c.Nodes[1].Limits[0].Ceiling = 1 }, "a ceiling that is not under it"},
 		{func(c *Config) { c.Nodes[1].Limits[0].Rate = math.NaN() }, "a rate above 0"},
 		{func(c *Config) { c.Nodes[1].Weight = -1 }, "a weight of -1"},
-		{func(c *Config) { c.Repay = 2 }, "repay 2"},
+		{func(c *Config) { c.RepaymentShare = 2 }, "repay 2"},
 		{func(c *Config) {
-			for i := range MostDepth {
+			for i := range MaxDepth {
 				c.Nodes = append(c.Nodes, Node{Name: fmt.Sprint(i), Parent: c.Nodes[len(c.Nodes)-1].Name})
 			}
 		}, "8 at most"},
@@ -323,7 +323,7 @@
 			t.Errorf("%v, want %s", err, x.want)
 		}
 	}
-	if d := tree(t, clubs(100)).Ask(0, one("nobody")); d.Outcome != Refused || d.Pause != 0 {
+	if d := tree(t, clubs(100)).Admit(0, one("nobody")); d.Outcome != Rejected || d.RetryAfter != 0 {
 		t.Errorf("an unknown node: %+v", d)
 	}
 }
@@ -331,7 +331,7 @@
 // BenchmarkAsk is a decision at trees of several sizes, own and borrowed.
 func BenchmarkAsk(b *testing.B) {
 	for _, n := range []int{2, 20, 200} {
-		c := Config{Nodes: []Node{{Name: "root", Limits: []Limit{{Dimension: Requests, Rate: 1e9, Window: s}}}}, Reclaim: 100 * time.Millisecond, Repay: 0.1, DebtAge: time.Minute}
+		c := Config{Nodes: []Node{{Name: "root", Limits: []Limit{{Dimension: Requests, Rate: 1e9, Window: s}}}}, LenderReserve: 100 * time.Millisecond, RepaymentShare: 0.1, DebtLifetime: time.Minute}
 		for i := range n {
 			c.Nodes = append(c.Nodes, Node{Name: fmt.Sprint(i), Parent: "root", Limits: []Limit{{Dimension: Requests, Rate: 1e9 / float64(n+1), Window: s}}})
 		}
@@ -344,7 +344,7 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					now += rate
-					q.Release(q.Ask(now, one("0")).Receipt)
+					q.Release(q.Admit(now, one("0")).Receipt)
 				}
 			})
 		}
--- a/resolver/golden_test.go
+++ b/resolver/golden_test.go
@@ -23,11 +23,11 @@
 	for i := range goldenSteps {
 		if i%50 == 0 {
 			slow = []float64{0.2, 1, 8, 60, 200}[rng.IntN(5)]
-			schedule.SetHeld(rng.IntN(2) == 0)
+			schedule.SetHasList(rng.IntN(2) == 0)
 		}
 		step := schedule.Next(now)
-		digest.Numbers('n', int64(step.Wait), int64(step.Call), int64(len(step.GiveUp)))
-		for _, id := range step.GiveUp {
+		digest.Numbers('n', int64(step.Wait), int64(step.Call), int64(len(step.Cancel)))
+		for _, id := range step.Cancel {
 			digest.Numbers('g', int64(id))
 			delete(due, id)
 			given++
@@ -48,16 +48,16 @@
 		switch rng.IntN(5) {
 		case 0:
 			digest.Numbers('f', int64(first))
-			if !schedule.Failed(first) {
+			if !schedule.CallFailed(first) {
 				now += time.Duration(rng.IntN(2000)) * time.Millisecond
 			}
 			delete(due, first)
 			failed++
 		case 1:
-			schedule.Abandon()
+			schedule.CancelAll()
 			clear(due)
 		default:
-			schedule.Answered(now, first)
+			schedule.CallAnswered(now, first)
 			clear(due)
 			answered++
 		}
@@ -71,8 +71,8 @@
 func TestGoldenSteps(t *testing.T) {
 	var got strings.Builder
 	for seed := range uint64(3) {
-		fmt.Fprintf(&got, "pushed, seed %d: %s\n", seed, play(resolver.Pushed(), seed))
-		fmt.Fprintf(&got, "asked, seed %d: %s\n", seed, play(resolver.Asked(), seed))
+		fmt.Fprintf(&got, "pushed, seed %d: %s\n", seed, play(resolver.ForPushedLists(), seed))
+		fmt.Fprintf(&got, "asked, seed %d: %s\n", seed, play(resolver.ForPolledLists(), seed))
 	}
 	golden.Check(t, "steps", got.String())
 }
--- a/resolver/resolver.go
+++ b/resolver/resolver.go
@@ -18,37 +18,37 @@
 
 // Config holds the times of a Schedule.
 type Config struct {
-	// Eager is how long a call may be without an answer before a further one begins. It
-	// doubles each time up to EagerMost, or EagerUnheld while no list is held: nothing
+	// HedgeAfter is how long a call may be without an answer before a further one begins. It
+	// doubles each time up to MaxHedgeAfter, or HedgeAfterWithoutList while no list is held: nothing
 	// that is out of date is used then, and nothing is lost but time.
-	Eager, EagerMost, EagerUnheld time.Duration
-	// Patient is how long the older call is waited for. It doubles each time that one
-	// was waited for in vain, up to PatientMost.
-	Patient, PatientMost time.Duration
+	HedgeAfter, MaxHedgeAfter, HedgeAfterWithoutList time.Duration
+	// CallTimeout is how long the older call is waited for. It doubles each time that one
+	// was waited for in vain, up to MaxCallTimeout.
+	CallTimeout, MaxCallTimeout time.Duration
 	// Jitter is the share of an eager interval that is drawn, so that the sidecars of a
 	// fleet do not call as one.
 	Jitter float64
 }
 
-// Pushed returns the times for an agent on the sidecar's own machine, which answers at
+// ForPushedLists returns the times for an agent on the sidecar's own machine, which answers at
 // once at no cost or is silent while discovery is down. What it gets at the return
 // counts as told then, and a drain among it has to be kept 2 s later.
-func Pushed() Config {
+func ForPushedLists() Config {
 	return Config{
-		Eager: time.Second, EagerMost: time.Second, EagerUnheld: time.Second,
-		Patient: 8 * time.Second, PatientMost: time.Minute,
+		HedgeAfter: time.Second, MaxHedgeAfter: time.Second, HedgeAfterWithoutList: time.Second,
+		CallTimeout: 8 * time.Second, MaxCallTimeout: time.Minute,
 	}
 }
 
-// Asked returns the times for one service that works through the calls of all sidecars
+// ForPolledLists returns the times for one service that works through the calls of all sidecars
 // in turn. A change counts as told 6 s after it could be had, and a drain has to be
 // kept 2 s later: a call that begins 4.5 s after the return leaves 3.5 s for its answer.
 // The older call is waited for in the service's queue: 8 s were too few where 900 sidecars
 // wait and all calls take 20 s, as it was worked through for nobody (fleet.Crowd).
-func Asked() Config {
+func ForPolledLists() Config {
 	return Config{
-		Eager: 3 * time.Second, EagerMost: 4500 * time.Millisecond, EagerUnheld: 24 * time.Second,
-		Patient: 30 * time.Second, PatientMost: 2 * time.Minute, Jitter: 0.2,
+		HedgeAfter: 3 * time.Second, MaxHedgeAfter: 4500 * time.Millisecond, HedgeAfterWithoutList: 24 * time.Second,
+		CallTimeout: 30 * time.Second, MaxCallTimeout: 2 * time.Minute, Jitter: 0.2,
 	}
 }
 
@@ -75,16 +75,16 @@
 // New returns a Schedule without calls.
 func New(c Config, seed uint64) *Schedule {
 	s := &Schedule{config: c, rng: rand.New(rand.NewPCG(seed, 0))}
-	s.eager, s.patient = c.Eager, c.Patient
+	s.eager, s.patient = c.HedgeAfter, c.CallTimeout
 	return s
 }
 
-// SetHeld tells whether a list is held, which may be out of date.
-func (s *Schedule) SetHeld(held bool) { s.held = held }
+// SetHasList tells whether a list is held, which may be out of date.
+func (s *Schedule) SetHasList(held bool) { s.held = held }
 
 // Step is what is to be done now.
 type Step struct {
-	GiveUp []CallID
+	Cancel []CallID
 	Start  bool   // a call under the name Call
 	Call   CallID // where Start is set
 	Wait   time.Duration
@@ -97,7 +97,7 @@
 	}
 	var step Step
 	if len(s.calls) == 2 {
-		step.GiveUp = []CallID{s.giveUp(now)}
+		step.Cancel = []CallID{s.giveUp(now)}
 	}
 	if len(s.calls) > 0 {
 		s.eager = min(2*s.eager, s.eagerMost())
@@ -118,16 +118,16 @@
 		s.calls = s.calls[:1]
 		return younger.id
 	}
-	s.patient = min(2*s.patient, s.config.PatientMost)
+	s.patient = min(2*s.patient, s.config.MaxCallTimeout)
 	s.calls = append(s.calls[:0], younger)
 	return older.id
 }
 
 func (s *Schedule) eagerMost() time.Duration {
 	if s.held {
-		return s.config.EagerMost
+		return s.config.MaxHedgeAfter
 	}
-	return s.config.EagerUnheld
+	return s.config.HedgeAfterWithoutList
 }
 
 // interval is the time until the next call, at most the longest one allowed.
@@ -136,19 +136,19 @@
 	return d - time.Duration(s.config.Jitter*s.rng.Float64()*float64(d))
 }
 
-// Answered takes that a call has begun to answer. All calls are over with it; the next
+// CallAnswered takes that a call has begun to answer. All calls are over with it; the next
 // ones are given the time that this one took, and half of it again.
-func (s *Schedule) Answered(now time.Duration, id CallID) {
+func (s *Schedule) CallAnswered(now time.Duration, id CallID) {
 	for _, c := range s.calls {
 		if c.id == id {
-			s.eager = max(s.config.Eager, (now-c.began)*3/2)
+			s.eager = max(s.config.HedgeAfter, (now-c.began)*3/2)
 		}
 	}
-	s.calls, s.patient = nil, s.config.Patient
+	s.calls, s.patient = nil, s.config.CallTimeout
 }
 
-// Failed takes that a call has failed, and says whether another one is still waited for.
-func (s *Schedule) Failed(id CallID) bool {
+// CallFailed takes that a call has failed, and says whether another one is still waited for.
+func (s *Schedule) CallFailed(id CallID) bool {
 	for i, c := range s.calls {
 		if c.id == id {
 			s.calls = append(s.calls[:i], s.calls[i+1:]...)
@@ -158,5 +158,5 @@
 	return len(s.calls) > 0
 }
 
-// Abandon takes that all calls were given up from outside.
-func (s *Schedule) Abandon() { s.calls = nil }
+// CancelAll takes that all calls were given up from outside.
+func (s *Schedule) CancelAll() { s.calls = nil }
--- a/resolver/resolver_test.go
+++ b/resolver/resolver_test.go
@@ -12,11 +12,11 @@
 func play(t *testing.T, c Config, held bool, seed uint64, until time.Duration, answer func(began time.Duration) time.Duration) (time.Duration, int) {
 	t.Helper()
 	s, calls := New(c, seed), 0
-	s.SetHeld(held)
+	s.SetHasList(held)
 	due := make(map[CallID]time.Duration)
 	for now := time.Duration(0); now < until; {
 		step := s.Next(now)
-		for _, id := range step.GiveUp {
+		for _, id := range step.Cancel {
 			delete(due, id)
 		}
 		if step.Start {
@@ -34,7 +34,7 @@
 			}
 		}
 		if first != 0 {
-			s.Answered(due[first], first)
+			s.CallAnswered(due[first], first)
 			return due[first], calls
 		}
 		if step.Wait <= 0 {
@@ -52,12 +52,12 @@
 // However long the service takes, up to the longest patience, it is heard: at its own
 // speed where the first call is waited for, and within thrice that in any case.
 func TestAnySpeedIsHeard(t *testing.T) {
-	for name, c := range map[string]Config{"pushed": Pushed(), "asked": Asked()} {
+	for name, c := range map[string]Config{"pushed": ForPushedLists(), "asked": ForPolledLists()} {
 		for _, held := range []bool{true, false} {
 			for _, takes := range []time.Duration{0, 1200 * time.Millisecond, 3500 * time.Millisecond, 7 * time.Second, 20 * time.Second, 50 * time.Second} {
 				for seed := range uint64(20) {
 					at, calls := play(t, c, held, seed, 5*time.Minute, always(takes))
-					if at < 0 || takes <= c.Patient && at != takes || at > 3*takes+c.PatientMost {
+					if at < 0 || takes <= c.CallTimeout && at != takes || at > 3*takes+c.MaxCallTimeout {
 						t.Errorf("%s, held %v, %v: heard at %v after %d calls (seed %d)", name, held, takes, at, calls, seed)
 					}
 				}
@@ -74,10 +74,10 @@
 		c             Config
 		takes, within time.Duration
 	}{
-		{"pushed", Pushed(), 0, 2 * time.Second},
-		{"pushed, slow", Pushed(), 900 * time.Millisecond, 2 * time.Second},
-		{"asked", Asked(), 0, 8 * time.Second},
-		{"asked, slow", Asked(), 3 * time.Second, 8 * time.Second},
+		{"pushed", ForPushedLists(), 0, 2 * time.Second},
+		{"pushed, slow", ForPushedLists(), 900 * time.Millisecond, 2 * time.Second},
+		{"asked", ForPolledLists(), 0, 8 * time.Second},
+		{"asked, slow", ForPolledLists(), 3 * time.Second, 8 * time.Second},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 0))
@@ -103,17 +103,17 @@
 		c    Config
 		held bool
 		most int // in 10 minutes
-	}{{Pushed(), true, 601}, {Asked(), true, 175}, {Asked(), false, 40}} {
-		t.Run(fmt.Sprint(tt.c.Eager, tt.held), func(t *testing.T) {
+	}{{ForPushedLists(), true, 601}, {ForPolledLists(), true, 175}, {ForPolledLists(), false, 40}} {
+		t.Run(fmt.Sprint(tt.c.HedgeAfter, tt.held), func(t *testing.T) {
 			if _, calls := play(t, tt.c, tt.held, 1, 10*time.Minute, always(time.Hour)); calls > tt.most {
 				t.Errorf("%d calls", calls)
 			}
 		})
 	}
-	s := New(Asked(), 1)
+	s := New(ForPolledLists(), 1)
 	first := s.Next(0)
 	second := s.Next(first.Wait)
-	if !second.Start || !s.Failed(second.Call) || s.Failed(first.Call) {
+	if !second.Start || !s.CallFailed(second.Call) || s.CallFailed(first.Call) {
 		t.Error("a failed call is not told from the last one")
 	}
 }
