--- /dev/null
+++ b/internal/sidecar/admin.go
@@ -0,0 +1,44 @@
+package sidecar
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"net/url"
+
+	"mothridge/internal/admin"
+)
+
+// membersPerPage is how many endpoints one answer of the admin socket holds.
+const membersPerPage = 250
+
+// openAdmin opens the socket that the operators' commands use, if their file names one.
+func (s *service) openAdmin() error {
+	if s.config.Operator.Admin.Socket == "" {
+		return nil
+	}
+	questions := make(map[string]admin.Question)
+	if s.merger != nil {
+		questions["members"] = func(ctx context.Context, query url.Values) (any, error) {
+			return s.merger.View(ctx, query.Get("after"), membersPerPage)
+		}
+	}
+	if s.quotas != nil {
+		questions["quotas"] = func(context.Context, url.Values) (any, error) { return s.quotas.View(), nil }
+	}
+	pages := make(map[string]http.Handler)
+	if s.metrics != nil {
+		pages["metrics"] = s.metrics
+	}
+	server, err := admin.Listen(s.config.Operator.Admin.Socket, questions, pages)
+	if err != nil {
+		return err
+	}
+	s.background.Go(func() {
+		if err := server.Serve(); err != nil {
+			slog.Error("admin", "err", err)
+		}
+	})
+	s.closeAdmin = server.Close
+	return nil
+}
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -196,11 +196,11 @@
 // The bound on client connections: idle ones make way, and a waiting one is served in the end.
 func TestClientConnectionsAreBounded(t *testing.T) {
 	u := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("ok")))
-	c := testConfig(t, options{sockets: leastSockets}, "127.0.0.1:1", peertest.HostText("s-1", u.Addr, "up", 0))
+	c := testConfig(t, options{sockets: minSockets}, "127.0.0.1:1", peertest.HostText("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	var closed int
 	var conns []net.Conn
-	for i := range 3 * leastSockets / 2 {
+	for i := range 3 * minSockets / 2 {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -404,7 +404,7 @@
 
 func testGivesWay(t *testing.T, useless string) {
 	u := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("ok")))
-	c := testConfig(t, options{sockets: leastSockets}, "127.0.0.1:1", peertest.HostText("s-1", u.Addr, "up", 0))
+	c := testConfig(t, options{sockets: minSockets}, "127.0.0.1:1", peertest.HostText("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	kept, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -423,7 +423,7 @@
 		io.Copy(io.Discard, resp.Body)
 	}
 	ask("first")
-	for range 2 * leastSockets { // far over the bound
+	for range 2 * minSockets { // far over the bound
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -445,7 +445,7 @@
 // some are closed, long before the sidecar's own bound, they can open no more.
 func TestIdleConnectionsAreFew(t *testing.T) {
 	u := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("ok")))
-	c := testConfig(t, options{sockets: leastSockets}, "127.0.0.1:1", peertest.HostText("s-1", u.Addr, "up", 0))
+	c := testConfig(t, options{sockets: minSockets}, "127.0.0.1:1", peertest.HostText("s-1", u.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	most, _ := c.Limits.connections()
 	start := time.Now()
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -195,7 +195,7 @@
 		begun := time.Now()
 		stop()
 		c.ended() // and is not left open up to the kill
-		if took := time.Since(begun); took > lastConnections+readsIn/2 {
+		if took := time.Since(begun); took > acceptGrace+readsIn/2 {
 			t.Errorf("a silent connection was ended after %v", took)
 		}
 		peertest.Await(t, "the end", ended)
@@ -267,10 +267,10 @@
 	if status, _ := out.answer(); status == http.StatusServiceUnavailable || status < 500 { // it may have
 		t.Errorf("the one that is out: %d, want a failure that is no refusal", status)
 	}
-	if took := time.Since(begun); took < 600*time.Millisecond || took > 600*time.Millisecond+killedAfter {
+	if took := time.Since(begun); took < 600*time.Millisecond || took > 600*time.Millisecond+killMargin {
 		t.Errorf("answered %v after the announcement", took)
 	}
-	if err := peertest.Await(t, "the end", ended); err != nil || time.Since(begun) > c.killedIn()+margin {
+	if err := peertest.Await(t, "the end", ended); err != nil || time.Since(begun) > c.killGrace()+margin {
 		t.Errorf("ended with %v after %v", err, time.Since(begun))
 	}
 }
@@ -388,11 +388,11 @@
 			}
 		}
 	}()
-	c := testConfig(t, options{sockets: leastSockets, probes: true}, agent.Addr().String(),
+	c := testConfig(t, options{sockets: minSockets, probes: true}, agent.Addr().String(),
 		peertest.HostText("s-1", drained.Addr, "up", 0), peertest.HostText("s-2", stays.Addr, "up", 0))
 	addr, _, _ := startSidecar(t, c)
 	peertest.Await(t, "a call to the silent agent", silent)
-	for i := range 4 * leastSockets {
+	for i := range 4 * minSockets {
 		idle := dial(t, addr)
 		if i%4 == 0 {
 			io.WriteString(idle, "POST /api HT") // and no more
--- /dev/null
+++ b/internal/sidecar/operator_config.go
@@ -0,0 +1,82 @@
+package sidecar
+
+import (
+	"cmp"
+	"errors"
+	"math/rand/v2"
+
+	"mothridge/internal/operator"
+	"mothridge/policy"
+)
+
+// errNoSidecarTable says that neither the platform nor the operators' file configures a sidecar.
+var errNoSidecarTable = errors.New("ROUTER_CONFIG is not set, and the operators' file has no [sidecar] table that would say the same")
+
+// The operators' words for what repeating a request may do, and where repeats are dropped.
+var (
+	idempotencyByEffect = map[operator.Effect]policy.Idempotency{
+		operator.Safe:   policy.Idempotent,
+		operator.Keyed:  policy.IdempotentByKey,
+		operator.Unsafe: policy.NotIdempotent,
+	}
+	dedupScopeByName = map[operator.Scope]policy.DedupScope{
+		"":                 policy.ScopeCell,
+		operator.ScopeCell: policy.ScopeCell,
+		operator.ScopeZone: policy.ScopeZone,
+		operator.ScopeAll:  policy.ScopeAll,
+	}
+)
+
+// FromOperator makes the configuration of a sidecar that no platform starts:
+// the operators' file says all of it.
+func FromOperator(f *operator.File) (*Config, error) {
+	s := f.Sidecar
+	if s == nil {
+		return nil, errNoSidecarTable
+	}
+	c := &Config{
+		Name:     cmp.Or(s.Name, "mothridge"),
+		Listen:   string(s.Listen),
+		Seed:     rand.Uint64(),
+		Operator: *f,
+		Limits: Limits{
+			Cores: f.Limits.Cores, MemoryMB: int64(f.Limits.MemoryMB), Sockets: cmp.Or(int(f.Limits.Sockets), defaultSockets),
+		},
+		Policy: policy.Config{
+			FleetSize:               cmp.Or(int(s.Sidecars), 1),
+			MaxAttempts:             cmp.Or(int(s.Attempts), operator.DefaultAttempts),
+			CancelAllowed:           true,
+			ProbesAllowed:           s.Probes,
+			ClientsMarkRetries:      s.MarksRetry,
+			MaxRetryAfter:           s.RetryAfter.Or(operator.DefaultRetryAfter),
+			SlowStartInitialShare:   float64(s.ColdFrom),
+			SlowStartDuration:       s.ColdFor.Value(),
+			SlowStartOverloadFactor: cmp.Or(s.ColdMultiple, operator.DefaultColdMultiple),
+		},
+		DialTimeout: s.DialTimeout.Or(defaultDialTimeout),
+		ConnIdle:    s.ConnIdle.Or(defaultConnIdle),
+	}
+	if s.Zone != "" {
+		c.Zones = []string{s.Zone}
+	}
+	for i := range f.Classes {
+		c.Classes = append(c.Classes, f.Classes[i].Name)
+		c.Policy.Classes = append(c.Policy.Classes, operatorClass(&f.Classes[i]))
+	}
+	for _, t := range f.Tenants {
+		c.Tenants = append(c.Tenants, t.Name)
+		c.Policy.Tenants = append(c.Policy.Tenants, policy.Tenant{Share: t.Share, Quota: t.Quota})
+	}
+	return c, nil
+}
+
+func operatorClass(class *operator.Class) policy.Class {
+	return policy.Class{
+		LatencyObjective: class.Aim.Value(),
+		Deadline:         class.Deadline.Value(),
+		PriorityWeight:   cmp.Or(class.Worth, 1),
+		Idempotency:      idempotencyByEffect[class.Effect],
+		DedupScope:       dedupScopeByName[class.Scope],
+		DedupWindow:      class.Window.Value(),
+	}
+}
--- /dev/null
+++ b/internal/sidecar/platform_config.go
@@ -0,0 +1,154 @@
+package sidecar
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/netip"
+	"os"
+	"slices"
+	"strconv"
+
+	"mothridge/internal/core"
+	"mothridge/internal/registry/platform"
+	"mothridge/internal/settings"
+)
+
+// errNoConfig says that the platform has named no configuration file.
+var errNoConfig = errors.New("ROUTER_CONFIG is not set")
+
+// LoadConfig reads the configuration file that ROUTER_CONFIG names. ROUTER_NAME,
+// ROUTER_LISTEN and ROUTER_DISCOVERY take precedence. The error names the
+// file, and line and column where there are any.
+func LoadConfig(getenv func(string) string) (*Config, error) {
+	path := getenv("ROUTER_CONFIG")
+	if path == "" {
+		return nil, errNoConfig
+	}
+	c, err := readConfig(path)
+	if err != nil {
+		return nil, err
+	}
+	c.path = path
+	for name, field := range map[string]*string{
+		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery,
+	} {
+		if value := getenv(name); value != "" {
+			*field = value
+		}
+	}
+	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
+		return nil, fmt.Errorf("listen address: %w", err)
+	}
+	return c, c.checkDiscovery()
+}
+
+func readConfig(path string) (*Config, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("read configuration: %w", err)
+	}
+	c, err := ParseConfig(text)
+	if err != nil {
+		return nil, fmt.Errorf("configuration %s: %w", path, err)
+	}
+	return c, nil
+}
+
+// configFile is the platform's configuration file.
+type configFile struct {
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`
+	Discovery string          `json:"discovery"`
+	Seed      string          `json:"seed"`
+	Limits    Limits          `json:"limits"`
+	Known     json.RawMessage `json:"known"`
+	Settings  json.RawMessage `json:"settings"`
+}
+
+// ParseConfig reads the text of a configuration file.
+func ParseConfig(text []byte) (*Config, error) {
+	var file configFile
+	if err := json.Unmarshal(text, &file); err != nil {
+		return nil, withPosition(text, err)
+	}
+	if file.Settings == nil {
+		return nil, fmt.Errorf("settings are missing: the object that an instance starts with is needed")
+	}
+	c := &Config{
+		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits, Known: parseKnown(file.Known),
+	}
+	if err := c.applySettings(file.Settings); err != nil {
+		return nil, err
+	}
+	var err error
+	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+		return nil, fmt.Errorf("seed is %.40q: up to 16 hexadecimal digits are needed", file.Seed)
+	}
+	if slices.Contains(c.Classes, "") || slices.Contains(c.Tenants, "") {
+		return nil, fmt.Errorf("settings: a class or tenant has no name")
+	}
+	if c.Limits.Sockets == 0 {
+		c.Limits.Sockets = defaultSockets
+	}
+	if c.Limits.Sockets < minSockets {
+		return nil, fmt.Errorf("limits: %d sockets, at least %d are needed", c.Limits.Sockets, minSockets)
+	}
+	return c, nil
+}
+
+// applySettings applies the settings, the object that an instance starts with.
+func (c *Config) applySettings(text []byte) error {
+	s, err := settings.ParseJSON(text)
+	if err != nil {
+		return err
+	}
+	if c.Policy, err = s.Config(); err != nil {
+		return err
+	}
+	c.Classes = s.Names("classes")
+	c.Tenants = s.Names("orgs")
+	c.Zones = s.Words("zones")
+	c.DialTimeout = s.Duration("caps.dial_timeout_ms", defaultDialTimeout)
+	c.DrainGrace = s.Duration("rules.stop_sending_within_ms", core.DefaultDrainGrace)
+	c.ConnIdle = s.Duration("caps.conn_idle_ms", defaultConnIdle)
+	if columns, i := s.Words("telemetry.columns"), s.InFlightColumn(); i >= 0 {
+		c.LoadField = columns[i]
+	}
+	return nil
+}
+
+// withPosition adds line and column to an error of a JSON text, if it has an offset.
+func withPosition(text []byte, err error) error {
+	var syntax *json.SyntaxError
+	var kind *json.UnmarshalTypeError
+	var offset int64
+	switch {
+	case errors.As(err, &syntax):
+		offset = syntax.Offset
+	case errors.As(err, &kind):
+		offset = kind.Offset
+	default:
+		return err
+	}
+	before := text[:min(max(offset-1, 0), int64(len(text)))]
+	line := bytes.Count(before, []byte{'\n'})
+	column := len(before) - bytes.LastIndexByte(before, '\n')
+	return fmt.Errorf("line %d, column %d: %w", line+1, column, err)
+}
+
+// parseKnown reads the list as last held. One that cannot be read is ignored, as
+// discovery brings another.
+func parseKnown(text json.RawMessage) *platform.Listing {
+	if len(text) == 0 || string(text) == "null" {
+		return nil
+	}
+	known := new(platform.Listing)
+	if err := json.Unmarshal(text, known); err != nil {
+		slog.Warn("configuration: the known list is passed over", "err", err)
+		return nil
+	}
+	return known
+}
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -6,7 +6,6 @@
 	"net/textproto"
 	"time"
 
-	"mothridge/internal/core"
 	"mothridge/internal/metrics"
 	"mothridge/internal/operator"
 	"mothridge/internal/quotas"
@@ -15,90 +14,108 @@
 
 // The terms of loans where the operators' file sets none.
 const (
-	defaultReclaim = time.Second
-	defaultRepay   = 0.1
-	defaultDebtAge = time.Minute
-	// unevenPart is how many even parts of a quota one sidecar may use: as the
-	// walls of the decision module, since traffic is uneven and nothing is shared.
-	unevenPart = 2.0
+	defaultLenderReserve  = time.Second
+	defaultRepaymentShare = 0.1
+	defaultDebtLifetime   = time.Minute
+	// unevenShares is how many even shares of a quota one sidecar may use, as traffic is
+	// uneven and sidecars share no state. The bulkheads of the decisions do the same.
+	unevenShares = 2.0
 )
 
-// quotas puts the operators' quotas before the core; nil where there is none.
-func (c *Config) quotas(behind core.Handler, figures *metrics.Metrics) (*quotas.Gate, error) {
-	if len(c.Operator.Quotas) == 0 {
-		return nil, nil
+// addQuotas puts the operators' quotas before the handler there is, if there are any.
+func (s *service) addQuotas() error {
+	if len(s.config.Operator.Quotas) == 0 {
+		return nil
 	}
-	g, err := quotas.New(c.quotaConfig(&c.Operator))
+	gate, err := quotas.New(s.config.quotaConfig(&s.config.Operator))
 	if err != nil {
-		return nil, err
+		return err
 	}
-	g.SetNext(behind)
-	if figures != nil {
-		figures.Add(func(s *metrics.Show) {
-			for _, n := range g.View() {
-				s.Counters("quota_total", "What became of requests by the quota they count in, by event.", "event", n.Usage, "quota", n.Name)
-				for _, l := range n.Limits {
-					s.Gauge("quota_left", "What is left of a limit.", l.Left, "quota", n.Name, "dimension", l.Dimension, "window", l.Window)
-				}
-			}
-		})
+	gate.SetNext(s.handler)
+	if s.metrics != nil {
+		s.metrics.Add(func(show *metrics.Show) { showQuotas(show, gate) })
+	}
+	s.quotas, s.handler = gate, gate
+	return nil
+}
+
+func showQuotas(show *metrics.Show, gate *quotas.Gate) {
+	for _, n := range gate.View() {
+		show.Counters("quota_total", "What became of requests by the quota they count in, by event.", "event", n.Usage, "quota", n.Name)
+		for _, l := range n.Limits {
+			show.Gauge("quota_left", "What is left of a limit.", l.Left, "quota", n.Name, "dimension", l.Dimension, "window", l.Window)
+		}
 	}
-	return g, nil
+}
+
+// reloadQuotas takes another operators' file's quotas; balances stay.
+func (s *service) reloadQuotas(f *operator.File) error {
+	if s.quotas == nil || len(f.Quotas) == 0 {
+		return nil
+	}
+	if err := s.quotas.Load(s.config.quotaConfig(f)); err != nil {
+		return err
+	}
+	slog.Info("quotas were read again", "number", len(f.Quotas))
+	return nil
 }
 
 // quotaConfig is what an operators' file says of quotas.
 func (c *Config) quotaConfig(f *operator.File) quotas.Config {
-	l := &f.Lending
+	lending := &f.Lending
+	evenShare := unevenShares / float64(max(1, c.Policy.FleetSize))
 	out := quotas.Config{
 		Tree: quota.Config{
-			LenderReserve: cmp.Or(l.Reclaim.Value(), defaultReclaim), RepaymentShare: cmp.Or(float64(l.Repay), defaultRepay), DebtLifetime: cmp.Or(l.DebtAge.Value(), defaultDebtAge),
+			LenderReserve:  cmp.Or(lending.Reclaim.Value(), defaultLenderReserve),
+			RepaymentShare: cmp.Or(float64(lending.Repay), defaultRepaymentShare),
+			DebtLifetime:   cmp.Or(lending.DebtAge.Value(), defaultDebtLifetime),
 		},
-		Matches: make(map[string]quotas.Match), Tenants: c.Tenants, MaxRetryAfter: c.Policy.MaxRetryAfter,
-		Share: cmp.Or(l.Part, min(1, unevenPart/float64(max(1, c.Policy.FleetSize)))),
+		Matches:       make(map[string]quotas.Match),
+		Tenants:       c.Tenants,
+		MaxRetryAfter: c.Policy.MaxRetryAfter,
+		Share:         cmp.Or(lending.Part, min(1, evenShare)),
 	}
-	for _, k := range c.Policy.Classes {
-		out.PriorityWeights = append(out.PriorityWeights, k.PriorityWeight)
+	for _, class := range c.Policy.Classes {
+		out.PriorityWeights = append(out.PriorityWeights, class.PriorityWeight)
 	}
 	for i := range f.Quotas {
 		q := &f.Quotas[i]
-		n := quota.Node{Name: q.Name, Parent: q.Parent, Weight: q.Weight}
-		windows := []time.Duration{time.Second, 10 * time.Second}
-		if len(q.Windows) > 0 {
-			windows = nil
-			for _, w := range q.Windows {
-				windows = append(windows, w.Value())
-			}
-		}
-		for _, w := range windows {
-			for _, x := range []struct {
-				d    quota.Dimension
-				rate float64
-			}{{quota.Requests, q.Requests}, {quota.Priority, q.Worth}, {quota.Bytes, q.Bytes}} {
-				if x.rate > 0 {
-					n.Limits = append(n.Limits, quota.Limit{Dimension: x.d, Rate: x.rate, Window: w, Ceiling: x.rate * q.Ceiling})
-				}
-			}
-		}
-		if q.Concurrent > 0 {
-			rate := float64(q.Concurrent)
-			n.Limits = append(n.Limits, quota.Limit{Dimension: quota.Concurrent, Rate: rate, Ceiling: rate * q.Ceiling})
-		}
-		out.Tree.Nodes = append(out.Tree.Nodes, n)
+		out.Tree.Nodes = append(out.Tree.Nodes, quota.Node{
+			Name: q.Name, Parent: q.Parent, Weight: q.Weight, Limits: quotaLimits(q),
+		})
 		if q.Tenant != "" || q.Header != "" || q.Tag != "" {
-			out.Matches[q.Name] = quotas.Match{Tenant: q.Tenant, Header: textproto.CanonicalMIMEHeaderKey(q.Header), Value: q.Value, Tag: q.Tag}
+			out.Matches[q.Name] = quotas.Match{
+				Tenant: q.Tenant, Header: textproto.CanonicalMIMEHeaderKey(q.Header), Value: q.Value, Tag: q.Tag,
+			}
 		}
 	}
 	return out
 }
 
-// reloadQuotas takes another operators' file's quotas; balances stay.
-func (c *Config) reloadQuotas(g *quotas.Gate, f *operator.File) error {
-	if g == nil || len(f.Quotas) == 0 {
-		return nil
+// quotaLimits are the limits of one node: each rate in each window, and requests at once.
+func quotaLimits(q *operator.Quota) []quota.Limit {
+	windows := []time.Duration{time.Second, 10 * time.Second}
+	if len(q.Windows) > 0 {
+		windows = nil
+		for _, w := range q.Windows {
+			windows = append(windows, w.Value())
+		}
 	}
-	if err := g.Load(c.quotaConfig(f)); err != nil {
-		return err
+	rates := []struct {
+		dimension quota.Dimension
+		rate      float64
+	}{{quota.Requests, q.Requests}, {quota.Priority, q.Worth}, {quota.Bytes, q.Bytes}}
+	var limits []quota.Limit
+	for _, window := range windows {
+		for _, r := range rates {
+			if r.rate > 0 {
+				limits = append(limits, quota.Limit{Dimension: r.dimension, Rate: r.rate, Window: window, Ceiling: r.rate * q.Ceiling})
+			}
+		}
 	}
-	slog.Info("quotas were read again", "number", len(f.Quotas))
-	return nil
+	if q.Concurrent > 0 {
+		rate := float64(q.Concurrent)
+		limits = append(limits, quota.Limit{Dimension: quota.Concurrent, Rate: rate, Ceiling: rate * q.Ceiling})
+	}
+	return limits
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,12 +1,10 @@
-// Package sidecar runs the decision module on real sockets: it takes requests
-// from the application beside it, carries them to upstreams as the module
-// decides, and follows discovery. It decides nothing itself.
+// Package sidecar puts the parts of the program together and ends them in order: it
+// listens, builds the core with its handlers, transports and sources, serves, reloads on
+// request and shuts down gracefully. It decides nothing itself.
 package sidecar
 
 import (
-	"cmp"
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -15,291 +13,155 @@
 	"time"
 
 	"mothridge/internal/core"
-	"mothridge/internal/front/httpfront"
-	"mothridge/internal/front/rpcfront"
 	"mothridge/internal/metrics"
-	"mothridge/internal/operator"
+	"mothridge/internal/plugin"
+	"mothridge/internal/quotas"
+	"mothridge/internal/registry/merge"
 	"mothridge/internal/registry/platform"
-	"mothridge/internal/transport/httpnode"
-	"mothridge/internal/transport/rpcnode"
 )
 
-const (
-	socketsSpare = 32 // standard streams, the listener, the poller and what the runtime opens
-	sweepEvery   = time.Second
-	// clientPart is how many tenths of the sockets are for clients: those that
-	// say nothing take some, until they are closed.
-	clientPart = 6
-	// lastConnections is how long new connections come after a planned restart
-	// was announced (0.4 s), and some time to take them out of the accept queue.
-	lastConnections = 600 * time.Millisecond
-	// After that announcement the process is killed no sooner than the longest
-	// deadline, longestWait at most, and killedAfter more. What is open then is lost:
-	// answerBefore that all that is held gets its answer, and there is time to write it.
-	longestWait  = 3 * time.Second
-	killedAfter  = 700 * time.Millisecond
-	answerBefore = 250 * time.Millisecond
-	leaveBefore  = 50 * time.Millisecond // the process has ended by then
-)
-
-// connections divides the sockets between the two sides.
-func (l Limits) connections() (clients, upstreams int) {
-	most := l.Sockets - socketsSpare - platform.MaxConnections
-	clients = most * clientPart / 10
-	return clients, most - clients
-}
-
-// Run listens and serves until stop is done, then finishes what was taken. At
-// each value of reload it reads its configuration again.
+// Run listens and serves until stop is done, then shuts down gracefully. At each value
+// of reload it reads its configuration again. The error names the part that failed.
 func Run(stop context.Context, reload <-chan os.Signal, c *Config) error {
-	var lns []net.Listener
-	defer func() {
-		for _, ln := range lns {
-			ln.Close()
-		}
-	}()
-	addresses := []string{c.Listen}
-	for _, l := range c.Operator.Listeners {
-		addresses = append(addresses, string(l.Address))
-	}
-	for _, addr := range addresses {
-		ln, err := net.Listen("tcp", addr)
-		if err != nil {
-			return err
-		}
-		lns = append(lns, ln)
-	}
-	return Serve(stop, reload, c, lns)
-}
-
-// front takes requests by one protocol and gives each its one answer.
-type front interface {
-	Serve() error
-	Drain()                         // asks clients to send nothing new; what still comes is taken
-	Shutdown(context.Context) error // answers what was taken, then ends
-}
-
-// transport carries out attempts by one protocol.
-type transport interface {
-	Node(addr string) core.Upstream
-	Sweep(now time.Time) // closes what has been idle for too long
-}
-
-// Serve does the same on listeners that are open: the platform's first, then
-// those of the operators' file in its order. It closes them.
-func Serve(stop context.Context, reload <-chan os.Signal, c *Config, lns []net.Listener) error {
-	defer func() {
-		for _, ln := range lns {
-			ln.Close()
-		}
-	}()
-	forClients, forUpstreams := c.Limits.connections()
-	figures := c.measure()
-	reach, transports := c.transports(forUpstreams, figures)
-	p := c.Policy
-	if n := int(c.Operator.Limits.Slots); n > 0 {
-		p.Slots = n
-	}
-	k, err := core.New(core.Config{Policy: p, Seed: c.Seed, Zones: c.Zones, Cached: c.known(), NewUpstream: reach, DrainGrace: c.DrainGrace, OnResponse: answered(figures)})
+	listeners, err := c.listen()
 	if err != nil {
 		return err
 	}
-	run, end := context.WithCancel(context.Background())
-	var loops sync.WaitGroup
-	defer func() {
-		end()
-		loops.Wait()
-	}()
-	var taker core.Handler = k // what fronts give requests to: plug-ins, quotas and the core, where there are those
-	shares, err := c.quotas(k, figures)
-	if err != nil {
-		return err
-	}
-	if shares != nil {
-		taker = shares
-	}
-	gate, err := c.plugins(run, taker, figures, &loops)
-	if err != nil {
-		return err
-	}
-	update := k.Update
-	if gate != nil {
-		taker, update = gate, func(n core.EndpointUpdate) { k.Update(gate.Members(n)) }
-	}
-	d, m, err := c.follow(run, k, update, &loops)
-	if err != nil {
-		return err
-	}
-	if figures != nil {
-		c.showState(figures, k, m)
-	}
-	closeAdmin, err := c.administer(m, shares, figures, &loops)
-	if err != nil {
+	return Serve(stop, reload, c, listeners)
+}
+
+// Serve does the same on listeners that are open: the platform's first, then those of
+// the operators' file in its order. It closes them.
+func Serve(stop context.Context, reload <-chan os.Signal, c *Config, listeners []net.Listener) error {
+	defer closeAll(listeners)
+	s := &service{config: c}
+	if err := s.build(); err != nil {
 		return err
 	}
-	defer closeAdmin()
-	leave, left := context.WithCancel(stop) // whatever ends the service ends registrations
-	defer left()
-	if err := c.register(leave, k, &loops); err != nil {
+	defer s.stopBackground()
+	if err := s.startBackground(stop); err != nil {
 		return err
 	}
-	loops.Go(func() { k.Run(run) })
-	go sweep(run, transports)
-
-	fronts := c.fronts(taker, k.EarliestArrival, lns, forClients, figures)
-	served := make(chan error, len(fronts))
-	for _, f := range fronts {
-		go func() { served <- f.Serve() }()
-	}
+	s.startFrontEnds(listeners)
 	slog.Info("serving", "name", c.Name, "listen", c.Listen, "balancers", c.Policy.FleetSize)
 	for {
 		select {
-		case err := <-served:
+		case err := <-s.frontEndEnded:
 			return fmt.Errorf("serve: %w", err)
 		case <-stop.Done():
-			return c.shutDown(fronts, k)
+			return s.shutDown()
 		case <-reload:
-			c.reloadGates(gate, shares)
-			if c.Operator.Sidecar != nil && (gate != nil || shares != nil) {
-				continue // there is no platform's file, and what can be read again was
-			}
-			was := c.Discovery
-			if err := c.reload(); err != nil {
-				slog.Error("configuration: the old one stays in force", "err", err)
-			} else if c.Discovery != was && d != nil {
-				d.SetAddress(c.Discovery)
-			}
+			s.reload()
 		}
 	}
 }
 
-// fronts makes the front of each listener; they share the clients' connections evenly.
-func (c *Config) fronts(k core.Handler, arrived func(time.Time) time.Time, lns []net.Listener, connections int, figures *metrics.Metrics) []front {
-	each, effects := connections/len(lns), c.effects()
-	overHTTP := httpfront.Config{Classes: c.Classes, Effects: effects, Tenants: c.Tenants, Connections: each, Arrived: arrived}
-	fronts := make([]front, len(lns))
-	for i, ln := range lns {
-		l := operator.Listener{Protocol: operator.HTTP} // the platform's
-		if i > 0 {
-			l = c.Operator.Listeners[i-1]
-		}
-		var counts func() any
-		if l.Protocol == operator.HTTP {
-			f := httpfront.New(overHTTP, k, ln)
-			fronts[i], counts = f, func() any { return f.Counters() }
-		} else {
-			f := rpcfront.New(rpcfront.Config{
-				Classes: c.Classes, Effects: effects, Tenants: c.Tenants, Connections: each, Arrived: arrived,
-				Open: int(l.Open), Held: int(l.Held), Texts: l.Errors == operator.ErrorTexts,
-			}, k, ln)
-			fronts[i], counts = f, func() any { return f.Counters() }
-		}
-		if figures != nil {
-			figures.Add(func(s *metrics.Show) {
-				s.Counters("front_total", "What came on a listener, by event.", "event", counts(), "listener", ln.Addr().String(), "protocol", string(l.Protocol))
-			})
-		}
-	}
-	return fronts
-}
+// service is a running sidecar. The goroutine of Serve owns it.
+type service struct {
+	config  *Config
+	metrics *metrics.Metrics // nil where the operators' file has them off
 
-// transports makes those that the pools need, and finds the one of an instance.
-func (c *Config) transports(connections int, figures *metrics.Metrics) (func(core.Endpoint) core.Upstream, []transport) {
-	show := func(pool string, p operator.Protocol, counts func() any) {
-		if figures != nil {
-			figures.Add(func(s *metrics.Show) {
-				s.Counters("transport_total", "What became of connections to nodes, by event.", "event", counts(), "pool", pool, "protocol", string(p))
-			})
-		}
-	}
+	// The core and what requests pass on their way to it, made by build.
+	core       *core.Core
+	transports []transport
+	quotas     *quotas.Gate // nil where there is none
+	plugins    *plugin.Gate // nil where there is none
+	handler    core.Handler // the first of plug-ins, quotas and core
 
-	forRPC := 0
-	if c.Operator.Uses(operator.RPC) {
-		forRPC = connections / 2
-	}
-	overHTTP := httpnode.New(httpnode.Config{
-		DialTimeout: c.DialTimeout, ConnIdle: c.ConnIdle, Connections: connections - forRPC,
-		LoadField: c.LoadField, Reports: c.Policy.ProbeLoadReports,
+	// What runs beside them, made by startBackground. It ends with stopBackground.
+	background    sync.WaitGroup
+	cancel        context.CancelFunc
+	discovery     *platform.Discovery // nil where the platform's is no source
+	merger        *merge.Merger       // nil where the platform's discovery is the only source
+	closeAdmin    func()
+	endRegistered context.CancelFunc
+
+	frontEnds     []frontEnd
+	frontEndEnded chan error // how a front end has ended, one value each
+}
+
+// build makes the core and the transports. Nothing runs yet.
+func (s *service) build() error {
+	s.cancel, s.closeAdmin, s.endRegistered = func() {}, func() {}, func() {}
+	s.metrics = s.config.newMetrics()
+	newUpstream := s.newTransports()
+	settings := s.config.Policy
+	if slots := int(s.config.Operator.Limits.Slots); slots > 0 {
+		settings.Slots = slots
+	}
+	var err error
+	s.core, err = core.New(core.Config{
+		Policy:      settings,
+		Seed:        s.config.Seed,
+		Zones:       s.config.Zones,
+		Cached:      s.config.cachedEndpoints(),
+		NewUpstream: newUpstream,
+		DrainGrace:  s.config.DrainGrace,
+		OnResponse:  observeLatency(s.metrics),
 	})
-	show("", operator.HTTP, func() any { return overHTTP.Counters() })
-	all := []transport{overHTTP}
-	var ofPool []transport
-	rpcPools := 0
-	for _, p := range c.Operator.Pools {
-		if p.Protocol == operator.RPC {
-			rpcPools++
-		}
-	}
-	for _, p := range c.Operator.Pools {
-		if p.Protocol == operator.HTTP {
-			ofPool = append(ofPool, overHTTP)
-			continue
-		}
-		t := rpcnode.New(rpcnode.Config{
-			DialTimeout: c.DialTimeout, ConnIdle: c.ConnIdle, Connections: max(1, forRPC/rpcPools), Outstanding: int(p.Outstanding),
-		})
-		ofPool, all = append(ofPool, t), append(all, t)
-		show(p.Name, operator.RPC, func() any { return t.Counters() })
-	}
-	return func(i core.Endpoint) core.Upstream {
-		for n := range c.Operator.Pools {
-			p := &c.Operator.Pools[n]
-			if i.Protocol != "" && i.Protocol != string(p.Protocol) {
-				continue // its source says otherwise
-			}
-			if p.Matches(cmp.Or(i.Host, i.Name), i.Zone, i.MachineType) {
-				return ofPool[n].Node(i.Addr)
-			}
-		}
-		return overHTTP.Node(i.Addr)
-	}, all
+	return err
 }
 
-// shutDown ends service for a planned restart. New connections go on coming for
-// a while, and closing a listener resets those that wait to be accepted: it
-// stays open until then, while clients are told to send nothing new.
-func (c *Config) shutDown(fronts []front, k *core.Core) error {
-	slog.Info("draining")
-	killed := time.Now().Add(c.killedIn())
-	for _, f := range fronts {
-		f.Drain() // none that is idle may get a request after the listener has gone
+// startBackground starts all that runs beside the front ends: plug-ins, discovery, the
+// admin socket, registrations, the core's event loop and the sweep of idle connections.
+// Registrations end as soon as stop is done, the rest with stopBackground.
+func (s *service) startBackground(stop context.Context) error {
+	var running context.Context
+	running, s.cancel = context.WithCancel(context.Background())
+	s.handler = s.core
+	if err := s.addQuotas(); err != nil {
+		return err
 	}
-	defer time.AfterFunc(time.Until(killed.Add(-answerBefore)), k.Shutdown).Stop()
-	time.Sleep(lastConnections)
-	ctx, cancel := context.WithDeadline(context.Background(), killed.Add(-leaveBefore))
-	defer cancel()
-	ended := make(chan error, len(fronts))
-	for _, f := range fronts {
-		go func() { ended <- f.Shutdown(ctx) }()
+	if err := s.addPlugins(running); err != nil {
+		return err
 	}
-	var errs error
-	for range fronts {
-		errs = errors.Join(errs, <-ended)
+	if err := s.followSources(running); err != nil {
+		return err
 	}
-	if errs == nil {
-		slog.Info("ended")
+	if s.metrics != nil {
+		s.showState()
 	}
-	return errs
+	if err := s.openAdmin(); err != nil {
+		return err
+	}
+	var registered context.Context
+	registered, s.endRegistered = context.WithCancel(stop)
+	if err := s.register(registered); err != nil {
+		return err
+	}
+	s.background.Go(func() { s.core.Run(running) })
+	go sweepIdle(running, s.transports)
+	return nil
 }
 
-// killedIn is how soon after the announcement of a planned restart the process
-// may be killed.
-func (c *Config) killedIn() time.Duration {
-	longest := time.Duration(0)
-	for _, k := range c.Policy.Classes {
-		longest = max(longest, k.Deadline)
+// stopBackground ends what startBackground has started, and waits for it.
+func (s *service) stopBackground() {
+	s.endRegistered()
+	s.closeAdmin()
+	s.cancel()
+	s.background.Wait()
+}
+
+// startFrontEnds serves each listener in a goroutine of its own, which ends with the
+// front end's Shutdown or its failure.
+func (s *service) startFrontEnds(listeners []net.Listener) {
+	s.frontEnds = s.newFrontEnds(listeners)
+	s.frontEndEnded = make(chan error, len(s.frontEnds))
+	for _, f := range s.frontEnds {
+		go func() { s.frontEndEnded <- f.Serve() }()
 	}
-	return max(min(longest, longestWait)+killedAfter, lastConnections+2*answerBefore)
 }
 
-// sweep closes idle upstream connections in time.
-func sweep(ctx context.Context, all []transport) {
-	tick := time.NewTicker(sweepEvery)
-	defer tick.Stop()
+const sweepInterval = time.Second
+
+// sweepIdle closes upstream connections that have been idle for too long, until ctx ends.
+func sweepIdle(ctx context.Context, transports []transport) {
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case now := <-tick.C:
-			for _, t := range all {
+		case now := <-ticker.C:
+			for _, t := range transports {
 				t.Sweep(now)
 			}
 		case <-ctx.Done():
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -60,7 +60,7 @@
 	select {
 	case err := <-ended:
 		t.Fatalf("ended with a request unanswered: %v", err)
-	case <-time.After(lastConnections): // the listener has gone or is about to
+	case <-time.After(acceptGrace): // the listener has gone or is about to
 	}
 	close(release)
 	if got := peertest.Await(t, "the held one's answer", held); got.Status != 200 || got.Body != "ok" {
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -134,7 +134,7 @@
 			p.WatchOnRequest != (s.Discovery.Mode == "ask") || p.ClientsMarkRetries != s.Clients.MarksRetry || p.SlowStartOverloadFactor != s.Rules.FallMultiple ||
 			c.DialTimeout != ms(s.Tier[0].Conn.Connect) || c.ConnIdle != ms(1000*s.Tier[0].Conn.Idle) ||
 			c.LoadField != map[bool]string{true: "busy_reqs"}[len(s.Tier[0].Report.Fields) > 0] ||
-			c.killedIn() != min(longest(p.Classes), longestWait)+killedAfter {
+			c.killGrace() != min(longest(p.Classes), maxClientWait)+killMargin {
 			t.Errorf("%s: %+v", s.Name, c)
 		}
 		for _, name := range append(c.Classes, c.Tenants...) {
--- a/internal/sidecar/sources_test.go
+++ b/internal/sidecar/sources_test.go
@@ -13,7 +13,7 @@
 	} {
 		var s Config
 		s.Limits.MemoryMB, s.Operator.Membership.Most = int64(c.memoryMB), operator.Count(c.said)
-		if got := s.mostNodes(); got != c.want {
+		if got := s.maxNodes(); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
