--- a/cmd/sidecar/commands_test.go
+++ b/cmd/sidecar/commands_test.go
@@ -86,14 +86,14 @@
 		"\"\n[[pool]]\nname = \"records\"\nprotocol = \"msgpack-rpc\"\nhosts = [\"records-*\"]\n")
 	end := startProgram(t, config, operators)
 	for i, p := range []peers.Protocol{peers.HTTP, peers.RPC} {
-		if got := askUntilServed(t, p, addrs[i], peers.Call{Class: "a", Unsafe: true, Timeout: time.Second}); got.Verdict != peers.Served {
+		if got := requestUntilServed(t, p, addrs[i], peers.Call{Class: "a", Unsafe: true, Timeout: time.Second}); got.Verdict != peers.Served {
 			t.Errorf("over %s: %+v", p, got)
 		}
 	}
 	end()
 }
 
-// startProgram starts the real program; end ends it and checks that it ends well.
+// startProgram starts the real program; end stops it and checks its exit status.
 func startProgram(t *testing.T, config, operators string) (end func()) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "run", "--operator", operators, "--log-format", "json")
@@ -125,8 +125,8 @@
 	}
 }
 
-// askUntilServed asks until the program is up and serves.
-func askUntilServed(t *testing.T, p peers.Protocol, addr string, c peers.Call) (got peers.Result) {
+// requestUntilServed sends requests until the program is up and serves.
+func requestUntilServed(t *testing.T, p peers.Protocol, addr string, c peers.Call) (got peers.Result) {
 	t.Helper()
 	client := peers.NewClient(p, addr)
 	defer client.Close()
@@ -175,7 +175,7 @@
 			end := startProgram(t, paths[0], paths[1])
 			for _, c := range []peers.Call{{Class: "weight-reading", Key: "k"}, {Class: "harvest-entry", Unsafe: true}} {
 				c.Tenant, c.Timeout = "lockyer-keepers", time.Second
-				if got := askUntilServed(t, peers.HTTP, addrs[0], c); got.Verdict != peers.Served {
+				if got := requestUntilServed(t, peers.HTTP, addrs[0], c); got.Verdict != peers.Served {
 					t.Errorf("%s: %+v", c.Class, got)
 				}
 			}
@@ -184,7 +184,7 @@
 	}
 }
 
-// freeAddrs finds loopback addresses that nobody listens at.
+// freeAddrs finds loopback addresses without a listener.
 func freeAddrs(t *testing.T, n int) []string {
 	t.Helper()
 	addrs := make([]string, n)
--- a/cmd/sidecar/log_test.go
+++ b/cmd/sidecar/log_test.go
@@ -68,8 +68,8 @@
 	return cmd, addr
 }
 
-// ask sends a request to which any final answer will do.
-func ask(addr string) (int, error) {
+// postRequest sends a request to which any final answer will do.
+func postRequest(addr string) (int, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/api", strings.NewReader("x"))
 	if err != nil {
 		return 0, err
@@ -83,7 +83,7 @@
 	return resp.StatusCode, nil
 }
 
-// Whatever becomes of standard error, the program serves and ends when it is told to.
+// Whatever becomes of standard error, the program serves and ends on a signal.
 func TestLogDoesNotStopService(t *testing.T) {
 	for name, open := range map[string]func(*testing.T) *os.File{
 		"nobody reads": func(t *testing.T) *os.File { _, w := fullPipe(t); return w },
@@ -112,7 +112,7 @@
 			var status int
 			var err error
 			for end := time.Now().Add(startIn); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-				if status, err = ask(addr); err == nil {
+				if status, err = postRequest(addr); err == nil {
 					break
 				}
 			}
@@ -123,7 +123,7 @@
 				cmd.Process.Signal(syscall.SIGHUP)
 				time.Sleep(5 * time.Millisecond)
 			}
-			if status, err = ask(addr); err != nil {
+			if status, err = postRequest(addr); err != nil {
 				t.Fatalf("no answer after log lines: status %d, %v", status, err)
 			}
 			cmd.Process.Signal(syscall.SIGTERM)
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,6 +1,6 @@
-// Mothridge is the sidecar: it runs beside one application process and carries
-// its requests to the upstreams. Without arguments it runs as the platform
-// starts it; its commands are for the operators.
+// Command sidecar runs beside one application process and carries its requests to the
+// upstreams. Without arguments it runs as the platform starts it; its commands are for
+// the operators.
 package main
 
 import (
@@ -28,7 +28,7 @@
 	// A log that cannot be written must not end the program.
 	signal.Ignore(syscall.SIGPIPE)
 	slog.SetDefault(slog.New(slog.NewTextHandler(standardError, nil)))
-	defer standardError.Flush(lastLinesIn)
+	defer standardError.Flush(logFlushTimeout)
 	var err error
 	if len(os.Args) == 1 {
 		err = run("") // the platform's way: nothing of the command line is set up
@@ -44,12 +44,12 @@
 	} else {
 		fmt.Fprintln(standardError, "mothridge:", err)
 	}
-	standardError.Flush(lastLinesIn)
+	standardError.Flush(logFlushTimeout)
 	os.Exit(1)
 }
 
-// lastLinesIn is how long the last lines of the log may take as the program ends.
-const lastLinesIn = 100 * time.Millisecond
+// logFlushTimeout bounds the wait for the last lines of the log as the program ends.
+const logFlushTimeout = 100 * time.Millisecond
 
 // standardError takes the log, and what a failed command says.
 var standardError = logsink.New(os.Stderr, logsink.DefaultLimit, func(lines uint64) {
@@ -68,12 +68,12 @@
 	if err != nil {
 		return err
 	}
-	fit(c.Limits)
+	applyLimits(c.Limits)
 	c.LogLost = standardError.Lost
 	return sidecar.Run(stop, reloads, c)
 }
 
-// configure takes what the platform tells and what the operators set, or the
+// configure reads the platform's configuration and the operators' file, or the
 // latter alone where there is no platform.
 func configure(operators string) (*sidecar.Config, error) {
 	if operators == "" {
@@ -97,21 +97,23 @@
 	return c, nil
 }
 
-// outside is what the process takes beside the runtime's own memory: the
-// program's text, above all, and what the runtime goes over its limit while it
-// collects. It counts where the limit is small.
-const outside = 13 << 20
+// nonHeapBytes is what the process takes beside the runtime's own memory: the program's
+// text, above all, and what the runtime exceeds its limit by while it collects.
+const nonHeapBytes = 13 << 20
 
-// fit keeps the runtime within the platform's limits. The heap is small, so it
-// is collected rarely, but the memory limit is kept to with a quarter to spare,
-// or with what lies outside of the runtime where that is more.
-func fit(l sidecar.Limits) {
+// gcPercent lets a small heap grow to five times its size before it is collected.
+const gcPercent = 400
+
+// applyLimits keeps the runtime within the platform's limits. Its memory limit is three
+// quarters of the platform's, or what nonHeapBytes leaves where that is less, and a
+// quarter at least.
+func applyLimits(l sidecar.Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(l.Cores)))
 	}
 	if l.MemoryMB > 0 {
 		limit := l.MemoryMB << 20
-		debug.SetMemoryLimit(max(limit/4, min(limit/4*3, limit-outside)))
-		debug.SetGCPercent(400)
+		debug.SetMemoryLimit(max(limit/4, min(limit/4*3, limit-nonHeapBytes)))
+		debug.SetGCPercent(gcPercent)
 	}
 }
--- a/cmd/sidecar/members.go
+++ b/cmd/sidecar/members.go
@@ -18,17 +18,17 @@
 	Socket string `arg:"" help:"The sidecar's admin socket, as its operators' file names it."`
 }
 
-// Run asks and prints a table.
+// Run prints a table of sources and endpoints.
 func (c *membersCommand) Run() error {
-	v, err := askMembers(context.Background(), c.Socket)
+	v, err := fetchMembers(context.Background(), c.Socket)
 	if err != nil {
 		return err
 	}
 	return printMembers(os.Stdout, v)
 }
 
-// askMembers asks a page at a time, so that a long list costs the sidecar little.
-func askMembers(ctx context.Context, socket string) (*merge.View, error) {
+// fetchMembers reads the list a page at a time, so that a long one costs the sidecar little.
+func fetchMembers(ctx context.Context, socket string) (*merge.View, error) {
 	all := new(merge.View)
 	for after := ""; ; {
 		var page merge.View
@@ -47,14 +47,14 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "source\tlists\theld though lost\tlast heard\ttrusted")
 	for _, s := range v.Sources {
-		heard, trusted := "never", "yes"
+		lastResponse, trusted := "never", "yes"
 		if s.LastResponseAt > 0 {
-			heard = (v.Now - s.LastResponseAt).Round(100*time.Millisecond).String() + " ago"
+			lastResponse = (v.Now - s.LastResponseAt).Round(100*time.Millisecond).String() + " ago"
 		}
 		if s.Reason != "" {
 			trusted = "no: " + s.Reason
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", s.Name, s.Live, s.Held, heard, trusted)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", s.Name, s.Live, s.Held, lastResponse, trusted)
 	}
 	fmt.Fprintln(w, "\t\t\t\t")
 	fmt.Fprintln(w, "address\tnode\tstate\tsite\tcell\twhy")
--- a/cmd/sidecar/members_test.go
+++ b/cmd/sidecar/members_test.go
@@ -16,7 +16,7 @@
 	"mothridge/internal/peers"
 )
 
-// The real program follows a registry, registers with it, and tells its members.
+// The real program follows a registry, registers with it, and lists its members.
 func TestMembersOfARunningSidecar(t *testing.T) {
 	e, err := peers.StartEureka("")
 	if err != nil {
@@ -146,7 +146,7 @@
 		cmd.Wait()
 	}()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		v, err := askMembers(b.Context(), socket)
+		v, err := fetchMembers(b.Context(), socket)
 		if err == nil && len(v.Members) == n || n == 0 && err != nil && strings.Contains(err.Error(), "not turned on") {
 			break
 		}
--- a/cmd/sidecar/quota.go
+++ b/cmd/sidecar/quota.go
@@ -17,7 +17,7 @@
 	Socket string `arg:"" help:"The sidecar's admin socket, as its operators' file names it."`
 }
 
-// Run asks and prints the tree.
+// Run prints the tree of quotas.
 func (c *quotaCommand) Run() error {
 	var nodes []quotas.NodeView
 	if err := admin.Ask(context.Background(), c.Socket, "quotas", &nodes); err != nil {
--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -27,14 +27,14 @@
 			path := log.Name()
 			cmd, addr := startLogging(t, log)
 			peertest.Until(t, "the program", func() bool {
-				_, err := ask(addr)
+				_, err := postRequest(addr)
 				return err == nil
 			})
 			for _, s := range signals {
 				cmd.Process.Signal(s)
 				time.Sleep(20 * time.Millisecond) // they come one after the other
 			}
-			if _, err := ask(addr); err != nil { // within the 0.4 s in which new connections come
+			if _, err := postRequest(addr); err != nil { // within the 0.4 s in which new connections come
 				t.Errorf("no answer while it ends: %v", err)
 			}
 			if err := cmd.Wait(); err != nil {
--- a/cmd/sidecar/standin.go
+++ b/cmd/sidecar/standin.go
@@ -19,7 +19,7 @@
 	Node   standinNode   `cmd:"" help:"A node that serves what a sidecar sends it, on loopback."`
 }
 
-// loopback checks an address for a stand-in: it asks nobody who he is.
+// loopback checks an address for a stand-in, which has no authentication.
 func loopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// until waits for a signal or the end of a time.
-func until(d time.Duration) {
+// waitForSignal waits for a signal, for d at the most.
+func waitForSignal(d time.Duration) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	t := time.NewTimer(d)
@@ -81,7 +81,7 @@
 	}
 	defer n.Close()
 	fmt.Printf("a stand-in node %s at %s over %s for %v\n", name, n.Addr(), protocol, c.Duration)
-	until(c.Duration)
+	waitForSignal(c.Duration)
 	return nil
 }
 
@@ -108,6 +108,6 @@
 	fmt.Printf("take out   curl -X PUT '%s/apps/RECORDS/r1/status?value=OUT_OF_SERVICE'\n", e.URL())
 	fmt.Printf("put back   curl -X DELETE '%s/apps/RECORDS/r1/status?value=UP'\n", e.URL())
 	fmt.Printf("look       curl -H 'Accept: application/json' %s/apps\n", e.URL())
-	until(c.Duration)
+	waitForSignal(c.Duration)
 	return nil
 }
--- a/cmd/sidecar/stop_test.go
+++ b/cmd/sidecar/stop_test.go
@@ -17,7 +17,7 @@
 )
 
 // A request that came while the process was stopped has less time left than its head
-// says: its server is told so, or it is answered at once.
+// says: its upstream gets that, or it is answered at once.
 func TestDeadlineAfterTheProcessWasStopped(t *testing.T) {
 	const (
 		timeout = 2 * time.Second
@@ -67,7 +67,7 @@
 	peertest.Await(t, "the first", u.Requests)
 	cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(100 * time.Millisecond) // until it has stopped
-	sent := time.Now()
+	sentAt := time.Now()
 	request("second")
 	time.Sleep(stopped)
 	cmd.Process.Signal(syscall.SIGCONT)
@@ -81,8 +81,8 @@
 		}
 		return
 	}
-	told, _ := strconv.ParseFloat((<-u.Requests).Header.Get("Request-Timeout"), 64)
-	if most := timeout - stopped + slack; time.Duration(told*float64(time.Second)) > most {
-		t.Errorf("%.3f s told %v after it was sent, at most %v are left", told, time.Since(sent), most)
+	upstreamTimeout, _ := strconv.ParseFloat((<-u.Requests).Header.Get("Request-Timeout"), 64)
+	if most := timeout - stopped + slack; time.Duration(upstreamTimeout*float64(time.Second)) > most {
+		t.Errorf("%.3f s told %v after it was sent, at most %v are left", upstreamTimeout, time.Since(sentAt), most)
 	}
 }
