--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -20,7 +20,10 @@
 	"mothridge/internal/sidecar"
 )
 
-func main() {
+func main() { os.Exit(execute()) }
+
+// execute runs the program and returns its exit status.
+func execute() int {
 	if len(os.Args) == 1 || os.Args[1] == "run" {
 		// Unhandled, the signal that says 'read your configuration again' would end the program.
 		signal.Notify(reloads, syscall.SIGHUP)
@@ -36,7 +39,7 @@
 		err = command(os.Args[1:])
 	}
 	if err == nil {
-		return
+		return 0
 	}
 	var mistakes *operator.Mistakes
 	if errors.As(err, &mistakes) {
@@ -44,8 +47,7 @@
 	} else {
 		fmt.Fprintln(standardError, "mothridge:", err)
 	}
-	standardError.Flush(logFlushTimeout)
-	os.Exit(1)
+	return 1
 }
 
 // logFlushTimeout bounds the wait for the last lines of the log as the program ends.
--- a/cmd/sidecar/members.go
+++ b/cmd/sidecar/members.go
@@ -32,7 +32,7 @@
 	all := new(merge.View)
 	for after := ""; ; {
 		var page merge.View
-		if err := admin.Ask(ctx, socket, "members?after="+url.QueryEscape(after), &page); err != nil {
+		if err := admin.Query(ctx, socket, "members?after="+url.QueryEscape(after), &page); err != nil {
 			return nil, err
 		}
 		all.Now, all.Sources, all.Members = page.Now, page.Sources, append(all.Members, page.Members...)
--- a/cmd/sidecar/quota.go
+++ b/cmd/sidecar/quota.go
@@ -20,7 +20,7 @@
 // Run prints the tree of quotas.
 func (c *quotaCommand) Run() error {
 	var nodes []quotas.NodeView
-	if err := admin.Ask(context.Background(), c.Socket, "quotas", &nodes); err != nil {
+	if err := admin.Query(context.Background(), c.Socket, "quotas", &nodes); err != nil {
 		return err
 	}
 	return printQuotas(os.Stdout, nodes)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-func TestAskAndAnswer(t *testing.T) {
+func TestQuery(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	s, err := Listen(path, map[string]Question{
+	s, err := Listen(path, map[string]QueryHandler{
 		"members": func(context.Context, url.Values) (any, error) { return []string{"a", "b"}, nil },
 		"broken":  func(context.Context, url.Values) (any, error) { return nil, errors.New("not now") },
 	}, nil)
@@ -25,13 +25,13 @@
 		t.Errorf("the socket is %v, %v; want one for its user alone", info.Mode(), err)
 	}
 	var got []string
-	if err := Ask(t.Context(), path, "members", &got); err != nil || len(got) != 2 {
+	if err := Query(t.Context(), path, "members", &got); err != nil || len(got) != 2 {
 		t.Errorf("got %v, %v", got, err)
 	}
-	if err := Ask(t.Context(), path, "broken", &got); err == nil || !strings.Contains(err.Error(), "not now") {
+	if err := Query(t.Context(), path, "broken", &got); err == nil || !strings.Contains(err.Error(), "not now") {
 		t.Errorf("broken: %v", err)
 	}
-	if err := Ask(t.Context(), path, "unknown", &got); err == nil || !strings.Contains(err.Error(), "not turned on") {
+	if err := Query(t.Context(), path, "unknown", &got); err == nil || !strings.Contains(err.Error(), "not turned on") {
 		t.Errorf("unknown: %v", err)
 	}
 	if _, err := Listen(path, nil, nil); err == nil || !strings.Contains(err.Error(), "another process") {
@@ -41,13 +41,13 @@
 	if err := <-done; err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	if err := Ask(t.Context(), path, "members", &got); err == nil || strings.Contains(err.Error(), "\n") {
+	if err := Query(t.Context(), path, "members", &got); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Errorf("after the end: %v", err)
 	}
 }
 
-// What a process that was killed left behind is replaced, any other file is not.
-func TestLeftBehind(t *testing.T) {
+// The socket of a process that was killed is replaced, any other file is not.
+func TestListen_StaleSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	s, err := Listen(path, nil, nil)
 	if err != nil {
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,7 +1,6 @@
-// Package logsink writes log lines to a file without ever holding up whoever logs.
-// A log is written from places that must not wait: the core's event loop and locks
-// that requests need. Standard error may be a pipe that nobody reads, a disk that is
-// full or a terminal that has gone.
+// Package logsink writes log lines to a file without ever blocking its callers, among
+// them the event loop and holders of locks that requests need. Standard error may be a
+// pipe without a reader, a full disk or a closed terminal.
 package logsink
 
 import (
@@ -13,8 +12,8 @@
 // DefaultLimit is how many bytes wait to be written before further lines are lost.
 const DefaultLimit = 64 << 10
 
-// Sink is an io.Writer that queues whole lines for a goroutine of its own. It is safe
-// for concurrent use.
+// Sink is an io.Writer that queues lines for a goroutine of its own, which New starts and
+// which lasts as long as the process. It is safe for concurrent use.
 type Sink struct {
 	out    io.Writer
 	limit  int
@@ -27,24 +26,24 @@
 	lost    uint64        // lines lost since the last report
 	total   uint64        // lines lost since the start
 	torn    bool          // the last line was written in part
-	settled chan struct{} // closed and made anew whenever the queue has been written
+	drained chan struct{} // closed and replaced whenever the queue has been written
 	writing bool
 }
 
 // New returns a Sink that writes to out. At most limit bytes wait; a line beyond is
 // lost, and so is one whose write fails. Once a write has succeeded again and nothing
-// waits, onLoss is told how many were lost since it was told last; it may log.
+// waits, onLoss gets the number of lines lost since its last call; it may log.
 func New(out io.Writer, limit int, onLoss func(lines uint64)) *Sink {
-	s := &Sink{out: out, limit: limit, onLoss: onLoss, wake: make(chan struct{}, 1), settled: make(chan struct{})}
+	s := &Sink{out: out, limit: limit, onLoss: onLoss, wake: make(chan struct{}, 1), drained: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write takes a line. It never blocks on the file and never fails.
+// Write queues a line. It never blocks on the file and never fails.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	if s.size+len(line) > s.limit {
-		s.loseLocked()
+		s.countLossLocked()
 	} else {
 		s.queue = append(s.queue, append([]byte(nil), line...))
 		s.size += len(line)
@@ -71,20 +70,21 @@
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		done, settled := len(s.queue) == 0 && !s.writing, s.settled
+		done, drained := len(s.queue) == 0 && !s.writing, s.drained
 		s.mu.Unlock()
 		if done {
 			return true
 		}
 		select {
-		case <-settled:
+		case <-drained:
 		case <-timer.C:
 			return false
 		}
 	}
 }
 
-func (s *Sink) loseLocked() {
+// countLossLocked counts a lost line; s.mu is held.
+func (s *Sink) countLossLocked() {
 	s.lost++
 	s.total++
 }
@@ -95,13 +95,13 @@
 		for line := s.next(); line != nil; line = s.next() {
 			written = s.write(line)
 		}
-		if lost := s.settle(written); lost > 0 && s.onLoss != nil {
+		if lost := s.finishQueue(written); lost > 0 && s.onLoss != nil {
 			s.onLoss(lost)
 		}
 	}
 }
 
-// next takes the line that is to be written next; nil: there is none.
+// next removes the first line of the queue; nil where it is empty.
 func (s *Sink) next() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,8 +116,8 @@
 	return line
 }
 
-// write writes a line and says whether it went out whole. The room that it took in
-// the queue is free only then: a write may take for ever.
+// write writes a line and reports whether all of it was written. Until then the line
+// counts in the queue's size, as a write may block for ever.
 func (s *Sink) write(line []byte) bool {
 	if s.torn {
 		line = append([]byte{'\n'}, line...)
@@ -134,21 +134,21 @@
 		return true
 	}
 	s.torn = s.torn || n > 0
-	s.loseLocked()
+	s.countLossLocked()
 	return false
 }
 
-// settle notes that nothing waits, and returns the losses to report, if the file
-// takes lines again.
-func (s *Sink) settle(written bool) uint64 {
+// finishQueue marks the queue as written, and returns the losses to report, if the file
+// accepts lines again.
+func (s *Sink) finishQueue(written bool) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.queue) > 0 {
 		return 0 // and its token is there
 	}
 	s.writing = false
-	close(s.settled)
-	s.settled = make(chan struct{})
+	close(s.drained)
+	s.drained = make(chan struct{})
 	if !written {
 		return 0
 	}
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -47,11 +47,11 @@
 }
 
 // While a write waits lines are taken up to the bound and lost beyond it; once it goes
-// on, the loss is told.
-func TestWriteNeverWaits(t *testing.T) {
+// on, the loss is reported.
+func TestWrite_NeverBlocks(t *testing.T) {
 	f := &file{take: -1, hold: make(chan struct{})}
-	told := make(chan uint64, 1)
-	s := New(f, 100, func(n uint64) { told <- n })
+	losses := make(chan uint64, 1)
+	s := New(f, 100, func(n uint64) { losses <- n })
 	line := []byte("0123456789\n")
 	for range 50 {
 		s.Write(line)
@@ -60,13 +60,13 @@
 		t.Error("flushed while nothing can be written")
 	}
 	close(f.hold)
-	if n := peertest.Await(t, "the loss", told); n != 41 || s.Lost() != n {
+	if n := peertest.Await(t, "the loss", losses); n != 41 || s.Lost() != n {
 		t.Errorf("told of %d, %d in all, want 41", n, s.Lost())
 	}
 	if !s.Flush(peertest.Patience) || f.String() != strings.Repeat(string(line), 9) {
 		t.Errorf("wrote %q", f)
 	}
-	for i := range 100 { // the room is free again
+	for i := range 100 { // the queue is free again
 		s.Write(fmt.Appendf(nil, "%d\n", i))
 		s.Flush(peertest.Patience)
 	}
@@ -76,10 +76,10 @@
 }
 
 // A write that fails loses its line and no other; the next begins on a line of its own.
-func TestFailedWritesAreCounted(t *testing.T) {
+func TestWrite_FailureIsCounted(t *testing.T) {
 	f := &file{take: 3}
-	told := make(chan uint64, 1)
-	s := New(f, DefaultLimit, func(n uint64) { told <- n })
+	losses := make(chan uint64, 1)
+	s := New(f, DefaultLimit, func(n uint64) { losses <- n })
 	s.Write([]byte("first\n"))
 	s.Flush(peertest.Patience)
 	f.set(0)
@@ -87,7 +87,7 @@
 	s.Flush(peertest.Patience)
 	f.set(-1)
 	s.Write([]byte("third\n"))
-	if n := peertest.Await(t, "the loss", told); n != 2 {
+	if n := peertest.Await(t, "the loss", losses); n != 2 {
 		t.Errorf("told of %d lines, want 2", n)
 	}
 	if got := f.String(); got != "fir\nthird\n" {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,6 @@
 // Package metrics shows a running sidecar's figures in the Prometheus text
-// format (version 0.0.4). It is made where the operators' file asks for it, and
-// counts nothing by itself but how long answers take: the rest is read when
-// somebody asks.
+// format (version 0.0.4). It is off unless the operators' file turns it on, and
+// counts nothing by itself but how long responses take: the rest is read at each scrape.
 //
 // The library is VictoriaMetrics' rather than Prometheus' own: linked in and not
 // used, that one costs a sidecar 1.8 MB of its 32, through what its protocol
@@ -24,8 +23,8 @@
 
 const latency = "mothridge_request_seconds"
 
-// buckets are upper bounds in seconds, from an answer of a quick node to the
-// longest that a request may take.
+// buckets are upper bounds in seconds, from the response of a fast upstream to the
+// longest time that a request may take.
 var buckets = []float64{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5}
 
 // Metrics are a sidecar's figures.
@@ -37,7 +36,7 @@
 	sources []Source
 }
 
-// New makes Metrics for requests of classes that end in some way, each by number.
+// New makes Metrics for requests of classes that end with some result, each by number.
 func New(classes, endings []string) *Metrics {
 	m := &Metrics{set: metrics.NewSet(), answers: make([][]*metrics.PrometheusHistogram, len(classes))}
 	for i, class := range classes {
@@ -49,12 +48,12 @@
 	return m
 }
 
-// Answered notes a request's final answer. It may be called concurrently.
+// Answered records a request's response. It may be called concurrently and does not block.
 func (m *Metrics) Answered(class, ending int, took time.Duration) {
 	m.answers[class][ending].Update(took.Seconds())
 }
 
-// Source gives figures when they are asked for.
+// Source adds its figures to one scrape. It is called on the goroutine of the scrape.
 type Source func(*Show)
 
 // Add adds a source.
@@ -64,7 +63,7 @@
 	m.sources = append(m.sources, s)
 }
 
-// Show takes the figures of one look.
+// Show collects the figures of one scrape.
 type Show struct {
 	order    []string
 	families map[string]*bytes.Buffer
@@ -80,7 +79,7 @@
 	s.show("gauge", name, help, n, labels)
 }
 
-// Counters shows each count of a struct, told apart by the label by.
+// Counters shows each count of a struct, distinguished by the label by.
 func (s *Show) Counters(name, help, by string, counts any, labels ...string) {
 	counters.Each(counts, func(event string, n uint64) {
 		s.Count(name, help, float64(n), append(labels[:len(labels):len(labels)], by, event)...)
@@ -98,7 +97,7 @@
 	fmt.Fprintf(b, "mothridge_%s%s %s\n", name, labels(pairs), strconv.FormatFloat(n, 'g', -1, 64))
 }
 
-// escape is what a label's value needs in the text format.
+// escape escapes a label's value as the text format wants it.
 var escape = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
 func labels(pairs []string) string {
@@ -126,7 +125,9 @@
 	}
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 	for _, name := range s.order {
-		w.Write(s.families[name].Bytes())
+		if _, err := w.Write(s.families[name].Bytes()); err != nil {
+			return // the client has disconnected
+		}
 	}
 	fmt.Fprintf(w, "# HELP %s From when a request was taken to its final answer.\n# TYPE %[1]s histogram\n", latency)
 	m.set.WritePrometheus(w)
--- a/internal/rig/quotas_test.go
+++ b/internal/rig/quotas_test.go
@@ -90,7 +90,7 @@
 				t.Errorf("both busy: %d and %d in four seconds, want 600 and 200, and a tenth of the debt", got[0], got[1])
 			}
 			var nodes []quotas.NodeView
-			if err := admin.Ask(t.Context(), filepath.Join(dir, "s"), "quotas", &nodes); err != nil || len(nodes) != 3 || nodes[2].Usage.Borrowed == 0 || nodes[1].Usage.Lent == 0 || nodes[2].Rejection == "" {
+			if err := admin.Query(t.Context(), filepath.Join(dir, "s"), "quotas", &nodes); err != nil || len(nodes) != 3 || nodes[2].Usage.Borrowed == 0 || nodes[1].Usage.Lent == 0 || nodes[2].Rejection == "" {
 				t.Errorf("%v, %+v", err, nodes)
 			}
 		})
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -17,20 +17,20 @@
 	if s.config.Operator.Admin.Socket == "" {
 		return nil
 	}
-	questions := make(map[string]admin.Question)
+	queries := make(map[string]admin.QueryHandler)
 	if s.merger != nil {
-		questions["members"] = func(ctx context.Context, query url.Values) (any, error) {
+		queries["members"] = func(ctx context.Context, query url.Values) (any, error) {
 			return s.merger.View(ctx, query.Get("after"), membersPerPage)
 		}
 	}
 	if s.quotas != nil {
-		questions["quotas"] = func(context.Context, url.Values) (any, error) { return s.quotas.View(), nil }
+		queries["quotas"] = func(context.Context, url.Values) (any, error) { return s.quotas.View(), nil }
 	}
 	pages := make(map[string]http.Handler)
 	if s.metrics != nil {
 		pages["metrics"] = s.metrics
 	}
-	server, err := admin.Listen(s.config.Operator.Admin.Socket, questions, pages)
+	server, err := admin.Listen(s.config.Operator.Admin.Socket, queries, pages)
 	if err != nil {
 		return err
 	}
--- a/internal/sidecar/listeners.go
+++ b/internal/sidecar/listeners.go
@@ -29,7 +29,7 @@
 	}
 	var listeners []net.Listener
 	for _, address := range addresses {
-		l, err := net.Listen("tcp", address)
+		l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 		if err != nil {
 			closeAll(listeners)
 			return nil, err
