--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -41,7 +41,7 @@
 	if err == nil {
 		return 0
 	}
-	var mistakes *operator.Mistakes
+	var mistakes *operator.FileError
 	if errors.As(err, &mistakes) {
 		fmt.Fprintln(standardError, mistakes) // each begins with its place
 	} else {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// Each broken file tells all that is wrong with it, as its .want file has it.
+// For each broken file all that is wrong with it is reported, as its .want file has it.
 func TestBrokenFiles(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "broken", "*.toml"))
 	if err != nil || len(files) < 60 {
@@ -52,7 +52,7 @@
 			t.Fatal(err)
 		}
 		_, err = Parse(filepath.Base(name), text)
-		var m *Mistakes
+		var m *FileError
 		if !errors.As(err, &m) {
 			t.Errorf("%s: %v; want mistakes", name, err)
 			continue
@@ -72,17 +72,17 @@
 	if _, err := Load(filepath.Join(t.TempDir(), "none.toml")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a missing file: %v", err)
 	}
-	if _, err := Parse("f", bytes.Repeat([]byte("#"), maxFile+1)); err == nil || !strings.Contains(err.Error(), "at most") {
+	if _, err := Parse("f", bytes.Repeat([]byte("#"), maxFileBytes+1)); err == nil || !strings.Contains(err.Error(), "at most") {
 		t.Errorf("a huge file: %v", err)
 	}
 }
 
 // sane checks what holds for any mistakes: each has its place in the text, in
 // order, is one line, and speaks of nothing that only this program's authors know.
-func sane(t *testing.T, text []byte, m *Mistakes) {
+func sane(t *testing.T, text []byte, m *FileError) {
 	t.Helper()
 	lines, last := bytes.Split(text, []byte("\n")), 1
-	for _, x := range m.List {
+	for _, x := range m.Problems {
 		if x.Line < last || x.Line > len(lines) || x.Column < 1 || x.Column > len(lines[x.Line-1])+1 || x.Text == "" {
 			t.Errorf("%q: %+v", text, x)
 		}
@@ -93,7 +93,7 @@
 			}
 		}
 	}
-	if len(m.List) == 0 {
+	if len(m.Problems) == 0 {
 		t.Errorf("%q: mistakes without one", text)
 	}
 }
@@ -106,9 +106,9 @@
 			fmt.Fprintf(&text, line, i)
 		}
 		_, err := Parse("f", []byte(text.String()))
-		var m *Mistakes
-		if !errors.As(err, &m) || len(m.List) != 1000 {
-			t.Errorf("%q: %d mistakes, %.300v", line, len(m.List), err)
+		var m *FileError
+		if !errors.As(err, &m) || len(m.Problems) != 1000 {
+			t.Errorf("%q: %d mistakes, %.300v", line, len(m.Problems), err)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 	f.Add([]byte("a.b.c = {d = [1, {e = 2}]}\n[x.y]\n[[x.z]]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		_, err := Parse("f", text)
-		var m *Mistakes
+		var m *FileError
 		if errors.As(err, &m) {
 			sane(t, text, m)
 		} else if err != nil {
--- a/internal/operator/plugins.go
+++ b/internal/operator/plugins.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// Plugin is a program of the hook language and what it may do.
+// Plugin is a [[plugin]] table: a program of the plug-in language and what it may do.
 type Plugin struct {
 	Name      string    `toml:"name"`
-	File      string    `toml:"file"`       // by a path from the operators' file
+	File      string    `toml:"file"`       // relative to the operators' file
 	Hooks     []Hook    `toml:"hooks"`      // that it is run for; none: all that it has
-	Headers   []Pattern `toml:"headers"`    // of those it may set and remove
-	Tenants   []string  `toml:"tenants"`    // whose compartments it may give requests to
-	MayRefuse bool      `toml:"may_refuse"` // it may turn requests away
+	Headers   []Pattern `toml:"headers"`    // that it may set and remove
+	Tenants   []string  `toml:"tenants"`    // whose bulkheads it may give requests to
+	MayReject bool      `toml:"may_refuse"` // it may reject requests
 	Fuel      Count     `toml:"fuel"`       // of a run; 0: 10,000
-	MemoryKB  Count     `toml:"memory_kb"`  // of a run; 0: 64
-	OnFailure Failure   `toml:"on_failure"` // what becomes of a request when it fails
-	// RefuseClasses are refused when it fails, whatever OnFailure says.
-	RefuseClasses []string `toml:"refuse_classes"`
+	MemoryKB  Count     `toml:"memory_kb"`  // of a run, in KiB; 0: 64
+	OnFailure Failure   `toml:"on_failure"` // what becomes of a request when the plug-in fails; empty: Pass
+	// RejectClasses are rejected when it fails, whatever OnFailure says.
+	RejectClasses []string `toml:"refuse_classes"`
 }
 
 // Hook names what a plug-in is run for.
@@ -28,32 +28,29 @@
 // What may become of it.
 const (
 	Pass   Failure = "pass"   // it goes on as if there were no such plug-in
-	Refuse Failure = "refuse" // the client is told to come back
+	Reject Failure = "refuse" // the client may retry
 )
 
-func (f Failure) check() error { return oneOf(string(f), string(Pass), string(Refuse)) }
+func (f Failure) check() error { return oneOf(string(f), string(Pass), string(Reject)) }
 
-// The most that a run may have.
+// Bounds of a run.
 const (
-	mostFuel     = 10_000_000
-	mostMemoryKB = 16 << 10
+	maxFuel     = 10_000_000
+	maxMemoryKB = 16 << 10
 )
 
-func (f *File) checkPlugins(d *decoder) {
-	names := make(map[string]int)
-	for i := range f.Plugins {
-		p, at := &f.Plugins[i], fmt.Sprintf("plugin[%d]", i)
-		d.needs(at, "name", p.Name == "", "a name of its own is meant")
-		d.needs(at, "file", p.File == "", "a program of the hook language is meant, such as \"plugins/apiary-tags.hook\"")
-		if other, ok := names[p.Name]; ok && p.Name != "" {
-			d.wrong(at+".name", "plug-in %d is named %q already: each needs its own name", other+1, p.Name)
+func checkPlugins(plugins []Plugin, d *decoder) {
+	names := d.newNames("plug-in")
+	for i := range plugins {
+		p, path := &plugins[i], fmt.Sprintf("plugin[%d]", i)
+		d.require(path, "name", p.Name == "", "a name of its own is meant")
+		d.require(path, "file", p.File == "", "a program of the hook language is meant, such as \"plugins/apiary-tags.hook\"")
+		names.add(path, p.Name)
+		if p.Fuel > maxFuel {
+			d.reportAt(path+".fuel", "%d is out of range: %d at the most", p.Fuel, maxFuel)
 		}
-		names[p.Name] = i
-		if p.Fuel > mostFuel {
-			d.wrong(at+".fuel", "%d is out of range: %d at the most", p.Fuel, mostFuel)
-		}
-		if p.MemoryKB > mostMemoryKB {
-			d.wrong(at+".memory_kb", "%d is out of range: %d at the most", p.MemoryKB, mostMemoryKB)
+		if p.MemoryKB > maxMemoryKB {
+			d.reportAt(path+".memory_kb", "%d is out of range: %d at the most", p.MemoryKB, maxMemoryKB)
 		}
 	}
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -171,17 +171,17 @@
 	}
 	c.Operator = operator.File{Limits: operator.Limits{Slots: operator.Count(o.Slots)}}
 	if o.Front == peers.RPC {
-		c.Operator.Listeners = []operator.Listener{{Protocol: operator.RPC, Address: operator.Address(r.Addr), Open: operator.Count(o.Open)}}
+		c.Operator.Listeners = []operator.Listener{{Protocol: operator.RPC, Address: operator.Address(r.Addr), MaxInFlight: operator.Count(o.Open)}}
 	}
 	if o.Nodes == peers.RPC {
 		c.Operator.Pools = []operator.Pool{{Name: "records", Protocol: operator.RPC, Hosts: []operator.Pattern{"records-*"}}}
 	}
 	if o.Eureka != nil {
 		no := false
-		c.Operator.Membership = operator.Membership{Platform: &no, Silent: "2s"}
+		c.Operator.Membership = operator.Membership{Platform: &no, SilentAfter: "2s"}
 		c.Operator.Eureka = []operator.Eureka{{
 			Name: "eureka", Replicas: []operator.URL{operator.URL(o.Eureka.URL())}, Interval: "50ms", Timeout: "1s",
-			Metadata: operator.Metadata{Site: "zone", Protocol: "protocol", Weight: "weight", Cell: "cell", Started: "started_ms"},
+			Metadata: operator.Metadata{Zone: "zone", Protocol: "protocol", Weight: "weight", Cell: "cell", StartedAtMS: "started_ms"},
 		}}
 	}
 	if o.Operators != nil {
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -81,12 +81,12 @@
 	bounds := &c.Operator.Membership
 	return membership.New(membership.Config{
 		MaxLoss:           float64(bounds.MaxLoss),
-		LossWindow:        bounds.Window.Value(),
-		LossHold:          bounds.HoldFor.Value(),
-		SilentAfter:       bounds.Silent.Value(),
-		TombstoneLifetime: bounds.Tombstone.Value(),
-		StaleUpdateHold:   bounds.Settle.Value(),
-		NewProcessPeriod:  bounds.Fresh.Value(),
+		LossWindow:        bounds.LossWindow.Value(),
+		LossHold:          bounds.LossHold.Value(),
+		SilentAfter:       bounds.SilentAfter.Value(),
+		TombstoneLifetime: bounds.TombstoneLifetime.Value(),
+		StaleUpdateHold:   bounds.StaleUpdateHold.Value(),
+		NewProcessPeriod:  bounds.NewProcessPeriod.Value(),
 		MaxNodes:          c.maxNodes(),
 	}, sources...)
 }
@@ -111,13 +111,13 @@
 // followEureka follows one registry as source number, in a goroutine that ends with running.
 func (s *service) followEureka(running context.Context, registry *operator.Eureka, number int, seed uint64) error {
 	mapping := merge.Mapping{
-		Zone:          registry.Metadata.Site,
-		MachineType:   registry.Metadata.Kind,
+		Zone:          registry.Metadata.Zone,
+		MachineType:   registry.Metadata.MachineType,
 		Cell:          registry.Metadata.Cell,
 		Weight:        registry.Metadata.Weight,
 		Protocol:      registry.Metadata.Protocol,
-		StartedAt:     registry.Metadata.Started,
-		UseSecurePort: registry.Secure,
+		StartedAt:     registry.Metadata.StartedAtMS,
+		UseSecurePort: registry.UseSecurePort,
 	}
 	client, err := eureka.NewClient(eureka.Config{
 		Replicas: registry.URLs(),
@@ -126,7 +126,7 @@
 		XML:      registry.Format == operator.XML,
 		Interval: registry.Interval.Value(),
 		Timeout:  registry.Timeout.Value(),
-		MostMB:   int(registry.MostMB),
+		MostMB:   int(registry.MaxResponseMB),
 		Keep:     mapping.UsesKey,
 		Seed:     seed,
 	}, func(n eureka.News) { s.merger.UpdateEureka(number, mapping, n) })
@@ -138,11 +138,11 @@
 }
 
 func staticInstances(list *operator.Static) []membership.Instance {
-	instances := make([]membership.Instance, 0, len(list.Nodes))
-	for _, address := range list.Nodes {
+	instances := make([]membership.Instance, 0, len(list.Addresses))
+	for _, address := range list.Addresses {
 		addr := string(address)
 		instances = append(instances, membership.Instance{
-			ID: addr, Name: list.Name + "/" + addr, Addr: addr, Zone: list.Site, MachineType: list.Kind, Weight: 1,
+			ID: addr, Name: list.Name + "/" + addr, Addr: addr, Zone: list.Zone, MachineType: list.MachineType, Weight: 1,
 		})
 	}
 	return instances
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -40,7 +40,7 @@
 // maxNodes is how many endpoints a source may list: what the operators' file says, or
 // else what fits into the memory of this process.
 func (c *Config) maxNodes() int {
-	if n := int(c.Operator.Membership.Most); n > 0 {
+	if n := int(c.Operator.Membership.MaxNodes); n > 0 {
 		return n
 	}
 	if c.Limits.MemoryMB <= 0 {
--- a/internal/sidecar/listeners.go
+++ b/internal/sidecar/listeners.go
@@ -85,9 +85,9 @@
 		Tenants:     s.config.Tenants,
 		Connections: connections,
 		Arrived:     s.core.EarliestArrival,
-		Open:        int(settings.Open),
-		Held:        int(settings.Held),
-		Texts:       settings.Errors == operator.ErrorTexts,
+		Open:        int(settings.MaxInFlight),
+		Held:        int(settings.MaxBufferedBytes),
+		Texts:       settings.ErrorFormat == operator.ErrorTexts,
 	}, s.handler, listener)
 }
 
--- a/internal/sidecar/operator_config.go
+++ b/internal/sidecar/operator_config.go
@@ -14,12 +14,12 @@
 
 // The operators' words for what repeating a request may do, and where repeats are dropped.
 var (
-	idempotencyByEffect = map[operator.Effect]policy.Idempotency{
-		operator.Safe:   policy.Idempotent,
-		operator.Keyed:  policy.IdempotentByKey,
-		operator.Unsafe: policy.NotIdempotent,
+	idempotencyByEffect = map[operator.Idempotency]policy.Idempotency{
+		operator.Idempotent:      policy.Idempotent,
+		operator.IdempotentByKey: policy.IdempotentByKey,
+		operator.NotIdempotent:   policy.NotIdempotent,
 	}
-	dedupScopeByName = map[operator.Scope]policy.DedupScope{
+	dedupScopeByName = map[operator.DedupScope]policy.DedupScope{
 		"":                 policy.ScopeCell,
 		operator.ScopeCell: policy.ScopeCell,
 		operator.ScopeZone: policy.ScopeZone,
@@ -43,18 +43,18 @@
 			Cores: f.Limits.Cores, MemoryMB: int64(f.Limits.MemoryMB), Sockets: cmp.Or(int(f.Limits.Sockets), defaultSockets),
 		},
 		Policy: policy.Config{
-			FleetSize:               cmp.Or(int(s.Sidecars), 1),
-			MaxAttempts:             cmp.Or(int(s.Attempts), operator.DefaultAttempts),
+			FleetSize:               cmp.Or(int(s.FleetSize), 1),
+			MaxAttempts:             cmp.Or(int(s.MaxAttempts), operator.DefaultMaxAttempts),
 			CancelAllowed:           true,
 			ProbesAllowed:           s.Probes,
-			ClientsMarkRetries:      s.MarksRetry,
-			MaxRetryAfter:           s.RetryAfter.Or(operator.DefaultRetryAfter),
-			SlowStartInitialShare:   float64(s.ColdFrom),
-			SlowStartDuration:       s.ColdFor.Value(),
-			SlowStartOverloadFactor: cmp.Or(s.ColdMultiple, operator.DefaultColdMultiple),
+			ClientsMarkRetries:      s.ClientsMarkRetries,
+			MaxRetryAfter:           s.MaxRetryAfter.Or(operator.DefaultMaxRetryAfter),
+			SlowStartInitialShare:   float64(s.SlowStartInitialShare),
+			SlowStartDuration:       s.SlowStartDuration.Value(),
+			SlowStartOverloadFactor: cmp.Or(s.SlowStartOverloadFactor, operator.DefaultOverloadFactor),
 		},
 		DialTimeout: s.DialTimeout.Or(defaultDialTimeout),
-		ConnIdle:    s.ConnIdle.Or(defaultConnIdle),
+		ConnIdle:    s.ConnectionIdleTimeout.Or(defaultConnIdle),
 	}
 	if s.Zone != "" {
 		c.Zones = []string{s.Zone}
@@ -72,11 +72,11 @@
 
 func operatorClass(class *operator.Class) policy.Class {
 	return policy.Class{
-		LatencyObjective: class.Aim.Value(),
+		LatencyObjective: class.LatencyObjective.Value(),
 		Deadline:         class.Deadline.Value(),
-		PriorityWeight:   cmp.Or(class.Worth, 1),
-		Idempotency:      idempotencyByEffect[class.Effect],
-		DedupScope:       dedupScopeByName[class.Scope],
-		DedupWindow:      class.Window.Value(),
+		PriorityWeight:   cmp.Or(class.PriorityWeight, 1),
+		Idempotency:      idempotencyByEffect[class.Idempotency],
+		DedupScope:       dedupScopeByName[class.DedupScope],
+		DedupWindow:      class.DedupWindow.Value(),
 	}
 }
--- a/internal/sidecar/plugins.go
+++ b/internal/sidecar/plugins.go
@@ -59,9 +59,9 @@
 			Name:      p.Name,
 			File:      p.File,
 			Tenants:   p.Tenants,
-			MayRefuse: p.MayRefuse,
-			Refuse:    p.OnFailure == operator.Refuse,
-			Refused:   p.RefuseClasses,
+			MayRefuse: p.MayReject,
+			Refuse:    p.OnFailure == operator.Reject,
+			Refused:   p.RejectClasses,
 			Limits:    hook.Limits{Fuel: int64(p.Fuel), Memory: int64(p.MemoryKB) << 10},
 		}
 		for _, h := range p.Hooks {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -66,14 +66,14 @@
 	evenShare := unevenShares / float64(max(1, c.Policy.FleetSize))
 	out := quotas.Config{
 		Tree: quota.Config{
-			LenderReserve:  cmp.Or(lending.Reclaim.Value(), defaultLenderReserve),
-			RepaymentShare: cmp.Or(float64(lending.Repay), defaultRepaymentShare),
-			DebtLifetime:   cmp.Or(lending.DebtAge.Value(), defaultDebtLifetime),
+			LenderReserve:  cmp.Or(lending.LenderReserve.Value(), defaultLenderReserve),
+			RepaymentShare: cmp.Or(float64(lending.RepaymentShare), defaultRepaymentShare),
+			DebtLifetime:   cmp.Or(lending.DebtLifetime.Value(), defaultDebtLifetime),
 		},
 		Matches:       make(map[string]quotas.Match),
 		Tenants:       c.Tenants,
 		MaxRetryAfter: c.Policy.MaxRetryAfter,
-		Share:         cmp.Or(lending.Part, min(1, evenShare)),
+		Share:         cmp.Or(lending.SidecarShare, min(1, evenShare)),
 	}
 	for _, class := range c.Policy.Classes {
 		out.PriorityWeights = append(out.PriorityWeights, class.PriorityWeight)
@@ -104,7 +104,7 @@
 	rates := []struct {
 		dimension quota.Dimension
 		rate      float64
-	}{{quota.Requests, q.Requests}, {quota.Priority, q.Worth}, {quota.Bytes, q.Bytes}}
+	}{{quota.Requests, q.Requests}, {quota.Priority, q.PriorityWeight}, {quota.Bytes, q.Bytes}}
 	var limits []quota.Limit
 	for _, window := range windows {
 		for _, r := range rates {
--- a/internal/sidecar/sources_test.go
+++ b/internal/sidecar/sources_test.go
@@ -12,7 +12,7 @@
 		{0, 0, 20000}, {8, 0, 500}, {16, 0, 500}, {32, 0, 7626}, {48, 0, 15252}, {64, 0, 20000}, {1 << 20, 0, 20000}, {32, 70, 70}, {32, 30000, 30000},
 	} {
 		var s Config
-		s.Limits.MemoryMB, s.Operator.Membership.Most = int64(c.memoryMB), operator.Count(c.said)
+		s.Limits.MemoryMB, s.Operator.Membership.MaxNodes = int64(c.memoryMB), operator.Count(c.said)
 		if got := s.maxNodes(); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
--- a/internal/sidecar/transports.go
+++ b/internal/sidecar/transports.go
@@ -80,7 +80,7 @@
 		DialTimeout: s.config.DialTimeout,
 		ConnIdle:    s.config.ConnIdle,
 		Connections: connections,
-		Outstanding: int(pool.Outstanding),
+		Outstanding: int(pool.MaxInFlight),
 	})
 	s.showTransport(pool.Name, operator.RPC, func() any { return t.Counters() })
 	return t
