--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -233,7 +233,7 @@
 					bound += b.Rate
 				}
 				for _, x := range n.debts {
-					if most := n.buckets[Requests][0].Rate * c.RepaymentShare * c.DebtLifetime.Seconds() * float64(len(windows)); x.in == Requests && x.amount > most+1e-9 {
+					if most := n.buckets[Requests][0].Rate * c.RepaymentShare * c.DebtLifetime.Seconds() * float64(len(windows)); x.dimension == Requests && x.amount > most+1e-9 {
 						t.Fatalf("seed %d: %s owes %v, %v at the most", seed, n.Name, x.amount, most)
 					}
 				}
--- /dev/null
+++ b/quota/state.go
@@ -0,0 +1,116 @@
+package quota
+
+import "time"
+
+// Usage counts a node's requests.
+type Usage struct {
+	WithinShare uint64 `json:"Own" metric:"own"`           // its requests admitted within its share
+	Borrowed    uint64 `json:"Borrowed" metric:"borrowed"` // its requests admitted with a loan
+	Rejected    uint64 `json:"Refused" metric:"refused"`   // its requests over quota
+	Lent        uint64 `json:"Lent" metric:"lent"`         // loans to other nodes
+	Repaid      uint64 `json:"Repaid" metric:"repaid"`     // repayments that it took
+}
+
+// State is a node's state, as Explain shows it.
+type State struct {
+	Name, Parent  string
+	Depth         int // 0 for the root
+	Usage         Usage
+	Limits        []LimitState
+	Debts         []Debt
+	LastRejection Rejection
+	RejectedAt    time.Duration // when LastRejection was
+}
+
+// LimitState is a limit and the tokens left of it; below 0 after a repayment.
+type LimitState struct {
+	Limit
+	Left float64
+}
+
+// Debt is what a node owes another.
+type Debt struct {
+	To        string // the creditor
+	Dimension Dimension
+	Amount    float64
+}
+
+// Explain returns the state of every node as of now, parents before their children.
+func (t *Tree) Explain(now time.Duration) []State {
+	states := make([]State, 0, len(t.nodes))
+	for _, n := range t.nodes {
+		states = append(states, State{
+			Name: n.Name, Parent: n.Parent, Depth: n.depth, Usage: n.usage,
+			Limits: t.limitStates(now, n), Debts: t.debtStates(now, n),
+			LastRejection: n.lastRejection, RejectedAt: n.rejectedAt,
+		})
+	}
+	return states
+}
+
+func (t *Tree) limitStates(now time.Duration, n *node) []LimitState {
+	var states []LimitState
+	for dimension := range dimensions {
+		for i := range n.buckets[dimension] {
+			b := &n.buckets[dimension][i]
+			b.refill(now, t.config.RepaymentShare)
+			states = append(states, LimitState{Limit: b.Limit, Left: b.tokens})
+		}
+	}
+	return states
+}
+
+func (t *Tree) debtStates(now time.Duration, n *node) []Debt {
+	var states []Debt
+	for i := range n.debts {
+		d := &n.debts[i]
+		d.decay(now, t.config.DebtLifetime)
+		if d.amount > 0 {
+			states = append(states, Debt{To: d.creditor.Name, Dimension: d.dimension, Amount: d.amount})
+		}
+	}
+	return states
+}
+
+// RestoreFrom takes over the balances of a tree that this one replaces, for the nodes
+// and limits that both have. It is called once, before the first Admit. Receipts of the
+// old tree remain the old tree's.
+func (t *Tree) RestoreFrom(old *Tree, now time.Duration) {
+	for _, n := range t.nodes {
+		previous := old.byName[n.Name]
+		if previous == nil {
+			continue
+		}
+		n.usage, n.flows = previous.usage, previous.flows
+		n.lastRejection, n.rejectedAt = previous.lastRejection, previous.rejectedAt
+		t.restoreTokens(n, previous, now)
+		t.restoreDebts(n, previous)
+	}
+}
+
+// restoreTokens fills each bucket to the same share of its capacity as before: a limit
+// that was raised is not full at once.
+func (t *Tree) restoreTokens(n, previous *node, now time.Duration) {
+	for dimension := range dimensions {
+		for i := range n.buckets[dimension] {
+			b := &n.buckets[dimension][i]
+			before := previous.findBucket(b)
+			if before == nil {
+				continue
+			}
+			before.refill(now, t.config.RepaymentShare)
+			b.tokens = b.capacity * before.tokens / before.capacity
+			b.refilledAt = now
+		}
+	}
+}
+
+// restoreDebts takes over the debts to nodes that this tree has too.
+func (t *Tree) restoreDebts(n, previous *node) {
+	for _, d := range previous.debts {
+		if creditor := t.byName[d.creditor.Name]; creditor != nil {
+			d.creditor = creditor
+			n.debts = append(n.debts, d)
+		}
+	}
+}
