--- a/quota/admit.go
+++ b/quota/admit.go
@@ -60,7 +60,7 @@
 }
 
 // coverShortage takes a cost that a node's bucket is short of from other nodes: as a
-// repayment of what they owe, else as a loan.
+// repayment of their debts, else as a loan.
 func (t *Tree) coverShortage(now time.Duration, n *node, b *bucket, cost float64, decision *Decision) bool {
 	if n.parent == nil {
 		return false
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -15,15 +15,15 @@
 	maxReserveShare = 1.0 / 2
 )
 
-// bucket is the token bucket of one limit. Its two allowances are token buckets as
-// well, which bound loans and repayments over the same window.
+// bucket is the token bucket of one limit. Its two allowances are token buckets
+// too: they bound loans and repayments within the same window.
 type bucket struct {
 	Limit
 	capacity   float64 // the most that it holds
 	tokens     float64 // what the node may use; below 0 after a repayment
 	refilledAt time.Duration
-	// loanAllowance is what the node may still borrow; it refills at Ceiling - Rate.
-	// It has no meaning where Ceiling is 0.
+	// loanAllowance is what the node may still borrow; it refills at Ceiling - Rate, that
+	// of Concurrent never. It has no meaning where Ceiling is 0.
 	loanAllowance float64
 	// repaymentAllowance is what the node's lenders may still take back; it refills at
 	// Config.RepaymentShare of Rate.
--- a/quota/golden_test.go
+++ b/quota/golden_test.go
@@ -21,7 +21,9 @@
 			all = append(all, quota.Limit{Dimension: quota.Requests, Rate: 90 * size * share, Window: time.Minute})
 		}
 		if rng.IntN(2) == 0 {
-			all = append(all, quota.Limit{Dimension: quota.Priority, Rate: 200 * size * share, Window: 10 * time.Second, Ceiling: 260 * size * share})
+			all = append(all, quota.Limit{
+				Dimension: quota.Priority, Rate: 200 * size * share, Window: 10 * time.Second, Ceiling: 260 * size * share,
+			})
 		}
 		if rng.IntN(2) == 0 {
 			all = append(all, quota.Limit{Dimension: quota.Bytes, Rate: 40_000 * size * share, Window: 10 * time.Second})
@@ -32,14 +34,18 @@
 		return all
 	}
 	c := quota.Config{
-		Nodes:         []quota.Node{{Name: "root", Limits: limits(1.2)}},
-		LenderReserve: time.Duration(rng.IntN(4)) * time.Second, RepaymentShare: rng.Float64() / 3, DebtLifetime: time.Duration(rng.IntN(90)) * time.Second,
+		Nodes:          []quota.Node{{Name: "root", Limits: limits(1.2)}},
+		LenderReserve:  time.Duration(rng.IntN(4)) * time.Second,
+		RepaymentShare: rng.Float64() / 3,
+		DebtLifetime:   time.Duration(rng.IntN(90)) * time.Second,
 	}
 	for i := range 3 {
 		club := fmt.Sprint("club-", i)
 		c.Nodes = append(c.Nodes, quota.Node{Name: club, Parent: "root", Weight: float64(i), Limits: limits(0.3)})
 		for j := range 3 {
-			c.Nodes = append(c.Nodes, quota.Node{Name: fmt.Sprint(club, "-", j), Parent: club, Weight: float64(j), Limits: limits(0.09)})
+			c.Nodes = append(c.Nodes, quota.Node{
+				Name: fmt.Sprint(club, "-", j), Parent: club, Weight: float64(j), Limits: limits(0.09),
+			})
 		}
 	}
 	return c
@@ -103,14 +109,16 @@
 }
 
 func record(digest golden.Digest, states []quota.State) {
-	for _, s := range states {
-		digest.Numbers('u', int64(s.Depth), int64(s.Usage.WithinShare), int64(s.Usage.Borrowed), int64(s.Usage.Rejected), int64(s.Usage.Lent), int64(s.Usage.Repaid))
-		for _, l := range s.Limits {
-			digest.Float('l', l.Left)
+	for _, state := range states {
+		usage := state.Usage
+		digest.Numbers('u', int64(state.Depth), int64(usage.WithinShare), int64(usage.Borrowed),
+			int64(usage.Rejected), int64(usage.Lent), int64(usage.Repaid))
+		for _, limit := range state.Limits {
+			digest.Float('l', limit.Left)
 		}
-		for _, o := range s.Debts {
-			digest.Text('o', o.To)
-			digest.Float('a', o.Amount)
+		for _, debt := range state.Debts {
+			digest.Text('o', debt.To)
+			digest.Float('a', debt.Amount)
 		}
 	}
 }
--- a/quota/lending.go
+++ b/quota/lending.go
@@ -35,7 +35,7 @@
 		n.flows[b.Dimension].attemptedAt = 0
 		return false
 	}
-	if !n.borrowerTurn(now, b.Dimension, cost) {
+	if !n.mayBorrow(now, b.Dimension, cost) {
 		return false
 	}
 	// The nearest lender in the tree: among the siblings first, then up the tree.
@@ -90,13 +90,13 @@
 	decision.Lenders = append(decision.Lenders, lender.Name)
 }
 
-// borrowerTurn reports whether a node may borrow now, or has to leave it to active
+// mayBorrow reports whether a node may borrow now, or has to leave it to active
 // siblings that borrowed less by their weight.
-func (n *node) borrowerTurn(now time.Duration, dimension Dimension, cost float64) bool {
+func (n *node) mayBorrow(now time.Duration, dimension Dimension, cost float64) bool {
 	own := &n.flows[dimension]
 	lowest, contended := n.lowestVirtualTime(now, dimension)
 	if contended && now-own.attemptedAt > activeWindow {
-		// A flow that was idle has no claim to what it did not borrow meanwhile.
+		// A flow that was idle does not catch up on what it did not borrow meanwhile.
 		own.virtualTime = max(own.virtualTime, lowest)
 	}
 	own.attemptedAt = max(now, 1) // 0 stands for never
--- a/quota/receipt.go
+++ b/quota/receipt.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Refund ends a request that never ran and returns its whole charge. The counts of
+// Refund ends a request that never ran and returns all of its charge. The counts of
 // Usage.WithinShare and Usage.Borrowed stay. It accepts a nil receipt, and does
 // nothing the second time or after Release.
 func (t *Tree) Refund(r *Receipt) {
@@ -77,15 +77,15 @@
 	b.loanAllowance = min(b.maxLoanAllowance(), b.loanAllowance+d.amount)
 	d.recipient.flows[dimension].virtualTime -= d.amount / d.recipient.Weight
 	d.source.usage.Lent--
-	if owed := d.recipient.findDebt(d.source, dimension); owed != nil {
-		owed.amount = max(0, owed.amount-d.debtIncrease)
+	if debt := d.recipient.findDebt(d.source, dimension); debt != nil {
+		debt.amount = max(0, debt.amount-d.debtIncrease)
 	}
 }
 
 func (d *draw) undoRepayment() {
 	d.bucket.repaymentAllowance += d.amount
 	d.recipient.usage.Repaid--
-	if owed := d.source.findDebt(d.recipient, d.bucket.Dimension); owed != nil {
-		owed.amount += d.amount
+	if debt := d.source.findDebt(d.recipient, d.bucket.Dimension); debt != nil {
+		debt.amount += d.amount
 	}
 }
--- a/quota/state.go
+++ b/quota/state.go
@@ -6,7 +6,7 @@
 type Usage struct {
 	WithinShare uint64 `json:"Own" metric:"own"`           // its requests admitted within its share
 	Borrowed    uint64 `json:"Borrowed" metric:"borrowed"` // its requests admitted with a loan
-	Rejected    uint64 `json:"Refused" metric:"refused"`   // its requests over quota
+	Rejected    uint64 `json:"Refused" metric:"refused"`   // its requests that exceeded a limit
 	Lent        uint64 `json:"Lent" metric:"lent"`         // loans to other nodes
 	Repaid      uint64 `json:"Repaid" metric:"repaid"`     // repayments that it took
 }
@@ -74,7 +74,7 @@
 
 // RestoreFrom takes over the balances of a tree that this one replaces, for the nodes
 // and limits that both have. It is called once, before the first Admit. Receipts of the
-// old tree remain the old tree's.
+// old tree remain the old tree's: their Concurrent slots do not return to this one.
 func (t *Tree) RestoreFrom(old *Tree, now time.Duration) {
 	for _, n := range t.nodes {
 		previous := old.byName[n.Name]
