--- a/internal/quotas/form_test.go
+++ b/internal/quotas/form_test.go
@@ -10,7 +10,7 @@
 // What the admin socket answers is read by other versions of the quota command: it stays
 // byte for byte.
 func TestFormOfTheView(t *testing.T) {
-	v := NodeView{
+	view := NodeView{
 		Name: "club", Parent: "service", Depth: 1,
 		Usage:     quota.Usage{WithinShare: 1, Borrowed: 2, Rejected: 3, Lent: 4, Repaid: 5},
 		Limits:    []LimitView{{Dimension: "requests", Rate: 10, Ceiling: 20, Window: "10s", Left: 4.5}},
@@ -20,7 +20,7 @@
 	const want = `{"Name":"club","Parent":"service","Depth":1,"Usage":{"Own":1,"Borrowed":2,"Refused":3,"Lent":4,"Repaid":5},` +
 		`"Limits":[{"Dimension":"requests","Rate":10,"Ceiling":20,"Window":"10s","Left":4.5}],"Owes":[{"To":"downs","Dimension":"requests","Amount":2}],` +
 		`"Refusal":"nothing","RefusedAgo":1.5}`
-	if got, err := json.Marshal(v); err != nil || string(got) != want {
+	if got, err := json.Marshal(view); err != nil || string(got) != want {
 		t.Errorf("the view is %s (error %v), want %s", got, err, want)
 	}
 }
--- /dev/null
+++ b/internal/quotas/match.go
@@ -0,0 +1,74 @@
+package quotas
+
+import (
+	"slices"
+	"strings"
+
+	"mothridge/internal/core"
+)
+
+// tagField is the header field in which plug-ins give a request tags, separated by
+// commas.
+const tagField = "Request-Tags"
+
+// Match selects a node's requests among those of its parent: all conditions that are
+// set must hold. A zero Match selects none.
+type Match struct {
+	Tenant string // the tenant's name
+	Header string // canonical name of a field; its first value must equal Value
+	Value  string
+	Tag    string // one of the tags that plug-ins gave the request
+}
+
+// findNode returns the name of the node that a request is charged to: from the root on
+// down, the first child that matches. The caller holds g.mu.
+func (g *Gate) findNode(r *core.Request) string {
+	name := g.root
+	for {
+		child, found := g.matchingChild(name, r)
+		if !found {
+			return name
+		}
+		name = child
+	}
+}
+
+func (g *Gate) matchingChild(parent string, r *core.Request) (name string, found bool) {
+	for _, child := range g.children[parent] {
+		if g.matches(g.config.Matches[child], r) {
+			return child, true
+		}
+	}
+	return "", false
+}
+
+func (g *Gate) matches(m Match, r *core.Request) bool {
+	if m == (Match{}) {
+		return false
+	}
+	return g.matchesTenant(m, r) && matchesHeader(m, r) && matchesTag(m, r)
+}
+
+func (g *Gate) matchesTenant(m Match, r *core.Request) bool {
+	if m.Tenant == "" {
+		return true
+	}
+	tenants := g.config.Tenants
+	return r.Tenant < len(tenants) && tenants[r.Tenant] == m.Tenant
+}
+
+func matchesHeader(m Match, r *core.Request) bool {
+	if m.Header == "" {
+		return true
+	}
+	values := r.Fields[m.Header]
+	return len(values) > 0 && values[0] == m.Value
+}
+
+func matchesTag(m Match, r *core.Request) bool {
+	if m.Tag == "" {
+		return true
+	}
+	values := r.Fields[tagField]
+	return len(values) > 0 && slices.Contains(strings.Split(values[0], ","), m.Tag)
+}
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -8,123 +8,172 @@
 	"mothridge/quota"
 )
 
-// held is a core that keeps what it takes until the test answers it.
-type held struct{ taken []*core.Request }
+// recordingHandler keeps the requests that it gets until the test answers them.
+type recordingHandler struct{ requests []*core.Request }
 
-func (h *held) Submit(r *core.Request) { h.taken = append(h.taken, r) }
-func (h *held) Abandon(*core.Request)  {}
-func (h *held) HasRequest(string) bool { return false }
-func (h *held) Ready() bool            { return true }
+func (h *recordingHandler) Submit(r *core.Request) { h.requests = append(h.requests, r) }
+func (h *recordingHandler) Abandon(*core.Request)  {}
+func (h *recordingHandler) HasRequest(string) bool { return false }
+func (h *recordingHandler) Ready() bool            { return true }
 
-func limits(rate float64) []quota.Limit {
-	return []quota.Limit{{Dimension: quota.Requests, Rate: rate, Window: 10 * time.Second, Ceiling: rate}, {Dimension: quota.Concurrent, Rate: 2, Ceiling: 2}}
+func testLimits(rate float64) []quota.Limit {
+	return []quota.Limit{
+		{Dimension: quota.Requests, Rate: rate, Window: 10 * time.Second, Ceiling: rate},
+		{Dimension: quota.Concurrent, Rate: 2, Ceiling: 2},
+	}
 }
 
-func config() Config {
+func testConfig() Config {
 	return Config{
-		Tree: quota.Config{Nodes: []quota.Node{{Name: "all"}, {Name: "downs", Parent: "all", Limits: limits(1)}, {Name: "ridge", Parent: "downs", Limits: limits(0.5)},
-			{Name: "lockyer", Parent: "all", Limits: limits(1)}, {Name: "loud", Parent: "lockyer", Limits: limits(0.2)}}},
-		Matches: map[string]Match{"downs": {Tenant: "downs"}, "ridge": {Header: "Site", Value: "ridge"}, "lockyer": {Tenant: "lockyer"}, "loud": {Tag: "loud"}},
-		Share:   1, Tenants: []string{"downs", "lockyer"}, PriorityWeights: []float64{1}, MaxRetryAfter: time.Second,
+		Tree: quota.Config{Nodes: []quota.Node{
+			{Name: "all"},
+			{Name: "downs", Parent: "all", Limits: testLimits(1)},
+			{Name: "ridge", Parent: "downs", Limits: testLimits(0.5)},
+			{Name: "lockyer", Parent: "all", Limits: testLimits(1)},
+			{Name: "loud", Parent: "lockyer", Limits: testLimits(0.2)},
+		}},
+		Matches: map[string]Match{
+			"downs":   {Tenant: "downs"},
+			"ridge":   {Header: "Site", Value: "ridge"},
+			"lockyer": {Tenant: "lockyer"},
+			"loud":    {Tag: "loud"},
+		},
+		Share:           1,
+		Tenants:         []string{"downs", "lockyer"},
+		PriorityWeights: []float64{1},
+		MaxRetryAfter:   time.Second,
 	}
 }
 
-func ask(g *Gate, tenant int, fields map[string][]string) (*core.Request, *[]core.Response) {
-	answers := new([]core.Response)
-	r := &core.Request{Tenant: tenant, Message: core.Message{Fields: fields}}
-	r.Respond = func(a core.Response) { *answers = append(*answers, a) }
-	g.Submit(r)
-	return r, answers
-}
-
-// A request counts in the node that it belongs to, as deep as there is one.
-func TestLeaf(t *testing.T) {
-	g, err := New(config())
+func newGate(t *testing.T, config Config) (*Gate, *recordingHandler) {
+	t.Helper()
+	g, err := New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct {
-		tenant int
-		fields map[string][]string
-		want   string
+	next := new(recordingHandler)
+	g.SetNext(next)
+	return g, next
+}
+
+// submit sends a request of a tenant and returns it with the responses that it gets.
+func submit(g *Gate, tenant int) (*core.Request, *[]core.Response) {
+	responses := new([]core.Response)
+	r := &core.Request{Tenant: tenant}
+	r.Respond = func(response core.Response) { *responses = append(*responses, response) }
+	g.Submit(r)
+	return r, responses
+}
+
+// A request is charged to the deepest node that matches it.
+func TestFindNode(t *testing.T) {
+	g, _ := newGate(t, testConfig())
+	for _, test := range []struct {
+		tenant       int
+		field, value string
+		want         string
 	}{
-		{0, nil, "downs"}, {0, map[string][]string{"Site": {"ridge"}}, "ridge"}, {0, map[string][]string{"Site": {"flat"}}, "downs"}, {1, map[string][]string{"Site": {"ridge"}}, "lockyer"},
-		{1, map[string][]string{"Request-Tags": {"a,loud"}}, "loud"}, {1, map[string][]string{"Request-Tags": {"aloud"}}, "lockyer"}, {2, nil, "all"},
+		{tenant: 0, want: "downs"},
+		{tenant: 0, field: "Site", value: "ridge", want: "ridge"},
+		{tenant: 0, field: "Site", value: "flat", want: "downs"},
+		{tenant: 1, field: "Site", value: "ridge", want: "lockyer"},
+		{tenant: 1, field: "Request-Tags", value: "a,loud", want: "loud"},
+		{tenant: 1, field: "Request-Tags", value: "aloud", want: "lockyer"},
+		{tenant: 2, want: "all"},
 	} {
-		if got := g.leaf(&core.Request{Tenant: x.tenant, Message: core.Message{Fields: x.fields}}); got != x.want {
-			t.Errorf("tenant %d, %v: %s, want %s", x.tenant, x.fields, got, x.want)
+		r := &core.Request{Tenant: test.tenant}
+		if test.field != "" {
+			r.Fields = map[string][]string{test.field: {test.value}}
+		}
+		if got := g.findNode(r); got != test.want {
+			t.Errorf("tenant %d, %s %q: %s, want %s", test.tenant, test.field, test.value, got, test.want)
 		}
 	}
 }
 
-// What is at once comes back with each way that a request can end, once; what
-// never ran gives back its charge as well.
-func TestEndings(t *testing.T) {
-	for name, x := range map[string]struct {
+// Each way that a request can end returns its slot, once; one that never ran gets back
+// all of its charge.
+func TestEndOfRequestReturnsItsCharge(t *testing.T) {
+	respond := func(result core.Result) func(*Gate, *core.Request) {
+		return func(_ *Gate, r *core.Request) { r.Respond(core.Response{Result: result}) }
+	}
+	for name, test := range map[string]struct {
 		end  func(*Gate, *core.Request)
-		left float64 // of the 10 requests that are saved up
+		left float64 // of the 10 requests that the bucket holds
 	}{
-		"served":  {func(_ *Gate, r *core.Request) { r.Respond(core.Response{Result: core.Served}) }, 9},
-		"failed":  {func(_ *Gate, r *core.Request) { r.Respond(core.Response{Result: core.Failed}) }, 9},
-		"refused": {func(_ *Gate, r *core.Request) { r.Respond(core.Response{Result: core.Rejected}) }, 10},
-		"left":    {func(g *Gate, r *core.Request) { g.Abandon(r) }, 9},
-		"served and left": {func(g *Gate, r *core.Request) {
-			r.Respond(core.Response{Result: core.Served})
+		"served":      {respond(core.Served), 9},
+		"failed":      {respond(core.Failed), 9},
+		"rejected":    {respond(core.Rejected), 10},
+		"client gone": {(*Gate).Abandon, 9},
+		"served and client gone": {func(g *Gate, r *core.Request) {
+			respond(core.Served)(g, r)
 			g.Abandon(r)
 		}, 9},
 	} {
-		g, err := New(config())
-		if err != nil {
-			t.Fatal(err)
+		g, next := newGate(t, testConfig())
+		submit(g, 0)
+		_, second := submit(g, 0)
+		_, third := submit(g, 0)
+		if len(next.requests) != 2 || len(*second) != 0 {
+			t.Fatalf("%s: %d of two in flight are passed on, the second is answered %+v", name, len(next.requests), *second)
 		}
-		k := new(held)
-		g.SetNext(k)
-		ask(g, 0, nil)
-		_, second := ask(g, 0, nil)
-		_, third := ask(g, 0, nil)
-		if len(k.taken) != 2 || len(*second) != 0 || len(*third) != 1 || (*third)[0].Result != core.Rejected || (*third)[0].Detail == "" {
-			t.Fatalf("%s: %d of two at once are taken; the third is answered %+v", name, len(k.taken), *third)
-		}
-		x.end(g, k.taken[0])
-		for _, v := range g.View() {
-			if v.Name != "downs" {
-				continue
-			}
-			// One is open, and one ended; the clock gives back a little.
-			if got := v.Limits[0].Left + 1; got < x.left || got > x.left+0.5 || v.Limits[1].Left != 1 {
-				t.Errorf("%s: left are %.2f requests, want %v, and %v at once, want 1", name, got, x.left, v.Limits[1].Left)
-			}
+		if len(*third) != 1 || (*third)[0].Result != core.Rejected || (*third)[0].Detail == "" {
+			t.Fatalf("%s: the third is answered %+v, want a rejection", name, *third)
 		}
+		test.end(g, next.requests[0])
+		checkLeft(t, g, name, test.left)
 	}
 }
 
-// Pauses stay within what clients heed, and a part of the quotas is a part.
-func TestPauseAndPart(t *testing.T) {
-	c := config()
-	c.Share = 0.5
-	g, err := New(c)
-	if err != nil {
-		t.Fatal(err)
+// checkLeft checks the limits of downs after one request ended; another is in flight,
+// and the clock adds a little.
+func checkLeft(t *testing.T, g *Gate, name string, want float64) {
+	t.Helper()
+	for _, view := range g.View() {
+		if view.Name != "downs" {
+			continue
+		}
+		requests, slots := view.Limits[0].Left+1, view.Limits[1].Left
+		if requests < want || requests > want+0.5 {
+			t.Errorf("%s: %.2f requests left, want %v", name, requests, want)
+		}
+		if slots != 1 {
+			t.Errorf("%s: %v slots left, want 1", name, slots)
+		}
 	}
-	g.SetNext(new(held))
+}
+
+// Retry-After stays within its bound, and a share of the quotas is applied.
+func TestRetryAfterAndShare(t *testing.T) {
+	config := testConfig()
+	config.Share = 0.5
+	g, _ := newGate(t, config)
 	served := 0
 	for range 20 {
-		r, answers := ask(g, 1, nil)
-		if len(*answers) == 0 {
+		r, responses := submit(g, 1)
+		if len(*responses) == 0 {
 			served++
 			r.Respond(core.Response{Result: core.Served})
-		} else if p := (*answers)[0].RetryAfter; p <= 0 || p > time.Second {
-			t.Errorf("a pause of %v", p)
+		} else if retryAfter := (*responses)[0].RetryAfter; retryAfter <= 0 || retryAfter > time.Second {
+			t.Errorf("Retry-After of %v", retryAfter)
 		}
 	}
 	if served != 5 {
-		t.Errorf("%d of half a request a second over 10 s", served)
+		t.Errorf("%d served of half a request a second over 10 s", served)
 	}
-	for _, bad := range []func(*Config){func(c *Config) { c.Share = 0 }, func(c *Config) { c.Matches["downs"] = Match{Tenant: "nobody"} }, func(c *Config) { c.Tree.Nodes[1].Name = "all" }} {
-		c := config()
-		bad(&c)
-		if err := g.Load(c); err == nil {
-			t.Errorf("%+v is loaded", c)
+}
+
+func TestLoadRejectsInvalidConfigs(t *testing.T) {
+	g, _ := newGate(t, testConfig())
+	for name, change := range map[string]func(*Config){
+		"no share":       func(c *Config) { c.Share = 0 },
+		"unknown tenant": func(c *Config) { c.Matches["downs"] = Match{Tenant: "unknown"} },
+		"duplicate node": func(c *Config) { c.Tree.Nodes[1].Name = "all" },
+	} {
+		config := testConfig()
+		change(&config)
+		if err := g.Load(config); err == nil {
+			t.Errorf("%s: %+v is loaded", name, config)
 		}
 	}
 }
