--- a/internal/plugin/breaker/breaker_test.go
+++ b/internal/plugin/breaker/breaker_test.go
@@ -6,98 +6,155 @@
 	"time"
 )
 
-const s = time.Second
-
-// The whole way: closed, open, half open, open for longer, closed again.
-func TestBreaker(t *testing.T) {
-	b := New(Config{MaxFailures: 3, Window: 10 * s, OpenDuration: s, MaxOpenDuration: 3 * s, TrialSuccesses: 2})
-	for i, x := range []struct {
+// All the way: closed, open, half-open, open for longer, closed again.
+func TestTransitions(t *testing.T) {
+	b := New(Config{
+		MaxFailures: 3, Window: 10 * time.Second, TrialSuccesses: 2,
+		OpenDuration: time.Second, MaxOpenDuration: 3 * time.Second,
+	})
+	for i, step := range []struct {
 		at      time.Duration
 		allowed bool
-		bad     bool
+		failed  bool
 		changed bool
 		state   State
 	}{
-		{1 * s, true, true, false, Closed}, {2 * s, true, true, false, Closed}, {13 * s, true, true, false, Closed}, // the first two are too long ago
-		{14 * s, true, true, false, Closed}, {15 * s, true, true, true, Open}, {15*s + s/2, false, false, false, Open},
-		{16 * s, true, true, false, Open}, {17 * s, false, false, false, Open}, // a bad trial: two seconds now
-		{18 * s, true, true, false, Open}, {20 * s, false, false, false, Open}, {21 * s, true, false, false, HalfOpen}, // three, the most
-		{22 * s, true, false, true, Closed}, {23 * s, true, true, false, Closed},
+		{1 * time.Second, true, true, false, Closed},
+		{2 * time.Second, true, true, false, Closed},
+		{13 * time.Second, true, true, false, Closed}, // the first two are too long ago
+		{14 * time.Second, true, true, false, Closed},
+		{15 * time.Second, true, true, true, Open},
+		{15500 * time.Millisecond, false, false, false, Open},
+		{16 * time.Second, true, true, false, Open}, // a failed trial: open for two seconds
+		{17 * time.Second, false, false, false, Open},
+		{18 * time.Second, true, true, false, Open}, // for three, the most
+		{20 * time.Second, false, false, false, Open},
+		{21 * time.Second, true, false, false, HalfOpen},
+		{22 * time.Second, true, false, true, Closed},
+		{23 * time.Second, true, true, false, Closed},
 	} {
-		if got := b.Allow(x.at); got != x.allowed {
-			t.Fatalf("step %d at %v: allowed %v", i, x.at, got)
+		if got := b.Allow(step.at); got != step.allowed {
+			t.Fatalf("step %d at %v: allowed %v", i, step.at, got)
 		}
-		if x.allowed {
-			if got := b.Done(x.at, x.bad); got != x.changed {
-				t.Errorf("step %d at %v: changed %v", i, x.at, got)
+		if step.allowed {
+			if got := b.Done(step.at, step.failed); got != step.changed {
+				t.Errorf("step %d at %v: changed %v", i, step.at, got)
 			}
 		}
-		if b.State() != x.state {
-			t.Errorf("step %d at %v: %v, want %v", i, x.at, b.State(), x.state)
+		if b.State() != step.state {
+			t.Errorf("step %d at %v: %v, want %v", i, step.at, b.State(), step.state)
 		}
 	}
 }
 
-// Half open, one call at a time goes through; one that never ends makes room.
-func TestOneTrial(t *testing.T) {
-	b := New(Config{MaxFailures: 1, Window: 10 * s, OpenDuration: s})
+// Half-open, one trial at a time is allowed; one that never ends allows another after
+// the window.
+func TestOneTrialAtATime(t *testing.T) {
+	b := New(Config{MaxFailures: 1, Window: 10 * time.Second, OpenDuration: time.Second})
 	b.Allow(0)
 	b.Done(0, true)
-	if !b.Allow(2*s) || b.Allow(3*s) || b.Allow(11*s) || !b.Allow(12*s) {
-		t.Error("one trial at a time, and another one after the window")
+	for _, step := range []struct {
+		at   time.Duration
+		want bool
+	}{
+		{2 * time.Second, true}, {3 * time.Second, false}, {11 * time.Second, false}, {12 * time.Second, true},
+	} {
+		if got := b.Allow(step.at); got != step.want {
+			t.Errorf("at %v: allowed %v, want %v", step.at, got, step.want)
+		}
+	}
+}
+
+// model follows a Breaker by plain counting.
+type model struct {
+	config        Config
+	failures      []time.Duration // since it closed last, outside trials
+	lastFailureAt time.Duration
+	openedAt      time.Duration
+	closedAt      time.Duration
+	openDuration  time.Duration
+}
+
+// allows says what Allow must return in a state.
+func (m *model) allows(state State, now time.Duration, allowed bool) bool {
+	switch state {
+	case Closed:
+		return allowed
+	case Open:
+		return allowed == (now >= m.openedAt+m.openDuration)
+	default:
+		return true
+	}
+}
+
+// done takes the end of a call, after which the breaker is in state. It returns how many
+// failures were within the window.
+func (m *model) done(now time.Duration, trial, failed bool, state State) (recent int) {
+	if failed && !trial {
+		m.failures = append(m.failures, now)
 	}
+	switch {
+	case failed:
+		m.lastFailureAt = now
+	case !trial && now > m.lastFailureAt+2*m.config.MaxOpenDuration:
+		m.openDuration = m.config.OpenDuration
+	}
+	for _, failedAt := range m.failures {
+		if now-failedAt <= m.config.Window {
+			recent++
+		}
+	}
+	switch {
+	case trial && failed:
+		m.openedAt = now
+		m.doubleOpenDuration()
+	case !trial && failed && recent >= m.config.MaxFailures:
+		m.openedAt = now
+		if m.closedAt > 0 && now < m.closedAt+reopenFactor*m.openDuration {
+			m.doubleOpenDuration()
+		}
+	case trial && state == Closed:
+		m.failures, m.closedAt = nil, now
+	}
+	return recent
+}
+
+func (m *model) doubleOpenDuration() {
+	m.openDuration = min(2*m.openDuration, m.config.MaxOpenDuration)
 }
 
-// Against plain counting, on random calls: it never opens with fewer strikes than
-// it takes, and lets nothing through before its pause has passed.
-func TestRandom(t *testing.T) {
+// Against plain counting, on random calls: it opens at its number of failures and not
+// before, and allows nothing until its open duration has passed.
+func TestRandomCalls(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		cfg := Config{MaxFailures: 1 + rng.IntN(5), Window: time.Duration(1+rng.IntN(20)) * s, OpenDuration: s, MaxOpenDuration: 8 * s, TrialSuccesses: 1 + rng.IntN(3)}
-		b := New(cfg)
-		var now, openedAt, worst, closedAt time.Duration
-		pause := cfg.OpenDuration
-		var bads []time.Duration
+		config := Config{
+			MaxFailures:     1 + rng.IntN(5),
+			Window:          time.Duration(1+rng.IntN(20)) * time.Second,
+			OpenDuration:    time.Second,
+			MaxOpenDuration: 8 * time.Second,
+			TrialSuccesses:  1 + rng.IntN(3),
+		}
+		b, m := New(config), &model{config: config, openDuration: config.OpenDuration}
+		var now time.Duration
 		for step := range 300 {
 			now += time.Duration(rng.IntN(3000)) * time.Millisecond
-			was := b.State()
+			before := b.State()
 			allowed := b.Allow(now)
-			if was == Closed && !allowed || was == Open && allowed != (now >= openedAt+pause) {
-				t.Fatalf("seed %d, step %d: %v, allowed %v at %v, opened at %v for %v", seed, step, was, allowed, now, openedAt, pause)
+			if !m.allows(before, now, allowed) {
+				t.Fatalf("seed %d, step %d: %v, allowed %v at %v, opened at %v for %v",
+					seed, step, before, allowed, now, m.openedAt, m.openDuration)
 			}
 			if !allowed {
 				continue
 			}
-			bad := rng.IntN(3) == 0
+			failed := rng.IntN(3) == 0
 			trial := b.State() == HalfOpen
-			if bad && !trial {
-				bads = append(bads, now)
-			}
-			b.Done(now, bad)
-			switch {
-			case bad:
-				worst = now
-			case !trial && now > worst+2*cfg.MaxOpenDuration:
-				pause = cfg.OpenDuration
-			}
-			recent := 0
-			for _, x := range bads {
-				if now-x <= cfg.Window {
-					recent++
-				}
-			}
-			switch {
-			case trial && bad:
-				openedAt, pause = now, min(2*pause, cfg.MaxOpenDuration)
-			case !trial && bad && recent >= cfg.MaxFailures:
-				if openedAt = now; closedAt > 0 && now < closedAt+soon*pause {
-					pause = min(2*pause, cfg.MaxOpenDuration)
-				}
-			case trial && b.State() == Closed:
-				bads, closedAt = nil, now
-			}
-			if !trial && (b.State() == Open) != (bad && recent >= cfg.MaxFailures) {
-				t.Fatalf("seed %d, step %d: %v after %d strikes of %d", seed, step, b.State(), recent, cfg.MaxFailures)
+			b.Done(now, failed)
+			recent := m.done(now, trial, failed, b.State())
+			opens := failed && recent >= config.MaxFailures
+			if !trial && (b.State() == Open) != opens {
+				t.Fatalf("seed %d, step %d: %v after %d failures of %d", seed, step, b.State(), recent, config.MaxFailures)
 			}
 		}
 	}
