--- a/internal/settings/form_test.go
+++ b/internal/settings/form_test.go
@@ -108,24 +108,32 @@
 // checkLists checks what Config does not hold.
 func checkLists(t *testing.T, s *Settings) {
 	t.Helper()
-	if names := s.Names("classes"); !slices.Equal(names, []string{"weight-reading", "harvest-entry", "swarm-alert"}) {
+	if names := s.ClassNames(); !slices.Equal(names, []string{"weight-reading", "harvest-entry", "swarm-alert"}) {
 		t.Errorf("classes %q", names)
 	}
-	if names := s.Names("orgs"); !slices.Equal(names, []string{"downs-apiarists", "lockyer-keepers"}) {
+	if names := s.TenantNames(); !slices.Equal(names, []string{"downs-apiarists", "lockyer-keepers"}) {
 		t.Errorf("tenants %q", names)
 	}
-	if zones := s.Words("zones"); !slices.Equal(zones, []string{"anzac-st-depot", "range"}) {
+	if zones := s.ZoneNames(); !slices.Equal(zones, []string{"anzac-st-depot", "range"}) {
 		t.Errorf("zones %q", zones)
 	}
-	if column := s.InFlightColumn(); column != 1 {
-		t.Errorf("column %d", column)
+	if column, field := s.InFlightColumn(), s.InFlightField(); column != 1 || field != "busy_reqs" {
+		t.Errorf("column %d, field %q", column, field)
 	}
-	for key, want := range map[string]time.Duration{
-		"caps.dial_timeout_ms": 250 * time.Millisecond, "caps.conn_idle_ms": 30 * time.Second,
-		"rules.stop_sending_within_ms": 2 * time.Second, "absent": time.Hour,
-	} {
-		if got := s.Duration(key, time.Hour); got != want {
-			t.Errorf("%s is %v, want %v", key, got, want)
-		}
+	checkTimeouts(t, s, 250*time.Millisecond, 30*time.Second, 2*time.Second)
+	checkTimeouts(t, new(Settings), time.Hour, time.Hour, time.Hour)
+}
+
+// checkTimeouts checks the durations that have a fallback, of an hour here.
+func checkTimeouts(t *testing.T, s *Settings, dial, idle, drain time.Duration) {
+	t.Helper()
+	if got := s.DialTimeout(time.Hour); got != dial {
+		t.Errorf("dial timeout %v, want %v", got, dial)
+	}
+	if got := s.IdleConnTimeout(time.Hour); got != idle {
+		t.Errorf("idle connections are kept for %v, want %v", got, idle)
+	}
+	if got := s.DrainGrace(time.Hour); got != drain {
+		t.Errorf("drain grace %v, want %v", got, drain)
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"errors"
 	"math"
 	"reflect"
 	"slices"
@@ -48,32 +49,55 @@
 zone=2
 `
 
-func TestSettings(t *testing.T) {
-	s, err := Parse([]byte(someSettings))
+const sameSettingsAsJSON = `{"balancers":3,"caps":{"may_cancel":true,"most_tries":3,"probes":true,"retry_after":false},
+	"charges":{"cross_zone":0.03},"classes":[{"name":"a b","aim_ms":500.0,"dedup_scope":"cell","hard_limit_ms":1000.0,
+	"semantics":"guarded","window_ms":600.0,"worth":5.0},{"name":"c","aim_ms":600.0,"hard_limit_ms":2500.0,
+	"semantics":"a_word_of_a_later_version"}],"discovery":"ask","orgs":[{"quota_per_s":342.0,"share":0.79}],
+	"rules":{"cold_from":0.32},"some":{"key":[null,[1],{"x":null}]},
+	"telemetry":{"columns":["failed_ps","svc_ms","served_ps","busy_reqs"],"how":"pull"},"zone":2}`
+
+func parseLines(t *testing.T, lines string) *Settings {
+	t.Helper()
+	s, err := Parse([]byte(lines))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := s.Config()
+	return s
+}
+
+func configOf(t *testing.T, s *Settings) policy.Config {
+	t.Helper()
+	config, err := s.Config()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.FleetSize != 3 || c.Zone != 2 || c.MaxAttempts != 3 || !c.CancelAllowed || !c.ProbesAllowed ||
-		!c.WatchOnRequest || c.SlowStartInitialShare != 0.32 || c.CrossZoneCost != 0.03 {
-		t.Errorf("config %+v", c)
+	return config
+}
+
+func TestConfig(t *testing.T) {
+	s := parseLines(t, someSettings)
+	config := configOf(t, s)
+	if config.FleetSize != 3 || config.Zone != 2 || config.MaxAttempts != 3 || !config.CancelAllowed || !config.ProbesAllowed ||
+		!config.WatchOnRequest || config.SlowStartInitialShare != 0.32 || config.CrossZoneCost != 0.03 {
+		t.Errorf("config %+v", config)
 	}
-	if k := c.Classes[0]; k.Idempotency != policy.IdempotentByKey || k.DedupScope != policy.ScopeCell || k.DedupWindow != 600*time.Millisecond {
-		t.Errorf("class 0 %+v", k)
+	first := config.Classes[0]
+	if first.Idempotency != policy.IdempotentByKey || first.DedupScope != policy.ScopeCell || first.DedupWindow != 600*time.Millisecond {
+		t.Errorf("class 0 %+v", first)
 	}
-	if c.Classes[1].Idempotency != policy.NotIdempotent {
-		t.Error("an unknown effect is not taken for the strictest")
+	if config.Classes[1].Idempotency != policy.NotIdempotent {
+		t.Error("an unknown word is not taken for the strictest")
 	}
-	if c.Tenants[0].Quota != 342 || c.Tenants[0].Share != 0.79 {
-		t.Errorf("tenant %+v", c.Tenants[0])
+	if tenant := config.Tenants[0]; tenant.Quota != 342 || tenant.Share != 0.79 {
+		t.Errorf("tenant %+v", tenant)
 	}
 	if got := s.InFlightColumn(); got != 3 {
-		t.Errorf("columns %+v", got)
+		t.Errorf("column %d", got)
 	}
-	for bad, want := range map[string]string{
+}
+
+func TestValuesThatCannotBeUsed(t *testing.T) {
+	for line, want := range map[string]string{
 		"balancers=three":            `settings: balancers is "three": a plain number is needed, such as 3 or 0.25`,
 		"balancers=0":                "settings: balancers is 0: balancers in all are needed, a number above 0",
 		"caps.most_tries=":           "settings: caps.most_tries is missing: attempts for a request are needed, a number above 0",
@@ -84,12 +108,10 @@
 		"rules.cold_from=NaN":        `settings: rules.cold_from is "NaN": a plain number is needed, such as 3 or 0.25`,
 		"orgs.count=1.5":             "settings: orgs.count is 1.5: a whole number from 0 to 65536 is needed",
 	} {
-		s, err := Parse([]byte(someSettings + bad))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := s.Config(); err == nil || err.Error() != want {
-			t.Errorf("%s: error %v, want %s", bad, err, want)
+		_, err := parseLines(t, someSettings+line).Config()
+		var fault *ValueError
+		if !errors.As(err, &fault) || err.Error() != want {
+			t.Errorf("%s: error %v, want %s", line, err, want)
 		}
 	}
 	if _, err := Parse([]byte("no equals sign")); err == nil {
@@ -99,39 +121,30 @@
 
 // Both forms of the same settings give the same configuration.
 func TestJSONGivesTheSame(t *testing.T) {
-	s, err := ParseJSON([]byte(`{"balancers":3,"caps":{"may_cancel":true,"most_tries":3,"probes":true,"retry_after":false},
-		"charges":{"cross_zone":0.03},"classes":[{"name":"a b","aim_ms":500.0,"dedup_scope":"cell","hard_limit_ms":1000.0,
-		"semantics":"guarded","window_ms":600.0,"worth":5.0},{"name":"c","aim_ms":600.0,"hard_limit_ms":2500.0,
-		"semantics":"a_word_of_a_later_version"}],"discovery":"ask","orgs":[{"quota_per_s":342.0,"share":0.79}],
-		"rules":{"cold_from":0.32},"some":{"key":[null,[1],{"x":null}]},
-		"telemetry":{"columns":["failed_ps","svc_ms","served_ps","busy_reqs"],"how":"pull"},"zone":2}`))
-	if err != nil {
-		t.Fatal(err)
-	}
-	got, err := s.Config()
-	if err != nil {
-		t.Fatal(err)
-	}
-	lines, err := Parse([]byte(someSettings))
-	if err != nil {
-		t.Fatal(err)
-	}
-	want, err := lines.Config()
+	s, err := ParseJSON([]byte(sameSettingsAsJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
+	got, want := configOf(t, s), configOf(t, parseLines(t, someSettings))
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("JSON gives %+v, lines give %+v", got, want)
 	}
-	if names := s.Names("classes"); !slices.Equal(names, []string{"a b", "c"}) {
+	if names := s.ClassNames(); !slices.Equal(names, []string{"a b", "c"}) {
 		t.Errorf("classes %q", names)
 	}
-	if i := s.InFlightColumn(); i != 3 || s.Words("telemetry.columns")[i] != "busy_reqs" || s.Words("none") != nil {
-		t.Errorf("column %d of %q", i, s.Words("telemetry.columns"))
+	columns := s.words("telemetry.columns")
+	if i := s.InFlightColumn(); i != 3 || columns[i] != "busy_reqs" {
+		t.Errorf("column %d of %q", i, columns)
+	}
+	if zones := s.ZoneNames(); zones != nil {
+		t.Errorf("zones %q, want none", zones)
 	}
-	for _, bad := range []string{"", "[]", `{"balancers":`, "7"} {
-		if _, err := ParseJSON([]byte(bad)); err == nil {
-			t.Errorf("%q: no error", bad)
+}
+
+func TestParseJSONRejectsWhatIsNoObject(t *testing.T) {
+	for _, text := range []string{"", "[]", `{"balancers":`, "7"} {
+		if _, err := ParseJSON([]byte(text)); err == nil {
+			t.Errorf("%q: no error", text)
 		}
 	}
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -145,15 +145,13 @@
 	c := &Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Limits: f.Limits, Known: parseKnown(f.Known),
 		Policy:      p,
-		Classes:     s.Names("classes"),
-		Tenants:     s.Names("orgs"),
-		Zones:       s.Words("zones"),
-		DialTimeout: s.Duration("caps.dial_timeout_ms", defaultDialTimeout),
-		DrainGrace:  s.Duration("rules.stop_sending_within_ms", core.DefaultDrainGrace),
-		ConnIdle:    s.Duration("caps.conn_idle_ms", defaultConnIdle),
-	}
-	if columns, i := s.Words("telemetry.columns"), s.InFlightColumn(); i >= 0 {
-		c.LoadField = columns[i]
+		Classes:     s.ClassNames(),
+		Tenants:     s.TenantNames(),
+		Zones:       s.ZoneNames(),
+		DialTimeout: s.DialTimeout(defaultDialTimeout),
+		DrainGrace:  s.DrainGrace(core.DefaultDrainGrace),
+		ConnIdle:    s.IdleConnTimeout(defaultConnIdle),
+		LoadField:   s.InFlightField(),
 	}
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed is %.40q: up to 16 hexadecimal digits are needed", f.Seed)
