--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -8,10 +8,8 @@
 	"slices"
 	"strings"
 	"testing"
-	"time"
 
 	"mothridge/internal/wire"
-	"mothridge/policy"
 )
 
 const someSettings = `balancers=2
@@ -26,60 +24,74 @@
 period_ms=5
 `
 
-// record builds one event record from its fields.
-func record(code uint16, fields ...any) []byte {
-	var f bytes.Buffer
-	for _, v := range fields {
-		if s, ok := v.(string); ok {
-			v = []byte(s)
+// record encodes one event from its fields.
+func record(code wire.EventCode, fields ...any) []byte {
+	var encoded bytes.Buffer
+	for _, field := range fields {
+		if text, ok := field.(string); ok {
+			field = []byte(text)
 		}
-		if err := binary.Write(&f, binary.LittleEndian, v); err != nil {
+		if err := binary.Write(&encoded, binary.LittleEndian, field); err != nil {
 			panic(err)
 		}
 	}
-	b := binary.LittleEndian.AppendUint16(nil, code)
-	b = binary.LittleEndian.AppendUint32(b, uint32(f.Len()))
-	return append(b, f.Bytes()...)
+	header := binary.LittleEndian.AppendUint16(nil, uint16(code))
+	header = binary.LittleEndian.AppendUint32(header, uint32(encoded.Len()))
+	return append(header, encoded.Bytes()...)
 }
 
-func open(inst uint32, seed uint64) []byte {
-	return record(wire.EvOpenInstance, inst, seed, uint32(len(someSettings)), someSettings)
+func instanceStarted(instance uint32, seed uint64) []byte {
+	return record(wire.EventInstanceStarted, instance, seed, uint32(len(someSettings)), someSettings)
 }
 
-func manifest(page uint16, addrs ...byte) []byte {
-	fields := []any{page, uint32(len(addrs))}
-	for _, a := range addrs {
-		fields = append(fields, []byte{10, 0, 0, a, 80, 0}, uint8(0), uint8(0), uint16(0), uint8(wire.StateReady),
-			float32(1), float64(0))
+func instanceStopped(instance uint32) []byte { return record(wire.EventInstanceStopped, instance) }
+
+// endpointAddress is 10.0.0.last, port 80.
+func endpointAddress(last byte) []byte { return []byte{10, 0, 0, last, 80, 0} }
+
+func endpointList(number uint16, addresses ...byte) []byte {
+	fields := []any{number, uint32(len(addresses))}
+	for _, last := range addresses {
+		fields = append(fields, endpointAddress(last), uint8(0), uint8(0), uint16(0), wire.HealthReady, float32(1), float64(0))
 	}
-	return record(wire.EvManifest, fields...)
+	return record(wire.EventEndpointList, fields...)
+}
+
+func endpointUpdate(instance uint32, kind wire.UpdateKind, list uint16) []byte {
+	return record(wire.EventEndpointUpdate, instance, kind, uint32(1), list)
 }
 
-func fleet(inst uint32, kind uint8, page uint16) []byte {
-	return record(wire.EvFleet, inst, kind, uint32(1), page)
+func requestReceived(instance, id uint32) []byte {
+	const timeout, expectedWork = 800.0, 0.0 // milliseconds
+	return record(wire.EventRequestReceived, instance, id,
+		uint16(0), uint64(0), uint32(0), timeout, expectedWork, uint8(0))
 }
 
-func ask(inst, job uint32) []byte {
-	return record(wire.EvAsk, inst, job, uint16(0), uint64(0), uint32(0), float64(800), float64(0), uint8(0))
+func attemptServed(instance, id uint32, attempt, last byte) []byte {
+	const elapsed = 5.0 // milliseconds
+	return record(wire.EventAttemptEnded, instance, id, attempt,
+		endpointAddress(last), wire.ResultServed, elapsed, uint8(1), uint8(0))
 }
 
 func batch(number uint32, clock float64, records ...[]byte) []byte {
 	body := slices.Concat(records...)
-	b := binary.LittleEndian.AppendUint32(nil, number)
-	b = binary.LittleEndian.AppendUint32(b, uint32(len(records)))
-	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
-	b = binary.LittleEndian.AppendUint64(b, math.Float64bits(clock))
-	return append(b, body...)
+	encoded := binary.LittleEndian.AppendUint32(nil, number)
+	encoded = binary.LittleEndian.AppendUint32(encoded, uint32(len(records)))
+	encoded = binary.LittleEndian.AppendUint32(encoded, uint32(len(body)))
+	encoded = binary.LittleEndian.AppendUint64(encoded, math.Float64bits(clock))
+	return append(encoded, body...)
 }
 
-// action is one action of a reply: its code, its instance and what follows.
+const replyHeaderSize = 12 // bytes; the size of the body is at byte 4
+
+// action is one action of a reply.
 type action struct {
-	code uint16
-	inst uint32
-	rest string
+	code     wire.ActionCode
+	instance uint32
+	fields   string // what follows
 }
 
-// actions serves a stream and splits the replies.
+// actions serves a stream of batches and returns the actions of all replies.
 func actions(t *testing.T, in []byte) []action {
 	t.Helper()
 	var out bytes.Buffer
@@ -87,106 +99,121 @@
 		t.Fatal(err)
 	}
 	var all []action
-	for b := out.Bytes(); len(b) > 0; {
-		size := binary.LittleEndian.Uint32(b[4:])
-		body := b[12 : 12+size]
-		b = b[12+size:]
-		for len(body) > 0 {
-			rec, rest, err := wire.Next(body)
+	for replies := out.Bytes(); len(replies) > 0; {
+		end := replyHeaderSize + binary.LittleEndian.Uint32(replies[4:])
+		for body := replies[replyHeaderSize:end]; len(body) > 0; {
+			record, rest, err := wire.Next(body)
 			if err != nil {
 				t.Fatal(err)
 			}
-			inst, _ := rec.Instance()
-			all = append(all, action{rec.Code, inst, string(rec.Fields[4:])})
+			instance, _ := record.Instance()
+			all = append(all, action{wire.ActionCode(record.Code), instance, string(record.Fields[4:])})
 			body = rest
 		}
+		replies = replies[end:]
 	}
 	return all
 }
 
-func only(all []action, code uint16, inst uint32) []action {
-	return slices.DeleteFunc(slices.Clone(all), func(a action) bool { return a.code != code || a.inst != inst })
+// only returns the actions of one code and instance.
+func only(all []action, code wire.ActionCode, instance uint32) []action {
+	return slices.DeleteFunc(slices.Clone(all), func(a action) bool {
+		return a.code != code || a.instance != instance
+	})
 }
 
 func TestEmptyBatchesAndEndOfInput(t *testing.T) {
 	var out bytes.Buffer
-	if err := serve(bytes.NewReader(slices.Concat(batch(1, 0), batch(2, 5))), &out); err != nil || out.Len() != 24 {
+	err := serve(bytes.NewReader(slices.Concat(batch(1, 0), batch(2, 5))), &out)
+	if err != nil || out.Len() != 2*replyHeaderSize {
 		t.Fatalf("%d bytes, error %v; want two empty replies", out.Len(), err)
 	}
 }
 
-func TestPageIsResolvedInEventOrder(t *testing.T) {
+func TestListIsResolvedInEventOrder(t *testing.T) {
 	all := actions(t, batch(1, 0,
-		open(1, 5), manifest(3, 77), fleet(1, wire.FleetCached, 3), ask(1, 100),
-		open(2, 6), manifest(3, 88), fleet(2, wire.FleetCached, 3), ask(2, 200)))
-	for inst, want := range map[uint32]byte{1: 77, 2: 88} {
-		sends := only(all, wire.ActCallOut, inst)
-		if len(sends) != 1 || sends[0].rest[7] != want {
-			t.Errorf("instance %d: sends %v, want one to .%d", inst, sends, want)
+		instanceStarted(1, 5), endpointList(3, 77), endpointUpdate(1, wire.UpdateCached, 3), requestReceived(1, 100),
+		instanceStarted(2, 6), endpointList(3, 88), endpointUpdate(2, wire.UpdateCached, 3), requestReceived(2, 200)))
+	for instance, want := range map[uint32]byte{1: 77, 2: 88} {
+		sends := only(all, wire.ActionSend, instance)
+		if len(sends) != 1 || sends[0].fields[7] != want {
+			t.Errorf("instance %d: sends %v, want one to .%d", instance, sends, want)
 		}
-		if len(only(all, wire.ActTail, inst)) != 1 {
-			t.Errorf("instance %d did not ask for its list", inst)
+		if len(only(all, wire.ActionWatch, instance)) != 1 {
+			t.Errorf("instance %d did not request its list", instance)
 		}
 	}
 }
 
 func TestRestartInOneBatch(t *testing.T) {
+	update := endpointUpdate(1, wire.UpdateCached, 0)
 	all := actions(t, slices.Concat(
-		batch(1, 0, open(1, 5), manifest(0, 7), fleet(1, wire.FleetCached, 0), ask(1, 100)),
-		batch(2, 5, record(wire.EvCrashNow, uint32(1)), ask(1, 101), open(1, 6), fleet(1, wire.FleetCached, 0), ask(1, 102)),
-		batch(3, 10, record(wire.EvFinished, uint32(1), uint32(100), uint8(0), []byte{10, 0, 0, 7, 80, 0}, uint16(wire.EndServed),
-			float64(5), uint8(1), uint8(0))),
-		batch(4, 15, record(wire.EvCrashNow, uint32(1)), ask(1, 103))))
-	sends := only(all, wire.ActCallOut, 1)
+		batch(1, 0, instanceStarted(1, 5), endpointList(0, 7), update, requestReceived(1, 100)),
+		batch(2, 5, instanceStopped(1), requestReceived(1, 101), instanceStarted(1, 6), update, requestReceived(1, 102)),
+		batch(3, 10, attemptServed(1, 100, 0, 7)),
+		batch(4, 15, instanceStopped(1), requestReceived(1, 103))))
+	sends := only(all, wire.ActionSend, 1)
 	if len(sends) != 2 {
 		t.Fatalf("%d sends, want one before and one after the restart, none while it was down", len(sends))
 	}
 }
 
 func TestInstancesTogetherAndApartActAlike(t *testing.T) {
-	build := func(insts ...uint32) []byte {
-		var in []byte
-		for n := range uint32(60) {
-			var recs [][]byte
-			for _, i := range insts {
-				if n == 0 {
-					recs = append(recs, open(i, uint64(i)), manifest(uint16(i), 1, 2, 3, 4), fleet(i, wire.FleetFull, uint16(i)))
-				}
-				recs = append(recs, ask(i, 1000*i+n), record(wire.EvWake, i, uint64(0)))
-				if n > 4 {
-					recs = append(recs, record(wire.EvClientLeft, i, 1000*i+n-4))
-				}
-			}
-			in = append(in, batch(n, float64(10*n), recs...)...)
+	together := actions(t, steadyLoad(1, 2))
+	for _, instance := range []uint32{1, 2} {
+		apart := actions(t, steadyLoad(instance))
+		own := slices.DeleteFunc(slices.Clone(together), func(a action) bool { return a.instance != instance })
+		if !slices.Equal(apart, own) || len(own) < 60 {
+			t.Fatalf("instance %d: %d actions together, %d apart, or they differ", instance, len(own), len(apart))
 		}
-		return in
 	}
-	together := actions(t, build(1, 2))
-	for _, i := range []uint32{1, 2} {
-		apart := actions(t, build(i))
-		mine := slices.DeleteFunc(slices.Clone(together), func(a action) bool { return a.inst != i })
-		if !slices.Equal(apart, mine) || len(mine) < 60 {
-			t.Fatalf("instance %d: %d actions together, %d apart, or they differ", i, len(mine), len(apart))
+}
+
+// steadyLoad is a request for each instance in each of 60 batches; clients disconnect
+// four batches later.
+func steadyLoad(instances ...uint32) []byte {
+	var stream []byte
+	for n := range uint32(60) {
+		var records [][]byte
+		for _, i := range instances {
+			list := uint16(i)
+			if n == 0 {
+				records = append(records, instanceStarted(i, uint64(i)), endpointList(list, 1, 2, 3, 4),
+					endpointUpdate(i, wire.UpdateFull, list))
+			}
+			records = append(records, requestReceived(i, 1000*i+n), record(wire.EventTimerFired, i, uint64(0)))
+			if n > 4 {
+				records = append(records, record(wire.EventClientDisconnected, i, 1000*i+n-4))
+			}
 		}
+		stream = append(stream, batch(n, float64(10*n), records...)...)
 	}
+	return stream
 }
 
-func TestUnknownRecordsArePassedOver(t *testing.T) {
-	all := actions(t, batch(1, 0, record(4711, uint32(9), "anything"), open(1, 5), record(wire.EvHeard, uint32(1), uint32(2), uint16(0)),
-		manifest(0, 7), fleet(1, 99, 0), fleet(1, wire.FleetCached, 0), ask(1, 100), ask(44, 100)))
-	if len(only(all, wire.ActCallOut, 1)) != 1 || slices.ContainsFunc(all, func(a action) bool { return a.inst == 44 }) {
+func TestUnknownRecordsAreIgnored(t *testing.T) {
+	all := actions(t, batch(1, 0, record(4711, uint32(9), "anything"), instanceStarted(1, 5),
+		record(wire.EventPeerMessage, uint32(1), uint32(2), uint16(0)), endpointList(0, 7),
+		endpointUpdate(1, 99, 0), endpointUpdate(1, wire.UpdateCached, 0), requestReceived(1, 100), requestReceived(44, 100)))
+	unknownInstance := func(a action) bool { return a.instance == 44 }
+	if len(only(all, wire.ActionSend, 1)) != 1 || slices.ContainsFunc(all, unknownInstance) {
 		t.Fatalf("actions %v", all)
 	}
 }
 
 func TestMalformedInputEndsWithAnError(t *testing.T) {
+	started := instanceStarted(1, 5)
+	withSettings := func(text string) []byte {
+		return batch(1, 0, record(wire.EventInstanceStarted, uint32(1), uint64(1), uint32(len(text)), text))
+	}
 	for name, in := range map[string][]byte{
-		"cut off":               batch(1, 0, open(1, 5))[:30],
-		"list never sent":       batch(1, 0, open(1, 5), fleet(1, wire.FleetFull, 9)),
-		"record shorter":        batch(1, 0, open(1, 5), record(wire.EvAsk, uint32(1), uint32(3))),
-		"unusable settings":     batch(1, 0, record(wire.EvOpenInstance, uint32(1), uint64(1), uint32(11), "balancers=0")),
-		"settings without sign": batch(1, 0, record(wire.EvOpenInstance, uint32(1), uint64(1), uint32(3), "abc")),
-		"bytes left over":       append(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, 1), 3), 0, 0, 0, 0, 1, 2, 3),
+		"cut off":               batch(1, 0, started)[:30],
+		"list never sent":       batch(1, 0, started, endpointUpdate(1, wire.UpdateFull, 9)),
+		"record shorter":        batch(1, 0, started, record(wire.EventRequestReceived, uint32(1), uint32(3))),
+		"unusable settings":     withSettings("balancers=0"),
+		"settings without sign": withSettings("abc"),
+		"bytes left over": append(
+			binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, 1), 3), 0, 0, 0, 0, 1, 2, 3),
 	} {
 		err := serve(bytes.NewReader(in), io.Discard)
 		if err == nil || strings.Contains(err.Error(), "\n") {
@@ -199,34 +226,12 @@
 	h := newHost()
 	h.reply.Begin(1)
 	i := &instance{host: h, number: 4}
-	if err := i.guard(func() error { panic("index out of range") }); err != nil {
+	if err := i.reportPanic(func() error { panic("index out of range") }); err != nil {
 		t.Fatal(err)
 	}
-	rec, _, err := wire.Next(h.reply.Bytes()[12:])
-	if err != nil || rec.Code != wire.ActDie || !strings.Contains(string(rec.Fields), "index out of range") {
-		t.Fatalf("record %+v, error %v", rec, err)
-	}
-}
-
-func TestEndings(t *testing.T) {
-	for code, want := range map[uint16]policy.AttemptResult{
-		wire.EndServed: policy.Served, wire.EndErrored: policy.ServerError, wire.EndTurnedAway: policy.Rejected,
-		wire.EndTimedOut: policy.TimedOut, wire.EndNoConnection: policy.ConnectionFailed, wire.EndBroken: policy.ConnectionReset,
-		wire.EndCancelled: policy.Cancelled, wire.EndNotSent: policy.NotSent, 999: policy.ServerError,
-	} {
-		if got := ending(code); got != want {
-			t.Errorf("ending %d becomes %v, want %v", code, got, want)
-		}
-	}
-}
-
-func TestServers(t *testing.T) {
-	got := servers([]wire.Entry{
-		{Upstream: 9, Area: 1, Cohort: 3, Status: wire.StateReady, Rating: 2.5, Boot: time.Second},
-		{Status: wire.StateGone}, {Status: wire.StateDraining}, {Status: 77},
-	})
-	if got[0] != (policy.Endpoint{ID: 9, Zone: 1, Cell: 3, Health: policy.Ready, Weight: 2.5, StartedAt: time.Second}) ||
-		got[1].Health != policy.Removed || got[2].Health != policy.Draining || got[3].Health != policy.Draining {
-		t.Fatalf("servers %+v", got)
+	record, _, err := wire.Next(h.reply.Bytes()[replyHeaderSize:])
+	if err != nil || wire.ActionCode(record.Code) != wire.ActionFault ||
+		!strings.Contains(string(record.Fields), "index out of range") {
+		t.Fatalf("record %+v, error %v", record, err)
 	}
 }
--- /dev/null
+++ b/cmd/simulator-adapter/translate_test.go
@@ -0,0 +1,72 @@
+package main
+
+import (
+	"testing"
+	"time"
+
+	"mothridge/internal/wire"
+	"mothridge/policy"
+)
+
+func TestAttemptResult(t *testing.T) {
+	for result, want := range map[wire.Result]policy.AttemptResult{
+		wire.ResultServed:           policy.Served,
+		wire.ResultServerError:      policy.ServerError,
+		wire.ResultRejected:         policy.Rejected,
+		wire.ResultTimedOut:         policy.TimedOut,
+		wire.ResultConnectionFailed: policy.ConnectionFailed,
+		wire.ResultConnectionReset:  policy.ConnectionReset,
+		wire.ResultCancelled:        policy.Cancelled,
+		wire.ResultNotSent:          policy.NotSent,
+		999:                         policy.ServerError,
+	} {
+		if got := attemptResult(result); got != want {
+			t.Errorf("result %d becomes %v, want %v", result, got, want)
+		}
+	}
+}
+
+func TestUpdateKind(t *testing.T) {
+	for kind, want := range map[wire.UpdateKind]policy.UpdateKind{
+		wire.UpdateFull:   policy.FullUpdate,
+		wire.UpdateDelta:  policy.DeltaUpdate,
+		wire.UpdateCached: policy.CachedUpdate,
+		wire.UpdateFailed: policy.FailedUpdate,
+	} {
+		if got, known := updateKind(kind); got != want || !known {
+			t.Errorf("kind %d becomes %v (known: %v), want %v", kind, got, known, want)
+		}
+	}
+	if _, known := updateKind(99); known {
+		t.Error("kind 99 is known")
+	}
+}
+
+func TestRequest(t *testing.T) {
+	received := wire.Request{ID: 7, Class: 1, Tenant: 2, Timeout: time.Second, ExpectedWork: time.Millisecond, Flags: 4}
+	want := policy.Request{ID: 7, Class: 1, Tenant: 2, Timeout: time.Second}
+	if got := request(received); got != want {
+		t.Errorf("without flags: %+v, want %+v", got, want)
+	}
+	received.Flags |= wire.FlagClientRetry | wire.FlagExpectedWork
+	want.ClientRetry, want.ExpectedWork = true, time.Millisecond
+	if got := request(received); got != want {
+		t.Errorf("with flags: %+v, want %+v", got, want)
+	}
+}
+
+func TestEndpoints(t *testing.T) {
+	got := endpoints([]wire.ListEntry{
+		{Endpoint: 9, Zone: 1, Cell: 3, Health: wire.HealthReady, Weight: 2.5, StartedAt: time.Second},
+		{Health: wire.HealthRemoved}, {Health: wire.HealthDraining}, {Health: 77},
+	})
+	first := policy.Endpoint{ID: 9, Zone: 1, Cell: 3, Health: policy.Ready, Weight: 2.5, StartedAt: time.Second}
+	if got[0] != first {
+		t.Errorf("endpoint %+v, want %+v", got[0], first)
+	}
+	for i, want := range []policy.Health{policy.Ready, policy.Removed, policy.Draining, policy.Draining} {
+		if got[i].Health != want {
+			t.Errorf("endpoint %d is %v, want %v", i, got[i].Health, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/wire/actions.go
@@ -0,0 +1,76 @@
+package wire
+
+import "time"
+
+// Send starts an attempt at an endpoint. A timeout of 0 is the client's own.
+func (p *Reply) Send(instance, requestID uint32, to Endpoint, timeout time.Duration) {
+	start := p.beginRecord(ActionSend, instance)
+	p.u32(requestID)
+	p.endpoint(to)
+	p.duration(timeout)
+	p.endRecord(start)
+}
+
+// Cancel stops waiting for an attempt.
+func (p *Reply) Cancel(instance, requestID uint32, attempt uint8) {
+	start := p.beginRecord(ActionCancel, instance)
+	p.u32(requestID)
+	p.u8(attempt)
+	p.endRecord(start)
+}
+
+// Reject answers a request that never ran; the client may retry after that time.
+func (p *Reply) Reject(instance, requestID uint32, retryAfter time.Duration) {
+	start := p.beginRecord(ActionReject, instance)
+	p.u32(requestID)
+	p.duration(retryAfter)
+	p.endRecord(start)
+}
+
+// Fail answers a request that may have run.
+func (p *Reply) Fail(instance, requestID uint32) {
+	start := p.beginRecord(ActionFail, instance)
+	p.u32(requestID)
+	p.endRecord(start)
+}
+
+// SetTimer requests an EventTimerFired with that token. A timer cannot be stopped.
+func (p *Reply) SetTimer(instance uint32, delay time.Duration, token uint64) {
+	start := p.beginRecord(ActionSetTimer, instance)
+	p.duration(delay)
+	p.u64(token)
+	p.endRecord(start)
+}
+
+// Probe requests a health check of an endpoint.
+func (p *Reply) Probe(instance uint32, to Endpoint) {
+	start := p.beginRecord(ActionProbe, instance)
+	p.endpoint(to)
+	p.endRecord(start)
+}
+
+// Watch starts or ends a subscription to changes of the endpoints.
+func (p *Reply) Watch(instance uint32, on bool) {
+	start := p.beginRecord(ActionWatch, instance)
+	if on {
+		p.u8(1)
+	} else {
+		p.u8(0)
+	}
+	p.endRecord(start)
+}
+
+// Log writes a line to the simulator's report. It is cut after 65,535 bytes.
+func (p *Reply) Log(instance uint32, line string) {
+	start := p.beginRecord(ActionLog, instance)
+	p.text(line)
+	p.endRecord(start)
+}
+
+// Fault reports that the decision code has failed, which ends the simulation. The text is
+// cut after 65,535 bytes.
+func (p *Reply) Fault(instance uint32, text string) {
+	start := p.beginRecord(ActionFault, instance)
+	p.text(text)
+	p.endRecord(start)
+}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,102 +12,108 @@
 	"time"
 )
 
-func unhex(t testing.TB, s string) []byte {
+func unhex(t testing.TB, text string) []byte {
 	t.Helper()
-	b, err := hex.DecodeString(strings.NewReplacer(" ", "", "\n", "", "\t", "").Replace(s))
+	decoded, err := hex.DecodeString(strings.NewReplacer(" ", "", "\n", "", "\t", "").Replace(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return decoded
+}
+
+// firstRecord cuts the record off that the hexadecimal text begins with.
+func firstRecord(t testing.TB, text string) Record {
+	t.Helper()
+	record, _, err := Next(unhex(t, text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return record
 }
 
 // The records are examples of the protocol page.
-func TestReadsABatch(t *testing.T) {
-	frame := unhex(t, `0c000000 03000000 4d000000 00000000206ec040
+func TestReadBatch(t *testing.T) {
+	reader := NewReader(bytes.NewReader(unhex(t, `0c000000 03000000 4d000000 00000000206ec040
 		3804 27000000 03000000 c4913a5d 0100 640ad2557c3bf091 00000000 0000000000006e40 0000000000002840 00
 		2e04 0c000000 03000000 4d00000000000000
-		4204 08000000 05000000 192b6f0e`)
-	r := NewReader(bytes.NewReader(frame))
-	b, err := r.ReadBatch()
-	if err != nil || b.Number != 12 || b.Records != 3 || b.Clock != 8412250*time.Microsecond {
-		t.Fatalf("batch %+v, error %v", b, err)
+		4204 08000000 05000000 192b6f0e`)))
+	batch, err := reader.ReadBatch()
+	if err != nil || batch.Number != 12 || batch.Records != 3 || batch.Clock != 8412250*time.Microsecond {
+		t.Fatalf("batch %+v, error %v", batch, err)
 	}
-	rec, rest, err := Next(b.Body)
+	record, rest, err := Next(batch.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := rec.Ask()
-	want := Ask{Job: 0x5d3a91c4, Bits: 1, Key: 0x91f03b7c55d20a64, Left: 240 * time.Millisecond, Hint: 12 * time.Millisecond}
-	if err != nil || a != want {
-		t.Fatalf("ask %+v, error %v, want %+v", a, err, want)
+	request, err := record.RequestReceived()
+	want := Request{
+		ID: 0x5d3a91c4, Flags: FlagExpectedWork, AffinityKey: 0x91f03b7c55d20a64,
+		Timeout: 240 * time.Millisecond, ExpectedWork: 12 * time.Millisecond,
 	}
-	rec, rest, _ = Next(rest)
-	if c, err := rec.Cookie(); err != nil || c != 77 {
-		t.Fatalf("cookie %d, error %v", c, err)
+	if err != nil || request != want {
+		t.Fatalf("request %+v, error %v, want %+v", request, err, want)
 	}
-	rec, rest, _ = Next(rest)
-	job, err := rec.Job()
-	if inst, _ := rec.Instance(); err != nil || job != 0x0e6f2b19 || inst != 5 || len(rest) != 0 {
-		t.Fatalf("job %x of instance %d, error %v, %d bytes left", job, inst, err, len(rest))
+	record, rest, _ = Next(rest)
+	if token, err := record.TimerToken(); err != nil || token != 77 {
+		t.Fatalf("token %d, error %v", token, err)
 	}
-	if _, err := r.ReadBatch(); !errors.Is(err, io.EOF) {
+	record, rest, _ = Next(rest)
+	id, err := record.RequestID()
+	if instance, _ := record.Instance(); err != nil || id != 0x0e6f2b19 || instance != 5 || len(rest) != 0 {
+		t.Fatalf("request %x of instance %d, error %v, %d bytes left", id, instance, err, len(rest))
+	}
+	if _, err := reader.ReadBatch(); !errors.Is(err, io.EOF) {
 		t.Fatalf("end of input gives %v", err)
 	}
 }
 
-func TestReadsListsAndOutcomes(t *testing.T) {
-	rec, _, err := Next(unhex(t, `f203 34000000 0000 02000000
+func TestDecodeListsAndResults(t *testing.T) {
+	number, entries, err := firstRecord(t, `f203 34000000 0000 02000000
 		0a124a07 931f 00 00 0000 01 0000803f 0000000000000000
-		0a9011f2 bc1f 00 00 0000 01 0000c03f 0000000000d4b740`))
-	if err != nil {
-		t.Fatal(err)
+		0a9011f2 bc1f 00 00 0000 01 0000c03f 0000000000d4b740`).EndpointList()
+	if err != nil || number != 0 || len(entries) != 2 {
+		t.Fatalf("list %d, %d entries, error %v", number, len(entries), err)
 	}
-	page, entries, err := rec.Manifest()
-	if err != nil || page != 0 || len(entries) != 2 {
-		t.Fatalf("page %d, %d entries, error %v", page, len(entries), err)
-	}
-	if e := entries[1]; e.Status != StateReady || e.Rating != 1.5 || e.Boot != 6100*time.Millisecond {
+	if e := entries[1]; e.Health != HealthReady || e.Weight != 1.5 || e.StartedAt != 6100*time.Millisecond {
 		t.Fatalf("entry %+v", e)
 	}
-	rec, _, _ = Next(unhex(t, "2404 1b000000 03000000 c4913a5d 00 0a124a07 931f 6400 0000000000803240 01 00"))
-	f, err := rec.Finished()
-	if err != nil || f.Ending != EndServed || !f.Settled || f.Took != 18500*time.Microsecond || f.Upstream != entries[0].Upstream {
-		t.Fatalf("outcome %+v, error %v", f, err)
+	ended, err := firstRecord(t, "2404 1b000000 03000000 c4913a5d 00 0a124a07 931f 6400 0000000000803240 01 00").AttemptEnded()
+	if err != nil || ended.Result != ResultServed || !ended.Completed || ended.Elapsed != 18500*time.Microsecond ||
+		ended.Endpoint != entries[0].Endpoint {
+		t.Fatalf("attempt %+v, error %v", ended, err)
 	}
-	rec, _, _ = Next(unhex(t, `e803 25000000 03000000 0a9011f2 bc1f 6400 666666666666f63f
-		04 0000003f0000684100000c430000e040`))
-	up, end, report, err := rec.CheckResult()
-	if err != nil || up != entries[1].Upstream || end != EndServed || report.N != 4 || report.Values[3] != 7 {
-		t.Fatalf("probe of %x: %d, report %+v, error %v", up, end, report, err)
+	probe, err := firstRecord(t, `e803 25000000 03000000 0a9011f2 bc1f 6400 666666666666f63f
+		04 0000003f0000684100000c430000e040`).ProbeEnded()
+	if err != nil || probe.Endpoint != entries[1].Endpoint || probe.Result != ResultServed {
+		t.Fatalf("probe %+v, error %v", probe, err)
 	}
-	if l := report.Load(3); l.InFlight != 7 {
-		t.Fatalf("load %+v", l)
+	report := probe.LoadReport
+	if report.Count != 4 || report.Values[3] != 7 || report.Policy(3).InFlight != 7 {
+		t.Fatalf("load report %+v", report)
 	}
-	if l := report.Load(-1); l.InFlight != -1 || (Report{}).Load(3).InFlight != -1 {
-		t.Fatalf("absent load %+v, want it unknown", l)
+	if report.Policy(-1).InFlight != -1 || (LoadReport{}).Policy(3).InFlight != -1 {
+		t.Fatal("an absent number of requests in flight is not unknown")
 	}
-	rec, _, _ = Next(unhex(t, "1a04 0b000000 03000000 03 29000000 0700"))
-	if kind, version, page, err := rec.Fleet(); err != nil || kind != FleetCached || version != 41 || page != 7 {
-		t.Fatalf("fleet: kind %d version %d page %d, error %v", kind, version, page, err)
+	update, err := firstRecord(t, "1a04 0b000000 03000000 03 29000000 0700").EndpointUpdate()
+	if want := (EndpointUpdate{Kind: UpdateCached, Version: 41, List: 7}); err != nil || update != want {
+		t.Fatalf("update %+v, error %v, want %+v", update, err, want)
 	}
 }
 
-func TestWritesActions(t *testing.T) {
-	var to Upstream
-	rec, _, _ := Next(unhex(t, "1a04 0a000000 03000000 0a124a07 931f"))
-	c := cursor{b: rec.Fields[4:]}
-	to = c.addr()
-	var p Reply
-	p.Begin(12)
-	p.CallOut(3, 0x5d3a91c4, to, 80*time.Millisecond)
-	p.SetAlarm(3, 500*time.Millisecond, 77)
-	p.WriteLog(3, "two servers known")
-	p.PushBack(3, 0x0e6f2b19, 250*time.Millisecond)
-	p.Lose(3, 0x0e6f2b19)
-	p.Recall(3, 0x5d3a91c4, 0)
-	p.Tail(3, true)
-	p.Inspect(3, to)
-	p.Die(3, "index out of range")
+func TestEncodeActions(t *testing.T) {
+	fields := firstRecord(t, "1a04 0a000000 03000000 0a124a07 931f").instanceFields()
+	to := fields.endpoint()
+	var reply Reply
+	reply.Begin(12)
+	reply.Send(3, 0x5d3a91c4, to, 80*time.Millisecond)
+	reply.SetTimer(3, 500*time.Millisecond, 77)
+	reply.Log(3, "two servers known")
+	reply.Reject(3, 0x0e6f2b19, 250*time.Millisecond)
+	reply.Fail(3, 0x0e6f2b19)
+	reply.Cancel(3, 0x5d3a91c4, 0)
+	reply.Watch(3, true)
+	reply.Probe(3, to)
+	reply.Fault(3, "index out of range")
 	want := unhex(t, `0c000000 bf000000 09000000
 		e803 16000000 03000000 c4913a5d 0a124a07 931f 0000000000005440
 		1004 14000000 03000000 0000000000407f40 4d00000000000000
@@ -118,90 +124,94 @@
 		4c04 05000000 03000000 01
 		1a04 0a000000 03000000 0a124a07 931f
 		4204 18000000 03000000 1200 696e646578206f7574206f662072616e6765`)
-	if got := p.Bytes(); !bytes.Equal(got, want) {
+	if got := reply.Bytes(); !bytes.Equal(got, want) {
 		t.Fatalf("reply\n%x\nwant\n%x", got, want)
 	}
-	p.Begin(1)
-	if got := p.Bytes(); !bytes.Equal(got, unhex(t, "01000000 00000000 00000000")) {
+	reply.Begin(1)
+	if got := reply.Bytes(); !bytes.Equal(got, unhex(t, "01000000 00000000 00000000")) {
 		t.Fatalf("empty reply %x", got)
 	}
 }
 
+// frame returns a batch whose header may contradict its body.
 func frame(records, size uint32, clock float64, body string) []byte {
-	b := binary.LittleEndian.AppendUint32(nil, 1)
-	b = binary.LittleEndian.AppendUint32(b, records)
-	b = binary.LittleEndian.AppendUint32(b, size)
-	b = binary.LittleEndian.AppendUint64(b, math.Float64bits(clock))
-	return append(b, body...)
+	encoded := binary.LittleEndian.AppendUint32(nil, 1)
+	encoded = binary.LittleEndian.AppendUint32(encoded, records)
+	encoded = binary.LittleEndian.AppendUint32(encoded, size)
+	encoded = binary.LittleEndian.AppendUint64(encoded, math.Float64bits(clock))
+	return append(encoded, body...)
 }
 
 func TestMalformedFrames(t *testing.T) {
-	for name, in := range map[string][]byte{
+	for name, input := range map[string][]byte{
 		"header cut off":        {1, 2, 3},
 		"body cut off":          frame(1, 100, 0, "short"),
 		"oversized":             frame(1, 1<<31, 0, ""),
-		"large and cut off":     frame(1, maxFrame, 0, "short"),
+		"large and cut off":     frame(1, maxBodySize, 0, "short"),
 		"more records than fit": frame(100, 6, 0, "abcdef"),
 		"clock not a number":    frame(0, 0, math.NaN(), ""),
 	} {
-		if _, err := NewReader(bytes.NewReader(in)).ReadBatch(); err == nil || errors.Is(err, io.EOF) {
+		if _, err := NewReader(bytes.NewReader(input)).ReadBatch(); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
-	for name, in := range map[string]string{
+}
+
+func TestMalformedRecords(t *testing.T) {
+	for name, input := range map[string]string{
 		"record header cut off": "e803",
 		"record longer than it": "e803 ff000000 03000000",
 	} {
-		if _, _, err := Next(unhex(t, in)); err == nil {
+		if _, _, err := Next(unhex(t, input)); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
-	short := Record{Code: EvAsk, Fields: []byte{1, 0, 0, 0, 9}}
-	if _, err := short.Ask(); err == nil {
+	short := Record{Code: EventRequestReceived, Fields: []byte{1, 0, 0, 0, 9}}
+	if _, err := short.RequestReceived(); err == nil {
 		t.Error("fields cut off: no error")
 	}
-	huge := Record{Code: EvManifest, Fields: []byte{0, 0, 255, 255, 255, 255}}
-	if _, _, err := huge.Manifest(); err == nil {
+	huge := Record{Code: EventEndpointList, Fields: []byte{0, 0, 255, 255, 255, 255}}
+	if _, _, err := huge.EndpointList(); err == nil {
 		t.Error("list of four thousand million lines: no error")
 	}
-	longer := Record{Code: EvWake, Fields: append(make([]byte, 12), "a field of a later version"...)}
-	if _, err := longer.Cookie(); err != nil {
+	longer := Record{Code: EventTimerFired, Fields: append(make([]byte, 12), "a field of a later version"...)}
+	if _, err := longer.TimerToken(); err != nil {
 		t.Errorf("added fields: %v", err)
 	}
 }
 
+func TestCutOffFieldIsNamedByItsOffset(t *testing.T) {
+	for size, want := range map[int]string{2: "byte 6 ", 6: "byte 10 ", 9: "byte 14 "} {
+		_, err := Record{Code: EventRequestReceived, Fields: make([]byte, size)}.RequestReceived()
+		if err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%d bytes of fields: error %v, want it to name %q", size, err, want)
+		}
+	}
+}
+
 func FuzzReader(f *testing.F) {
 	f.Add(frame(1, 10, 1, "\x2e\x04\x04\x00\x00\x00\x01\x00\x00\x00"))
 	f.Add(frame(0, 0, 0, ""))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		b, err := NewReader(bytes.NewReader(data)).ReadBatch()
+		batch, err := NewReader(bytes.NewReader(data)).ReadBatch()
 		if err != nil {
 			return
 		}
-		for body := b.Body; len(body) > 0; {
-			rec, rest, err := Next(body)
+		for body := batch.Body; len(body) > 0; {
+			record, rest, err := Next(body)
 			if err != nil {
 				return
 			}
 			body = rest
-			rec.Instance()
-			rec.Manifest()
-			rec.OpenInstance()
-			rec.Fleet()
-			rec.Ask()
-			rec.Finished()
-			rec.CheckResult()
-			rec.Job()
-			rec.Cookie()
+			record.Instance()
+			record.EndpointList()
+			record.InstanceStarted()
+			record.EndpointUpdate()
+			record.RequestReceived()
+			record.AttemptEnded()
+			record.ProbeEnded()
+			record.RequestID()
+			record.TimerToken()
 		}
 	})
 }
-
-func TestCutOffFieldIsNamedByItsPlace(t *testing.T) {
-	for fields, want := range map[int]string{2: "byte 6 ", 6: "byte 10 ", 9: "byte 14 "} {
-		_, err := Record{Code: EvAsk, Fields: make([]byte, fields)}.Ask()
-		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%d bytes of fields: error %v, want it to name %q", fields, err, want)
-		}
-	}
-}
