--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -52,7 +52,8 @@
 func endpointList(number uint16, addresses ...byte) []byte {
 	fields := []any{number, uint32(len(addresses))}
 	for _, last := range addresses {
-		fields = append(fields, endpointAddress(last), uint8(0), uint8(0), uint16(0), wire.HealthReady, float32(1), float64(0))
+		fields = append(fields, endpointAddress(last),
+			uint8(0), uint8(0), uint16(0), wire.HealthReady, float32(1), float64(0))
 	}
 	return record(wire.EventEndpointList, fields...)
 }
@@ -194,7 +195,8 @@
 func TestUnknownRecordsAreIgnored(t *testing.T) {
 	all := actions(t, batch(1, 0, record(4711, uint32(9), "anything"), instanceStarted(1, 5),
 		record(wire.EventPeerMessage, uint32(1), uint32(2), uint16(0)), endpointList(0, 7),
-		endpointUpdate(1, 99, 0), endpointUpdate(1, wire.UpdateCached, 0), requestReceived(1, 100), requestReceived(44, 100)))
+		endpointUpdate(1, 99, 0), endpointUpdate(1, wire.UpdateCached, 0),
+		requestReceived(1, 100), requestReceived(44, 100)))
 	unknownInstance := func(a action) bool { return a.instance == 44 }
 	if len(only(all, wire.ActionSend, 1)) != 1 || slices.ContainsFunc(all, unknownInstance) {
 		t.Fatalf("actions %v", all)
--- a/internal/quotas/match.go
+++ b/internal/quotas/match.go
@@ -5,12 +5,9 @@
 	"strings"
 
 	"mothridge/internal/core"
+	"mothridge/internal/plugin"
 )
 
-// tagField is the header field in which plug-ins give a request tags, separated by
-// commas.
-const tagField = "Request-Tags"
-
 // Match selects a node's requests among those of its parent: all conditions that are
 // set must hold. A zero Match selects none.
 type Match struct {
@@ -69,6 +66,6 @@
 	if m.Tag == "" {
 		return true
 	}
-	values := r.Fields[tagField]
+	values := r.Fields[plugin.TagField]
 	return len(values) > 0 && slices.Contains(strings.Split(values[0], ","), m.Tag)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -77,12 +77,14 @@
 func TestConfig(t *testing.T) {
 	s := parseLines(t, someSettings)
 	config := configOf(t, s)
-	if config.FleetSize != 3 || config.Zone != 2 || config.MaxAttempts != 3 || !config.CancelAllowed || !config.ProbesAllowed ||
-		!config.WatchOnRequest || config.SlowStartInitialShare != 0.32 || config.CrossZoneCost != 0.03 {
+	if config.FleetSize != 3 || config.Zone != 2 || config.MaxAttempts != 3 ||
+		!config.CancelAllowed || !config.ProbesAllowed || !config.WatchOnRequest ||
+		config.SlowStartInitialShare != 0.32 || config.CrossZoneCost != 0.03 {
 		t.Errorf("config %+v", config)
 	}
 	first := config.Classes[0]
-	if first.Idempotency != policy.IdempotentByKey || first.DedupScope != policy.ScopeCell || first.DedupWindow != 600*time.Millisecond {
+	if first.Idempotency != policy.IdempotentByKey || first.DedupScope != policy.ScopeCell ||
+		first.DedupWindow != 600*time.Millisecond {
 		t.Errorf("class 0 %+v", first)
 	}
 	if config.Classes[1].Idempotency != policy.NotIdempotent {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -77,7 +77,8 @@
 	if e := entries[1]; e.Health != HealthReady || e.Weight != 1.5 || e.StartedAt != 6100*time.Millisecond {
 		t.Fatalf("entry %+v", e)
 	}
-	ended, err := firstRecord(t, "2404 1b000000 03000000 c4913a5d 00 0a124a07 931f 6400 0000000000803240 01 00").AttemptEnded()
+	ended, err := firstRecord(t,
+		"2404 1b000000 03000000 c4913a5d 00 0a124a07 931f 6400 0000000000803240 01 00").AttemptEnded()
 	if err != nil || ended.Result != ResultServed || !ended.Completed || ended.Elapsed != 18500*time.Microsecond ||
 		ended.Endpoint != entries[0].Endpoint {
 		t.Fatalf("attempt %+v, error %v", ended, err)
--- a/quota/validate.go
+++ b/quota/validate.go
@@ -70,7 +70,7 @@
 }
 
 // validate checks a limit by itself.
-func (l Limit) validate() error {
+func (l *Limit) validate() error {
 	if !l.validRate() {
 		return fmt.Errorf("%v a second up to %v: a rate above 0 and a ceiling that is not under it are meant",
 			l.Rate, l.Ceiling)
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (l Limit) validRate() bool {
+func (l *Limit) validRate() bool {
 	switch {
 	case l.Dimension < 0 || l.Dimension >= dimensions:
 		return false
