--- a/internal/sidecar/platform_config.go
+++ b/internal/sidecar/platform_config.go
@@ -108,15 +108,13 @@
 	if c.Policy, err = s.Config(); err != nil {
 		return err
 	}
-	c.Classes = s.Names("classes")
-	c.Tenants = s.Names("orgs")
-	c.Zones = s.Words("zones")
-	c.DialTimeout = s.Duration("caps.dial_timeout_ms", defaultDialTimeout)
-	c.DrainGrace = s.Duration("rules.stop_sending_within_ms", core.DefaultDrainGrace)
-	c.ConnIdle = s.Duration("caps.conn_idle_ms", defaultConnIdle)
-	if columns, i := s.Words("telemetry.columns"), s.InFlightColumn(); i >= 0 {
-		c.LoadField = columns[i]
-	}
+	c.Classes = s.ClassNames()
+	c.Tenants = s.TenantNames()
+	c.Zones = s.ZoneNames()
+	c.DialTimeout = s.DialTimeout(defaultDialTimeout)
+	c.DrainGrace = s.DrainGrace(core.DefaultDrainGrace)
+	c.ConnIdle = s.IdleConnTimeout(defaultConnIdle)
+	c.LoadField = s.InFlightField()
 	return nil
 }
 
