--- a/policy/guard.go
+++ b/policy/guard.go
@@ -1,74 +1,45 @@
+// The guard: the rules that every attempt has to pass, whatever led to it. startAttempt is the only place
+// that starts one, and admitAttempt the only place that allows it.
+//
+//  1. A request is answered exactly once, before its deadline, and not attempted afterwards.
+//  2. A request that is not idempotent never runs twice. One attempt is in flight at a time,
+//     and a further one needs proof that none has run, or endpoints that drop repeats.
+//  3. An endpoint that is draining or removed gets no attempt.
+//  4. An endpoint that has just started gets no more from the fleet than it bears.
+
 package policy
 
 import "time"
 
-// mayRepeat says whether the class allows an attempt now, on a server or (nil)
-// on some server: what may have run must be dropped there if it comes again.
-func (r *request) mayRepeat(now time.Duration, s *server) bool {
-	first := r.ran()
+// admitAttempt says whether the rules allow an attempt at an endpoint now.
+func (b *Balancer) admitAttempt(now time.Duration, request *requestState, endpoint *endpointState) bool {
 	switch {
-	case first == nil || r.class.Idempotency == Idempotent:
-		return true
-	case r.class.Idempotency == NotIdempotent || now >= first.sent+r.class.DedupWindow:
+	case request.answered() || now >= request.deadline, // rule 1
+		len(request.attempts) >= b.cfg.MaxAttempts,
+		endpoint.Health != Ready,                                        // rule 3
+		endpoint.inSlowStart(now) && now < endpoint.nextSlowStartSendAt, // rule 4
+		request.inFlight > 0 || !request.mayRunAgainAt(now, endpoint):   // rule 2
 		return false
-	case s == nil || r.class.DedupScope == ScopeAll:
-		return true
-	}
-	return s.Zone == first.to.Zone && (r.class.DedupScope == ScopeZone || s.Cell == first.to.Cell)
-}
-
-// mayGo is the gate: whether the rules let a request go to a server now.
-func (b *Balancer) mayGo(now time.Duration, r *request, s *server) bool {
-	switch {
-	case r.over || r.begun || now >= r.deadline || len(r.attempts) >= b.cfg.MaxAttempts:
-		return false // rule 1, and the limit on attempts
-	case s.Health != Ready:
-		return false // rule 3: at once, long before the grace is over
-	case now < s.warmAt && now < s.coldAt:
-		return false // rule 4
-	case r.out > 0 || !r.mayRepeat(now, s):
-		return false // rule 2: one attempt at a time, and only where it may be repeated
 	}
 	return true
 }
 
-// send is the one place that sends.
-func (b *Balancer) send(now time.Duration, r *request, s *server) bool {
-	if !b.mayGo(now, r, s) {
+// startAttempt starts an attempt if the rules allow it, and says whether it did.
+func (b *Balancer) startAttempt(now time.Duration, request *requestState, endpoint *endpointState) bool {
+	if !b.admitAttempt(now, request, endpoint) {
 		return false
 	}
-	if now < s.warmAt {
-		s.coldAt = now + b.coldGap(now, s)
-	}
-	within := time.Duration(0) // a connection may come up late
-	if first := r.ran(); first != nil && r.class.Idempotency == IdempotentByKey {
-		within = first.sent + r.class.DedupWindow - now
+	if endpoint.inSlowStart(now) {
+		endpoint.nextSlowStartSendAt = now + b.slowStartInterval(now, endpoint)
 	}
-	r.attempts = append(r.attempts, attempt{to: s, sent: now})
-	r.out++
-	s.out++
-	r.home.used++
-	if len(r.attempts) > 1 {
-		b.count.Retries++
+	writeWithin := request.repeatWindow(now)
+	request.attempts = append(request.attempts, attempt{endpoint: endpoint, startedAt: now})
+	request.inFlight++
+	request.bulkhead.inUse++
+	endpoint.inFlight++
+	if len(request.attempts) > 1 {
+		b.counters.Retries++
 	}
-	b.host.Send(r.id, s.ID, r.useful-now, within)
+	b.host.Send(request.id, endpoint.ID, request.usefulUntil-now, writeWithin)
 	return true
 }
-
-// coldGap spaces sends to a cold server so that all balancers together stay
-// well within its budget: each keeps an even part, whatever traffic it has.
-func (b *Balancer) coldGap(now time.Duration, s *server) time.Duration {
-	// The quotas are close to what all servers can do; without them one answer at a time is the guide.
-	rate := b.quota * s.Weight / max(b.weight, s.Weight)
-	if b.quota == 0 {
-		rate = s.Weight * float64(max(1, b.ready)) / max(b.weight, s.Weight) / b.pace.Seconds()
-	}
-	rate *= coldPart * max(b.cfg.SlowStartOverloadFactor, 1) * b.warmth(now, s) / float64(b.cfg.FleetSize)
-	return time.Duration(min(float64(time.Second)/rate, float64(time.Hour)))
-}
-
-// warmth is the share of its capacity that a server has at least.
-func (b *Balancer) warmth(now time.Duration, s *server) float64 {
-	left := float64(max(0, s.warmAt-now)) / float64(max(1, b.cfg.SlowStartDuration))
-	return max(0.05, 1-left*(1-b.cfg.SlowStartInitialShare))
-}
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -2,31 +2,85 @@
 
 import (
 	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
 	"strings"
 	"testing"
 	"unicode/utf8"
 )
 
-// The module is read by an auditor who charges by the page.
-func TestModuleStaysWithinItsLimits(t *testing.T) {
-	const mostLines, mostColumns = 550, 110
-	text, err := os.ReadFile("policy.go")
+// interfaceFiles hold types, configuration and documentation; all others hold decisions.
+var interfaceFiles = []string{"config.go", "doc.go", "events.go", "host.go", "reason.go", "stats.go"}
+
+func sourceFiles(t *testing.T) []string {
+	t.Helper()
+	names, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return slices.DeleteFunc(names, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
+}
+
+func readFile(t *testing.T, path string) string {
+	t.Helper()
+	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines := 0
-	for n, line := range strings.Split(string(text), "\n") {
-		if strings.TrimSpace(line) != "" {
-			lines++
+	return string(text)
+}
+
+// Each file fits a reader: short, narrow, and with its purpose at the top and in doc.go.
+func TestFilesStayReadable(t *testing.T) {
+	const maxLines, maxColumns = 400, 110
+	overview := readFile(t, "doc.go")
+	for _, name := range sourceFiles(t) {
+		text := readFile(t, name)
+		lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
+		if len(lines) > maxLines {
+			t.Errorf("%s: %d lines, at most %d", name, len(lines), maxLines)
+		}
+		for n, line := range lines {
+			if utf8.RuneCountInString(line) > maxColumns {
+				t.Errorf("%s:%d: more than %d characters", name, n+1, maxColumns)
+			}
+		}
+		if !strings.HasPrefix(text, "// ") {
+			t.Errorf("%s does not open with a comment", name)
+		}
+		if name != "doc.go" && !strings.Contains(overview, "//\t"+name+" ") {
+			t.Errorf("doc.go does not name %s", name)
+		}
+	}
+}
+
+// The operators read the decision files, up to 1,200 lines that are not blank.
+func TestDecisionModuleStaysWithinItsLimit(t *testing.T) {
+	const maxLines = 1200
+	var want []string
+	count := 0
+	for _, name := range sourceFiles(t) {
+		if slices.Contains(interfaceFiles, name) {
+			continue
 		}
-		if utf8.RuneCountInString(line) > mostColumns {
-			t.Errorf("line %d has more than %d characters", n+1, mostColumns)
+		want = append(want, "policy/"+name)
+		for line := range strings.Lines(readFile(t, name)) {
+			if strings.TrimSpace(line) != "" {
+				count++
+			}
 		}
 	}
-	if lines > mostLines {
-		t.Errorf("%d lines that are not blank, at most %d", lines, mostLines)
+	if count > maxLines {
+		t.Errorf("%d lines that are not blank, at most %d", count, maxLines)
+	}
+	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindStringSubmatch(readFile(t, "../deploy/balancer.toml"))
+	if list == nil {
+		t.Fatal("deploy/balancer.toml lists no policy files")
 	}
-	if head, _, _ := strings.Cut(string(text), "\npackage "); !strings.Contains(head, "api.go") {
-		t.Error("the top of the module does not name api.go")
+	listed := strings.Split(strings.ReplaceAll(list[1], `"`, ""), ", ")
+	slices.Sort(listed)
+	if !slices.Equal(listed, want) {
+		t.Errorf("deploy/balancer.toml lists %v, want %v", listed, want)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -343,7 +343,7 @@
 		now += 10 * ms
 		b.TimerFired(now)
 		for i := range h.sends { // server 1 answers nothing: time-outs after the aim
-			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].sent+s.timeout <= now {
+			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].startedAt+s.timeout <= now {
 				end(b, now, s.id, 0, TimedOut)
 			}
 		}
@@ -378,7 +378,7 @@
 		end(b, now, id, 0, map[bool]AttemptResult{true: ConnectionFailed, false: Served}[h.sends[len(h.sends)-1].to == 1])
 		end(b, now, id, 1, Served)
 	}
-	if !b.known[1].unwell {
+	if !b.endpointsByID[1].ejected {
 		t.Fatal("no connection, and still held to be well")
 	}
 	before := h.sentTo(1)
@@ -388,8 +388,8 @@
 		ask(b, now, id, safeClass)
 		end(b, now+5*ms, id, 0, Served)
 	}
-	if b.known[1].unwell || h.sentTo(1) < before+10 {
-		t.Fatalf("unwell %v, sends since %d", b.known[1].unwell, h.sentTo(1)-before)
+	if b.endpointsByID[1].ejected || h.sentTo(1) < before+10 {
+		t.Fatalf("unwell %v, sends since %d", b.endpointsByID[1].ejected, h.sentTo(1)-before)
 	}
 }
 
@@ -398,7 +398,7 @@
 	ask(b, 0, 1, safeClass)
 	end(b, 0, 1, 0, ConnectionFailed)
 	end(b, 0, 1, 1, ConnectionFailed)
-	if b.well != 0 {
+	if b.weights.healthy.weight != 0 {
 		t.Fatal("set-up: a server is still held to be well")
 	}
 	n := len(h.sends)
@@ -413,9 +413,9 @@
 func TestSlowServerHoldsLess(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
 	for range 50 {
-		b.known[1].used += (0.8*0.8 - b.known[1].used) / 8
+		b.endpointsByID[1].squaredLatencyRatio += (0.8*0.8 - b.endpointsByID[1].squaredLatencyRatio) / 8
 	}
-	if slow, well := b.portion(b.known[1]), b.portion(b.known[2]); slow != 1 || well != 4 {
+	if slow, well := b.concurrencyLimit(b.endpointsByID[1]), b.concurrencyLimit(b.endpointsByID[2]); slow != 1 || well != 4 {
 		t.Fatalf("portions %v and %v, want 1 and 4", slow, well)
 	}
 }
@@ -508,7 +508,7 @@
 	if len(gaps) < 4 || slices.Max(gaps) >= 3*time.Second || slices.Max(gaps) >= cfg.WatchRequestWithin || gaps[0] >= gaps[len(gaps)-1] {
 		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.WatchRequestWithin)
 	}
-	if b.known[1] == nil {
+	if b.endpointsByID[1] == nil {
 		t.Fatal("a failed call dropped the old list")
 	}
 	b.EndpointsUpdated(40*time.Second, FullUpdate, ready(1))
@@ -627,9 +627,9 @@
 		b.TimerFired(now + 3*ms)
 	}
 	b.TimerFired(time.Hour)
-	if len(b.requests) > 3 || len(b.open) > 3 || len(b.servers) != 2 || cap(b.open) > 100 {
+	if len(b.requests) > 3 || len(b.open) > 3 || len(b.endpoints) != 2 || cap(b.open) > 100 {
 		t.Fatalf("held: %d requests, %d open (room for %d), %d servers",
-			len(b.requests), len(b.open), cap(b.open), len(b.servers))
+			len(b.requests), len(b.open), cap(b.open), len(b.endpoints))
 	}
 }
 
@@ -639,9 +639,9 @@
 	for _, balancers := range []int{1, 4, 64} {
 		cfg.FleetSize = balancers
 		b, _ := start(t, cfg, ready(1))
-		whole := 100*1*slotAim + 2*spread*math.Sqrt(100*slotAim) + 2
-		if b.slots < 2 || float64(b.slots) > whole {
-			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.slots, whole)
+		whole := 100*1*slotObjectiveShare + 2*burstDeviations*math.Sqrt(100*slotObjectiveShare) + 2
+		if b.totalSlots < 2 || float64(b.totalSlots) > whole {
+			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.totalSlots, whole)
 		}
 		if b.SlotsFree(0) < b.SlotsFree(1) || b.QueueFree(1) < 1 {
 			t.Errorf("%d balancers: compartments %d and %d", balancers, b.SlotsFree(0), b.SlotsFree(1))
@@ -650,31 +650,31 @@
 	cfg.Tenants, cfg.FleetSize = nil, 4 // no tenants and no quota: one compartment, sized by the first list
 	b, h := start(t, cfg, ready(1, 2))
 	b.RequestReceived(0, Request{ID: 1, Timeout: time.Second})
-	if len(b.parts) != 1 || b.slots != 7 || len(h.sends) != 1 {
-		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.parts), b.slots, len(h.sends))
+	if len(b.bulkheads) != 1 || b.totalSlots != 7 || len(h.sends) != 1 {
+		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.bulkheads), b.totalSlots, len(h.sends))
 	}
 }
 
 func TestNewNamesTheUnusableField(t *testing.T) {
 	for field, spoil := range map[string]func(*Config){
-		"Balancers":     func(c *Config) { c.FleetSize = 0 },
-		"Classes":       func(c *Config) { c.Classes = nil },
-		"MaxAttempts":   func(c *Config) { c.MaxAttempts = 0 },
-		"Slots":         func(c *Config) { c.Slots = -1 },
-		"ColdFrom":      func(c *Config) { c.SlowStartInitialShare = 1.5 },
-		"ColdMultiple":  func(c *Config) { c.SlowStartOverloadFactor = math.Inf(1) },
-		"ColdTime":      func(c *Config) { c.SlowStartDuration = -1 },
-		"ProbePrice":    func(c *Config) { c.ProbeCost = math.NaN() },
-		"CrossZone":     func(c *Config) { c.CrossZoneCost = -1 },
-		"AskWithin":     func(c *Config) { c.WatchRequestWithin = -1 },
-		"Tick":          func(c *Config) { c.EventResolution = -1 },
-		"Aim":           func(c *Config) { c.Classes[2].LatencyObjective = 0 },
-		"Deadline":      func(c *Config) { c.Classes[0].Deadline = -1 },
-		"LateShare":     func(c *Config) { c.Classes[0].LateValueShare = math.NaN() },
-		"Share":         func(c *Config) { c.Tenants[1].Share = -0.1 },
-		"Quota":         func(c *Config) { c.Tenants[1].Quota = math.NaN() },
-		"adds up to 0":  func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} },
-		"MaxRetryAfter": func(c *Config) { c.MaxRetryAfter = -1 },
+		"FleetSize":               func(c *Config) { c.FleetSize = 0 },
+		"Classes":                 func(c *Config) { c.Classes = nil },
+		"MaxAttempts":             func(c *Config) { c.MaxAttempts = 0 },
+		"Slots":                   func(c *Config) { c.Slots = -1 },
+		"SlowStartInitialShare":   func(c *Config) { c.SlowStartInitialShare = 1.5 },
+		"SlowStartOverloadFactor": func(c *Config) { c.SlowStartOverloadFactor = math.Inf(1) },
+		"SlowStartDuration":       func(c *Config) { c.SlowStartDuration = -1 },
+		"ProbeCost":               func(c *Config) { c.ProbeCost = math.NaN() },
+		"CrossZoneCost":           func(c *Config) { c.CrossZoneCost = -1 },
+		"WatchRequestWithin":      func(c *Config) { c.WatchRequestWithin = -1 },
+		"EventResolution":         func(c *Config) { c.EventResolution = -1 },
+		"LatencyObjective":        func(c *Config) { c.Classes[2].LatencyObjective = 0 },
+		"Deadline":                func(c *Config) { c.Classes[0].Deadline = -1 },
+		"LateValueShare":          func(c *Config) { c.Classes[0].LateValueShare = math.NaN() },
+		"Share":                   func(c *Config) { c.Tenants[1].Share = -0.1 },
+		"Quota":                   func(c *Config) { c.Tenants[1].Quota = math.NaN() },
+		"adds up to 0":            func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} },
+		"MaxRetryAfter":           func(c *Config) { c.MaxRetryAfter = -1 },
 	} {
 		cfg := testConfig()
 		spoil(&cfg)
@@ -878,7 +878,7 @@
 // forgotten at once, servers that are out for a moment would leave the others overrun.
 func TestOverlapOfReplacementsIsForgotten(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
-	portion := func() float64 { return b.portion(b.known[1]) }
+	portion := func() float64 { return b.concurrencyLimit(b.endpointsByID[1]) }
 	alone := portion()
 	b.EndpointsUpdated(time.Second, FullUpdate, ready(1, 2, 3, 4))
 	overlap := portion()
@@ -897,20 +897,20 @@
 	b, h := start(t, testConfig(), ready(1))
 	ask(b, 0, 1, unsafeClass)
 	end(b, ms, 1, 0, ConnectionReset)
-	if b.known[1].unwell {
+	if b.endpointsByID[1].ejected {
 		t.Error("unwell by one broken connection")
 	}
 	ask(b, 2*ms, 2, safeClass)
 	end(b, 3*ms, 2, 0, Served)
 	ask(b, 4*ms, 3, unsafeClass)
 	end(b, 5*ms, 3, 0, ConnectionReset)
-	if b.known[1].unwell {
+	if b.endpointsByID[1].ejected {
 		t.Error("unwell though it answered between two broken connections")
 	}
 	ask(b, 6*ms, 4, unsafeClass)
 	end(b, 7*ms, 4, 0, ConnectionReset)
-	if !b.known[1].unwell || len(h.sends) != 4 {
-		t.Errorf("after two in a row: unwell %v, %d sends", b.known[1].unwell, len(h.sends))
+	if !b.endpointsByID[1].ejected || len(h.sends) != 4 {
+		t.Errorf("after two in a row: unwell %v, %d sends", b.endpointsByID[1].ejected, len(h.sends))
 	}
 }
 
@@ -923,12 +923,12 @@
 	for id := range RequestID(3) {
 		end(b, ms+time.Duration(id)*100*time.Microsecond, id, 0, ConnectionReset)
 	}
-	if len(h.sends) != 3 || b.known[1].unwell {
-		t.Errorf("%d were out as the connections broke, unwell %v", len(h.sends), b.known[1].unwell)
+	if len(h.sends) != 3 || b.endpointsByID[1].ejected {
+		t.Errorf("%d were out as the connections broke, unwell %v", len(h.sends), b.endpointsByID[1].ejected)
 	}
 	ask(b, 2*ms, 9, unsafeClass)
 	end(b, 3*ms, 9, 0, ConnectionReset)
-	if !b.known[1].unwell {
+	if !b.endpointsByID[1].ejected {
 		t.Error("well, though the next one broke too")
 	}
 }
@@ -939,7 +939,7 @@
 	cfg := testConfig()
 	cfg.ProbesAllowed, cfg.ProbeLoadReports = true, true
 	b, h := start(t, cfg, ready(1, 2))
-	room := b.part(b.mean, b.known[1])
+	room := b.weights.proportionalShare(b.fleetInFlight, b.endpointsByID[1])
 	for _, id := range []EndpointID{1, 2} {
 		b.ProbeCompleted(0, id, true, LoadReport{InFlight: room + 1})
 	}
--- a/policy/probe_test.go
+++ b/policy/probe_test.go
@@ -28,9 +28,9 @@
 			t.Fatalf("request %d, which never ran, was not refused", id)
 		}
 	}
-	for _, s := range b.servers {
-		if s.unwell || s.strikes > 0 || s.out > 0 {
-			t.Errorf("server %d is held to be unwell: %d strikes, %d out", s.ID, s.strikes, s.out)
+	for _, s := range b.endpoints {
+		if s.ejected || s.consecutiveFailures > 0 || s.inFlight > 0 {
+			t.Errorf("server %d is held to be unwell: %d strikes, %d out", s.ID, s.consecutiveFailures, s.inFlight)
 		}
 	}
 }
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -1,36 +1,40 @@
+// The reasons that logs and metrics give for a rejected or failed request.
+
 package policy
 
-// Reason says why a request was refused or failed, or was sent again.
+// Reason says why a request was rejected or failed.
 type Reason int
 
 // The reasons.
 const (
 	NoReason          Reason = iota
-	InvalidRequest           // its class or tenant does not exist, or it came with no time left
-	TooLate                  // an answer would come too late to be of worth
-	LoadShedding             // too few of the last were answered in time: see Balancer.shed
-	QueueFull                // its compartment's slots and queue are full
-	AttemptsExhausted        // it has had all its attempts
-	RetryNotAllowed          // what may have run may not be sent again
-	QueueTimeout             // no slot or server was free in its time
-	ShuttingDown             // nothing is taken any more
-	ReasonCount              // how many there are
+	InvalidRequest           // unknown class or tenant, or no time left
+	TooLate                  // a response would come too late to have a value
+	LoadShedding             // too few recent requests met their objective
+	QueueFull                // and so are the slots of the bulkhead
+	AttemptsExhausted        // all attempts were used
+	RetryNotAllowed          // an attempt may have run and must not run again
+	QueueTimeout             // no slot or endpoint was free in time
+	ShuttingDown             // no request is accepted any more
+	ReasonCount              // the number of reasons
 )
 
+// reasonNames appear in logs and metrics.
 var reasonNames = [ReasonCount]string{
-	"none", "unknown_class", "late", "shed", "queue_full", "attempts_spent", "may_not_repeat", "waited_too_long", "ending",
+	NoReason:          "none",
+	InvalidRequest:    "unknown_class",
+	TooLate:           "late",
+	LoadShedding:      "shed",
+	QueueFull:         "queue_full",
+	AttemptsExhausted: "attempts_spent",
+	RetryNotAllowed:   "may_not_repeat",
+	QueueTimeout:      "waited_too_long",
+	ShuttingDown:      "ending",
 }
 
+// String returns the name of the reason in logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Reason returns why the request was given up that Host.Refuse or Host.Fail is being
-// called for. It may be called from within those.
+// Reason returns why the request is given up for which Host.Reject or Host.Fail is being
+// called. It is meant to be called from within those two.
 func (b *Balancer) Reason() Reason { return b.reason }
-
-func (e AttemptResult) String() string {
-	names := [...]string{"served", "errored", "turned_away", "timed_out", "no_connection", "broken", "cancelled", "not_sent"}
-	if e < 0 || int(e) >= len(names) {
-		return "unknown"
-	}
-	return names[e]
-}
--- a/policy/weights_test.go
+++ b/policy/weights_test.go
@@ -24,29 +24,29 @@
 			b.EndpointsUpdated(now, FullUpdate, []Endpoint{entry(), entry(), entry()})
 		case x < 10:
 			b.EndpointsUpdated(now, DeltaUpdate, []Endpoint{entry(), entry()})
-		case len(b.servers) == 0:
+		case len(b.endpoints) == 0:
 		case x < 15:
-			b.strike(now, b.servers[rng.IntN(len(b.servers))])
+			b.recordFailure(now, b.endpoints[rng.IntN(len(b.endpoints))])
 		default:
-			b.answered(now, b.servers[rng.IntN(len(b.servers))])
+			b.recordSuccess(now, b.endpoints[rng.IntN(len(b.endpoints))])
 		}
 		weight, well, ready, fit := 0.0, 0.0, 0, 0
-		for _, s := range b.servers {
-			if b.known[s.ID] != s {
+		for _, s := range b.endpoints {
+			if b.endpointsByID[s.ID] != s {
 				t.Fatalf("step %d: server %d is not known by its name", step, s.ID)
 			}
 			if s.Health != Ready {
 				continue
 			}
 			weight += s.Weight
-			if ready++; !s.unwell {
+			if ready++; !s.ejected {
 				well += s.Weight
 				fit++
 			}
 		}
-		if math.Abs(b.weight-weight) > 1e-9 || math.Abs(b.well-well) > 1e-9 || b.ready != ready || b.fit != fit ||
-			(fit == 0) != (b.well == 0) || (ready == 0) != (b.weight == 0) || len(b.known) != len(b.servers) || b.full < weight-1e-9 {
-			t.Fatalf("step %d: %v %v %d %d of %d, most %v; want %v %v %d %d", step, b.weight, b.well, b.ready, b.fit, len(b.known), b.full, weight, well, ready, fit)
+		if math.Abs(b.weights.ready.weight-weight) > 1e-9 || math.Abs(b.weights.healthy.weight-well) > 1e-9 || b.weights.ready.count != ready || b.weights.healthy.count != fit ||
+			(fit == 0) != (b.weights.healthy.weight == 0) || (ready == 0) != (b.weights.ready.weight == 0) || len(b.endpointsByID) != len(b.endpoints) || b.weights.peak < weight-1e-9 {
+			t.Fatalf("step %d: %v %v %d %d of %d, most %v; want %v %v %d %d", step, b.weights.ready.weight, b.weights.healthy.weight, b.weights.ready.count, b.weights.healthy.count, len(b.endpointsByID), b.weights.peak, weight, well, ready, fit)
 		}
 	}
 }
