--- /dev/null
+++ b/policy/balancer_test.go
@@ -0,0 +1,90 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestOddEventsArePassedOver(t *testing.T) {
+	b, h := start(t, testConfig(), ready(1, 2))
+	b.RequestReceived(0, Request{ID: 1, Class: 99, Timeout: time.Second})
+	b.RequestReceived(0, Request{ID: 2, Class: -1, Timeout: time.Second})
+	b.RequestReceived(0, Request{ID: 3, Tenant: 7, Timeout: time.Second})
+	b.RequestReceived(0, Request{ID: 4, Timeout: 0})
+	b.RequestReceived(0, Request{ID: 5, Timeout: -time.Second})
+	if len(h.refused) != 5 || len(h.sends) != 0 {
+		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.refused), len(h.sends))
+	}
+	ask(b, 0, 6, safeClass)
+	ask(b, 0, 6, safeClass) // held already
+	end(b, 0, 6, 3, Served)
+	end(b, 0, 6, -1, Served)
+	end(b, 0, 77, 0, Served)
+	b.ClientDisconnected(0, 77)
+	b.ResponseStarted(77)
+	if len(h.sends) != 1 || b.SlotsFree(0) != 5 {
+		t.Fatalf("sends %d, slots free %d; want 1 and 5", len(h.sends), b.SlotsFree(0))
+	}
+	end(b, ms, 6, 0, Served)
+	end(b, ms, 6, 0, Served) // twice
+	if b.SlotsFree(0) != 6 {
+		t.Fatalf("slots free %d after a repeated outcome, want 6", b.SlotsFree(0))
+	}
+}
+
+func TestClientGoneFreesAndForgets(t *testing.T) {
+	b, h := start(t, testConfig(), ready(1))
+	ask(b, 0, 1, safeClass)
+	b.ClientDisconnected(ms, 1)
+	if len(h.cancelled) != 1 || b.SlotsFree(0) != 5 {
+		t.Fatal("the attempt was not called off, or its slot freed before it ended")
+	}
+	end(b, 2*ms, 1, 0, Cancelled)
+	if len(h.refused)+len(h.failed) != 0 || len(b.requests) != 0 || b.SlotsFree(0) != 6 {
+		t.Fatalf("answers %d, held %d", len(h.refused)+len(h.failed), len(b.requests))
+	}
+}
+
+func TestStreamIsLeftAlone(t *testing.T) {
+	b, h := start(t, testConfig(), ready(1, 2))
+	ask(b, 0, 1, safeClass)
+	b.ResponseStarted(1)
+	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
+		b.TimerFired(now)
+	}
+	if len(h.refused)+len(h.failed)+len(h.cancelled) != 0 || len(h.sends) != 1 {
+		t.Fatal("a stream that had begun was answered, called off or sent again")
+	}
+	b.AttemptEnded(11*time.Second, AttemptOutcome{ID: 1, Result: ConnectionReset, Completed: true})
+	if len(b.requests) != 0 {
+		t.Fatal("the ended stream is still held")
+	}
+}
+
+func TestMemoryStaysBounded(t *testing.T) {
+	b, _ := start(t, testConfig(), ready(1, 2))
+	for id := range RequestID(20000) {
+		now := time.Duration(id) * 5 * ms
+		ask(b, now, id, safeClass)
+		switch id % 3 {
+		case 0:
+			end(b, now+ms, id, 0, Served)
+		case 1:
+			b.ClientDisconnected(now+ms, id)
+			end(b, now+2*ms, id, 0, Cancelled)
+		case 2:
+			end(b, now+ms, id, 0, ConnectionReset)
+			end(b, now+2*ms, id, 1, Served)
+		}
+		if id%100 == 0 {
+			b.EndpointsUpdated(now, DeltaUpdate, []Endpoint{{ID: EndpointID(1000 + id), Health: Ready, Weight: 1}})
+			b.EndpointsUpdated(now, DeltaUpdate, []Endpoint{{ID: EndpointID(1000 + id), Health: Removed}})
+		}
+		b.TimerFired(now + 3*ms)
+	}
+	b.TimerFired(time.Hour)
+	if len(b.requests) > 3 || len(b.open) > 3 || len(b.endpoints) != 2 || cap(b.open) > 100 {
+		t.Fatalf("held: %d requests, %d open (room for %d), %d servers",
+			len(b.requests), len(b.open), cap(b.open), len(b.endpoints))
+	}
+}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -144,3 +144,10 @@
 func end(b *Balancer, now time.Duration, id RequestID, attempt int, e AttemptResult) {
 	b.AttemptEnded(now, AttemptOutcome{ID: id, Attempt: attempt, Result: e, Completed: e == Served})
 }
+
+// thinConfig has so many balancers that each sees too little of a server.
+func thinConfig() Config {
+	cfg := testConfig()
+	cfg.FleetSize, cfg.ProbesAllowed, cfg.Slots = 1000, true, 8
+	return cfg
+}
