--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -5,76 +5,76 @@
 	"time"
 )
 
-func TestOddEventsArePassedOver(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2))
+func TestInvalidEventsAreIgnored(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2))
 	b.RequestReceived(0, Request{ID: 1, Class: 99, Timeout: time.Second})
 	b.RequestReceived(0, Request{ID: 2, Class: -1, Timeout: time.Second})
 	b.RequestReceived(0, Request{ID: 3, Tenant: 7, Timeout: time.Second})
 	b.RequestReceived(0, Request{ID: 4, Timeout: 0})
 	b.RequestReceived(0, Request{ID: 5, Timeout: -time.Second})
-	if len(h.refused) != 5 || len(h.sends) != 0 {
-		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.refused), len(h.sends))
+	if len(h.rejected) != 5 || len(h.sends) != 0 {
+		t.Fatalf("rejected %d, started %d; want 5 and 0", len(h.rejected), len(h.sends))
 	}
-	ask(b, 0, 6, safeClass)
-	ask(b, 0, 6, safeClass) // held already
-	end(b, 0, 6, 3, Served)
-	end(b, 0, 6, -1, Served)
-	end(b, 0, 77, 0, Served)
+	receive(b, 0, 6, idempotentClass)
+	receive(b, 0, 6, idempotentClass) // held already
+	endAttempt(b, 0, 6, 3, Served)
+	endAttempt(b, 0, 6, -1, Served)
+	endAttempt(b, 0, 77, 0, Served)
 	b.ClientDisconnected(0, 77)
 	b.ResponseStarted(77)
 	if len(h.sends) != 1 || b.SlotsFree(0) != 5 {
 		t.Fatalf("sends %d, slots free %d; want 1 and 5", len(h.sends), b.SlotsFree(0))
 	}
-	end(b, ms, 6, 0, Served)
-	end(b, ms, 6, 0, Served) // twice
+	endAttempt(b, ms, 6, 0, Served)
+	endAttempt(b, ms, 6, 0, Served) // twice
 	if b.SlotsFree(0) != 6 {
 		t.Fatalf("slots free %d after a repeated outcome, want 6", b.SlotsFree(0))
 	}
 }
 
-func TestClientGoneFreesAndForgets(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1))
-	ask(b, 0, 1, safeClass)
+func TestClientDisconnectReleasesRequest(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1))
+	receive(b, 0, 1, idempotentClass)
 	b.ClientDisconnected(ms, 1)
 	if len(h.cancelled) != 1 || b.SlotsFree(0) != 5 {
-		t.Fatal("the attempt was not called off, or its slot freed before it ended")
+		t.Fatal("the attempt was not cancelled, or its slot freed before it ended")
 	}
-	end(b, 2*ms, 1, 0, Cancelled)
-	if len(h.refused)+len(h.failed) != 0 || len(b.requests) != 0 || b.SlotsFree(0) != 6 {
-		t.Fatalf("answers %d, held %d", len(h.refused)+len(h.failed), len(b.requests))
+	endAttempt(b, 2*ms, 1, 0, Cancelled)
+	if len(h.rejected)+len(h.failed) != 0 || len(b.requests) != 0 || b.SlotsFree(0) != 6 {
+		t.Fatalf("answers %d, held %d", len(h.rejected)+len(h.failed), len(b.requests))
 	}
 }
 
-func TestStreamIsLeftAlone(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2))
-	ask(b, 0, 1, safeClass)
+func TestStreamingRequestIsLeftAlone(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2))
+	receive(b, 0, 1, idempotentClass)
 	b.ResponseStarted(1)
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		b.TimerFired(now)
 	}
-	if len(h.refused)+len(h.failed)+len(h.cancelled) != 0 || len(h.sends) != 1 {
-		t.Fatal("a stream that had begun was answered, called off or sent again")
+	if len(h.rejected)+len(h.failed)+len(h.cancelled) != 0 || len(h.sends) != 1 {
+		t.Fatal("a streaming request was answered, cancelled or retried")
 	}
 	b.AttemptEnded(11*time.Second, AttemptOutcome{ID: 1, Result: ConnectionReset, Completed: true})
 	if len(b.requests) != 0 {
-		t.Fatal("the ended stream is still held")
+		t.Fatal("the request is still held")
 	}
 }
 
 func TestMemoryStaysBounded(t *testing.T) {
-	b, _ := start(t, testConfig(), ready(1, 2))
+	b, _ := newTestBalancer(t, testConfig(), readyEndpoints(1, 2))
 	for id := range RequestID(20000) {
 		now := time.Duration(id) * 5 * ms
-		ask(b, now, id, safeClass)
+		receive(b, now, id, idempotentClass)
 		switch id % 3 {
 		case 0:
-			end(b, now+ms, id, 0, Served)
+			endAttempt(b, now+ms, id, 0, Served)
 		case 1:
 			b.ClientDisconnected(now+ms, id)
-			end(b, now+2*ms, id, 0, Cancelled)
+			endAttempt(b, now+2*ms, id, 0, Cancelled)
 		case 2:
-			end(b, now+ms, id, 0, ConnectionReset)
-			end(b, now+2*ms, id, 1, Served)
+			endAttempt(b, now+ms, id, 0, ConnectionReset)
+			endAttempt(b, now+2*ms, id, 1, Served)
 		}
 		if id%100 == 0 {
 			b.EndpointsUpdated(now, DeltaUpdate, []Endpoint{{ID: EndpointID(1000 + id), Health: Ready, Weight: 1}})
@@ -84,7 +84,7 @@
 	}
 	b.TimerFired(time.Hour)
 	if len(b.requests) > 3 || len(b.open) > 3 || len(b.endpoints) != 2 || cap(b.open) > 100 {
-		t.Fatalf("held: %d requests, %d open (room for %d), %d servers",
+		t.Fatalf("held: %d requests, %d open (capacity %d), %d endpoints",
 			len(b.requests), len(b.open), cap(b.open), len(b.endpoints))
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -15,11 +15,11 @@
 	fmt.Printf("send request %d, for at most %v\n", id, timeout)
 }
 func (sidecar) Reject(id policy.RequestID, pause time.Duration) {
-	fmt.Printf("refuse request %d\n", id)
+	fmt.Printf("reject request %d\n", id)
 }
 func (sidecar) Fail(id policy.RequestID)                { fmt.Printf("fail request %d\n", id) }
 func (sidecar) Cancel(id policy.RequestID, attempt int) {}
-func (sidecar) SetTimer(d time.Duration)                {} // call b.Wake after d
+func (sidecar) SetTimer(d time.Duration)                {} // call b.TimerFired after d
 func (sidecar) Probe(to policy.EndpointID)              {}
 func (sidecar) RequestWatch()                           {}
 
@@ -37,18 +37,18 @@
 	now := time.Duration(0) // since any moment the program picks
 	b.Start(now)
 	b.EndpointsUpdated(now, policy.FullUpdate, []policy.Endpoint{{ID: 7, Health: policy.Ready, Weight: 1}})
-	for id := range policy.RequestID(3) { // one slot, one queue place: the third is refused
+	for id := range policy.RequestID(3) { // one slot, one queue place: the third is rejected
 		b.RequestReceived(now, policy.Request{ID: id, Timeout: 2 * time.Second})
 	}
 	now += 80 * time.Millisecond
 	b.AttemptEnded(now, policy.AttemptOutcome{ID: 0, Attempt: 0, Result: policy.Served, Completed: true})
 	// Output:
 	// send request 0, for at most 1s
-	// refuse request 2
+	// reject request 2
 	// send request 1, for at most 920ms
 }
 
-// BenchmarkList takes a first list of n servers, and then deltas of one.
+// BenchmarkList takes a first list of n endpoints, and then deltas of one.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		list := make([]policy.Endpoint, n)
@@ -64,12 +64,12 @@
 			m.EndpointsUpdated(0, policy.FullUpdate, list)
 			return m
 		}
-		b.Run(fmt.Sprint("first/servers=", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("first/endpoints=", n), func(b *testing.B) {
 			for range b.N {
 				first()
 			}
 		})
-		b.Run(fmt.Sprint("delta/servers=", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("delta/endpoints=", n), func(b *testing.B) {
 			m := first()
 			for i := range b.N {
 				m.EndpointsUpdated(time.Duration(i), policy.DeltaUpdate, list[i%n:i%n+1])
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	goldenEvents    = 55_000 // for each scenario: over a million in all
-	goldenServers   = 12
+	goldenEvents    = 55_000 // for each scenario: more than a million in all
+	goldenEndpoints = 12
 	goldenRequestMS = 8.0 // mean time between two requests, in ms
 )
 
-// goldenScenario is one configuration, and how the servers behave under it.
+// goldenScenario is one configuration, and how the endpoints behave under it. Its name is in
+// testdata/decisions.golden.
 type goldenScenario struct {
 	name   string
 	adjust func(*policy.Config)
@@ -26,7 +27,7 @@
 	gap     float64 // mean time between requests, as a multiple of goldenRequestMS
 	service float64 // mean service time as a share of the objective
 	faults  float64 // share of attempts that fail in some way
-	restart float64 // share of list updates that restart a server
+	restart float64 // share of list updates that restart an endpoint
 	listMS  float64 // mean time between list updates, in ms
 }
 
@@ -111,31 +112,31 @@
 	}
 }
 
-// goldenHost plays servers, clients and discovery in simulated time and digests all
+// goldenHost simulates endpoints, clients and discovery in simulated time and digests all
 // that the Balancer decides.
 type goldenHost struct {
-	scenario goldenScenario
-	config   policy.Config
-	b        *policy.Balancer
-	rng      *rand.Rand
-	digest   golden.Digest
-	now      time.Duration
-	events   goldenQueue
-	added    int
-	handled  int
-	nextID   policy.RequestID
-	requests map[policy.RequestID]*goldenRequest
-	servers  [goldenServers]goldenServer
+	scenario  goldenScenario
+	config    policy.Config
+	b         *policy.Balancer
+	rng       *rand.Rand
+	digest    golden.Digest
+	now       time.Duration
+	events    goldenQueue
+	added     int
+	handled   int
+	nextID    policy.RequestID
+	requests  map[policy.RequestID]*goldenRequest
+	endpoints [goldenEndpoints]goldenEndpoint
 }
 
 type goldenRequest struct {
 	attempts int
-	out      map[int]bool
+	inFlight map[int]bool
 	deadline time.Duration
 	ended    bool
 }
 
-type goldenServer struct {
+type goldenEndpoint struct {
 	entry    policy.Endpoint
 	inFlight int
 	slow     float64
@@ -172,44 +173,44 @@
 	return time.Duration(h.rng.ExpFloat64() * mean * float64(time.Millisecond))
 }
 
-func (h *goldenHost) Send(id policy.RequestID, to policy.EndpointID, timeout, within time.Duration) {
-	h.digest.Numbers('s', int64(id), int64(to), int64(timeout), int64(within))
+func (h *goldenHost) Send(id policy.RequestID, to policy.EndpointID, timeout, writeWithin time.Duration) {
+	h.digest.Numbers('s', int64(id), int64(to), int64(timeout), int64(writeWithin))
 	r := h.requests[id]
 	number := r.attempts
 	r.attempts++
-	r.out[number] = true
-	s := &h.servers[to]
+	r.inFlight[number] = true
+	s := &h.endpoints[to]
 	s.inFlight++
 	took := h.exponential(h.scenario.service * 400 * s.slow * (1 + float64(s.inFlight)/4))
-	ending := policy.Served
+	result := policy.Served
 	switch draw := h.rng.Float64(); {
 	case s.hangs || took > timeout:
-		took, ending = timeout, policy.TimedOut
+		took, result = timeout, policy.TimedOut
 	case draw < h.scenario.faults:
-		ending = []policy.AttemptResult{policy.ServerError, policy.Rejected, policy.ConnectionFailed, policy.ConnectionReset, policy.NotSent}[h.rng.IntN(5)]
+		result = []policy.AttemptResult{policy.ServerError, policy.Rejected, policy.ConnectionFailed, policy.ConnectionReset, policy.NotSent}[h.rng.IntN(5)]
 		took /= 4
 	case draw > 0.995:
 		h.after(took/2, func() { h.b.ResponseStarted(id) })
 	}
-	h.after(took, func() { h.end(id, number, to, ending) })
+	h.after(took, func() { h.endAttempt(id, number, to, result) })
 }
 
-func (h *goldenHost) end(id policy.RequestID, number int, server policy.EndpointID, ending policy.AttemptResult) {
+func (h *goldenHost) endAttempt(id policy.RequestID, number int, endpoint policy.EndpointID, result policy.AttemptResult) {
 	r := h.requests[id]
-	if !r.out[number] {
+	if !r.inFlight[number] {
 		return
 	}
-	delete(r.out, number)
-	h.servers[server].inFlight--
-	if ending == policy.Served {
+	delete(r.inFlight, number)
+	h.endpoints[endpoint].inFlight--
+	if result == policy.Served {
 		r.ended = true
 	}
-	h.b.AttemptEnded(h.now, policy.AttemptOutcome{ID: id, Attempt: number, Result: ending, Completed: r.ended})
+	h.b.AttemptEnded(h.now, policy.AttemptOutcome{ID: id, Attempt: number, Result: result, Completed: r.ended})
 	h.forget(id)
 }
 
 func (h *goldenHost) forget(id policy.RequestID) {
-	if r := h.requests[id]; r != nil && r.ended && len(r.out) == 0 {
+	if r := h.requests[id]; r != nil && r.ended && len(r.inFlight) == 0 {
 		delete(h.requests, id)
 	}
 }
@@ -237,7 +238,7 @@
 
 func (h *goldenHost) Probe(to policy.EndpointID) {
 	h.digest.Numbers('p', int64(to))
-	s := &h.servers[to]
+	s := &h.endpoints[to]
 	took := h.exponential(2 + 30*h.scenario.service*s.slow)
 	load := policy.LoadReport{InFlight: -1}
 	if h.config.ProbeLoadReports {
@@ -260,26 +261,26 @@
 		switch answer {
 		case 0, 1, 2: // silent
 		case 3:
-			h.list(policy.FullUpdate)
+			h.updateEndpoints(policy.FullUpdate)
 		default:
-			h.list(policy.FailedUpdate)
+			h.updateEndpoints(policy.FailedUpdate)
 		}
 	})
 }
 
-// request brings one request and plans the next.
-func (h *goldenHost) request() {
+// receiveRequest passes on one request and plans the next.
+func (h *goldenHost) receiveRequest() {
 	h.nextID++
 	id := h.nextID
 	class := h.rng.IntN(len(h.config.Classes))
-	left := time.Duration(float64(h.config.Classes[class].Deadline) * (0.3 + 0.7*h.rng.Float64()))
+	timeout := time.Duration(float64(h.config.Classes[class].Deadline) * (0.3 + 0.7*h.rng.Float64()))
 	if h.rng.IntN(50) == 0 {
-		left /= 20
+		timeout /= 20
 	}
 	if h.rng.IntN(1000) == 0 {
-		left = 2 * time.Hour
+		timeout = 2 * time.Hour
 	}
-	q := policy.Request{ID: id, Class: class, Timeout: left, ClientRetry: h.rng.IntN(10) == 0}
+	q := policy.Request{ID: id, Class: class, Timeout: timeout, ClientRetry: h.rng.IntN(10) == 0}
 	if len(h.config.Tenants) > 0 {
 		q.Tenant = h.rng.IntN(len(h.config.Tenants))
 	}
@@ -289,15 +290,15 @@
 	if h.rng.IntN(500) == 0 {
 		q.Class = -1
 	}
-	h.requests[id] = &goldenRequest{out: make(map[int]bool), deadline: h.now + left}
+	h.requests[id] = &goldenRequest{inFlight: make(map[int]bool), deadline: h.now + timeout}
 	h.b.RequestReceived(h.now, q)
 	if h.rng.IntN(30) == 0 {
-		h.after(h.exponential(100), func() { h.leave(id) })
+		h.after(h.exponential(100), func() { h.disconnectClient(id) })
 	}
-	h.after(h.exponential(h.scenario.gap*goldenRequestMS), h.request)
+	h.after(h.exponential(h.scenario.gap*goldenRequestMS), h.receiveRequest)
 }
 
-func (h *goldenHost) leave(id policy.RequestID) {
+func (h *goldenHost) disconnectClient(id policy.RequestID) {
 	if r := h.requests[id]; r != nil && !r.ended {
 		r.ended = true
 		h.b.ClientDisconnected(h.now, id)
@@ -305,11 +306,11 @@
 	}
 }
 
-// change alters some servers, tells it, and plans the next change.
-func (h *goldenHost) change() {
+// changeEndpoints changes some endpoints, passes that on, and plans the next change.
+func (h *goldenHost) changeEndpoints() {
 	var changed []policy.Endpoint
 	for range 1 + h.rng.IntN(2) {
-		s := &h.servers[h.rng.IntN(goldenServers)]
+		s := &h.endpoints[h.rng.IntN(goldenEndpoints)]
 		s.slow = []float64{0.7, 1, 1, 1.3, 6}[h.rng.IntN(5)]
 		s.hangs = h.rng.IntN(12) == 0
 		s.entry.Health = []policy.Health{policy.Ready, policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Removed}[h.rng.IntN(6)]
@@ -323,20 +324,20 @@
 	}
 	switch h.rng.IntN(6) {
 	case 0:
-		h.list(policy.FullUpdate)
+		h.updateEndpoints(policy.FullUpdate)
 	case 1:
-		h.list(policy.FailedUpdate)
+		h.updateEndpoints(policy.FailedUpdate)
 	default:
 		h.b.EndpointsUpdated(h.now, policy.DeltaUpdate, changed)
 	}
-	h.after(h.exponential(h.scenario.listMS), h.change)
+	h.after(h.exponential(h.scenario.listMS), h.changeEndpoints)
 }
 
-func (h *goldenHost) list(kind policy.UpdateKind) {
+func (h *goldenHost) updateEndpoints(kind policy.UpdateKind) {
 	var entries []policy.Endpoint
-	for i := range h.servers {
-		if h.servers[i].entry.Health != policy.Removed {
-			entries = append(entries, h.servers[i].entry)
+	for i := range h.endpoints {
+		if h.endpoints[i].entry.Health != policy.Removed {
+			entries = append(entries, h.endpoints[i].entry)
 		}
 	}
 	if kind == policy.FailedUpdate {
@@ -345,8 +346,8 @@
 	h.b.EndpointsUpdated(h.now, kind, entries)
 }
 
-// play returns the digest of all actions of a scenario.
-func (s goldenScenario) play(t *testing.T, seed uint64) string {
+// run returns the digest of all actions of a scenario.
+func (s goldenScenario) run(t *testing.T, seed uint64) string {
 	t.Helper()
 	h := &goldenHost{
 		scenario: s, config: goldenConfig(), rng: rand.New(rand.NewPCG(seed, 1)), digest: golden.NewDigest(),
@@ -355,9 +356,9 @@
 	if s.adjust != nil {
 		s.adjust(&h.config)
 	}
-	for i := range h.servers {
-		h.servers[i].slow = 1
-		h.servers[i].entry = policy.Endpoint{
+	for i := range h.endpoints {
+		h.endpoints[i].slow = 1
+		h.endpoints[i].entry = policy.Endpoint{
 			ID: policy.EndpointID(i), Zone: i % 2, Cell: i % 4, Health: policy.Ready, Weight: float64(i % 4),
 		}
 	}
@@ -367,9 +368,9 @@
 	}
 	h.b = b
 	b.Start(h.now)
-	h.list(policy.CachedUpdate)
-	h.after(0, h.request)
-	h.after(0, h.change)
+	h.updateEndpoints(policy.CachedUpdate)
+	h.after(0, h.receiveRequest)
+	h.after(0, h.changeEndpoints)
 	for h.handled = 0; h.handled < goldenEvents; h.handled++ {
 		e := heap.Pop(&h.events).(goldenEvent)
 		h.now = e.at
@@ -393,7 +394,7 @@
 func TestGoldenDecisions(t *testing.T) {
 	var got strings.Builder
 	for i, s := range goldenScenarios {
-		fmt.Fprintf(&got, "%s: %s\n", s.name, s.play(t, uint64(i+1)))
+		fmt.Fprintf(&got, "%s: %s\n", s.name, s.run(t, uint64(i+1)))
 	}
 	golden.Check(t, "decisions", got.String())
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -1,15 +1,14 @@
 package policy
 
 import (
-	"fmt"
 	"testing"
 	"time"
 )
 
 const ms = time.Millisecond
 
-// sent is one attempt that a test host was asked to start.
-type sent struct {
+// startedAttempt is one call of Send.
+type startedAttempt struct {
 	id      RequestID
 	to      EndpointID
 	timeout time.Duration
@@ -17,65 +16,50 @@
 
 // fakeHost records the actions of a Balancer.
 type fakeHost struct {
-	sends     []sent
-	refused   map[RequestID]time.Duration
-	failed    map[RequestID]bool
-	cancelled []RequestID
-	wakes     []time.Duration
-	at        []time.Duration // when the sends went out, where a test notes that
-	probes    []EndpointID
-	asks      int
-	trace     []string
+	sends         []startedAttempt
+	rejected      map[RequestID]time.Duration
+	failed        map[RequestID]bool
+	cancelled     []RequestID
+	startedAt     []time.Duration // when the sends were, for a test that notes it
+	probes        []EndpointID
+	watchRequests int
 }
 
 func newFakeHost() *fakeHost {
-	return &fakeHost{refused: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}}
+	return &fakeHost{rejected: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}}
 }
 
-func (h *fakeHost) note(format string, args ...any) {
-	h.trace = append(h.trace, fmt.Sprintf(format, args...))
-}
-
-func (h *fakeHost) Send(id RequestID, to EndpointID, timeout, within time.Duration) {
-	h.sends = append(h.sends, sent{id, to, timeout})
-	h.note("send %d %d %v", id, to, timeout)
+func (h *fakeHost) Send(id RequestID, to EndpointID, timeout, _ time.Duration) {
+	h.sends = append(h.sends, startedAttempt{id, to, timeout})
 }
 
 func (h *fakeHost) Reject(id RequestID, pause time.Duration) {
-	h.refused[id] = pause
-	h.note("refuse %d %v", id, pause)
+	h.rejected[id] = pause
 }
 
 func (h *fakeHost) Fail(id RequestID) {
 	h.failed[id] = true
-	h.note("fail %d", id)
 }
 
 func (h *fakeHost) Cancel(id RequestID, attempt int) {
 	h.cancelled = append(h.cancelled, id)
-	h.note("cancel %d %d", id, attempt)
 }
 
-func (h *fakeHost) SetTimer(d time.Duration) {
-	h.wakes = append(h.wakes, d)
-	h.note("wake %v", d)
-}
+func (h *fakeHost) SetTimer(time.Duration) {}
 
 func (h *fakeHost) Probe(to EndpointID) {
 	h.probes = append(h.probes, to)
-	h.note("probe %d", to)
 }
 
 func (h *fakeHost) RequestWatch() {
-	h.asks++
-	h.note("watch")
+	h.watchRequests++
 }
 
-// sentTo counts the attempts sent to a server.
-func (h *fakeHost) sentTo(id EndpointID) int {
+// attemptsAt counts the attempts at an endpoint.
+func (h *fakeHost) attemptsAt(id EndpointID) int {
 	n := 0
-	for _, s := range h.sends {
-		if s.to == id {
+	for _, attempt := range h.sends {
+		if attempt.to == id {
 			n++
 		}
 	}
@@ -84,16 +68,16 @@
 
 // The classes of testConfig.
 const (
-	safeClass = iota
-	keyedAll
-	keyedZone
-	keyedCell
-	unsafeClass
+	idempotentClass = iota
+	keyedClass
+	keyedInZoneClass
+	keyedInCellClass
+	notIdempotentClass
 )
 
 func testConfig() Config {
-	class := func(e Idempotency, s DedupScope) Class {
-		return Class{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: e, DedupScope: s, DedupWindow: 700 * ms}
+	class := func(idempotency Idempotency, scope DedupScope) Class {
+		return Class{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: idempotency, DedupScope: scope, DedupWindow: 700 * ms}
 	}
 	return Config{
 		FleetSize: 2,
@@ -114,7 +98,7 @@
 	}
 }
 
-func ready(ids ...EndpointID) []Endpoint {
+func readyEndpoints(ids ...EndpointID) []Endpoint {
 	var list []Endpoint
 	for _, id := range ids {
 		list = append(list, Endpoint{ID: id, Health: Ready, Weight: 1})
@@ -122,8 +106,8 @@
 	return list
 }
 
-// start makes a Balancer that holds a list of servers.
-func start(t testing.TB, cfg Config, list []Endpoint) (*Balancer, *fakeHost) {
+// newTestBalancer makes a Balancer that has started and holds a list of endpoints.
+func newTestBalancer(t testing.TB, cfg Config, list []Endpoint) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := newFakeHost()
 	b, err := New(cfg, 1, h)
@@ -135,18 +119,18 @@
 	return b, h
 }
 
-// ask hands in a request of tenant 0.
-func ask(b *Balancer, now time.Duration, id RequestID, class int) {
+// receive passes on a request of tenant 0.
+func receive(b *Balancer, now time.Duration, id RequestID, class int) {
 	b.RequestReceived(now, Request{ID: id, Class: class, Timeout: 2 * time.Second})
 }
 
-// end ends an attempt of a request.
-func end(b *Balancer, now time.Duration, id RequestID, attempt int, e AttemptResult) {
-	b.AttemptEnded(now, AttemptOutcome{ID: id, Attempt: attempt, Result: e, Completed: e == Served})
+// endAttempt ends an attempt of a request.
+func endAttempt(b *Balancer, now time.Duration, id RequestID, attempt int, result AttemptResult) {
+	b.AttemptEnded(now, AttemptOutcome{ID: id, Attempt: attempt, Result: result, Completed: result == Served})
 }
 
-// thinConfig has so many balancers that each sees too little of a server.
-func thinConfig() Config {
+// lowTrafficConfig has so many balancers that each sees too little of an endpoint.
+func lowTrafficConfig() Config {
 	cfg := testConfig()
 	cfg.FleetSize, cfg.ProbesAllowed, cfg.Slots = 1000, true, 8
 	return cfg
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -78,9 +78,9 @@
 	if list == nil {
 		t.Fatal("deploy/balancer.toml lists no policy files")
 	}
-	listed := strings.Split(strings.ReplaceAll(list[1], `"`, ""), ", ")
-	slices.Sort(listed)
-	if !slices.Equal(listed, want) {
-		t.Errorf("deploy/balancer.toml lists %v, want %v", listed, want)
+	got := strings.Split(strings.ReplaceAll(list[1], `"`, ""), ", ")
+	slices.Sort(got)
+	if !slices.Equal(got, want) {
+		t.Errorf("deploy/balancer.toml lists %v, want %v", got, want)
 	}
 }
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// Guards against this: all walls together let servers pass into their slower state.
-func TestReportedLoadWallsTheFleet(t *testing.T) {
+// The concurrency limits of all balancers together would let an endpoint be overloaded.
+func TestReportedFullEndpointIsSkipped(t *testing.T) {
 	cfg := testConfig()
 	cfg.ProbesAllowed, cfg.ProbeLoadReports = true, true
-	b, h := start(t, cfg, ready(1, 2))
+	b, h := newTestBalancer(t, cfg, readyEndpoints(1, 2))
 	b.ProbeCompleted(ms, 1, true, LoadReport{InFlight: 50})
 	for id := range RequestID(4) {
-		ask(b, ms, id, safeClass)
+		receive(b, ms, id, idempotentClass)
 	}
-	if h.sentTo(1) != 0 || h.sentTo(2) != 4 {
-		t.Fatalf("sent %d to the full server", h.sentTo(1))
+	if h.attemptsAt(1) != 0 || h.attemptsAt(2) != 4 {
+		t.Fatalf("%d attempts at the full endpoint", h.attemptsAt(1))
 	}
 	if len(h.probes) != 2 {
 		t.Fatalf("%d probes for 4 requests, want 2", len(h.probes))
 	}
-	b.ProbeCompleted(2*ms, 9, true, LoadReport{InFlight: 1})   // a server not listed
+	b.ProbeCompleted(2*ms, 9, true, LoadReport{InFlight: 1})   // an unknown endpoint
 	b.ProbeCompleted(2*ms, 1, false, LoadReport{InFlight: -1}) // a failed probe
 	for id := RequestID(10); id < 12; id++ {
-		ask(b, 2*time.Second, id, safeClass) // the report is old by now
+		receive(b, 2*time.Second, id, idempotentClass) // the report is old by now
 	}
-	if h.sentTo(1) == 0 {
-		t.Fatal("an old report still bars the server")
+	if h.attemptsAt(1) == 0 {
+		t.Fatal("an old report still counts")
 	}
 }
 
-// A report of a server's load is older than most requests take: at one request
-// more than the rest of the balancers usually hold there, it is not full.
-func TestReportedLoadLeavesRoom(t *testing.T) {
+// A report is older than most requests take: an endpoint with one request above its share
+// of what the fleet holds at the quotas is not full.
+func TestReportedLoadTolerance(t *testing.T) {
 	cfg := testConfig()
 	cfg.ProbesAllowed, cfg.ProbeLoadReports = true, true
-	b, h := start(t, cfg, ready(1, 2))
-	room := b.weights.proportionalShare(b.fleetInFlight, b.endpointsByID[1])
+	b, h := newTestBalancer(t, cfg, readyEndpoints(1, 2))
+	share := b.weights.proportionalShare(b.fleetInFlight, b.endpointsByID[1])
 	for _, id := range []EndpointID{1, 2} {
-		b.ProbeCompleted(0, id, true, LoadReport{InFlight: room + 1})
+		b.ProbeCompleted(0, id, true, LoadReport{InFlight: share + 1})
 	}
-	ask(b, ms, 1, safeClass)
+	receive(b, ms, 1, idempotentClass)
 	if len(h.sends) != 1 {
-		t.Error("nothing is sent with a place free at each server")
+		t.Error("no attempt though each endpoint is within the tolerance")
 	}
 	for _, id := range []EndpointID{1, 2} {
-		b.ProbeCompleted(2*ms, id, true, LoadReport{InFlight: room + 4})
+		b.ProbeCompleted(2*ms, id, true, LoadReport{InFlight: share + 4})
 	}
-	ask(b, 3*ms, 2, safeClass)
+	receive(b, 3*ms, 2, idempotentClass)
 	if len(h.sends) != 1 {
-		t.Error("sent to servers that report to be full")
+		t.Error("an attempt at an endpoint that reports to be full")
 	}
 }
--- a/policy/start_time_test.go
+++ b/policy/start_time_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Whatever the wall clock of this machine was at the start and is stepped to later, a
-// server that has just started does not pass for warm once there is a list to compare with.
+// Whatever the machine's clock was at the process's start and is stepped to later, an endpoint
+// that has just started counts as such once there is an earlier list to compare with.
 func TestStartedAt(t *testing.T) {
 	const (
 		truth = 1_000_000 * time.Second // true Unix time
 		hour  = time.Hour
 	)
 	for name, c := range map[string]struct {
-		atStart, later time.Duration // errors of the wall clock at the process's start and now
-		age            time.Duration // of the server
+		atStart, later time.Duration // errors of the machine's clock at the process's start and now
+		age            time.Duration // of the endpoint
 		changed        bool
 		confirmed      time.Duration // how long ago
 		atLeast, most  time.Duration // ages that are good
@@ -35,7 +35,7 @@
 		"stepped back, an old one is warm": {later: -hour, age: 10 * hour, atLeast: 9 * hour, most: 10 * hour},
 	} {
 		t.Run(name, func(t *testing.T) {
-			now := truth + c.atStart // the balancer's clock began at the wall clock of the start
+			now := truth + c.atStart // the balancer's clock began at the machine's clock of the start
 			e := StartEvidence{Reported: truth - c.age, Now: now, WallClock: truth + c.later, Changed: c.changed}
 			if c.confirmed > 0 {
 				e.ConfirmedAt = now - c.confirmed
--- a/policy/weights_test.go
+++ b/policy/weights_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// However the list and the health of its servers change, the sums of weights are
-// those of the servers there are, and exactly 0 where there is none.
-func TestWeightsAddUp(t *testing.T) {
+// However the list and the health of its endpoints change, the sums of weights are
+// those of the endpoints there are, and exactly 0 where there is none.
+func TestSumsOfWeights(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 5))
-	b, _ := start(t, testConfig(), nil)
+	b, _ := newTestBalancer(t, testConfig(), nil)
 	for step := range 20_000 {
 		now := time.Duration(step) * ms
 		entry := func() Endpoint {
@@ -30,23 +30,35 @@
 		default:
 			b.recordSuccess(now, b.endpoints[rng.IntN(len(b.endpoints))])
 		}
-		weight, well, ready, fit := 0.0, 0.0, 0, 0
-		for _, s := range b.endpoints {
-			if b.endpointsByID[s.ID] != s {
-				t.Fatalf("step %d: server %d is not known by its name", step, s.ID)
+		var want endpointWeights
+		for _, endpoint := range b.endpoints {
+			if b.endpointsByID[endpoint.ID] != endpoint {
+				t.Fatalf("step %d: endpoint %d is not found by its ID", step, endpoint.ID)
 			}
-			if s.Health != Ready {
+			if endpoint.Health != Ready {
 				continue
 			}
-			weight += s.Weight
-			if ready++; !s.ejected {
-				well += s.Weight
-				fit++
+			want.ready.weight += endpoint.Weight
+			want.ready.count++
+			if !endpoint.ejected {
+				want.healthy.weight += endpoint.Weight
+				want.healthy.count++
 			}
 		}
-		if math.Abs(b.weights.ready.weight-weight) > 1e-9 || math.Abs(b.weights.healthy.weight-well) > 1e-9 || b.weights.ready.count != ready || b.weights.healthy.count != fit ||
-			(fit == 0) != (b.weights.healthy.weight == 0) || (ready == 0) != (b.weights.ready.weight == 0) || len(b.endpointsByID) != len(b.endpoints) || b.weights.peak < weight-1e-9 {
-			t.Fatalf("step %d: %v %v %d %d of %d, most %v; want %v %v %d %d", step, b.weights.ready.weight, b.weights.healthy.weight, b.weights.ready.count, b.weights.healthy.count, len(b.endpointsByID), b.weights.peak, weight, well, ready, fit)
+		got := b.weights
+		if !sameSum(got.ready, want.ready) || !sameSum(got.healthy, want.healthy) || got.peak < want.ready.weight-1e-9 {
+			t.Fatalf("step %d: weights %+v, want %+v", step, got, want)
 		}
+		if len(b.endpointsByID) != len(b.endpoints) {
+			t.Fatalf("step %d: %d endpoints, %d by ID", step, len(b.endpoints), len(b.endpointsByID))
+		}
+	}
+}
+
+// sameSum says that two sums are equal but for rounding, and that an empty one is exactly 0.
+func sameSum(got, want weightSum) bool {
+	if got.count != want.count || (got.count == 0) != (got.weight == 0) {
+		return false
 	}
+	return math.Abs(got.weight-want.weight) <= 1e-9
 }
