--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -48,7 +48,7 @@
 	watchFailures int           // in a row
 }
 
-// New makes a Balancer, or names the unusable field of cfg. The same seed and events give the same actions.
+// New makes a Balancer, or an error that names the unusable field. Same seed and events give same actions.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
--- a/policy/config.go
+++ b/policy/config.go
@@ -38,7 +38,9 @@
 	// CancelAllowed permits Host.Cancel. Without it attempts that are no longer needed run on.
 	CancelAllowed bool
 
-	// ProbesAllowed permits probes before dispatch, which are used where traffic is low.
+	// ProbesAllowed permits probes before dispatch, which are used where traffic is low. Without
+	// it traffic never counts as low, so that there is no load shedding and no subset of
+	// preferred endpoints either.
 	ProbesAllowed bool
 
 	// ProbeLoadReports says that probes bring load reports. Requests then cause
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	// A change counts as known 6 s after it was available and must be obeyed 2 s later, while a request may
-	// last 3 s until it is given up, and the next one 2 s until it is answered.
+	// maxWatchBackoff is short, as a change counts as known 6 s after it was available and must be obeyed 2 s
+	// later, while a request may last 3 s until it is given up, and the next one 2 s until it is answered.
 	maxWatchBackoff = 3 * time.Second / 2
 
-	watchRepeatNumerator, watchRepeatDenominator = 3, 4 // of WatchRequestWithin: a silent request is repeated
+	// A silent request is repeated after 3/4 of Config.WatchRequestWithin.
+	watchRepeatNumerator, watchRepeatDenominator = 3, 4
 )
 
 // endpointState is an endpoint of the list and what is known of it.
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -79,7 +79,8 @@
 	b.reason = reason
 	if request.clientRetryIsHarmless() {
 		b.counters.Rejected++
-		pause := time.Duration((1 + b.random.Float64()) * float64(b.smoothedLatency)) // clients: not in step
+		// Drawn from 1 to 2 smoothed latencies, so that clients do not retry in step.
+		pause := time.Duration((1 + b.random.Float64()) * float64(b.smoothedLatency))
 		b.host.Reject(request.id, min(b.cfg.MaxRetryAfter, pause))
 	} else {
 		b.counters.Failed++
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -73,76 +73,118 @@
 // place, keep to that also where the part of each is far below one request, and where no
 // quota says what endpoints can do.
 func TestFleetKeepsToSlowStartBudget(t *testing.T) {
-	const balancers, endpoints, takes = 30, 6, 50 * ms
-	warm := readyEndpoints(2, 3, 4, 5, 6)
 	for name, quota := range map[string]float64{"a part of 0.03 a second": 12, "a part of 0.9 a second": 360, "no quotas": 0} {
 		for seed := range uint64(8) {
-			restarted := seed%2 == 1
-			cfg := testConfig()
-			cfg.FleetSize, cfg.Slots = balancers, 40
-			cfg.Tenants = []Tenant{{Share: 1, Quota: quota}}
-			capacity := quota / endpoints // requests a second of one endpoint, warm
-			if quota == 0 {
-				capacity = float64(time.Second) / float64(takes) // by latencies: it does one at a time
+			balancersRestart := seed%2 == 1
+			fleet := newTestFleet(t, quota, seed)
+			for fleet.now < time.Hour+2*time.Second { // latencies are known by then
+				fleet.serve()
 			}
-			seeds := rand.New(rand.NewPCG(seed, 1)) // similar ones would draw similar first picks
-			now := time.Hour
-			fleet, hosts := make([]*Balancer, balancers), make([]*fakeHost, balancers)
-			begin := func(i int, list []Endpoint) {
-				h := newFakeHost()
-				b, err := New(cfg, seeds.Uint64(), h)
-				if err != nil {
-					t.Fatal(err)
+			startedAt := fleet.now
+			fleet.startEndpoint(balancersRestart)
+			for fleet.now < startedAt+fleet.cfg.SlowStartDuration {
+				now := fleet.now
+				fleet.serve()
+				budget := fleet.slowStartBudget(now - startedAt)
+				if most := budget + 2*math.Sqrt(budget) + 2; float64(len(fleet.recentSends)) > most {
+					t.Errorf("%s, seed %d: %d requests within a second, %v after its start; it bears %.1f",
+						name, seed, len(fleet.recentSends), now-startedAt, most)
 				}
-				b.Start(now)
-				b.EndpointsUpdated(now, FullUpdate, list)
-				fleet[i], hosts[i] = b, h
 			}
-			for i := range fleet {
-				begin(i, warm)
-			}
-			var sends []time.Duration
-			serve := func(count bool) {
-				for i, b := range fleet {
-					h := hosts[i]
-					for n := range 6 {
-						receive(b, now, RequestID(now/ms)*10+RequestID(n)+1, idempotentClass)
-					}
-					for len(h.startedAt) > 0 && h.startedAt[0] <= now-takes {
-						endAttempt(b, now, h.sends[0].id, 0, Served)
-						h.sends, h.startedAt = h.sends[1:], h.startedAt[1:]
-					}
-					for _, s := range h.sends[len(h.startedAt):] {
-						h.startedAt = append(h.startedAt, now)
-						if count && s.to == 1 {
-							sends = append(sends, now)
-						}
-					}
-				}
-			}
-			for ; now < time.Hour+2*time.Second; now += 20 * ms { // latencies are known by then
-				serve(false)
-			}
-			began := now
-			cold := Endpoint{ID: 1, Health: Ready, Weight: 1, StartedAt: began}
-			for i := range fleet { // all at once, by a full update to those that restart too
-				if !restarted {
-					fleet[i].EndpointsUpdated(now, DeltaUpdate, []Endpoint{cold})
-					continue
-				}
-				begin(i, append([]Endpoint{cold}, warm...))
-			}
-			for ; now < began+cfg.SlowStartDuration; now += 20 * ms {
-				serve(true)
-				for len(sends) > 0 && sends[0] <= now-time.Second {
-					sends = sends[1:]
-				}
-				factor := cfg.SlowStartInitialShare + (1-cfg.SlowStartInitialShare)*float64(now-began)/float64(cfg.SlowStartDuration)
-				budget := cfg.SlowStartOverloadFactor * factor * capacity
-				if most := budget + 2*math.Sqrt(budget) + 2; float64(len(sends)) > most {
-					t.Errorf("%s, seed %d: %d requests within a second, %v after its start; it bears %.1f", name, seed, len(sends), now-began, most)
-				}
+		}
+	}
+}
+
+const (
+	fleetBalancers      = 30
+	fleetEndpoints      = 6
+	fleetLatency        = 50 * ms
+	startingEndpointID  = 1
+	requestsPerBalancer = 6 // a step of 20 ms
+)
+
+// testFleet is a fleet of balancers, each with more requests than it can place.
+type testFleet struct {
+	t           *testing.T
+	cfg         Config
+	seeds       *rand.Rand
+	now         time.Duration
+	balancers   []*Balancer
+	hosts       []*fakeHost
+	recentSends []time.Duration // to the starting endpoint, within the last second
+}
+
+func newTestFleet(t *testing.T, quota float64, seed uint64) *testFleet {
+	t.Helper()
+	cfg := testConfig()
+	cfg.FleetSize, cfg.Slots = fleetBalancers, 40
+	cfg.Tenants = []Tenant{{Share: 1, Quota: quota}}
+	fleet := &testFleet{t: t, cfg: cfg, now: time.Hour}
+	fleet.seeds = rand.New(rand.NewPCG(seed, 1)) // similar ones would draw similar first picks
+	fleet.balancers = make([]*Balancer, fleetBalancers)
+	fleet.hosts = make([]*fakeHost, fleetBalancers)
+	for i := range fleet.balancers {
+		fleet.startBalancer(i, readyEndpoints(2, 3, 4, 5, 6))
+	}
+	return fleet
+}
+
+func (f *testFleet) startBalancer(i int, list []Endpoint) {
+	f.t.Helper()
+	f.hosts[i] = newFakeHost()
+	b, err := New(f.cfg, f.seeds.Uint64(), f.hosts[i])
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	b.Start(f.now)
+	b.EndpointsUpdated(f.now, FullUpdate, list)
+	f.balancers[i] = b
+}
+
+// startEndpoint informs all balancers of a start at the same moment. Those that restart
+// themselves get the full list.
+func (f *testFleet) startEndpoint(balancersRestart bool) {
+	f.t.Helper()
+	starting := Endpoint{ID: startingEndpointID, Health: Ready, Weight: 1, StartedAt: f.now}
+	for i, b := range f.balancers {
+		if balancersRestart {
+			f.startBalancer(i, append([]Endpoint{starting}, readyEndpoints(2, 3, 4, 5, 6)...))
+			continue
+		}
+		b.EndpointsUpdated(f.now, DeltaUpdate, []Endpoint{starting})
+	}
+}
+
+// serve passes on requests, ends attempts after their latency, and moves the time on.
+func (f *testFleet) serve() {
+	for i, b := range f.balancers {
+		h := f.hosts[i]
+		for n := range requestsPerBalancer {
+			receive(b, f.now, RequestID(f.now/ms)*10+RequestID(n)+1, idempotentClass)
+		}
+		for len(h.startedAt) > 0 && h.startedAt[0] <= f.now-fleetLatency {
+			endAttempt(b, f.now, h.sends[0].id, 0, Served)
+			h.sends, h.startedAt = h.sends[1:], h.startedAt[1:]
+		}
+		for _, attempt := range h.sends[len(h.startedAt):] {
+			h.startedAt = append(h.startedAt, f.now)
+			if attempt.to == startingEndpointID {
+				f.recentSends = append(f.recentSends, f.now)
 			}
 		}
 	}
+	for len(f.recentSends) > 0 && f.recentSends[0] <= f.now-time.Second {
+		f.recentSends = f.recentSends[1:]
+	}
+	f.now += 20 * ms
+}
+
+// slowStartBudget is what an endpoint of this age bears, in requests a second.
+func (f *testFleet) slowStartBudget(age time.Duration) float64 {
+	capacity := f.cfg.Tenants[0].Quota / fleetEndpoints
+	if capacity == 0 {
+		capacity = float64(time.Second) / float64(fleetLatency) // by latencies: it does one at a time
+	}
+	factor := f.cfg.SlowStartInitialShare + (1-f.cfg.SlowStartInitialShare)*float64(age)/float64(f.cfg.SlowStartDuration)
+	return f.cfg.SlowStartOverloadFactor * factor * capacity
 }
