--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,122 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestRetryByResult(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		class   int
+		result  AttemptResult
+		retried bool
+		fails   bool // where it is not retried
+	}{
+		{"idempotent after an error", idempotentClass, ServerError, true, false},
+		{"keyed after a reset", keyedClass, ConnectionReset, true, false},
+		{"not idempotent, rejected", notIdempotentClass, Rejected, true, false},
+		{"not idempotent, without a connection", notIdempotentClass, ConnectionFailed, true, false},
+		{"not idempotent, not started", notIdempotentClass, NotSent, true, false},
+		{"not idempotent, after an error", notIdempotentClass, ServerError, false, true},
+		{"not idempotent, after a reset", notIdempotentClass, ConnectionReset, false, true},
+		{"not idempotent, after a timeout", notIdempotentClass, TimedOut, false, true},
+		{"not idempotent, after an unknown result", notIdempotentClass, AttemptResult(99), false, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2, 3))
+			receive(b, 0, 1, c.class)
+			endAttempt(b, 30*ms, 1, 0, c.result)
+			if retried := len(h.sends) == 2; retried != c.retried {
+				t.Fatalf("retried: %v, want %v", retried, c.retried)
+			}
+			if !c.retried && h.failed[1] != c.fails {
+				t.Fatalf("failed: %v, want %v (rejected: %v)", h.failed[1], c.fails, h.rejected)
+			}
+			if c.retried && h.sends[1].to == h.sends[0].to {
+				t.Fatal("retried at the same endpoint")
+			}
+		})
+	}
+}
+
+func TestMaxAttemptsThenRejection(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2, 3, 4, 5))
+	receive(b, 0, 1, notIdempotentClass)
+	for i := range 3 {
+		endAttempt(b, time.Duration(i+1)*ms, 1, i, ConnectionFailed)
+	}
+	if _, ok := h.rejected[1]; len(h.sends) != 3 || !ok {
+		t.Fatalf("sends %d, rejected %v; want 3 and a rejection: it provably never ran", len(h.sends), ok)
+	}
+}
+
+func TestKeyedRetryStaysInDedupScope(t *testing.T) {
+	list := []Endpoint{
+		{ID: 1, Health: Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, Health: Ready, Weight: 1, Zone: 0, Cell: 11},
+		{ID: 3, Health: Ready, Weight: 1, Zone: 1, Cell: 12}, {ID: 4, Health: Ready, Weight: 1, Zone: 1, Cell: 12},
+	}
+	byID := func(id EndpointID) Endpoint { return list[id-1] }
+	for id := range RequestID(8) { // round robin takes the first attempt to every endpoint
+		for _, class := range []int{keyedInZoneClass, keyedInCellClass} {
+			b, h := newTestBalancer(t, testConfig(), list)
+			for warm := range id {
+				receive(b, 0, 100+warm, idempotentClass)
+				endAttempt(b, ms, 100+warm, 0, Served)
+			}
+			h.sends = nil
+			receive(b, 2*ms, 1, class)
+			first := byID(h.sends[0].to)
+			endAttempt(b, 30*ms, 1, 0, ConnectionReset)
+			if len(h.sends) < 2 {
+				if class == keyedInZoneClass || first.Zone == 1 {
+					t.Fatalf("class %d from endpoint %d was not retried", class, first.ID)
+				}
+				continue // alone in its cell
+			}
+			second := byID(h.sends[1].to)
+			if second.Zone != first.Zone || (class == keyedInCellClass && second.Cell != first.Cell) {
+				t.Fatalf("class %d went from endpoint %d to %d, outside its scope", class, first.ID, second.ID)
+			}
+		}
+	}
+}
+
+func TestDedupScopeCountsFromAttemptThatMayHaveRun(t *testing.T) {
+	list := []Endpoint{{ID: 1, Health: Ready, Weight: 1, Zone: 0}, {ID: 2, Health: Ready, Weight: 1, Zone: 1},
+		{ID: 3, Health: Ready, Weight: 1, Zone: 1}}
+	b, h := newTestBalancer(t, testConfig(), list)
+	for h.attemptsAt(1) == 0 || len(h.sends) == 0 || h.sends[len(h.sends)-1].to != 1 {
+		id := RequestID(100 + len(h.sends))
+		receive(b, 0, id, idempotentClass)
+		endAttempt(b, ms, id, 0, Served)
+	}
+	b.EndpointsUpdated(ms, DeltaUpdate, []Endpoint{{ID: 3, Health: Removed}})
+	h.sends = nil
+	receive(b, 2*ms, 1, keyedInZoneClass) // round robin is at endpoint 2, in zone 1
+	if h.sends[0].to != 2 {
+		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
+	}
+	endAttempt(b, 3*ms, 1, 0, Rejected) // it never ran there, so zone 1 does not bind
+	if len(h.sends) != 2 || h.sends[1].to != 1 {
+		t.Fatalf("sends %v, want a second attempt at endpoint 1", h.sends)
+	}
+	endAttempt(b, 4*ms, 1, 1, ConnectionReset) // may have run in zone 0: endpoint 2 is excluded now
+	if len(h.sends) != 2 {
+		t.Fatalf("retried outside the scope: %v", h.sends)
+	}
+}
+
+func TestDedupWindowThenRejectionOrFailure(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2, 3))
+	receive(b, 0, 1, keyedClass)
+	endAttempt(b, 700*ms, 1, 0, ServerError) // the window of 700 ms since its start has ended
+	if _, rejected := h.rejected[1]; len(h.sends) != 1 || !rejected {
+		t.Fatalf("sends %d, rejected %v; want 1 and a rejection, as all endpoints drop repeats", len(h.sends), rejected)
+	}
+	receive(b, 800*ms, 2, keyedInZoneClass)
+	endAttempt(b, 1500*ms, 2, 0, ServerError)
+	if !h.failed[2] {
+		t.Fatal("a keyed request that may have run, with the scope of a zone, must be failed and not rejected")
+	}
+}
