--- a/cmd/fleetsim/experiments.go
+++ b/cmd/fleetsim/experiments.go
@@ -50,7 +50,7 @@
 	return lab.Summarize(e, r).WriteTable(o.out)
 }
 
-// progress writes a line over itself, at most five times a second.
+// progress rewrites one line, at most five times a second.
 func progress(w io.Writer) func(lab.Progress) {
 	var last time.Time
 	return func(p lab.Progress) {
--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -1,6 +1,5 @@
-// Mothlab is the laboratory: it plays fleets in simulated time, with the real
-// decision module in every sidecar, and over real sockets. The sidecar links
-// none of it.
+// Command fleetsim simulates fleets with the real decision packages in every sidecar, and
+// runs the same scenarios with real sidecars on real sockets. The sidecar links none of it.
 package main
 
 import (
@@ -15,7 +14,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// commands are the laboratory's.
+// commands are the command line.
 type commands struct {
 	Sim      simCommand      `cmd:"" help:"Play a scenario from one or more seeds and print what came of its requests."`
 	Run      runCommand      `cmd:"" help:"Play an experiment: every combination of its factors' levels, from as many seeds as it takes. Can be interrupted and goes on where it was."`
@@ -40,7 +39,7 @@
 	}
 }
 
-// output is where a command writes: what it was asked for, and what it is about.
+// output is where a command writes its result, and its progress.
 type output struct{ out, log io.Writer }
 
 func run(ctx context.Context, args []string, out, log io.Writer) error {
--- a/cmd/fleetsim/simulate.go
+++ b/cmd/fleetsim/simulate.go
@@ -29,7 +29,7 @@
 	Seeds int `default:"3" help:"How many seeds."`
 }
 
-// Run plays and prints a row for each seed, and requests that may be worth a look.
+// Run prints a row for each seed, and requests that may be interesting.
 func (c *simCommand) Run(o output) error {
 	s, err := c.load()
 	if err != nil {
@@ -65,7 +65,9 @@
 			notable = r.Notable
 		}
 	}
-	w.Flush()
+	if err := w.Flush(); err != nil {
+		return err
+	}
 	for _, n := range notable {
 		fmt.Fprintf(o.out, "seed %d, request %d: %s after %v (fleetsim explain %s --seed %d --request %d)\n", c.Seed, n.ID, n.What, n.Took, c.File, c.Seed, n.ID)
 	}
@@ -84,7 +86,7 @@
 	Request uint64 `required:"" help:"The request's number, as 'sim' and broken rules tell it."`
 }
 
-// Run tells of a request, with the time since its first try.
+// Run prints what happened to a request, with the time since its first attempt.
 func (c *explainCommand) Run(o output) error {
 	s, err := c.load()
 	if err != nil {
@@ -153,14 +155,14 @@
 
 // Run plays random scenarios.
 func (c *farmCommand) Run(o output) error {
-	asked, bad := uint64(0), 0
+	requests, bad := uint64(0), 0
 	for i := range c.Seeds {
 		s := fleet.Small(c.First + uint64(i))
 		r, err := fleet.Run(s)
 		if err != nil {
 			return err
 		}
-		asked += r.Asked
+		requests += r.Asked
 		if len(r.Broken) == 0 && r.Cut == "" {
 			continue
 		}
@@ -173,7 +175,7 @@
 			break
 		}
 	}
-	fmt.Fprintf(o.out, "%d scenarios, %d tries of clients, %d scenarios with a broken rule\n", c.Seeds, asked, bad)
+	fmt.Fprintf(o.out, "%d scenarios, %d tries of clients, %d scenarios with a broken rule\n", c.Seeds, requests, bad)
 	if bad > 0 {
 		return fmt.Errorf("%d scenarios broke a rule", bad)
 	}
--- a/cmd/fleetsim/sockets.go
+++ b/cmd/fleetsim/sockets.go
@@ -143,7 +143,7 @@
 			return err
 		}
 		fmt.Fprintf(o.log, "%s over %s for %v\n", file, protocol(c.Protocol), s.Duration)
-		real, err := load.Play(ctx, s, protocol(c.Protocol), c.Most, live(o.log))
+		played, err := load.Play(ctx, s, protocol(c.Protocol), c.Most, live(o.log))
 		if err != nil {
 			return fmt.Errorf("%s: %w", file, err)
 		}
@@ -152,17 +152,17 @@
 				quantile(r, 50), quantile(r, 90), quantile(r, 99), late, broken)
 		}
 		row("model", model, "", len(model.Broken))
-		row("sockets", &real.Result, (time.Duration(real.Late.ValueAtQuantile(99)) * time.Microsecond).String(), len(real.Broken)+len(real.Odd))
+		row("sockets", &played.Result, (time.Duration(played.Late.ValueAtQuantile(99)) * time.Microsecond).String(), len(played.Broken)+len(played.Odd))
 		off := func(a, b float64) string { return fmt.Sprintf("%+.1f%%", 100*(b/math.Max(a, 1e-9)-1)) }
 		q := func(p float64) string {
-			return off(float64(model.Latency.ValueAtQuantile(p)), float64(real.Latency.ValueAtQuantile(p)))
+			return off(float64(model.Latency.ValueAtQuantile(p)), float64(played.Latency.ValueAtQuantile(p)))
 		}
 		n := func(a, b uint64) string {
 			return fmt.Sprintf("%+.1f%%", 100*(float64(b)-float64(a))/float64(model.Asked))
 		}
-		fmt.Fprintf(w, "\toff\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\t\t\n", n(model.Asked, real.Asked), n(model.Served, real.Served), n(model.Refused, real.Refused),
-			n(model.Failed, real.Failed), off(model.Share(), real.Share()), q(50), q(90), q(99))
-		for _, odd := range real.Odd {
+		fmt.Fprintf(w, "\toff\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\t\t\n", n(model.Asked, played.Asked), n(model.Served, played.Served), n(model.Refused, played.Refused),
+			n(model.Failed, played.Failed), off(model.Share(), played.Share()), q(50), q(90), q(99))
+		for _, odd := range played.Odd {
 			fmt.Fprintln(o.log, odd)
 		}
 	}
--- a/cmd/soaktest/main.go
+++ b/cmd/soaktest/main.go
@@ -1,4 +1,4 @@
-// Mothsoak runs real sidecars on loopback under overlapping troubles and says which
+// Command soaktest runs real sidecars on loopback under overlapping faults and says which
 // invariants were broken: see docs/operate/soak.md.
 package main
 
@@ -41,7 +41,7 @@
 		if dir, err = os.MkdirTemp("", "soaktest"); err != nil {
 			return err
 		}
-		defer os.RemoveAll(dir)
+		defer func() { _ = os.RemoveAll(dir) }() // a temporary folder that stays does no harm
 	}
 	broken := 0
 	for i := range seeds {
