--- a/resolver/resolver.go
+++ b/resolver/resolver.go
@@ -1,14 +1,13 @@
-// Package resolver decides when a sidecar calls discovery, and which calls it gives up.
+// Package resolver decides when a sidecar calls discovery and which calls it cancels.
 //
-// A call that has not begun to answer is either slow or lost, and nothing tells which
-// before it answers. Giving it up loses a discovery that is slow, for good where it is
-// always slower than the patience; waiting for it loses the news of one that was down
-// and is back, as calls made before are not answered then. A Schedule therefore keeps
-// two calls: the older one is waited for with growing patience, the younger one is
-// replaced from time to time. Calls in sum stay bounded: two at a time, and one more
-// for each eager interval, which grows while nothing answers.
+// A call without a response is either slow or lost, and only a response shows which. To
+// cancel it too early is to fail with any discovery that is slower than the timeout. To wait
+// for it is to miss a discovery that was down and is back, which does not respond to calls from
+// before. A Schedule therefore hedges: it keeps two calls, of which the older one has a timeout
+// that grows and the newer one is replaced at intervals. The number of calls stays bounded: two
+// at a time, and one start for each interval, which grows while there is no response.
 //
-// It has no clock, no goroutine and no I/O.
+// The package has no clock, no goroutine and no I/O.
 package resolver
 
 import (
@@ -16,141 +15,115 @@
 	"time"
 )
 
-// Config holds the times of a Schedule.
-type Config struct {
-	// HedgeAfter is how long a call may be without an answer before a further one begins. It
-	// doubles each time up to MaxHedgeAfter, or HedgeAfterWithoutList while no list is held: nothing
-	// that is out of date is used then, and nothing is lost but time.
-	HedgeAfter, MaxHedgeAfter, HedgeAfterWithoutList time.Duration
-	// CallTimeout is how long the older call is waited for. It doubles each time that one
-	// was waited for in vain, up to MaxCallTimeout.
-	CallTimeout, MaxCallTimeout time.Duration
-	// Jitter is the share of an eager interval that is drawn, so that the sidecars of a
-	// fleet do not call as one.
-	Jitter float64
-}
-
-// ForPushedLists returns the times for an agent on the sidecar's own machine, which answers at
-// once at no cost or is silent while discovery is down. What it gets at the return
-// counts as told then, and a drain among it has to be kept 2 s later.
-func ForPushedLists() Config {
-	return Config{
-		HedgeAfter: time.Second, MaxHedgeAfter: time.Second, HedgeAfterWithoutList: time.Second,
-		CallTimeout: 8 * time.Second, MaxCallTimeout: time.Minute,
-	}
-}
-
-// ForPolledLists returns the times for one service that works through the calls of all sidecars
-// in turn. A change counts as told 6 s after it could be had, and a drain has to be
-// kept 2 s later: a call that begins 4.5 s after the return leaves 3.5 s for its answer.
-// The older call is waited for in the service's queue: 8 s were too few where 900 sidecars
-// wait and all calls take 20 s, as it was worked through for nobody (fleet.Crowd).
-func ForPolledLists() Config {
-	return Config{
-		HedgeAfter: 3 * time.Second, MaxHedgeAfter: 4500 * time.Millisecond, HedgeAfterWithoutList: 24 * time.Second,
-		CallTimeout: 30 * time.Second, MaxCallTimeout: 2 * time.Minute, Jitter: 0.2,
-	}
-}
+// maxCalls is how many calls of a Schedule run at a time.
+const maxCalls = 2
 
-// CallID names a call of a Schedule.
+// CallID identifies a call of a Schedule. The first one is 1.
 type CallID int
 
-// Schedule decides on the calls for one list. The zero value is of no use.
-type Schedule struct {
-	config  Config
-	rng     *rand.Rand
-	held    bool
-	last    CallID
-	calls   []call // the older one first
-	eager   time.Duration
-	patient time.Duration
-	due     time.Duration // when the younger call has had its time
+// call is a call without a response.
+type call struct {
+	id        CallID
+	startedAt time.Duration
 }
 
-type call struct {
-	id    CallID
-	began time.Duration
+// Schedule decides on the calls for one list. It is made by New, is not safe for concurrent
+// use, and no method blocks. The times that its methods take are of any one clock that does
+// not go backwards.
+type Schedule struct {
+	config      Config
+	rng         *rand.Rand
+	hasList     bool
+	lastID      CallID
+	calls       []call        // in the order of their starts, at most maxCalls
+	hedgeAfter  time.Duration // without jitter
+	callTimeout time.Duration
+	nextStartAt time.Duration // of a further call, while there is one
 }
 
-// New returns a Schedule without calls.
-func New(c Config, seed uint64) *Schedule {
-	s := &Schedule{config: c, rng: rand.New(rand.NewPCG(seed, 0))}
-	s.eager, s.patient = c.HedgeAfter, c.CallTimeout
-	return s
+// New returns a Schedule without calls. Two Schedules of the same seed draw the same jitter.
+func New(config Config, seed uint64) *Schedule {
+	return &Schedule{
+		config:      config,
+		rng:         rand.New(rand.NewPCG(seed, 0)),
+		hedgeAfter:  config.HedgeAfter,
+		callTimeout: config.CallTimeout,
+	}
 }
 
-// SetHasList tells whether a list is held, which may be out of date.
-func (s *Schedule) SetHasList(held bool) { s.held = held }
+// SetHasList sets whether the sidecar has a list, which may be out of date.
+func (s *Schedule) SetHasList(hasList bool) { s.hasList = hasList }
 
-// Step is what is to be done now.
+// Step is what the caller is to do now.
 type Step struct {
 	Cancel []CallID
-	Start  bool   // a call under the name Call
-	Call   CallID // where Start is set
-	Wait   time.Duration
+	Start  bool          // a call with the ID Call
+	Call   CallID        // where Start is set
+	Wait   time.Duration // until Next is due, if no call responds or fails before
 }
 
-// Next returns what to do at a time, and after how long to ask again if nothing happens.
+// Next returns what to do at a time.
 func (s *Schedule) Next(now time.Duration) Step {
-	if len(s.calls) > 0 && now < s.due {
-		return Step{Wait: s.due - now}
+	if len(s.calls) > 0 && now < s.nextStartAt {
+		return Step{Wait: s.nextStartAt - now}
 	}
 	var step Step
-	if len(s.calls) == 2 {
-		step.Cancel = []CallID{s.giveUp(now)}
+	if len(s.calls) == maxCalls {
+		step.Cancel = []CallID{s.cancelOne(now)}
 	}
 	if len(s.calls) > 0 {
-		s.eager = min(2*s.eager, s.eagerMost())
+		s.hedgeAfter = min(2*s.hedgeAfter, s.maxHedgeAfter())
 	}
-	s.last++
-	step.Start, step.Call = true, s.last
-	s.calls = append(s.calls, call{s.last, now})
-	step.Wait = s.interval()
-	s.due = now + step.Wait
+	s.lastID++
+	s.calls = append(s.calls, call{id: s.lastID, startedAt: now})
+	step.Start, step.Call = true, s.lastID
+	step.Wait = s.jitteredHedgeAfter()
+	s.nextStartAt = now + step.Wait
 	return step
 }
 
-// giveUp takes out one of two calls: the older one once its time is over, else the
-// younger one.
-func (s *Schedule) giveUp(now time.Duration) CallID {
-	older, younger := s.calls[0], s.calls[1]
-	if now-older.began < s.patient {
+// cancelOne removes one of two calls: the older one after its timeout, else the newer one.
+func (s *Schedule) cancelOne(now time.Duration) CallID {
+	older, newer := s.calls[0], s.calls[1]
+	if now-older.startedAt < s.callTimeout {
 		s.calls = s.calls[:1]
-		return younger.id
+		return newer.id
 	}
-	s.patient = min(2*s.patient, s.config.MaxCallTimeout)
-	s.calls = append(s.calls[:0], younger)
+	s.callTimeout = min(2*s.callTimeout, s.config.MaxCallTimeout)
+	s.calls = append(s.calls[:0], newer)
 	return older.id
 }
 
-func (s *Schedule) eagerMost() time.Duration {
-	if s.held {
+func (s *Schedule) maxHedgeAfter() time.Duration {
+	if s.hasList {
 		return s.config.MaxHedgeAfter
 	}
 	return s.config.HedgeAfterWithoutList
 }
 
-// interval is the time until the next call, at most the longest one allowed.
-func (s *Schedule) interval() time.Duration {
-	d := min(s.eager, s.eagerMost())
-	return d - time.Duration(s.config.Jitter*s.rng.Float64()*float64(d))
+// jitteredHedgeAfter returns the time until the next call starts.
+func (s *Schedule) jitteredHedgeAfter() time.Duration {
+	wait := min(s.hedgeAfter, s.maxHedgeAfter())
+	return wait - time.Duration(s.config.Jitter*s.rng.Float64()*float64(wait))
 }
 
-// CallAnswered takes that a call has begun to answer. All calls are over with it; the next
-// ones are given the time that this one took, and half of it again.
+// CallAnswered notes that the response to a call has started; the caller cancels all others. The
+// next call is hedged after half as long again as this one took to respond, or HedgeAfter if
+// that is longer.
 func (s *Schedule) CallAnswered(now time.Duration, id CallID) {
-	for _, c := range s.calls {
-		if c.id == id {
-			s.eager = max(s.config.HedgeAfter, (now-c.began)*3/2)
+	for _, answered := range s.calls {
+		if answered.id == id {
+			responseTime := now - answered.startedAt
+			s.hedgeAfter = max(s.config.HedgeAfter, responseTime+responseTime/2)
 		}
 	}
-	s.calls, s.patient = nil, s.config.CallTimeout
+	s.calls, s.callTimeout = nil, s.config.CallTimeout
 }
 
-// CallFailed takes that a call has failed, and says whether another one is still waited for.
+// CallFailed notes that a call failed, and reports whether another one is still running.
 func (s *Schedule) CallFailed(id CallID) bool {
-	for i, c := range s.calls {
-		if c.id == id {
+	for i, failed := range s.calls {
+		if failed.id == id {
 			s.calls = append(s.calls[:i], s.calls[i+1:]...)
 			break
 		}
@@ -158,5 +131,5 @@
 	return len(s.calls) > 0
 }
 
-// CancelAll takes that all calls were given up from outside.
+// CancelAll notes that the caller canceled all calls.
 func (s *Schedule) CancelAll() { s.calls = nil }
