--- a/internal/registry/merge/form_test.go
+++ b/internal/registry/merge/form_test.go
@@ -8,10 +8,10 @@
 	"mothridge/membership"
 )
 
-// What the admin socket answers is read by other versions of the members command: it stays
+// Other versions of the members command read the admin socket's responses, so the form stays
 // byte for byte.
-func TestFormOfTheView(t *testing.T) {
-	v := View{
+func TestFormOfView(t *testing.T) {
+	view := View{
 		Now: time.Hour, Ready: 3,
 		Members: []membership.Member{{
 			Change: membership.Change{
@@ -25,7 +25,7 @@
 	const want = `{"Now":3600000000000,"Ready":3,"Members":[{"Key":"records-1@10.0.0.1:80#1","Name":"records-1","Addr":"10.0.0.1:80",` +
 		`"Site":"a","Kind":"m2","Cell":"4","Protocol":"http","Weight":1.5,"Started":60000000000,"State":2,"Reason":"UP by registry",` +
 		`"Claims":["registry i1: UP"]}],"Sources":[{"Name":"registry","Live":2,"Lost":1,"Heard":1000000000,"Reason":"silent"}]}`
-	if got, err := json.Marshal(v); err != nil || string(got) != want {
+	if got, err := json.Marshal(view); err != nil || string(got) != want {
 		t.Errorf("the view is %s (error %v), want %s", got, err, want)
 	}
 }
--- a/internal/registry/merge/merge.go
+++ b/internal/registry/merge/merge.go
@@ -1,215 +1,149 @@
-// Package merge runs the membership module: it takes what the sources tell, in
-// one goroutine, and hands the merged view on to the core.
+// Package merge runs the membership module. It queues the updates of all sources, applies them
+// in one goroutine and passes the changes of the merged view to the core.
+//
+// Each source is given by its index in the Set's list of sources.
 package merge
 
 import (
 	"context"
 	"log/slog"
-	"strconv"
 	"time"
 
 	"mothridge/internal/core"
-	"mothridge/internal/registry/eureka"
 	"mothridge/membership"
 )
 
-// Merger merges sources. Its methods may be called concurrently.
-type Merger struct {
-	set    *membership.Set
-	update func(core.EndpointUpdate)
-	begin  time.Time
-	events chan func(now time.Duration)
-	reason []string // why each source is not trusted, as it was logged last
-
-	cells    map[string]int
-	nextCell int
-}
+// tickInterval is how often the Set's timers are checked.
+const tickInterval = 500 * time.Millisecond
 
-// firstCell is above any cell that a source numbers itself.
-const firstCell = 1 << 20
+// maxQueuedEvents is how many events wait before a caller blocks.
+const maxQueuedEvents = 16
 
-// tick is how often what ends by itself is looked at.
-const tick = 500 * time.Millisecond
+// Merger merges the lists of several sources into the core's list.
+//
+// Its owner starts Run in a goroutine and ends it by Run's context. That goroutine alone uses
+// the Set. The other methods may be called concurrently, before Run too; the Update and Set
+// methods block while maxQueuedEvents wait, and for good after the end of Run.
+type Merger struct {
+	set       *membership.Set
+	publish   func(core.EndpointUpdate)
+	startedAt time.Time
+	events    chan func(now time.Duration)
+
+	// Of Run's goroutine alone.
+	loggedReasons []string // why each source is not trusted, as logged last
+	cells         *cellNumbers
+}
 
-// New makes a Merger of a Set; update takes the merged view's changes, in order.
-func New(set *membership.Set, update func(core.EndpointUpdate)) *Merger {
+// New returns a Merger of a Set, which it owns from then on. Run calls publish with the changes
+// of the merged view, in order.
+func New(set *membership.Set, publish func(core.EndpointUpdate)) *Merger {
 	return &Merger{
-		set: set, update: update, begin: time.Now(), events: make(chan func(time.Duration), 16),
-		reason: make([]string, len(set.Sources())), cells: make(map[string]int), nextCell: firstCell,
+		set:           set,
+		publish:       publish,
+		startedAt:     time.Now(),
+		events:        make(chan func(time.Duration), maxQueuedEvents),
+		loggedReasons: make([]string, len(set.Sources())),
+		cells:         newCellNumbers(),
 	}
 }
 
-// clock runs monotonically and began at Unix time, as starts are told in that.
-func (m *Merger) clock() time.Duration {
-	return time.Duration(m.begin.UnixNano()) + time.Since(m.begin)
+// now returns a Unix time, as that is what starts are reported in. It is monotonic: New
+// alone reads the Unix time.
+func (m *Merger) now() time.Duration {
+	return time.Duration(m.startedAt.UnixNano()) + time.Since(m.startedAt)
 }
 
 // Run merges until ctx ends.
 func (m *Merger) Run(ctx context.Context) {
-	t := time.NewTicker(tick)
-	defer t.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case e := <-m.events:
-			e(m.clock())
-		case <-t.C:
-			m.tell(m.set.Tick(m.clock()))
+		case event := <-m.events:
+			event(m.now())
+		case <-ticker.C:
+			m.publishChanges(m.set.Tick(m.now()))
 		case <-ctx.Done():
 			return
 		}
-		m.report()
-	}
-}
-
-// report logs when a source is distrusted, and when it is trusted again.
-func (m *Merger) report() {
-	for i, s := range m.set.Sources() {
-		if s.Reason == m.reason[i] {
-			continue
-		}
-		if s.Reason == "" {
-			slog.Info("membership: source trusted again", "source", s.Name)
-		} else if m.reason[i] == "" {
-			slog.Warn("membership: source not trusted", "source", s.Name, "reason", s.Reason)
-		}
-		m.reason[i] = s.Reason
+		m.logSourceStates()
 	}
 }
 
-// tell hands changes on.
-func (m *Merger) tell(changes []membership.Change) {
-	if len(changes) == 0 {
-		return
-	}
-	n := core.EndpointUpdate{Endpoints: make([]core.Endpoint, 0, len(changes))}
-	for _, c := range changes {
-		i := core.Endpoint{
-			Name: c.Key, Host: c.Name, Addr: c.Addr, Zone: c.Zone, MachineType: c.MachineType, Protocol: c.Protocol, Weight: c.Weight, StartedAt: c.StartedAt,
-			Cell: m.cell(c.Cell),
-		}
-		switch c.State {
-		case membership.Ready:
-			i.Health = core.Up
-		case membership.Removed:
-			i.Health = core.Removed
+// replaceList queues a complete list of a source.
+func (m *Merger) replaceList(source int, replica string, list []membership.Instance) {
+	m.events <- func(now time.Duration) {
+		changes, err := m.set.ReplaceList(now, source, replica, list)
+		list = nil // so that its memory is free while the changes are published
+		if err != nil {
+			slog.Warn("membership: list rejected, nothing of it is applied", "err", err)
 		}
-		n.Endpoints = append(n.Endpoints, i)
+		m.publishChanges(changes)
 	}
-	m.update(n)
 }
 
-// cell numbers a cell by its name. A number that a source gives is its own.
-func (m *Merger) cell(name string) *int {
-	if name == "" {
-		return nil
-	}
-	if n, err := strconv.Atoi(name); err == nil && n >= 0 && n < firstCell {
-		return &n
-	}
-	n, ok := m.cells[name]
-	if !ok {
-		n = m.nextCell
-		m.nextCell++
-		m.cells[name] = n
+// applyDelta queues changes of a source's list.
+func (m *Merger) applyDelta(source int, replica string, deltas []membership.Delta) {
+	m.events <- func(now time.Duration) {
+		m.publishChanges(m.set.ApplyDelta(now, source, replica, deltas))
 	}
-	return &n
 }
 
-// UpdatePlatform takes what the platform's discovery tells, as source number.
-func (m *Merger) UpdatePlatform(number int, news core.EndpointUpdate) {
-	m.events <- func(now time.Duration) {
-		var whole []membership.Instance
-		var deltas []membership.Delta
-		for _, i := range news.Endpoints {
-			x := membership.Instance{ID: i.Name, Name: i.Name, Addr: i.Addr, Zone: i.Zone, MachineType: i.MachineType, Weight: i.Weight, StartedAt: i.StartedAt}
-			if i.Cell != nil {
-				x.Cell = strconv.Itoa(*i.Cell)
-			}
-			switch i.Health {
-			case core.Draining:
-				x.Status = membership.OutOfService
-			case core.Removed:
-				deltas = append(deltas, membership.Delta{Op: membership.Delete, Instance: x})
-				continue
-			}
-			whole = append(whole, x)
-			deltas = append(deltas, membership.Delta{Instance: x})
-		}
-		if !news.Complete {
-			m.tell(m.set.ApplyDelta(now, number, "", deltas))
-			return
-		}
-		changes, err := m.set.ReplaceList(now, number, "", whole)
-		if err != nil {
-			slog.Warn("membership: list refused, the last one stays", "err", err)
-		}
-		m.tell(changes)
-	}
+// SetStatic replaces the list of a static source.
+func (m *Merger) SetStatic(source int, list []membership.Instance) {
+	m.replaceList(source, "", list)
 }
 
-// UpdateEureka takes what a UpdateEureka registry tells, as source number, by a mapping.
-func (m *Merger) UpdateEureka(number int, mapping Mapping, news eureka.News) {
-	replica := news.Replica // the rest of the news is let go before they are merged
-	if !news.Whole {
-		list := make([]membership.Delta, 0, len(news.Instances))
-		for i := range news.Instances {
-			if d, ok := mapping.instance(&news.Instances[i]); ok {
-				list = append(list, d)
-			}
-		}
-		m.events <- func(now time.Duration) { m.tell(m.set.ApplyDelta(now, number, replica, list)) }
+// publishChanges passes changes of the merged view to the core.
+func (m *Merger) publishChanges(changes []membership.Change) {
+	if len(changes) == 0 {
 		return
 	}
-	whole := make([]membership.Instance, 0, len(news.Instances))
-	for i := range news.Instances {
-		if d, ok := mapping.instance(&news.Instances[i]); ok {
-			whole = append(whole, d.Instance)
-		}
-	}
-	m.events <- func(now time.Duration) {
-		changes, err := m.set.ReplaceList(now, number, replica, whole)
-		whole = nil // it is not needed while the changes are told
-		if err != nil {
-			slog.Warn("membership: list refused, the last one stays", "err", err)
-		}
-		m.tell(changes)
+	update := core.EndpointUpdate{Endpoints: make([]core.Endpoint, 0, len(changes))}
+	for i := range changes {
+		update.Endpoints = append(update.Endpoints, m.endpoint(&changes[i]))
 	}
+	m.publish(update)
 }
 
-// SetStatic takes a list that does not change, as source number.
-func (m *Merger) SetStatic(number int, list []membership.Instance) {
-	m.events <- func(now time.Duration) {
-		changes, err := m.set.ReplaceList(now, number, "", list)
-		if err != nil {
-			slog.Warn("membership: list refused", "err", err)
-		}
-		m.tell(changes)
+// endpoint returns a change in the core's terms.
+func (m *Merger) endpoint(change *membership.Change) core.Endpoint {
+	return core.Endpoint{
+		Name:        change.Key,
+		Host:        change.Name,
+		Addr:        change.Addr,
+		Zone:        change.Zone,
+		MachineType: change.MachineType,
+		Protocol:    change.Protocol,
+		Weight:      change.Weight,
+		StartedAt:   change.StartedAt,
+		Cell:        m.cells.number(change.Cell),
+		Health:      health(change.State),
 	}
 }
 
-// View is the merged view and how the sources do, as of Now.
-type View struct {
-	Now     time.Duration            `json:"Now"`   // Unix time
-	Ready   int                      `json:"Ready"` // nodes that may be sent something
-	Members []membership.Member      `json:"Members"`
-	Sources []membership.SourceState `json:"Sources"`
+func health(state membership.State) core.Health {
+	switch state {
+	case membership.Ready:
+		return core.Up
+	case membership.Removed:
+		return core.Removed
+	default:
+		return core.Draining
+	}
 }
 
-// View looks at it as it is now: the members behind an address, most of them at
-// the most.
-func (m *Merger) View(ctx context.Context, after string, most int) (*View, error) {
-	seen := make(chan *View, 1)
-	select {
-	case m.events <- func(now time.Duration) {
-		seen <- &View{now, m.set.Ready(), m.set.Members(after, most), m.set.Sources()}
-	}:
-	case <-ctx.Done():
-		return nil, ctx.Err()
-	}
-	select {
-	case v := <-seen:
-		return v, nil
-	case <-ctx.Done():
-		return nil, ctx.Err()
+// logSourceStates logs when a source is no longer trusted and when it is again.
+func (m *Merger) logSourceStates() {
+	for i, source := range m.set.Sources() {
+		logged := m.loggedReasons[i]
+		m.loggedReasons[i] = source.Reason
+		switch {
+		case source.Reason == "" && logged != "":
+			slog.Info("membership: source trusted again", "source", source.Name)
+		case source.Reason != "" && logged == "":
+			slog.Warn("membership: source not trusted", "source", source.Name, "reason", source.Reason)
+		}
 	}
 }
