--- /dev/null
+++ b/internal/registry/platform/helpers_test.go
@@ -0,0 +1,54 @@
+package platform
+
+import (
+	"testing"
+
+	"mothridge/internal/core"
+	"mothridge/internal/peers/peertest"
+)
+
+// knownList returns a list without endpoints of a version.
+func knownList(version uint64) *Listing { return &Listing{Version: version, Complete: true} }
+
+// newDiscovery returns a Discovery that is not running, and its updates.
+func newDiscovery(addr string, known *Listing) (*Discovery, <-chan core.EndpointUpdate) {
+	updates := make(chan core.EndpointUpdate, 10)
+	return New(addr, known, func(update core.EndpointUpdate) { updates <- update }), updates
+}
+
+// startDiscovery runs a Discovery at a stand-in, and returns its updates.
+func startDiscovery(t *testing.T, registry *peertest.Registry, known *Listing) <-chan core.EndpointUpdate {
+	t.Helper()
+	discovery, updates := newDiscovery(registry.Addr, known)
+	go discovery.Run(t.Context())
+	return updates
+}
+
+// endpointText returns an endpoint of a health as discovery writes it.
+func endpointText(health string) string { return peertest.HostText("s-1", "127.0.0.1:7", health, 0) }
+
+// wantWatchFrom waits for the next watch and checks its version.
+func wantWatchFrom(t *testing.T, registry *peertest.Registry, version string) *peertest.Watch {
+	t.Helper()
+	watch := peertest.Await(t, "the watch", registry.Watches)
+	if watch.From != version {
+		t.Errorf("the watch is from %s, want %s", watch.From, version)
+	}
+	return watch
+}
+
+// wantList waits for an update and checks that it is a complete list of one endpoint.
+func wantList(t *testing.T, updates <-chan core.EndpointUpdate, version uint64) {
+	t.Helper()
+	update := peertest.Await(t, "the list", updates)
+	if update.Version != version || !update.Complete || len(update.Endpoints) != 1 {
+		t.Errorf("published %+v, want a list of version %d with one endpoint", update, version)
+	}
+}
+
+func wantNoMore(t *testing.T, updates <-chan core.EndpointUpdate) {
+	t.Helper()
+	if len(updates) > 0 {
+		t.Errorf("published %+v", <-updates)
+	}
+}
--- /dev/null
+++ b/internal/registry/platform/watch_test.go
@@ -0,0 +1,96 @@
+package platform
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"mothridge/internal/core"
+	"mothridge/internal/peers/peertest"
+)
+
+func TestWatchPublishesChangesInOrder(t *testing.T) {
+	registry := peertest.NewRegistry(t)
+	updates := startDiscovery(t, registry, knownList(41))
+	watch := wantWatchFrom(t, registry, "41")
+	watch.Lines <- peertest.ListText(43, false, endpointText("up"))
+	watch.Lines <- ""
+	watch.Lines <- peertest.ListText(43, false, endpointText("up")) // known already
+	watch.Lines <- peertest.ListText(47, false, endpointText("draining"))
+	for i, want := range []struct {
+		version   uint64
+		endpoints int
+		health    core.Health
+	}{{43, 1, core.Up}, {43, 0, 0}, {47, 1, core.Draining}} {
+		update := peertest.Await(t, "a change", updates)
+		if update.Version != want.version || len(update.Endpoints) != want.endpoints {
+			t.Errorf("change %d is %+v, want %+v", i, update, want)
+		} else if want.endpoints > 0 && update.Endpoints[0].Health != want.health {
+			t.Errorf("change %d is %+v, want %+v", i, update, want)
+		}
+	}
+	close(watch.Lines) // the watch ends
+	wantWatchFrom(t, registry, "47")
+}
+
+func TestGapFetchesCompleteList(t *testing.T) {
+	for name, line := range map[string]string{
+		"unreadable": `{"seq":42,"whole":false,"hosts":[{"ho`,
+		"backwards":  peertest.ListText(30, false),
+		"no list":    `{"seq":42,"hosts":7}`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			registry := peertest.NewRegistry(t)
+			updates := startDiscovery(t, registry, knownList(41))
+			watch := peertest.Await(t, "the watch", registry.Watches)
+			watch.Lines <- line
+			peertest.Await(t, "the call for the complete list", registry.Asked)
+			registry.Whole <- peertest.ListText(45, true, endpointText("up"))
+			wantList(t, updates, 45)
+			wantWatchFrom(t, registry, "45")
+		})
+	}
+}
+
+func TestSilentWatchIsReopened(t *testing.T) {
+	registry := peertest.NewRegistry(t)
+	startDiscovery(t, registry, knownList(1))
+	silent := peertest.Await(t, "the watch", registry.Watches)
+	start := time.Now()
+	wantWatchFrom(t, registry, "1")
+	if took := time.Since(start); took < watchSilence/2 {
+		t.Errorf("reopened after %v", took)
+	}
+	peertest.Await(t, "the end of the silent one", silent.Ended)
+}
+
+// Half a message and empty lines after it do not count as data: its rest may never come.
+func TestHalfAMessageIsSilence(t *testing.T) {
+	registry := peertest.NewRegistry(t)
+	updates := startDiscovery(t, registry, knownList(41))
+	watch := peertest.Await(t, "the watch", registry.Watches)
+	change := peertest.ListText(43, false, endpointText("draining"))
+	watch.Bytes <- change[:strings.Index(change, ",\"health\"")]
+	start := time.Now()
+	ticker := time.NewTicker(watchSilence / 10)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			select {
+			case watch.Lines <- "":
+			case <-watch.Ended:
+			}
+			if time.Since(start) > 2*watchSilence {
+				t.Fatal("empty lines kept a watch open whose message never ended")
+			}
+			continue
+		case next := <-registry.Watches:
+			if next.From != "41" {
+				t.Errorf("the next watch is from %s, want 41", next.From)
+			}
+		}
+		break
+	}
+	wantNoMore(t, updates)
+}
