--- /dev/null
+++ b/internal/registry/eureka/helpers_test.go
@@ -0,0 +1,103 @@
+package eureka
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"mothridge/internal/peers"
+)
+
+func startRegistry(t *testing.T) *peers.Eureka {
+	t.Helper()
+	registry, err := peers.StartEureka("")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(registry.Close)
+	return registry
+}
+
+// testInstance returns an instance to register: the n-th one of the app RECORDS.
+func testInstance(n int, status string) peers.EurekaInstance {
+	return peers.EurekaInstance{
+		ID:       fmt.Sprint("records-", n, ":80"),
+		App:      "RECORDS",
+		Host:     "127.0.0.1",
+		IP:       "127.0.0.1",
+		Port:     7000 + n,
+		VIP:      "records",
+		Status:   status,
+		Metadata: map[string]string{"zone": "a"},
+	}
+}
+
+// polledClient is a Client that polls when the test calls it.
+type polledClient struct {
+	*Client
+	updates []Update // since the last successful poll
+}
+
+func newPolledClient(t *testing.T, config Config, registries ...*peers.Eureka) *polledClient {
+	t.Helper()
+	for _, registry := range registries {
+		config.Replicas = append(config.Replicas, registry.URL())
+	}
+	if config.Timeout == 0 {
+		config.Timeout = 2 * time.Second
+	}
+	polled := new(polledClient)
+	client, err := NewClient(config, func(update Update) { polled.updates = append(polled.updates, update) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	polled.Client = client
+	t.Cleanup(client.http.CloseIdleConnections)
+	return polled
+}
+
+// nextUpdate polls once, without error, and returns the one update of it.
+func (c *polledClient) nextUpdate(t *testing.T) Update {
+	t.Helper()
+	c.updates = nil
+	if err := c.poll(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	if len(c.updates) != 1 {
+		t.Fatalf("%d updates by one poll", len(c.updates))
+	}
+	return c.updates[0]
+}
+
+// wantList polls once and checks that the update is a complete list.
+func (c *polledClient) wantList(t *testing.T, want string) Update {
+	t.Helper()
+	update := c.nextUpdate(t)
+	if !update.Complete || summary(update) != want {
+		t.Errorf("got %+v, want the complete list %q", update, want)
+	}
+	return update
+}
+
+// wantChanges polls once and checks that the update holds changes alone.
+func (c *polledClient) wantChanges(t *testing.T, want string) {
+	t.Helper()
+	if update := c.nextUpdate(t); update.Complete || summary(update) != want {
+		t.Errorf("got %+v, want the changes %q", update, want)
+	}
+}
+
+// summary returns the number and status of each instance, with the action where it is a change.
+func summary(update Update) string {
+	var all []string
+	for i := range update.Instances {
+		instance := &update.Instances[i]
+		text := strings.TrimSuffix(strings.TrimPrefix(instance.ID, "records-"), ":80") + " " + instance.Status
+		if !update.Complete {
+			text = instance.Action + " " + text
+		}
+		all = append(all, text)
+	}
+	return strings.Join(all, ", ")
+}
--- a/internal/registry/eureka/json.go
+++ b/internal/registry/eureka/json.go
@@ -8,109 +8,121 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// json reads {"applications": …}, or {"application": …} for one app. Where a
-// list is meant its only element may stand in its place.
-func (p *parser) json(in *tokenBound) error {
-	r := &jsonReader{parser: p, in: in, d: jsontext.NewDecoder(in, jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true))}
-	if r.d.PeekKind() != '{' {
-		return r.wrong("an object is meant")
+// parseJSON reads {"applications": …}, or {"application": …} for one app. In place of a list its
+// only element may stand by itself.
+func (p *parser) parseJSON(in *boundedReader) error {
+	r := &jsonReader{
+		parser:  p,
+		in:      in,
+		decoder: jsontext.NewDecoder(in, jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true)),
+	}
+	if r.decoder.PeekKind() != '{' {
+		return r.unexpected("an object is meant")
 	}
 	err := r.fields(func(key string) error {
 		switch key {
 		case "applications":
-			return r.each(r.applications)
+			return r.elements(r.readApplications)
 		case "application":
-			return r.each(r.application)
+			return r.elements(r.readApplication)
 		}
 		return r.skip()
 	})
 	if err != nil {
 		return err
 	}
-	if _, err := r.d.ReadToken(); err != io.EOF {
-		return errors.New("something comes behind it")
+	if _, err := r.decoder.ReadToken(); !errors.Is(err, io.EOF) {
+		return errTrailing
 	}
-	if !p.found {
+	if !p.foundRoot {
 		return errRoot
 	}
 	return nil
 }
 
+// jsonReader reads a response in JSON.
 type jsonReader struct {
 	*parser
-	in  *tokenBound
-	d   *jsontext.Decoder
-	buf []byte
-	key []byte
+	in      *boundedReader
+	decoder *jsontext.Decoder
+	text    []byte // buffer of value
+	key     []byte // buffer of fields
 }
 
-// wrong says what is meant where something else stands, or why nothing can be read.
-func (r *jsonReader) wrong(meant string) error {
-	kind := r.d.PeekKind()
-	if kind == 0 || kind == '}' || kind == ']' {
-		if _, err := r.d.ReadToken(); err != nil {
+// unexpected returns the error for a value of the wrong kind, or why none can be read.
+func (r *jsonReader) unexpected(meant string) error {
+	kind := r.decoder.PeekKind()
+	if kind == jsontext.KindInvalid || kind == '}' || kind == ']' {
+		if _, err := r.decoder.ReadToken(); err != nil {
 			return err
 		}
 	}
 	return fmt.Errorf("%s, not %v", meant, kind)
 }
 
-// token reads one.
 func (r *jsonReader) token() (jsontext.Token, error) {
-	t, err := r.d.ReadToken()
-	r.in.token()
-	return t, err
+	token, err := r.decoder.ReadToken()
+	r.in.endToken()
+	return token, err
+}
+
+// rawValue reads a value that is not nested.
+func (r *jsonReader) rawValue() (jsontext.Value, error) {
+	raw, err := r.decoder.ReadValue()
+	r.in.endToken()
+	return raw, err
 }
 
-// each reads a list by its elements, or the one element that stands in its
-// place. Null and an empty text stand for no element.
-func (r *jsonReader) each(one func() error) error {
-	switch r.d.PeekKind() {
+// elements calls readElement for each element of a list, or for the one object in its place.
+// Null and an empty text stand for no element.
+func (r *jsonReader) elements(readElement func() error) error {
+	switch r.decoder.PeekKind() {
 	case '{':
-		return one()
+		return readElement()
 	case '[':
-		if _, err := r.token(); err != nil {
-			return err
-		}
-		for kind := r.d.PeekKind(); kind != ']'; kind = r.d.PeekKind() {
-			if kind != '{' {
-				return r.wrong("an object is meant")
-			}
-			if err := one(); err != nil {
-				return err
-			}
-		}
-		_, err := r.token()
-		return err
+		return r.list(readElement)
 	case 'n', '"':
-		v, err := r.value()
-		if err == nil && len(v) > 0 {
-			err = fmt.Errorf("%.40q: an object or a list is meant", v)
+		value, err := r.value()
+		if err == nil && len(value) > 0 {
+			err = fmt.Errorf("%.40q: an object or a list is meant", value)
 		}
 		return err
+	default:
+		return r.unexpected("an object or a list is meant")
 	}
-	return r.wrong("an object or a list is meant")
 }
 
-// fields reads an object.
-func (r *jsonReader) fields(field func(key string) error) error {
+// list calls readElement for each object of a list.
+func (r *jsonReader) list(readElement func() error) error {
 	if _, err := r.token(); err != nil {
 		return err
 	}
-	if r.d.StackDepth() > maxDepth {
-		return fmt.Errorf("more than %d levels in one another", maxDepth)
-	}
-	for r.d.PeekKind() == '"' {
-		raw, err := r.d.ReadValue()
-		if err != nil {
+	for kind := r.decoder.PeekKind(); kind != ']'; kind = r.decoder.PeekKind() {
+		if kind != '{' {
+			return r.unexpected("an object is meant")
+		}
+		if err := readElement(); err != nil {
 			return err
 		}
-		r.in.token()
-		if r.key, err = jsontext.AppendUnquote(r.key[:0], raw); err != nil && len(r.key) == 0 {
+	}
+	_, err := r.token()
+	return err
+}
+
+// fields reads an object and calls readField for the value of each key.
+func (r *jsonReader) fields(readField func(key string) error) error {
+	if _, err := r.token(); err != nil {
+		return err
+	}
+	if r.decoder.StackDepth() > maxDepth {
+		return errTooDeep
+	}
+	for r.decoder.PeekKind() == '"' {
+		key, err := r.fieldKey()
+		if err != nil {
 			return err
 		}
-		key := r.text(r.key)
-		if err := field(key); err != nil {
+		if err := readField(key); err != nil {
 			return fmt.Errorf("%.40s: %w", key, err)
 		}
 	}
@@ -118,40 +130,45 @@
 	return err
 }
 
-// skip passes over a value, a token at a time.
+func (r *jsonReader) fieldKey() (string, error) {
+	raw, err := r.decoder.ReadValue()
+	if err != nil {
+		return "", err
+	}
+	r.in.endToken()
+	r.key, err = jsontext.AppendUnquote(r.key[:0], raw)
+	if err != nil && len(r.key) == 0 {
+		return "", err
+	}
+	return r.intern(r.key), nil
+}
+
+// skip reads a value token by token and drops it.
 func (r *jsonReader) skip() error {
-	for depth := r.d.StackDepth(); ; {
+	for depth := r.decoder.StackDepth(); ; {
 		if _, err := r.token(); err != nil {
 			return err
 		}
-		if r.d.StackDepth() > maxDepth {
-			return fmt.Errorf("more than %d levels in one another", maxDepth)
+		if r.decoder.StackDepth() > maxDepth {
+			return errTooDeep
 		}
-		if r.d.StackDepth() <= depth {
+		if r.decoder.StackDepth() <= depth {
 			return nil
 		}
 	}
 }
 
-// value reads a text, a number, a boolean or null as a text, which is good until
-// the next. Of an object it takes the text under $, of a list nothing.
+// value reads a text, number, boolean or null and returns it as a text, which is valid until the
+// next call. Of an object it returns the text under $, of a list none.
 func (r *jsonReader) value() ([]byte, error) {
-	switch r.d.PeekKind() {
+	switch r.decoder.PeekKind() {
 	case '[':
 		return nil, r.skip()
 	case '{':
-		var own []byte
-		err := r.fields(func(key string) error {
-			v, err := r.value()
-			if key == "$" {
-				own = append(own, v...)
-			}
-			return err
-		})
-		return own, err
+		return r.objectText()
+	default:
 	}
-	raw, err := r.d.ReadValue()
-	r.in.token()
+	raw, err := r.rawValue()
 	switch {
 	case err != nil:
 		return nil, err
@@ -160,83 +177,79 @@
 	case raw.Kind() != '"':
 		return raw, nil
 	}
-	r.buf, err = jsontext.AppendUnquote(r.buf[:0], raw)
-	if err != nil && len(r.buf) > 0 {
-		err = nil // bytes that are no UTF-8 were replaced
+	r.text, err = jsontext.AppendUnquote(r.text[:0], raw)
+	if len(r.text) > 0 {
+		return r.text, nil // bytes that are not UTF-8 were replaced
 	}
-	return r.buf, err
+	return r.text, err
 }
 
-func (r *jsonReader) applications() error {
-	r.found = true
+// objectText reads an object and returns the text under $.
+func (r *jsonReader) objectText() ([]byte, error) {
+	var text []byte
+	err := r.fields(func(key string) error {
+		value, err := r.value()
+		if key == "$" {
+			text = append(text, value...)
+		}
+		return err
+	})
+	return text, err
+}
+
+func (r *jsonReader) readApplications() error {
+	r.foundRoot = true
 	return r.fields(func(key string) error {
 		switch key {
 		case "versions__delta":
-			v, err := r.value()
-			r.a.Version = string(v)
+			value, err := r.value()
+			r.applications.Version = string(value)
 			return err
 		case "apps__hashcode":
-			v, err := r.value()
-			r.a.Hash = string(v)
+			value, err := r.value()
+			r.applications.Hash = string(value)
 			return err
 		case "application":
-			return r.each(r.application)
+			return r.elements(r.readApplication)
 		}
 		return r.skip()
 	})
 }
 
-func (r *jsonReader) application() error {
-	r.found = true
-	name, first := "", len(r.a.Instances)
+func (r *jsonReader) readApplication() error {
+	r.foundRoot = true
+	name, first := "", len(r.applications.Instances)
 	err := r.fields(func(key string) error {
 		switch key {
 		case "name":
-			v, err := r.value()
-			name = string(v)
+			value, err := r.value()
+			name = string(value)
 			return err
 		case "instance":
-			return r.each(r.instance)
+			return r.elements(r.readInstance)
 		}
 		return r.skip()
 	})
-	r.named(first, name)
+	r.setMissingApp(first, name)
 	return err
 }
 
-func (r *jsonReader) instance() error {
-	var i Instance
-	err := r.fields(func(key string) error {
-		var err error
+func (r *jsonReader) readInstance() error {
+	var instance Instance
+	err := r.fields(func(key string) (err error) {
 		switch key {
 		case "port":
-			i.Port, err = r.port()
+			instance.Port, err = r.port()
 		case "securePort":
-			i.SecurePort, err = r.port()
+			instance.SecurePort, err = r.port()
 		case "metadata":
-			if r.d.PeekKind() != '{' { // null or "" where there is none
-				return r.skip()
-			}
-			err = r.fields(func(key string) error {
-				v, err := r.value()
-				r.metadata(&i, key, v)
-				return err
-			})
+			err = r.objectOrNone(func(key string) error { return r.readMetadata(&instance, key) })
 		case "leaseInfo":
-			if r.d.PeekKind() != '{' {
-				return r.skip()
-			}
-			err = r.fields(func(key string) error {
-				v, err := r.value()
-				if key == "serviceUpTimestamp" {
-					i.ServiceUp = number(v)
-				}
-				return err
-			})
+			err = r.objectOrNone(func(key string) error { return r.readLeaseField(&instance, key) })
 		default:
-			var v []byte
-			if v, err = r.value(); err == nil {
-				r.set(&i, key, v)
+			var value []byte
+			if value, err = r.value(); err == nil {
+				r.setField(&instance, key, value)
 			}
 		}
 		return err
@@ -244,27 +257,49 @@
 	if err != nil {
 		return err
 	}
-	return r.add(&i)
+	return r.add(&instance)
+}
+
+// objectOrNone reads an object, or a value of another kind, such as null or "", where there is
+// none.
+func (r *jsonReader) objectOrNone(readField func(key string) error) error {
+	if r.decoder.PeekKind() != '{' {
+		return r.skip()
+	}
+	return r.fields(readField)
+}
+
+func (r *jsonReader) readMetadata(instance *Instance, key string) error {
+	value, err := r.value()
+	r.setMetadata(instance, key, value)
+	return err
+}
+
+func (r *jsonReader) readLeaseField(instance *Instance, key string) error {
+	value, err := r.value()
+	if key == "serviceUpTimestamp" {
+		instance.ServiceUp = parseNumber(value)
+	}
+	return err
 }
 
-// port reads {"$": 8080, "@enabled": "true"}, its number and flag written either
-// way, or a number alone.
+// port reads {"$": 8080, "@enabled": "true"}, each value as a text or not, or a number alone.
 func (r *jsonReader) port() (int, error) {
-	if r.d.PeekKind() != '{' {
-		v, err := r.value()
-		return port(v, ""), err
+	if r.decoder.PeekKind() != '{' {
+		value, err := r.value()
+		return parsePort(value, ""), err
 	}
 	var digits []byte
 	enabled := ""
 	err := r.fields(func(key string) error {
-		v, err := r.value()
+		value, err := r.value()
 		switch key {
 		case "$":
-			digits = append(digits, v...)
+			digits = append(digits, value...)
 		case "@enabled":
-			enabled = r.text(v)
+			enabled = r.intern(value)
 		}
 		return err
 	})
-	return port(digits, enabled), err
+	return parsePort(digits, enabled), err
 }
--- a/internal/registry/eureka/register.go
+++ b/internal/registry/eureka/register.go
@@ -8,7 +8,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"net"
 	"net/http"
 	"net/netip"
 	"net/url"
@@ -17,160 +16,223 @@
 	"time"
 )
 
-// Registration is what a Registrar keeps to. Zeros take the defaults.
+// DefaultRenewInterval is Eureka's own default.
+const DefaultRenewInterval = 30 * time.Second
+
+const (
+	// leaseIntervals is how many renew intervals a lease lasts.
+	leaseIntervals = 3
+	// maxRetryInterval is the time until the next attempt after a failure, and until the
+	// readiness of a STARTING instance is checked again, where the renew interval is longer.
+	maxRetryInterval = time.Second
+	// deregisterTimeout bounds the deregistration: the process is about to end.
+	deregisterTimeout = 500 * time.Millisecond
+	// maxDrainedBytes is how much of a response is read so that its connection can be reused.
+	maxDrainedBytes = 64 << 10
+)
+
+// Registration configures a Registrar.
 type Registration struct {
-	Replicas []string // base URLs in order of preference
-	App      string
-	VIP      string
-	Addr     string // address and port where clients connect
+	Replicas []string // base URLs, the preferred one first; required
+	App      string   // required
+	VIP      string   // VIP address; default: none
+	Addr     string   // IP address and port at which clients connect; required
 	Metadata map[string]string
-	Renew    time.Duration
-	Timeout  time.Duration
-	Ready    func() bool // registers as STARTING until it is
-}
 
-// DefaultRenew is Eureka's own: a lease runs out after three of them.
-const DefaultRenew = 30 * time.Second
+	// RenewInterval is the time between renewals of the lease, which lasts three of them.
+	// Default: DefaultRenewInterval.
+	RenewInterval time.Duration
+
+	// Timeout bounds one request. Default: DefaultTimeout.
+	Timeout time.Duration
+
+	// Ready reports whether the status is UP; it is STARTING before. It is called from Run's
+	// goroutine and must not block. Required.
+	Ready func() bool
+}
 
-// leaveIn bounds what leaving may take: the process is about to end.
-const leaveIn = 500 * time.Millisecond
+// errIncompleteRegistration is the error for a Registration without replica or app.
+var errIncompleteRegistration = errors.New("eureka: register: a replica and the app's name are needed")
 
-// Registrar keeps this process registered.
+// Registrar keeps this process registered. Its owner starts Run in a goroutine and ends it by
+// Run's context; that goroutine alone uses the fields below http.
 type Registrar struct {
-	cfg     Registration
-	id      string
-	host    string
-	port    int
-	http    *http.Client
-	replica int
+	cfg  Registration
+	id   string
+	host string
+	port int
+	http *http.Client
+
+	replica    int    // index of the one in use
+	status     string // that the replica has; empty: it may not have the instance
+	registered bool   // some replica may have the instance
+	failing    bool   // the last attempt failed
 }
 
-// NewRegistrar makes a Registrar; Run starts it.
-func NewRegistrar(c Registration) (*Registrar, error) {
-	ap, err := netip.ParseAddrPort(c.Addr)
+// NewRegistrar returns a Registrar. The error says what is wrong with the Registration.
+func NewRegistrar(config Registration) (*Registrar, error) {
+	addr, err := netip.ParseAddrPort(config.Addr)
 	if err != nil {
-		return nil, fmt.Errorf("eureka: register %q: %w", c.Addr, err)
+		return nil, fmt.Errorf("eureka: register %q: %w", config.Addr, err)
 	}
-	if len(c.Replicas) == 0 || c.App == "" {
-		return nil, errors.New("eureka: register: a replica and the app's name are needed")
+	if len(config.Replicas) == 0 || config.App == "" {
+		return nil, errIncompleteRegistration
 	}
-	if c.Renew == 0 {
-		c.Renew = DefaultRenew
+	if config.RenewInterval == 0 {
+		config.RenewInterval = DefaultRenewInterval
 	}
-	if c.Timeout == 0 {
-		c.Timeout = DefaultTimeout
+	if config.Timeout == 0 {
+		config.Timeout = DefaultTimeout
 	}
-	for i := range c.Replicas {
-		c.Replicas[i] = strings.TrimRight(c.Replicas[i], "/")
+	for i := range config.Replicas {
+		config.Replicas[i] = strings.TrimRight(config.Replicas[i], "/")
 	}
-	host := ap.Addr().String()
+	host, port := addr.Addr().String(), int(addr.Port())
 	return &Registrar{
-		cfg: c, host: host, port: int(ap.Port()), id: host + ":" + c.App + ":" + strconv.Itoa(int(ap.Port())),
-		http: &http.Client{Timeout: c.Timeout, Transport: &http.Transport{
-			DialContext: (&net.Dialer{Timeout: c.Timeout, KeepAlive: -1}).DialContext, MaxConnsPerHost: 1, IdleConnTimeout: 2 * c.Renew,
-		}},
+		cfg:  config,
+		host: host,
+		port: port,
+		id:   host + ":" + config.App + ":" + strconv.Itoa(port),
+		http: &http.Client{
+			Timeout:   config.Timeout,
+			Transport: newTransport(config.Timeout, 2*config.RenewInterval),
+		},
 	}, nil
 }
 
-// ID is the instance id that it registers under.
+// ID returns the instance ID of the registration.
 func (r *Registrar) ID() string { return r.id }
 
-// Run registers and renews until leave is done. Then it takes itself out of
-// service and deregisters, within half a second.
-func (r *Registrar) Run(leave context.Context) {
+// Run registers and renews until ctx ends. Then it deregisters, within half a second.
+func (r *Registrar) Run(ctx context.Context) {
 	defer r.http.CloseIdleConnections()
-	status, failed, tried := "", false, false
-	for leave.Err() == nil {
-		want := "STARTING"
+	for ctx.Err() == nil {
+		status := "STARTING"
 		if r.cfg.Ready() {
-			want = "UP"
+			status = "UP"
 		}
-		var err error
-		if status != want {
-			tried = true // it may be registered from here on, whatever comes back
-			err = r.register(leave, want)
-		} else if err = r.call(leave, http.MethodPut, "/"+url.PathEscape(r.id)+"?status="+status, nil); errors.Is(err, statusError(http.StatusNotFound)) {
-			slog.Info("eureka: the lease has run out, registering again", "id", r.id)
-			err = r.register(leave, want)
+		err := r.registerOrRenew(ctx, status)
+		if ctx.Err() != nil {
+			break
 		}
-		wait := r.cfg.Renew
-		switch {
-		case leave.Err() != nil:
-		case err == nil:
-			if failed {
-				slog.Info("eureka: registered again", "id", r.id)
-			}
-			status, failed = want, false
-			if want != "UP" {
-				wait = min(wait, time.Second)
-			}
-		default:
-			if !failed {
-				slog.Warn("eureka: registration failed", "replica", r.cfg.Replicas[r.replica], "err", err)
-			}
-			status, failed = "", true // another replica may not know of it
-			r.replica = (r.replica + 1) % len(r.cfg.Replicas)
-			wait = min(wait, time.Second)
+		if err != nil {
+			r.failover(err)
+		} else {
+			r.noteSuccess(status)
 		}
-		t := time.NewTimer(wait)
-		select {
-		case <-t.C:
-		case <-leave.Done():
+		wait := r.cfg.RenewInterval
+		if r.status != "UP" {
+			wait = min(wait, maxRetryInterval)
 		}
-		t.Stop()
+		sleep(ctx, wait)
+	}
+	if r.registered {
+		r.deregister()
+	}
+}
+
+func (r *Registrar) registerOrRenew(ctx context.Context, status string) error {
+	if r.status != status {
+		r.registered = true // whatever the response
+		return r.register(ctx, status)
+	}
+	err := r.call(ctx, http.MethodPut, r.instancePath()+"?status="+status, nil)
+	if errors.Is(err, statusError(http.StatusNotFound)) {
+		slog.Info("eureka: the lease has run out, registering again", "id", r.id)
+		return r.register(ctx, status)
+	}
+	return err
+}
+
+func (r *Registrar) noteSuccess(status string) {
+	if r.failing {
+		slog.Info("eureka: registered again", "id", r.id)
 	}
-	if tried {
-		r.leave()
+	r.status, r.failing = status, false
+}
+
+// failover continues with the next replica, which may not have the instance.
+func (r *Registrar) failover(err error) {
+	if !r.failing {
+		slog.Warn("eureka: registration failed", "replica", r.cfg.Replicas[r.replica], "err", err)
 	}
+	r.status, r.failing = "", true
+	r.replica = (r.replica + 1) % len(r.cfg.Replicas)
 }
 
-func (r *Registrar) leave() {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveIn)
+// deregister takes the instance out of service first, so that those who read the registry before
+// it is deregistered send no request. Its context is its own, as Run's has ended.
+func (r *Registrar) deregister() {
+	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
-	id := "/" + url.PathEscape(r.id)
-	// Those who read the registry between the two should not send here any more.
-	if err := r.call(ctx, http.MethodPut, id+"/status?value=OUT_OF_SERVICE", nil); err != nil {
+	if err := r.call(ctx, http.MethodPut, r.instancePath()+"/status?value=OUT_OF_SERVICE", nil); err != nil {
 		slog.Warn("eureka: taking out of service failed", "err", err)
 	}
-	if err := r.call(ctx, http.MethodDelete, id, nil); err != nil {
+	if err := r.call(ctx, http.MethodDelete, r.instancePath(), nil); err != nil {
 		slog.Warn("eureka: deregistration failed, the lease will run out", "err", err)
 	}
 }
 
 func (r *Registrar) register(ctx context.Context, status string) error {
+	body, err := r.registrationBody(status)
+	if err != nil {
+		return err
+	}
+	return r.call(ctx, http.MethodPost, "", body)
+}
+
+// registrationBody returns the instance in the registry's form.
+func (r *Registrar) registrationBody(status string) ([]byte, error) {
 	metadata := r.cfg.Metadata
 	if metadata == nil {
 		metadata = map[string]string{}
 	}
-	text, err := json.Marshal(map[string]any{"instance": map[string]any{
-		"instanceId": r.id, "hostName": r.host, "app": strings.ToUpper(r.cfg.App), "ipAddr": r.host, "vipAddress": r.cfg.VIP, "status": status,
-		"port": map[string]any{"$": r.port, "@enabled": "true"}, "securePort": map[string]any{"$": 443, "@enabled": "false"},
-		"dataCenterInfo":     map[string]any{"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
-		"leaseInfo":          map[string]any{"renewalIntervalInSecs": max(1, int(r.cfg.Renew.Seconds())), "durationInSecs": max(3, int(3*r.cfg.Renew.Seconds()))},
+	renewSeconds := r.cfg.RenewInterval.Seconds()
+	return json.Marshal(map[string]any{"instance": map[string]any{
+		"instanceId": r.id,
+		"hostName":   r.host,
+		"app":        r.appName(),
+		"ipAddr":     r.host,
+		"vipAddress": r.cfg.VIP,
+		"status":     status,
+		"port":       map[string]any{"$": r.port, "@enabled": "true"},
+		"securePort": map[string]any{"$": 443, "@enabled": "false"},
+		"dataCenterInfo": map[string]any{
+			"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo",
+			"name":   "MyOwn",
+		},
+		"leaseInfo": map[string]any{
+			"renewalIntervalInSecs": max(1, int(renewSeconds)),
+			"durationInSecs":        max(leaseIntervals, int(leaseIntervals*renewSeconds)),
+		},
 		"lastDirtyTimestamp": strconv.FormatInt(time.Now().UnixMilli(), 10),
 		"metadata":           metadata,
 	}})
-	if err != nil {
-		return err
-	}
-	return r.call(ctx, http.MethodPost, "", text)
 }
 
+func (r *Registrar) appName() string { return strings.ToUpper(r.cfg.App) }
+
+// instancePath returns the path of the instance below that of its app.
+func (r *Registrar) instancePath() string { return "/" + url.PathEscape(r.id) }
+
+// call makes a request to a path below that of the app.
 func (r *Registrar) call(ctx context.Context, method, path string, body []byte) error {
-	req, err := http.NewRequestWithContext(ctx, method, r.cfg.Replicas[r.replica]+"/apps/"+url.PathEscape(strings.ToUpper(r.cfg.App))+path, bytes.NewReader(body))
+	target := r.cfg.Replicas[r.replica] + "/apps/" + url.PathEscape(r.appName()) + path
+	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("Accept", "application/json")
-	resp, err := r.http.Do(req)
+	request.Header.Set("Content-Type", "application/json")
+	request.Header.Set("Accept", "application/json")
+	response, err := r.http.Do(request)
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
-	io.CopyN(io.Discard, resp.Body, 64<<10)
-	if resp.StatusCode/100 != 2 {
-		return statusError(resp.StatusCode)
+	defer response.Body.Close()
+	// An error ends only the reuse of the connection.
+	_, _ = io.CopyN(io.Discard, response.Body, maxDrainedBytes)
+	if response.StatusCode/100 != 2 {
+		return statusError(response.StatusCode)
 	}
 	return nil
 }
--- a/internal/registry/eureka/register_test.go
+++ b/internal/registry/eureka/register_test.go
@@ -10,53 +10,67 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// It registers as STARTING, is UP once ready, renews, registers anew when its
-// lease is lost or another replica takes over, and leaves at the end.
+// It registers as STARTING, is UP once ready, renews, registers again when its lease is lost or
+// another replica is in use, and deregisters at the end.
 func TestRegistration(t *testing.T) {
-	a, b := startRegistry(t), startRegistry(t)
+	first, second := startRegistry(t), startRegistry(t)
 	var ready atomic.Bool
-	r, err := NewRegistrar(Registration{
-		Replicas: []string{a.URL(), b.URL() + "/"}, App: "mothridge", VIP: "sidecars", Addr: "127.0.0.1:7070", Renew: 10 * time.Millisecond,
-		Metadata: map[string]string{"zone": "a"}, Ready: ready.Load,
+	registrar, err := NewRegistrar(Registration{
+		Replicas:      []string{first.URL(), second.URL() + "/"},
+		App:           "mothridge",
+		VIP:           "sidecars",
+		Addr:          "127.0.0.1:7070",
+		RenewInterval: 10 * time.Millisecond,
+		Metadata:      map[string]string{"zone": "a"},
+		Ready:         ready.Load,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	leave, end := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
-		r.Run(leave)
+		registrar.Run(ctx)
 		close(ended)
 	}()
-	status := func(e *peers.Eureka) string {
-		i, _ := e.Instance(r.ID())
-		return i.Status
+	waitForStatus := func(what string, registry *peers.Eureka, want string) {
+		t.Helper()
+		peertest.Until(t, what, func() bool {
+			registered, _ := registry.Instance(registrar.ID())
+			return registered.Status == want
+		})
 	}
-	peertest.Until(t, "the registration", func() bool { return status(a) == "STARTING" })
+	waitForStatus("the registration", first, "STARTING")
 	ready.Store(true)
-	peertest.Until(t, "UP", func() bool { return status(a) == "UP" })
-	if i, _ := a.Instance(r.ID()); i.App != "MOTHRIDGE" || i.Port != 7070 || i.IP != "127.0.0.1" || i.VIP != "sidecars" || i.Metadata["zone"] != "a" {
-		t.Errorf("registered as %+v", i)
+	waitForStatus("UP", first, "UP")
+	registered, _ := first.Instance(registrar.ID())
+	if registered.App != "MOTHRIDGE" || registered.VIP != "sidecars" || registered.Metadata["zone"] != "a" ||
+		registered.Port != 7070 || registered.IP != "127.0.0.1" {
+		t.Errorf("registered as %+v", registered)
 	}
-	renewed := a.Calls("renew")
-	peertest.Until(t, "renewals", func() bool { return a.Calls("renew") > renewed+2 })
-	a.Cancel(r.ID()) // as if its lease had run out
-	peertest.Until(t, "registering again", func() bool { return status(a) == "UP" })
-	a.Fault(peers.ServerFail)
-	peertest.Until(t, "the other replica", func() bool { return status(b) == "UP" })
-	end()
+	renewals := first.Calls("renew")
+	peertest.Until(t, "renewals", func() bool { return first.Calls("renew") > renewals+2 })
+	first.Cancel(registrar.ID()) // as if its lease had run out
+	waitForStatus("registering again", first, "UP")
+	first.Fault(peers.ServerFail)
+	waitForStatus("the other replica", second, "UP")
+	cancel()
 	peertest.Await(t, "the end", ended)
-	if _, there := b.Instance(r.ID()); there || b.Calls("status") != 1 || b.Calls("cancel") != 1 {
-		t.Errorf("after leaving: still there %v, %d and %d calls", there, b.Calls("status"), b.Calls("cancel"))
+	if _, present := second.Instance(registrar.ID()); present {
+		t.Error("still registered after the end")
+	}
+	if second.Calls("status") != 1 || second.Calls("cancel") != 1 {
+		t.Errorf("at the end %d calls of status and %d of cancel", second.Calls("status"), second.Calls("cancel"))
 	}
 }
 
-func TestRegistrationThatCannotBe(t *testing.T) {
-	for name, c := range map[string]Registration{
-		"no address": {Replicas: []string{"http://x"}, App: "a", Addr: "host:1"}, "no replica": {App: "a", Addr: "127.0.0.1:1"},
-		"no app": {Replicas: []string{"http://x"}, Addr: "127.0.0.1:1"},
+func TestInvalidRegistration(t *testing.T) {
+	for name, config := range map[string]Registration{
+		"no address": {Replicas: []string{"http://x"}, App: "a", Addr: "host:1"},
+		"no replica": {App: "a", Addr: "127.0.0.1:1"},
+		"no app":     {Replicas: []string{"http://x"}, Addr: "127.0.0.1:1"},
 	} {
-		if _, err := NewRegistrar(c); err == nil {
+		if _, err := NewRegistrar(config); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
--- a/internal/registry/eureka/xml.go
+++ b/internal/registry/eureka/xml.go
@@ -8,15 +8,21 @@
 	"strings"
 )
 
-// xml reads <applications>, or <application> for one app. A document type is
-// refused, and with it entities of the document's own: they could stand for text
-// without end, or for a file. The decoder knows the five of XML itself.
-func (p *parser) xml(in *tokenBound) error {
-	r := &xmlReader{parser: p, in: in, d: xml.NewDecoder(in)}
+var (
+	errTextOutside  = errors.New("something stands outside of its element")
+	errTrailing     = errors.New("something follows it")
+	errDocumentType = errors.New("a document type is not accepted")
+	errTooDeep      = fmt.Errorf("more than %d nested levels", maxDepth)
+)
+
+// parseXML reads <applications>, or <application> for one app. A document type is an error, and
+// with it entities of the document's own, which could stand for unbounded text or for a file.
+func (p *parser) parseXML(in *boundedReader) error {
+	r := &xmlReader{parser: p, in: in, decoder: xml.NewDecoder(in)}
 	for {
-		t, err := r.token()
-		if err == io.EOF {
-			if !p.found {
+		token, err := r.token()
+		if errors.Is(err, io.EOF) {
+			if !p.foundRoot {
 				return errRoot
 			}
 			return nil
@@ -24,62 +30,69 @@
 		if err != nil {
 			return err
 		}
-		start, ok := t.(xml.StartElement)
-		switch {
-		case !ok:
-			if text, is := t.(xml.CharData); is && strings.TrimSpace(string(text)) != "" {
-				return errors.New("something stands outside of its element")
+		switch token := token.(type) {
+		case xml.StartElement:
+			if err := r.root(token); err != nil {
+				return err
+			}
+		case xml.CharData:
+			if strings.TrimSpace(string(token)) != "" {
+				return errTextOutside
 			}
-		case p.found:
-			return errors.New("something comes behind it")
-		case start.Name.Local == "applications":
-			err = r.applications()
-		case start.Name.Local == "application":
-			err = r.application()
-		default:
-			return fmt.Errorf("element %.40q: %w", start.Name.Local, errRoot)
-		}
-		if err != nil {
-			return err
 		}
 	}
 }
 
+// xmlReader reads a response in XML. Its methods that read an element start after its start tag
+// and read to its end.
 type xmlReader struct {
 	*parser
-	in    *tokenBound
-	d     *xml.Decoder
-	depth int
-	buf   []byte
+	in      *boundedReader
+	decoder *xml.Decoder
+	depth   int
+	text    []byte // buffer of value
+}
+
+func (r *xmlReader) root(start xml.StartElement) error {
+	if r.foundRoot {
+		return errTrailing
+	}
+	switch start.Name.Local {
+	case "applications":
+		return r.readApplications()
+	case "application":
+		return r.readApplication()
+	}
+	return fmt.Errorf("element %.40q: %w", start.Name.Local, errRoot)
 }
 
 func (r *xmlReader) token() (xml.Token, error) {
-	t, err := r.d.Token()
-	r.in.token()
-	switch t.(type) {
+	token, err := r.decoder.Token()
+	r.in.endToken()
+	switch token.(type) {
 	case xml.Directive:
-		return nil, errors.New("a document type is not taken")
+		return nil, errDocumentType
 	case xml.StartElement:
 		if r.depth++; r.depth > maxDepth {
-			return nil, fmt.Errorf("more than %d levels in one another", maxDepth)
+			return nil, errTooDeep
 		}
 	case xml.EndElement:
 		r.depth--
 	}
-	return t, err
+	return token, err
 }
 
-// children reads an element that is open to its end.
-func (r *xmlReader) children(one func(xml.StartElement) error) error {
+// children reads an element and calls readChild for each child element.
+func (r *xmlReader) children(readChild func(xml.StartElement) error) error {
 	for {
-		t, err := r.token()
+		token, err := r.token()
 		if err != nil {
-			return whole(err)
+			return unexpectedEOF(err)
 		}
-		switch t := t.(type) {
+		switch token := token.(type) {
 		case xml.StartElement:
-			if err := one(t); err != nil {
-				return fmt.Errorf("%.40s: %w", t.Name.Local, err)
+			if err := readChild(token); err != nil {
+				return fmt.Errorf("%.40s: %w", token.Name.Local, err)
 			}
 		case xml.EndElement:
 			return nil
@@ -87,108 +100,118 @@
 	}
 }
 
-// whole makes an end of the answer within it an error.
-func whole(err error) error {
-	if err == io.EOF {
+// unexpectedEOF turns the end of the response within an element into an error.
+func unexpectedEOF(err error) error {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// value reads the text of an element that is open, which is good until the next.
-// Of elements within it nothing is taken.
+// value reads an element and returns its text, without that of its children. The text is valid
+// until the next call.
 func (r *xmlReader) value() ([]byte, error) {
-	r.buf = r.buf[:0]
+	r.text = r.text[:0]
 	for depth := r.depth; ; {
-		t, err := r.token()
+		token, err := r.token()
 		if err != nil {
-			return nil, whole(err)
+			return nil, unexpectedEOF(err)
 		}
-		if text, is := t.(xml.CharData); is && r.depth == depth {
-			if r.buf = append(r.buf, text...); len(r.buf) > maxToken {
-				return nil, errToken
+		if text, ok := token.(xml.CharData); ok && r.depth == depth {
+			if r.text = append(r.text, text...); len(r.text) > maxTokenBytes {
+				return nil, errTokenTooLong
 			}
 		}
 		if r.depth < depth {
-			return r.buf, nil
+			return r.text, nil
 		}
 	}
 }
 
-func (r *xmlReader) applications() error {
-	r.found = true
-	return r.children(func(e xml.StartElement) error {
-		if e.Name.Local == "application" {
-			return r.application()
-		}
-		v, err := r.value()
-		switch e.Name.Local {
+func (r *xmlReader) readApplications() error {
+	r.foundRoot = true
+	return r.children(func(child xml.StartElement) error {
+		if child.Name.Local == "application" {
+			return r.readApplication()
+		}
+		value, err := r.value()
+		switch child.Name.Local {
 		case "versions__delta":
-			r.a.Version = string(v)
+			r.applications.Version = string(value)
 		case "apps__hashcode":
-			r.a.Hash = string(v)
+			r.applications.Hash = string(value)
 		}
 		return err
 	})
 }
 
-func (r *xmlReader) application() error {
-	r.found = true
-	name, first := "", len(r.a.Instances)
-	err := r.children(func(e xml.StartElement) error {
-		if e.Name.Local == "instance" {
-			return r.instance()
+func (r *xmlReader) readApplication() error {
+	r.foundRoot = true
+	name, first := "", len(r.applications.Instances)
+	err := r.children(func(child xml.StartElement) error {
+		if child.Name.Local == "instance" {
+			return r.readInstance()
 		}
-		v, err := r.value()
-		if e.Name.Local == "name" {
-			name = string(v)
+		value, err := r.value()
+		if child.Name.Local == "name" {
+			name = string(value)
 		}
 		return err
 	})
-	r.named(first, name)
+	r.setMissingApp(first, name)
 	return err
 }
 
-func (r *xmlReader) instance() error {
-	var i Instance
-	err := r.children(func(e xml.StartElement) error {
-		switch e.Name.Local {
+func (r *xmlReader) readInstance() error {
+	var instance Instance
+	err := r.children(func(child xml.StartElement) error {
+		name := child.Name.Local
+		switch name {
 		case "metadata":
-			return r.children(func(e xml.StartElement) error {
-				v, err := r.value()
-				r.metadata(&i, e.Name.Local, v)
-				return err
-			})
+			return r.readMetadata(&instance)
 		case "leaseInfo":
-			return r.children(func(e xml.StartElement) error {
-				v, err := r.value()
-				if e.Name.Local == "serviceUpTimestamp" {
-					i.ServiceUp = number(v)
-				}
-				return err
-			})
+			return r.readLease(&instance)
 		}
-		v, err := r.value()
-		switch e.Name.Local {
+		value, err := r.value()
+		switch name {
 		case "port":
-			i.Port = port(v, attribute(e, "enabled"))
+			instance.Port = parsePort(value, attribute(child, "enabled"))
 		case "securePort":
-			i.SecurePort = port(v, attribute(e, "enabled"))
+			instance.SecurePort = parsePort(value, attribute(child, "enabled"))
 		default:
-			r.set(&i, e.Name.Local, v)
+			r.setField(&instance, name, value)
 		}
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	return r.add(&i)
+	return r.add(&instance)
+}
+
+func (r *xmlReader) readMetadata(instance *Instance) error {
+	return r.children(func(child xml.StartElement) error {
+		value, err := r.value()
+		r.setMetadata(instance, child.Name.Local, value)
+		return err
+	})
+}
+
+func (r *xmlReader) readLease(instance *Instance) error {
+	return r.children(func(child xml.StartElement) error {
+		value, err := r.value()
+		if child.Name.Local == "serviceUpTimestamp" {
+			instance.ServiceUp = parseNumber(value)
+		}
+		return err
+	})
 }
 
-func attribute(e xml.StartElement, name string) string {
-	for _, a := range e.Attr {
-		if a.Name.Local == name {
-			return a.Value
+// attribute returns an attribute of an element; empty where it has none of that name.
+func attribute(element xml.StartElement, name string) string {
+	for _, attr := range element.Attr {
+		if attr.Name.Local == name {
+			return attr.Value
 		}
 	}
 	return ""
--- a/internal/registry/merge/eureka.go
+++ b/internal/registry/merge/eureka.go
@@ -40,8 +40,8 @@
 
 // UpdateEureka applies an update of a Eureka registry as that of a source. It does not keep the
 // update.
-func (m *Merger) UpdateEureka(source int, mapping Mapping, update eureka.News) {
-	if update.Whole {
+func (m *Merger) UpdateEureka(source int, mapping Mapping, update eureka.Update) {
+	if update.Complete {
 		m.replaceList(source, update.Replica, mapping.instances(update.Instances))
 		return
 	}
--- a/internal/registry/merge/merge_test.go
+++ b/internal/registry/merge/merge_test.go
@@ -52,7 +52,7 @@
 		first.Weight != 2 || first.Zone != "a" {
 		t.Errorf("endpoint %+v", first)
 	}
-	merger.UpdateEureka(eurekaSource, Mapping{Cell: "cell"}, eureka.News{Whole: true, Instances: []eureka.Instance{
+	merger.UpdateEureka(eurekaSource, Mapping{Cell: "cell"}, eureka.Update{Complete: true, Instances: []eureka.Instance{
 		{ID: "s-1", IP: "10.0.0.1", Port: 80, Status: "OUT_OF_SERVICE"},
 		{ID: "s-2", IP: "10.0.0.2", Port: 80, Status: "UP", Metadata: map[string]string{"cell": "north"}},
 	}})
--- a/internal/sidecar/sources.go
+++ b/internal/sidecar/sources.go
@@ -65,7 +65,7 @@
 		}
 		r, err := eureka.NewRegistrar(eureka.Registration{
 			Replicas: e.URLs(), App: e.Register.App, VIP: e.Register.VIP, Addr: cmp.Or(string(e.Register.Address), c.Listen),
-			Metadata: e.Register.Metadata, Renew: e.Register.Renew.Value(), Timeout: e.Timeout.Value(), Ready: k.Ready,
+			Metadata: e.Register.Metadata, RenewInterval: e.Register.Renew.Value(), Timeout: e.Timeout.Value(), Ready: k.Ready,
 		})
 		if err != nil {
 			return fmt.Errorf("registry %s: %w", e.Name, err)
@@ -167,12 +167,12 @@
 		}
 		client, err := eureka.NewClient(eureka.Config{
 			Replicas: e.URLs(), Apps: e.Apps, VIPs: e.VIPs, XML: e.Format == operator.XML,
-			Interval: e.Interval.Value(), Timeout: e.Timeout.Value(), MostMB: int(e.MostMB), Keep: mapping.UsesKey, Seed: c.Seed + uint64(i),
-		}, func(n eureka.News) { m.UpdateEureka(source, mapping, n) })
+			Interval: e.Interval.Value(), Timeout: e.Timeout.Value(), MaxResponseMB: int(e.MostMB), KeepMetadata: mapping.UsesKey, Seed: c.Seed + uint64(i),
+		}, func(n eureka.Update) { m.UpdateEureka(source, mapping, n) })
 		if err != nil {
 			return fmt.Errorf("registry %s: %w", e.Name, err)
 		}
-		loops.Go(func() { client.Follow(ctx) })
+		loops.Go(func() { client.Run(ctx) })
 	}
 	for i := range c.Operator.Static {
 		m.SetStatic(number, staticList(&c.Operator.Static[i]))
--- a/membership/staleness.go
+++ b/membership/staleness.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Because of a replica that lags, or of a clock that was set back, a source may deliver an update
+// Because of a replica that lags, or of a clock that was set back, a source may report an update
 // of an instance that is older than the one the Set has. It is deferred, with two
 // exceptions. A stricter status of the same registration applies at once, as no drain may be
 // missed because of a clock. And an update that the source repeats for Config.StaleUpdateHold
