--- a/internal/registry/platform/discovery.go
+++ b/internal/registry/platform/discovery.go
@@ -77,7 +77,7 @@
 // changeAddress continues at another address. The versions there may be unrelated to those at
 // the previous one, so the next list has to be complete.
 func (d *Discovery) changeAddress(addr string) {
-	slog.Info("discovery: address changed", "to", addr)
+	slog.Info("discovery: moved", "to", addr)
 	d.listURL, d.hasBase = listURL(addr), false
 }
 
