--- a/membership/membership.go
+++ b/membership/membership.go
@@ -4,7 +4,7 @@
 // many instances at once, an update that is older than the one held does not replace it, and
 // an endpoint that a source takes out of service drains at once.
 //
-// A Set is a deterministic state machine without goroutine, clock or I/O: the caller passes
+// A Set is a single-threaded state machine without goroutine, clock or I/O: the caller passes
 // the time with each event and gets the changes that follow. The rules stand as a table in
 // docs/design/membership.md; each is in a file of its own: staleness.go, loss_protection.go,
 // tombstones.go, flap_damping.go, processes.go, and view.go, which combines the sources.
--- a/membership/view.go
+++ b/membership/view.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 	"strings"
@@ -102,31 +103,27 @@
 // strictest status of all sources; and the reason for it. A tombstone counts as OutOfService
 // where every other source has it Up.
 func (s *Set) combineSources(ep *endpoint) (best *record, status Status, reason string) {
+	var strictest *record
 	tombstoneReason := ""
 	for _, src := range s.sources {
 		rec, hasTombstone := ep.newestRecord(src)
-		if rec == nil {
-			if hasTombstone {
-				tombstoneReason = "deleted by " + src.name
-			}
-			continue
-		}
-		if best == nil {
-			best = rec
-		}
-		if reason == "" || rec.Status > status {
-			status, reason = rec.Status, rec.statusReason()
+		switch {
+		case rec == nil && hasTombstone:
+			tombstoneReason = "deleted by " + src.name
+		case rec == nil:
+		case best == nil:
+			best, strictest = rec, rec
+		case rec.Status > strictest.Status:
+			strictest = rec
 		}
 	}
-	switch {
-	case best == nil && tombstoneReason == "":
-		reason = "no source lists it"
-	case best == nil:
-		reason = tombstoneReason
-	case tombstoneReason != "" && status == Up:
-		status, reason = OutOfService, tombstoneReason+", though "+reason
-	}
-	return best, status, reason
+	if best == nil {
+		return nil, Unknown, cmp.Or(tombstoneReason, "no source lists it")
+	}
+	if tombstoneReason != "" && strictest.Status == Up {
+		return best, OutOfService, tombstoneReason + ", though " + strictest.statusReason()
+	}
+	return best, strictest.Status, strictest.statusReason()
 }
 
 // statusReason says which source reports the record's status, and whether it is held.
