--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -120,20 +120,20 @@
 		UseSecurePort: registry.UseSecurePort,
 	}
 	client, err := eureka.NewClient(eureka.Config{
-		Replicas: registry.URLs(),
-		Apps:     registry.Apps,
-		VIPs:     registry.VIPs,
-		XML:      registry.Format == operator.XML,
-		Interval: registry.Interval.Value(),
-		Timeout:  registry.Timeout.Value(),
-		MostMB:   int(registry.MaxResponseMB),
-		Keep:     mapping.UsesKey,
-		Seed:     seed,
-	}, func(n eureka.News) { s.merger.UpdateEureka(number, mapping, n) })
+		Replicas:      registry.URLs(),
+		Apps:          registry.Apps,
+		VIPs:          registry.VIPs,
+		XML:           registry.Format == operator.XML,
+		Interval:      registry.Interval.Value(),
+		Timeout:       registry.Timeout.Value(),
+		MaxResponseMB: int(registry.MaxResponseMB),
+		KeepMetadata:  mapping.UsesKey,
+		Seed:          seed,
+	}, func(u eureka.Update) { s.merger.UpdateEureka(number, mapping, u) })
 	if err != nil {
 		return fmt.Errorf("registry %s: %w", registry.Name, err)
 	}
-	s.background.Go(func() { client.Follow(running) })
+	s.background.Go(func() { client.Run(running) })
 	return nil
 }
 
@@ -156,14 +156,14 @@
 			continue
 		}
 		registrar, err := eureka.NewRegistrar(eureka.Registration{
-			Replicas: registry.URLs(),
-			App:      registry.Register.App,
-			VIP:      registry.Register.VIP,
-			Addr:     cmp.Or(string(registry.Register.Address), s.config.Listen),
-			Metadata: registry.Register.Metadata,
-			Renew:    registry.Register.Renew.Value(),
-			Timeout:  registry.Timeout.Value(),
-			Ready:    s.core.Ready,
+			Replicas:      registry.URLs(),
+			App:           registry.Register.App,
+			VIP:           registry.Register.VIP,
+			Addr:          cmp.Or(string(registry.Register.Address), s.config.Listen),
+			Metadata:      registry.Register.Metadata,
+			RenewInterval: registry.Register.Renew.Value(),
+			Timeout:       registry.Timeout.Value(),
+			Ready:         s.core.Ready,
 		})
 		if err != nil {
 			return fmt.Errorf("registry %s: %w", registry.Name, err)
