--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -21,7 +21,7 @@
 
 // Server answers questions; each has a path and an answer that becomes JSON.
 type Server struct {
-	ln     *sockets.PatientListener
+	ln     *sockets.RetryingListener
 	server *http.Server
 }
 
@@ -73,7 +73,7 @@
 	for name, page := range pages {
 		mux.Handle("GET /"+name, page)
 	}
-	s := &Server{ln: sockets.Patient(ln), server: &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, MaxHeaderBytes: 8 << 10}}
+	s := &Server{ln: sockets.NewRetryingListener(ln), server: &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, MaxHeaderBytes: 8 << 10}}
 	return s, nil
 }
 
--- a/internal/front/httpfront/conn.go
+++ b/internal/front/httpfront/conn.go
@@ -33,7 +33,7 @@
 	active   atomic.Bool               // net/http answers a request of it
 	flooded  atomic.Bool               // more than aheadMost came behind a request
 	framing  http1.Framing
-	in       *sockets.NotingReader // the reader's
+	in       *sockets.LockedReader // the reader's
 	starts   bool                  // a request has begun with what was read last; the reader's
 	ahead    []byte                // read behind a request while that was answered; the reader's
 	evicted  bool                  // it is closed to make room; the listener's lock guards it
@@ -75,7 +75,7 @@
 	// aheadMost is how many bytes are kept behind a request that is answered:
 	// another one, of the largest size. Clients send one at a time; what asks for
 	// more is answered the first and closed.
-	aheadMost = http1.MaxBody + maxHeader
+	aheadMost = http1.MaxRequestBodyBytes + maxHeader
 	// endIn is how long an ended connection is read on from, and pressedIn where
 	// others wait for its place.
 	endIn     = 250 * time.Millisecond
@@ -102,7 +102,7 @@
 // whatever deadline was set before.
 func (c *clientConn) read(b []byte) (int, error) {
 	if c.in == nil {
-		c.in = sockets.NewNotingReader(c.TCPConn, &c.mu, c.note)
+		c.in = sockets.NewLockedReader(c.TCPConn, &c.mu, c.note)
 	}
 	n, err := c.in.Read(b)
 	if c.starts {
@@ -110,7 +110,7 @@
 		c.SetReadDeadline(time.Time{})
 	}
 	if n > 0 {
-		c.framing.Feed(b[:n])
+		c.framing.Observe(b[:n])
 		came := time.Now()
 		if c.arrived != nil {
 			came = c.arrived(came)
@@ -167,7 +167,7 @@
 
 // left looks whether the client has gone. It is asked next to the write of an
 // attempt, where the watch may not have been heard yet.
-func (c *clientConn) left() bool { return c.gone.Load() || sockets.Left(c.TCPConn) }
+func (c *clientConn) left() bool { return c.gone.Load() || sockets.PeerClosed(c.TCPConn) }
 
 // arrival is when the request had come whose header was just read: one that was
 // behind another has waited, and its client counts that.
@@ -316,7 +316,7 @@
 
 // silent says whether the client has sent nothing so far, though it had the time to.
 func (c *clientConn) silent(now time.Time) bool {
-	return now.Sub(c.since) >= speakIn && !c.heard.Load() && sockets.Quiet(c.TCPConn)
+	return now.Sub(c.since) >= speakIn && !c.heard.Load() && sockets.IsIdle(c.TCPConn)
 }
 
 type connKey struct{}
--- a/internal/front/httpfront/front.go
+++ b/internal/front/httpfront/front.go
@@ -119,7 +119,7 @@
 // or ctx ends. It does not call the server's own Shutdown before all connections have
 // ended: from then on net/http drops each request that it has read, without an answer.
 func (s *Front) Shutdown(ctx context.Context) error {
-	s.listener.Drained(ctx)
+	s.listener.DrainBacklog(ctx)
 	err := s.listener.Close()
 	s.listener.empty(ctx)
 	if err := errors.Join(err, s.server.Close()); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -129,7 +129,7 @@
 }
 
 func (s *Front) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
-	if wrong := framing(hr, hr.Context().Value(connKey{}).(*clientConn).framing.Next().Certain()); wrong != nil {
+	if wrong := framing(hr, hr.Context().Value(connKey{}).(*clientConn).framing.NextHead().Unambiguous()); wrong != nil {
 		s.rejected.Add(1)
 		reject(w, hr, wrong)
 		return
@@ -197,7 +197,7 @@
 	c := hr.Context().Value(connKey{}).(*clientConn)
 	c.CloseWrite()
 	c.cutShort(lingerIn)
-	io.CopyN(io.Discard, hr.Body, http1.MaxBody)
+	io.CopyN(io.Discard, hr.Body, http1.MaxRequestBodyBytes)
 }
 
 // framing rejects a request whose length is not certain: see http1.Framing. None
@@ -208,8 +208,8 @@
 		return &rejection{http.StatusHTTPVersionNotSupported, "version 1.1 is spoken here"}
 	case len(hr.TransferEncoding) > 0 && !certain:
 		return &rejection{http.StatusLengthRequired, "a Content-Length or a Transfer-Encoding is needed, and not both"}
-	case hr.ContentLength > http1.MaxBody:
-		return &rejection{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of %d bytes, %d at most", hr.ContentLength, http1.MaxBody)}
+	case hr.ContentLength > http1.MaxRequestBodyBytes:
+		return &rejection{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of %d bytes, %d at most", hr.ContentLength, http1.MaxRequestBodyBytes)}
 	}
 	return nil
 }
@@ -221,7 +221,7 @@
 	arrival := c.arrival(now)
 	bad := func(text string) (*core.Request, *rejection) { return nil, &rejection{http.StatusBadRequest, text} }
 	h := hr.Header
-	http1.DropHopByHop(h) // first of all: a field that is needed below may not go on if it is named as a hop's own
+	http1.RemoveHopByHopFields(h) // first of all: a field that is needed below may not go on if it is named as a hop's own
 	// A target may be no path, and so cannot go on unchanged.
 	if hr.Host == "" || !strings.HasPrefix(hr.URL.Path, "/") {
 		return bad("a Host and a target that is a path are needed")
@@ -273,8 +273,8 @@
 	switch {
 	case err != nil:
 		return bad("the body was not whole in time")
-	case len(body) > http1.MaxBody:
-		return nil, &rejection{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", http1.MaxBody)}
+	case len(body) > http1.MaxRequestBodyBytes:
+		return nil, &rejection{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", http1.MaxRequestBodyBytes)}
 	case effect == policy.Idempotent && len(body) > 0:
 		return bad("requests of a class that is safe to repeat have no body")
 	}
@@ -323,7 +323,7 @@
 	case hr.ContentLength == 0:
 		return nil, nil
 	case hr.ContentLength < 0: // in chunks
-		return io.ReadAll(io.LimitReader(hr.Body, http1.MaxBody+1))
+		return io.ReadAll(io.LimitReader(hr.Body, http1.MaxRequestBodyBytes+1))
 	}
 	return http1.ReadExactly(hr.Body, hr.ContentLength)
 }
@@ -341,7 +341,7 @@
 func (s *Front) write(w http.ResponseWriter, a core.Response, c *clientConn) {
 	h := w.Header()
 	if a.Fields != nil {
-		http1.DropHopByHop(a.Fields)
+		http1.RemoveHopByHopFields(a.Fields)
 		delete(a.Fields, "Server-Load")
 		for name, v := range a.Fields {
 			h[name] = v
@@ -351,7 +351,7 @@
 		}
 	}
 	if a.RetryAfter > 0 {
-		h.Set("Retry-After", http1.Seconds(a.RetryAfter))
+		h.Set("Retry-After", http1.FormatSeconds(a.RetryAfter))
 	}
 	if c.flooded.Load() || s.listener.isDraining() {
 		h.Set("Connection", "close")
--- a/internal/front/httpfront/listener.go
+++ b/internal/front/httpfront/listener.go
@@ -21,7 +21,7 @@
 // accepted. Hundreds that connect and say nothing, or half a request, must not
 // take the places of clients that ask.
 type limitedListener struct {
-	*sockets.PatientListener
+	*sockets.RetryingListener
 	most     int
 	accepted atomic.Uint64
 	closes   [closeReasons]atomic.Uint64
@@ -50,7 +50,7 @@
 )
 
 func limitListener(l net.Listener, most int) *limitedListener {
-	ll := &limitedListener{PatientListener: sockets.Patient(l), most: most}
+	ll := &limitedListener{RetryingListener: sockets.NewRetryingListener(l), most: most}
 	ll.freed = sync.NewCond(&ll.mu)
 	return ll
 }
@@ -60,7 +60,7 @@
 func (l *limitedListener) Accept() (net.Conn, error) {
 	l.acquire()
 	for {
-		c, err := l.PatientListener.Accept()
+		c, err := l.RetryingListener.Accept()
 		if err != nil {
 			l.release(nil)
 			return nil, err
--- a/internal/front/rpcfront/conn.go
+++ b/internal/front/rpcfront/conn.go
@@ -104,7 +104,7 @@
 	c.mu.Lock()
 	open := c.open[id] == r
 	c.mu.Unlock()
-	return !open || sockets.Left(c.nc)
+	return !open || sockets.PeerClosed(c.nc)
 }
 
 // drain asks the client to send nothing new.
@@ -127,7 +127,7 @@
 // read is the reader.
 func (c *conn) read() {
 	defer c.end()
-	in := msgrpc.NewFramer(notedConn{c.nc, sockets.NewNotingReader(c.nc, &c.mu, c.noteRead)}, msgrpc.MaxRequest, wholeIn)
+	in := msgrpc.NewFramer(notedConn{c.nc, sockets.NewLockedReader(c.nc, &c.mu, c.noteRead)}, msgrpc.MaxRequest, wholeIn)
 	for {
 		frame, err := in.Next()
 		if err != nil {
@@ -153,7 +153,7 @@
 // notedConn is a connection that is read through a NotingReader.
 type notedConn struct {
 	net.Conn
-	in *sockets.NotingReader
+	in *sockets.LockedReader
 }
 
 func (c notedConn) Read(b []byte) (int, error) { return c.in.Read(b) }
@@ -394,7 +394,7 @@
 	c.closed = true
 	c.mu.Unlock()
 	if half, ok := c.nc.(sockets.HalfCloser); ok {
-		sockets.End(half, endIn, endMost)
+		sockets.LingeringClose(half, endIn, endMost)
 	} else {
 		c.nc.Close()
 	}
--- a/internal/front/rpcfront/front.go
+++ b/internal/front/rpcfront/front.go
@@ -75,7 +75,7 @@
 	cfg     Config
 	classes map[string]int
 	tenants map[string]int
-	ln      *sockets.PatientListener
+	ln      *sockets.RetryingListener
 
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
@@ -96,7 +96,7 @@
 		c.Held = DefaultHeld
 	}
 	return &Front{
-		core: k, cfg: c, classes: core.IndexByName(c.Classes), tenants: core.IndexByName(c.Tenants), ln: sockets.Patient(ln),
+		core: k, cfg: c, classes: core.IndexByName(c.Classes), tenants: core.IndexByName(c.Tenants), ln: sockets.NewRetryingListener(ln),
 		conns: make(map[*conn]struct{}), changed: make(chan struct{}), served: make(chan struct{}),
 	}
 }
@@ -189,7 +189,7 @@
 // taken on it is answered and written, or ctx ends. What crosses the drain is taken:
 // connections that wait to be accepted are, and a message that has begun is read on.
 func (f *Front) Shutdown(ctx context.Context) error {
-	f.ln.Drained(ctx)
+	f.ln.DrainBacklog(ctx)
 	f.mu.Lock()
 	f.closed = true
 	f.mu.Unlock()
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,4 +1,5 @@
-// Package http1 holds what the HTTP/1.1 front and the HTTP/1.1 transport share.
+// Package http1 holds what the HTTP/1.1 front end and the HTTP/1.1 transport share:
+// the framing of messages, bodies of a known length and hop-by-hop header fields.
 package http1
 
 import (
@@ -9,42 +10,47 @@
 	"time"
 )
 
-// MaxBody is what a request may hold, in bytes.
-const MaxBody = 64 << 10
+// MaxRequestBodyBytes bounds the body of a request.
+const MaxRequestBodyBytes = 64 << 10
 
-// trusted is how much is set aside for a body on the word of its length alone.
-const trusted = 8 << 10
+// initialBodyBytes bounds the memory that a body's length alone sets aside, before
+// any byte of the body has come.
+const initialBodyBytes = 8 << 10
 
-// hopFields concern one connection only (RFC 9110, section 7.6.1).
-var hopFields = [...]string{
+// hopByHopFields concern one connection only (RFC 9110, section 7.6.1).
+var hopByHopFields = [...]string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// DropHopByHop takes the fields out of a header that concern one connection only.
-func DropHopByHop(h http.Header) {
-	for _, list := range h["Connection"] {
+// RemoveHopByHopFields removes the fields that concern one connection only, those that
+// Connection names among them.
+func RemoveHopByHopFields(header http.Header) {
+	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
-			h.Del(strings.TrimSpace(name))
+			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopFields {
-		delete(h, name)
+	for _, name := range hopByHopFields {
+		delete(header, name)
 	}
 }
 
-// ReadExactly reads n bytes. A length that somebody claims takes little memory
-// before bytes have come, and their rest is set aside at once: growing step by
-// step would copy a large body over and over.
-func ReadExactly(r io.Reader, n int64) ([]byte, error) {
-	b := make([]byte, min(n, trusted))
-	if _, err := io.ReadFull(r, b); err != nil || n <= trusted {
-		return b, err
+// ReadExactly reads length bytes and blocks until they have come; the error is
+// io.ErrUnexpectedEOF, or io.EOF where none came, if the reader ends before. Once the
+// first bytes have come, memory for the rest is set aside at once: growing step by step
+// would copy a large body over and over.
+func ReadExactly(reader io.Reader, length int64) ([]byte, error) {
+	body := make([]byte, min(length, initialBodyBytes))
+	if _, err := io.ReadFull(reader, body); err != nil || length <= initialBodyBytes {
+		return body, err
 	}
-	b = append(make([]byte, 0, n), b...)[:n]
-	_, err := io.ReadFull(r, b[trusted:])
-	return b, err
+	body = append(make([]byte, 0, length), body...)[:length]
+	_, err := io.ReadFull(reader, body[initialBodyBytes:])
+	return body, err
 }
 
-// Seconds writes a duration as seconds with decimals.
-func Seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
+// FormatSeconds writes a duration in seconds with three decimals.
+func FormatSeconds(duration time.Duration) string {
+	return strconv.FormatFloat(duration.Seconds(), 'f', 3, 64)
+}
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -113,8 +113,8 @@
 		"keys on unsafe":  {Class: "once", Header: http.Header{"Idempotency-Key": {"a", "b"}}},
 		"get for unsafe":  {Class: "read", Header: http.Header{"Request-Class": {"once"}}},
 		"get with a body": {Class: "read", Body: "x"},
-		"body unread":     {Class: "once", Body: strings.Repeat("x", http1.MaxBody), Header: http.Header{"Request-Class": nil}},
-		"large body":      {Class: "once", Body: strings.Repeat("x", http1.MaxBody+1)},
+		"body unread":     {Class: "once", Body: strings.Repeat("x", http1.MaxRequestBodyBytes), Header: http.Header{"Request-Class": nil}},
+		"large body":      {Class: "once", Body: strings.Repeat("x", http1.MaxRequestBodyBytes+1)},
 	}
 	for name, c := range bad {
 		got := c.Do(t, addr)
@@ -219,7 +219,7 @@
 	}
 	// The last ones were accepted only after as many older ones had been closed.
 	for _, nc := range conns {
-		if !sockets.Quiet(nc) {
+		if !sockets.IsIdle(nc) {
 			closed++
 		}
 	}
--- a/internal/sidecar/forward_test.go
+++ b/internal/sidecar/forward_test.go
@@ -13,7 +13,7 @@
 func TestRequestGoesOnUnchanged(t *testing.T) {
 	u := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, "127.0.0.1:1", peertest.HostText("s-1", u.Addr, "up", 0)))
-	body := strings.Repeat("h", http1.MaxBody)
+	body := strings.Repeat("h", http1.MaxRequestBodyBytes)
 	got := peertest.Call{Class: "keyed", Body: body, Timeout: "3.25", Header: http.Header{
 		"Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Trace": {"a", "b"},
 	}}.Do(t, addr)
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,4 +1,6 @@
-// Package sockets looks at sockets in ways that package net has no call for.
+// Package sockets has operations on sockets that package net lacks: looking at a socket
+// without reading, closing without a reset, reading under a lock, and a listener that
+// outlasts failures of accept(2).
 package sockets
 
 import (
@@ -9,35 +11,38 @@
 	"time"
 )
 
-// Quiet looks at a socket without blocking: nothing to read and not closed. It
-// goes past the lock of readers, one of which may be waiting on the socket.
-func Quiet(nc net.Conn) bool {
-	_, err := peek(nc)
+// IsIdle reports whether a connection is open and has nothing to read. It does not
+// block, nor wait for a reader that is blocked on the connection.
+func IsIdle(conn net.Conn) bool {
+	_, err := peek(conn)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// Left looks whether the other end has closed the connection or reset it, in the
-// same way. Bytes that were not read yet hide a close.
-func Left(nc net.Conn) bool {
-	n, err := peek(nc)
-	return n == 0 && err == nil || err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
+// PeerClosed reports whether the peer has closed the connection or reset it, without
+// blocking. Unread bytes hide a close.
+func PeerClosed(conn net.Conn) bool {
+	count, err := peek(conn)
+	if err == nil {
+		return count == 0
+	}
+	return !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
-// peek looks at the next byte: how many there are, of one, and what reading would fail with.
-func peek(nc net.Conn) (n int, err error) {
-	sc, ok := nc.(syscall.Conn)
+// peek returns how many bytes there are to read, 1 at most, and what a read would fail with.
+func peek(conn net.Conn) (count int, err error) {
+	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0, errors.ErrUnsupported
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	looked := raw.Control(func(fd uintptr) {
-		var b [1]byte
-		n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	controlErr := raw.Control(func(descriptor uintptr) {
+		var buffer [1]byte
+		count, _, err = syscall.Recvfrom(int(descriptor), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	return n, errors.Join(looked, err)
+	return count, errors.Join(controlErr, err)
 }
 
 // HalfCloser is a connection whose write side can be shut alone.
@@ -46,24 +51,23 @@
 	CloseWrite() error
 }
 
-// End closes a connection without taking from the other end what was written to
-// it: it shuts the write side and lingers.
-func End(c HalfCloser, within time.Duration, most int64) error {
-	if c.CloseWrite() == nil {
-		Linger(c, within, most)
+// LingeringClose closes a connection without losing what was written to the peer: it
+// shuts the write side, lingers and closes then. It blocks for timeout at most.
+func LingeringClose(conn HalfCloser, timeout time.Duration, maxBytes int64) error {
+	if conn.CloseWrite() == nil {
+		Linger(conn, timeout, maxBytes)
 	}
-	return c.Close()
+	return conn.Close()
 }
 
-// Linger reads on from a connection whose write side was shut, until the other end has
-// closed too, within a time and a number of bytes: a close over bytes that were not
-// read resets the connection, and what was written to the other end may be on its way.
-// What is read is dropped.
-func Linger(c net.Conn, within time.Duration, most int64) {
-	if c.SetReadDeadline(time.Now().Add(within)) == nil {
-		io.CopyN(io.Discard, onlyReader{c}, most)
+// Linger reads from a connection whose write side was shut, and drops what comes, until
+// the peer has closed too, for timeout and maxBytes at most: a close with unread bytes
+// resets the connection, and what was written to the peer may still be on its way.
+func Linger(conn net.Conn, timeout time.Duration, maxBytes int64) {
+	if conn.SetReadDeadline(time.Now().Add(timeout)) == nil {
+		_, _ = io.CopyN(io.Discard, readerOnly{conn}, maxBytes)
 	}
 }
 
-// onlyReader hides what a connection offers beside Read, so that nothing is spliced.
-type onlyReader struct{ io.Reader }
+// readerOnly hides what a connection offers beside Read, so that io.CopyN does not splice.
+type readerOnly struct{ io.Reader }
--- a/internal/transport/httpnode/pool.go
+++ b/internal/transport/httpnode/pool.go
@@ -162,7 +162,7 @@
 
 func (f followed) Read(b []byte) (int, error) {
 	n, err := f.Reader.Read(b)
-	f.heads.Feed(b[:n])
+	f.heads.Observe(b[:n])
 	return n, err
 }
 
@@ -190,7 +190,7 @@
 	case p.slots <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return errors.Join(sockets.ErrNoRoom, ctx.Err())
+		return errors.Join(sockets.ErrConnectionLimit, ctx.Err())
 	}
 }
 
@@ -271,5 +271,5 @@
 // usable says whether an idle connection may carry a request: young enough, and
 // neither closed by the peer nor with bytes that nobody asked for.
 func (c *conn) usable(now time.Time, idleFor time.Duration) bool {
-	return now.Sub(c.idle) < idleFor && c.r.Buffered() == 0 && sockets.Quiet(c.Conn)
+	return now.Sub(c.idle) < idleFor && c.r.Buffered() == 0 && sockets.IsIdle(c.Conn)
 }
--- a/internal/transport/httpnode/transport.go
+++ b/internal/transport/httpnode/transport.go
@@ -106,7 +106,7 @@
 	switch {
 	case err != nil && !wrote && (errors.Is(ctx.Err(), context.Canceled) || errors.Is(err, core.ErrNotSent) || !m.AllowSend(time.Now())):
 		return policy.NotSent, nil // no word against the upstream: nobody waited for it any more
-	case err != nil && !wrote && sockets.Local(err):
+	case err != nil && !wrote && sockets.IsLocalError(err):
 		return policy.NotSent, nil // nor is what this machine lacks
 	case err != nil && !wrote:
 		return policy.ConnectionFailed, nil
@@ -194,7 +194,7 @@
 		if err != nil {
 			return nil, http1.Head{}, err
 		}
-		head := c.heads.Next()
+		head := c.heads.NextHead()
 		if resp.StatusCode >= 200 {
 			return resp, head, nil
 		}
@@ -218,7 +218,7 @@
 func (a *answer) readBody(c *conn) (err error) {
 	coded := len(a.TransferEncoding) > 0
 	switch {
-	case a.head.Coded && !(coded && a.head.Certain()):
+	case a.head.HasTransferEncoding && !(coded && a.head.Unambiguous()):
 		return errTwoLengths
 	case a.ContentLength > maxAnswerBody:
 		return errTooLarge
@@ -276,7 +276,7 @@
 	ctx, cancel := context.WithTimeout(ctx, t.pool.dialTimeout)
 	defer cancel()
 	c, err := t.pool.get(ctx, to)
-	if err != nil && sockets.Local(err) {
+	if err != nil && sockets.IsLocalError(err) {
 		return unknown, fmt.Errorf("%w: %w", core.ErrNotSent, err)
 	}
 	if err != nil {
--- a/internal/transport/httpnode/transport_test.go
+++ b/internal/transport/httpnode/transport_test.go
@@ -272,7 +272,7 @@
 		t.Fatal(err)
 	}
 	peer := peertest.Await(t, "the connection", u.Accepted)
-	if !sockets.Quiet(c.Conn) {
+	if !sockets.IsIdle(c.Conn) {
 		t.Error("a live idle connection is taken for a closed one")
 	}
 	p.put(c)
--- a/internal/transport/rpcnode/transport.go
+++ b/internal/transport/rpcnode/transport.go
@@ -130,7 +130,7 @@
 
 var (
 	errRetired  = errors.New("the node has left the list")
-	errNoRoom   = fmt.Errorf("%w: no room for another connection", sockets.ErrNoRoom)
+	errNoRoom   = fmt.Errorf("%w: no room for another connection", sockets.ErrConnectionLimit)
 	errAllOwing = errors.New("every connection to the node waits for answers that it owes")
 )
 
@@ -142,7 +142,7 @@
 	switch {
 	case r.err != nil && !wrote && (errors.Is(ctx.Err(), context.Canceled) || errors.Is(r.err, core.ErrNotSent) || !m.AllowSend(time.Now())):
 		return policy.NotSent, nil // no word against the node: nobody waited for it any more
-	case r.err != nil && !wrote && sockets.Local(r.err):
+	case r.err != nil && !wrote && sockets.IsLocalError(r.err):
 		return policy.NotSent, nil // nor is what this machine lacks
 	case r.err != nil && !wrote:
 		return policy.ConnectionFailed, nil
@@ -169,7 +169,7 @@
 		return msgrpc.AppendPlain(b, id, msgrpc.MethodProbe)
 	})
 	switch {
-	case r.err != nil && sockets.Local(r.err):
+	case r.err != nil && sockets.IsLocalError(r.err):
 		return unknown, fmt.Errorf("%w: %w", core.ErrNotSent, r.err)
 	case r.err != nil:
 		return unknown, r.err
