--- a/internal/front/httpfront/front.go
+++ b/internal/front/httpfront/front.go
@@ -36,13 +36,13 @@
 
 // Config is what a Front keeps to.
 type Config struct {
-	Classes     []string // names by number
-	Effects     []policy.Idempotency
-	Tenants     []string // empty: there is one, and requests need not name it
-	Connections int      // the most that are open at once
-	// Arrived returns when bytes that were read just now may have come at the earliest;
+	Classes        []string // names by number
+	Idempotency    []policy.Idempotency
+	Tenants        []string // empty: there is one, and requests need not name it
+	MaxConnections int      // the most that are open at once
+	// EarliestArrival returns when bytes that were read just now may have come at the earliest;
 	// nil: now.
-	Arrived func(now time.Time) time.Time
+	EarliestArrival func(now time.Time) time.Time
 }
 
 // Front is the HTTP/1.1 side towards the application.
@@ -88,10 +88,10 @@
 // New makes a Front on a listener; Serve starts it.
 func New(c Config, k core.Handler, ln net.Listener) *Front {
 	s := &Front{
-		core: k, effects: c.Effects, classes: core.IndexByName(c.Classes), tenants: core.IndexByName(c.Tenants),
-		listener: limitListener(ln, c.Connections),
+		core: k, effects: c.Idempotency, classes: core.IndexByName(c.Classes), tenants: core.IndexByName(c.Tenants),
+		listener: limitListener(ln, c.MaxConnections),
 	}
-	s.listener.arrived = c.Arrived
+	s.listener.arrived = c.EarliestArrival
 	// There is no ReadTimeout: that would also end the watch for clients that
 	// leave, as if they had left.
 	s.server = &http.Server{
--- a/internal/front/httpfront/front_test.go
+++ b/internal/front/httpfront/front_test.go
@@ -33,8 +33,8 @@
 func (k *serving) Ready() bool { return true }
 
 var testConfig = Config{
-	Classes: []string{"read", "keyed", "once"}, Effects: []policy.Idempotency{policy.Idempotent, policy.IdempotentByKey, policy.NotIdempotent},
-	Tenants: []string{"acme"}, Connections: 4,
+	Classes: []string{"read", "keyed", "once"}, Idempotency: []policy.Idempotency{policy.Idempotent, policy.IdempotentByKey, policy.NotIdempotent},
+	Tenants: []string{"acme"}, MaxConnections: 4,
 }
 
 // net/http counts a connection as idle until it has read a request's header. A
@@ -106,7 +106,7 @@
 	s := New(testConfig, k, ln)
 	go s.Serve()
 	results := make(chan int, 10)
-	for i := range testConfig.Connections + 2 { // all are connected before the end begins
+	for i := range testConfig.MaxConnections + 2 { // all are connected before the end begins
 		c, in := openConn(t, ln.Addr().String())
 		peertest.Call{Class: "once", ID: string(rune('a' + i))}.Request(t, ln.Addr().String()).Write(c)
 		go func() {
@@ -119,7 +119,7 @@
 			results <- resp.StatusCode
 		}()
 	}
-	for range testConfig.Connections {
+	for range testConfig.MaxConnections {
 		peertest.Await(t, "a busy connection", k.taken)
 	}
 	s.Drain()
@@ -127,7 +127,7 @@
 	go func() { ended <- s.Shutdown(t.Context()) }()
 	peertest.Until(t, "the drain", s.listener.isDraining)
 	close(k.pass)
-	for range testConfig.Connections + 2 {
+	for range testConfig.MaxConnections + 2 {
 		if got := peertest.Await(t, "an answer", results); got != http.StatusOK {
 			t.Errorf("got %d", got)
 		}
@@ -185,7 +185,7 @@
 func TestOneMakesWayForEach(t *testing.T) {
 	ln, k := peertest.Listen(t), &holding{taken: make(chan string, 100), pass: make(chan struct{})}
 	config := testConfig
-	config.Connections = 20
+	config.MaxConnections = 20
 	s := New(config, k, ln)
 	go s.Serve()
 	t.Cleanup(func() { s.server.Close() })
--- a/internal/front/rpcfront/conn.go
+++ b/internal/front/rpcfront/conn.go
@@ -140,8 +140,8 @@
 			return
 		}
 		arrival := time.Now()
-		if c.front.cfg.Arrived != nil {
-			arrival = c.front.cfg.Arrived(arrival)
+		if c.front.cfg.EarliestArrival != nil {
+			arrival = c.front.cfg.EarliestArrival(arrival)
 		}
 		if !c.take(frame, arrival) {
 			return
@@ -205,8 +205,8 @@
 	}
 	c.mu.Lock()
 	_, twice := c.open[m.ID]
-	flood := len(c.open) >= f.cfg.Open || c.held > f.cfg.Held
-	full := len(c.line) >= 4*f.cfg.Open
+	flood := len(c.open) >= f.cfg.MaxRequestsInFlight || c.held > f.cfg.MaxBufferedResponseBytes
+	full := len(c.line) >= 4*f.cfg.MaxRequestsInFlight
 	c.mu.Unlock()
 	if twice { // an answer could not say which of the two it is for
 		f.repeated.Add(1)
@@ -347,7 +347,7 @@
 		c.mu.Unlock()
 		size := 0
 		for i := range batch {
-			b = batch[i].append(b, c.front.cfg.Texts)
+			b = batch[i].append(b, c.front.cfg.ErrorsAsText)
 			size += len(batch[i].core.Body)
 			batch[i] = answer{}
 		}
--- a/internal/front/rpcfront/errors_test.go
+++ b/internal/front/rpcfront/errors_test.go
@@ -19,7 +19,7 @@
 	for _, texts := range []bool{false, true} {
 		t.Run(fmt.Sprint("texts=", texts), func(t *testing.T) {
 			k := newHolding()
-			c := dial(t, startFront(t, Config{Texts: texts, Open: 1}, k))
+			c := dial(t, startFront(t, Config{ErrorsAsText: texts, MaxRequestsInFlight: 1}, k))
 			for _, step := range []struct {
 				ask  func()
 				want string
--- a/internal/front/rpcfront/front.go
+++ b/internal/front/rpcfront/front.go
@@ -17,8 +17,8 @@
 	"mothridge/policy"
 )
 
-// Core takes the requests.
-type Core interface {
+// Handler takes the requests.
+type Handler interface {
 	Submit(*core.Request)
 	Abandon(*core.Request)
 	Ready() bool
@@ -26,20 +26,20 @@
 
 // Config is what a Front keeps to. Zeros take the defaults.
 type Config struct {
-	Classes     []string // names by number
-	Effects     []policy.Idempotency
-	Tenants     []string                      // empty: there is one, and requests need not name it
-	Connections int                           // the most that are open at once
-	Open        int                           // requests of one connection that are taken and not answered; more are refused
-	Held        int                           // bytes of answers that wait for one client to read; beyond, its new requests are refused
-	Arrived     func(now time.Time) time.Time // when bytes that were read just now may have come at the earliest; nil: now
-	Texts       bool                          // errors are written as texts, for codecs that read no maps there
+	Classes                  []string // names by number
+	Idempotency              []policy.Idempotency
+	Tenants                  []string                      // empty: there is one, and requests need not name it
+	MaxConnections           int                           // the most that are open at once
+	MaxRequestsInFlight      int                           // requests of one connection that are taken and not answered; more are refused
+	MaxBufferedResponseBytes int                           // bytes of answers that wait for one client to read; beyond, its new requests are refused
+	EarliestArrival          func(now time.Time) time.Time // when bytes that were read just now may have come at the earliest; nil: now
+	ErrorsAsText             bool                          // errors are written as texts, for codecs that read no maps there
 }
 
 // The defaults of Config.
 const (
-	DefaultOpen = 64
-	DefaultHeld = 1 << 20
+	DefaultMaxRequestsInFlight      = 64
+	DefaultMaxBufferedResponseBytes = 1 << 20
 )
 
 const (
@@ -71,7 +71,7 @@
 
 // Front is the MessagePack-RPC side towards the application.
 type Front struct {
-	core    Core
+	core    Handler
 	cfg     Config
 	classes map[string]int
 	tenants map[string]int
@@ -88,12 +88,12 @@
 }
 
 // New makes a Front on a listener; Serve starts it.
-func New(c Config, k Core, ln net.Listener) *Front {
-	if c.Open == 0 {
-		c.Open = DefaultOpen
+func New(c Config, k Handler, ln net.Listener) *Front {
+	if c.MaxRequestsInFlight == 0 {
+		c.MaxRequestsInFlight = DefaultMaxRequestsInFlight
 	}
-	if c.Held == 0 {
-		c.Held = DefaultHeld
+	if c.MaxBufferedResponseBytes == 0 {
+		c.MaxBufferedResponseBytes = DefaultMaxBufferedResponseBytes
 	}
 	return &Front{
 		core: k, cfg: c, classes: core.IndexByName(c.Classes), tenants: core.IndexByName(c.Tenants), ln: sockets.NewRetryingListener(ln),
@@ -141,7 +141,7 @@
 func (f *Front) makeRoom() {
 	for {
 		f.mu.Lock()
-		if len(f.conns) < f.cfg.Connections || f.closed {
+		if len(f.conns) < f.cfg.MaxConnections || f.closed {
 			f.mu.Unlock()
 			return
 		}
@@ -248,7 +248,7 @@
 	if strings.ContainsFunc(call.Target, unprintable) || strings.ContainsFunc(call.Host, unprintable) {
 		return wrong("target and host: printable ASCII is meant")
 	}
-	effect := f.cfg.Effects[class]
+	effect := f.cfg.Idempotency[class]
 	switch {
 	case effect == policy.IdempotentByKey && call.Key == "":
 		return wrong("key is missing: without it a repeat could not be told from a new request")
--- a/internal/front/rpcfront/front_test.go
+++ b/internal/front/rpcfront/front_test.go
@@ -33,12 +33,12 @@
 
 func (k *holding) Ready() bool { return true }
 
-func startFront(t *testing.T, c Config, k Core) *Front {
+func startFront(t *testing.T, c Config, k Handler) *Front {
 	t.Helper()
 	c.Classes, c.Tenants = []string{"read", "keyed", "once"}, []string{"north"}
-	c.Effects = []policy.Idempotency{policy.Idempotent, policy.IdempotentByKey, policy.NotIdempotent}
-	if c.Connections == 0 {
-		c.Connections = 10
+	c.Idempotency = []policy.Idempotency{policy.Idempotent, policy.IdempotentByKey, policy.NotIdempotent}
+	if c.MaxConnections == 0 {
+		c.MaxConnections = 10
 	}
 	f := New(c, k, peertest.Listen(t))
 	done := make(chan error, 1)
@@ -231,7 +231,7 @@
 // exactly one answer for each request.
 func TestFlood(t *testing.T) {
 	k := newHolding()
-	f := startFront(t, Config{Open: 8}, k)
+	f := startFront(t, Config{MaxRequestsInFlight: 8}, k)
 	c := dial(t, f)
 	const n = 30
 	for i := range n {
@@ -264,7 +264,7 @@
 // for it, and another client's are not held up.
 func TestClientThatNeverReads(t *testing.T) {
 	k := newHolding()
-	f := startFront(t, Config{Open: 32}, k)
+	f := startFront(t, Config{MaxRequestsInFlight: 32}, k)
 	deaf, other := dial(t, f), dial(t, f)
 	deaf.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	go func() {
@@ -299,7 +299,7 @@
 		f.mu.Lock()
 		for c := range f.conns {
 			c.mu.Lock()
-			if most := f.cfg.Held + (f.cfg.Open+1)*(512<<10); c.held > most || len(c.line) > 4*f.cfg.Open {
+			if most := f.cfg.MaxBufferedResponseBytes + (f.cfg.MaxRequestsInFlight+1)*(512<<10); c.held > most || len(c.line) > 4*f.cfg.MaxRequestsInFlight {
 				t.Errorf("%d bytes and %d answers are held for one client", c.held, len(c.line))
 			}
 			c.mu.Unlock()
@@ -316,7 +316,7 @@
 // One that asks for little, but does not read what it gets, is not waited for either.
 func TestUnreadAnswersAreNotHeld(t *testing.T) {
 	k := newHolding()
-	f := startFront(t, Config{Open: 64, Held: 64 << 20}, k)
+	f := startFront(t, Config{MaxRequestsInFlight: 64, MaxBufferedResponseBytes: 64 << 20}, k)
 	c := dial(t, f)
 	c.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	for i := range 32 { // more than the buffers of both sides hold
@@ -338,7 +338,7 @@
 // A client that leaves with 100 open: the core hears of each.
 func TestClientLeavesWithManyOpen(t *testing.T) {
 	k := newHolding()
-	c := dial(t, startFront(t, Config{Open: 100}, k))
+	c := dial(t, startFront(t, Config{MaxRequestsInFlight: 100}, k))
 	open := make(map[*core.Request]bool)
 	for i := range 100 {
 		c.ask(uint32(i), nil)
@@ -515,7 +515,7 @@
 // request open never does.
 func TestConnectionsAreBounded(t *testing.T) {
 	k := newHolding()
-	f := startFront(t, Config{Connections: 2}, k)
+	f := startFront(t, Config{MaxConnections: 2}, k)
 	busy, idle := dial(t, f), dial(t, f)
 	busy.ask(1, nil)
 	r := peertest.Await(t, "the request", k.taken)
@@ -539,7 +539,7 @@
 // When the client leaves, so have the others.
 func TestCancelAmongManyInOnePiece(t *testing.T) {
 	k := newHolding()
-	f := startFront(t, Config{Open: 64}, k)
+	f := startFront(t, Config{MaxRequestsInFlight: 64}, k)
 	c := dial(t, f)
 	var text []byte
 	for id := range uint32(64) {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -176,7 +176,7 @@
 // fronts makes the front of each listener; they share the clients' connections evenly.
 func (c *Config) fronts(k core.Handler, arrived func(time.Time) time.Time, lns []net.Listener, connections int, figures *metrics.Metrics) []front {
 	each, effects := connections/len(lns), c.effects()
-	overHTTP := httpfront.Config{Classes: c.Classes, Effects: effects, Tenants: c.Tenants, Connections: each, Arrived: arrived}
+	overHTTP := httpfront.Config{Classes: c.Classes, Idempotency: effects, Tenants: c.Tenants, MaxConnections: each, EarliestArrival: arrived}
 	fronts := make([]front, len(lns))
 	for i, ln := range lns {
 		l := operator.Listener{Protocol: operator.HTTP} // the platform's
@@ -189,8 +189,8 @@
 			fronts[i], counts = f, func() any { return f.Counters() }
 		} else {
 			f := rpcfront.New(rpcfront.Config{
-				Classes: c.Classes, Effects: effects, Tenants: c.Tenants, Connections: each, Arrived: arrived,
-				Open: int(l.Open), Held: int(l.Held), Texts: l.Errors == operator.ErrorTexts,
+				Classes: c.Classes, Idempotency: effects, Tenants: c.Tenants, MaxConnections: each, EarliestArrival: arrived,
+				MaxRequestsInFlight: int(l.Open), MaxBufferedResponseBytes: int(l.Held), ErrorsAsText: l.Errors == operator.ErrorTexts,
 			}, k, ln)
 			fronts[i], counts = f, func() any { return f.Counters() }
 		}
