--- a/internal/front/rpcfront/conn.go
+++ b/internal/front/rpcfront/conn.go
@@ -13,25 +13,25 @@
 	"mothridge/internal/sockets"
 )
 
-// conn is one client connection. The reader takes requests, the writer gives
+// clientConn is one client connection. The reader takes requests, the writer gives
 // answers; the core's goroutine only puts an answer in line.
-type conn struct {
+type clientConn struct {
 	front *Front
 	nc    net.Conn
 	wake  chan struct{} // tells the writer that there is something to write, or that it is over
 
 	accepted time.Time
 
-	mu     sync.Mutex
-	open   map[uint32]*core.Request // taken and not answered
-	line   []answer                 // to be written
-	held   int                      // bytes of their bodies
-	note   []byte                   // notifications to be written, whole ones
-	since  time.Time                // when it last had nothing open
-	heard  bool                     // something was read from it
-	begun  bool                     // bytes were read of a message that is not taken yet
-	finish bool                     // to be closed as soon as nothing is open or in line
-	closed bool                     // takes nothing more
+	mu             sync.Mutex
+	open           map[uint32]*core.Request // taken and not answered
+	responseQueue  []answer                 // to be written
+	bufferedBytes  int                      // bytes of their bodies
+	note           []byte                   // notifications to be written, whole ones
+	since          time.Time                // when it last had nothing open
+	heard          bool                     // something was read from it
+	messageStarted bool                     // bytes were read of a message that is not taken yet
+	finish         bool                     // to be closed as soon as nothing is open or in line
+	closed         bool                     // takes nothing more
 
 	strikes int // the reader's: messages that were none
 }
@@ -44,12 +44,12 @@
 	plain []byte        // goes before both: a response that is made already
 }
 
-func newConn(f *Front, nc net.Conn) *conn {
+func newConn(f *Front, nc net.Conn) *clientConn {
 	now := time.Now()
-	return &conn{front: f, nc: nc, wake: make(chan struct{}, 1), open: make(map[uint32]*core.Request), accepted: now, since: now}
+	return &clientConn{front: f, nc: nc, wake: make(chan struct{}, 1), open: make(map[uint32]*core.Request), accepted: now, since: now}
 }
 
-func (c *conn) signal() {
+func (c *clientConn) signal() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -57,29 +57,29 @@
 }
 
 // idleSince says since when nothing is open or waits to be written, if so.
-func (c *conn) idleSince() (time.Time, bool) {
+func (c *clientConn) idleSince() (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.since, c.idleLocked()
 }
 
-func (c *conn) idleLocked() bool {
-	return len(c.open) == 0 && len(c.line) == 0 && len(c.note) == 0 && !c.begun
+func (c *clientConn) idleLocked() bool {
+	return len(c.open) == 0 && len(c.responseQueue) == 0 && len(c.note) == 0 && !c.messageStarted
 }
 
 // noteRead notes that bytes were read; c.mu is held. Those of a closed connection are
 // nobody's.
-func (c *conn) noteRead(n int) bool {
+func (c *clientConn) noteRead(n int) bool {
 	if n > 0 && !c.closed {
-		c.heard, c.begun = true, true
+		c.heard, c.messageStarted = true, true
 	}
 	return !c.closed
 }
 
 // noteTaken notes that what was read has been taken, if nothing is left of it.
-func (c *conn) noteTaken(left int) {
+func (c *clientConn) noteTaken(left int) {
 	c.mu.Lock()
-	c.begun = left > 0
+	c.messageStarted = left > 0
 	wanted := c.finish && c.idleLocked()
 	c.mu.Unlock()
 	if wanted {
@@ -89,7 +89,7 @@
 
 // closeIdle closes the connection if nothing is open on it. From then on no
 // request of it is taken, so that a client may send it again elsewhere.
-func (c *conn) closeIdle() {
+func (c *clientConn) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idleLocked() {
@@ -100,7 +100,7 @@
 
 // gone looks whether the client of a request has left or cancelled it. It is
 // asked next to the write of an attempt, where the core may not know it yet.
-func (c *conn) gone(id uint32, r *core.Request) bool {
+func (c *clientConn) gone(id uint32, r *core.Request) bool {
 	c.mu.Lock()
 	open := c.open[id] == r
 	c.mu.Unlock()
@@ -108,7 +108,7 @@
 }
 
 // drain asks the client to send nothing new.
-func (c *conn) drain() {
+func (c *clientConn) drain() {
 	c.mu.Lock()
 	c.note = msgrpc.AppendDrain(c.note)
 	c.mu.Unlock()
@@ -117,15 +117,15 @@
 
 // finishUp closes the connection as soon as all that was taken is answered. On a new
 // one the first message may be on its way.
-func (c *conn) finishUp(now time.Time) {
+func (c *clientConn) finishUp(now time.Time) {
 	c.mu.Lock()
-	c.finish = c.finish || c.heard || now.Sub(c.accepted) >= speakIn
+	c.finish = c.finish || c.heard || now.Sub(c.accepted) >= firstByteGrace
 	c.mu.Unlock()
 	c.signal()
 }
 
 // read is the reader.
-func (c *conn) read() {
+func (c *clientConn) read() {
 	defer c.end()
 	in := msgrpc.NewFramer(notedConn{c.nc, sockets.NewLockedReader(c.nc, &c.mu, c.noteRead)}, msgrpc.MaxRequest, wholeIn)
 	for {
@@ -140,8 +140,8 @@
 			return
 		}
 		arrival := time.Now()
-		if c.front.cfg.EarliestArrival != nil {
-			arrival = c.front.cfg.EarliestArrival(arrival)
+		if c.front.config.EarliestArrival != nil {
+			arrival = c.front.config.EarliestArrival(arrival)
 		}
 		if !c.take(frame, arrival) {
 			return
@@ -159,27 +159,27 @@
 func (c notedConn) Read(b []byte) (int, error) { return c.in.Read(b) }
 
 // end gives up what the client left open.
-func (c *conn) end() {
+func (c *clientConn) end() {
 	c.mu.Lock()
 	c.closed = true
 	open := c.open
 	c.open = nil
-	c.line, c.held = nil, 0
+	c.responseQueue, c.bufferedBytes = nil, 0
 	c.mu.Unlock()
 	c.signal()
 	for _, r := range open {
-		c.front.core.Abandon(r)
+		c.front.handler.Abandon(r)
 	}
 }
 
 // lastWord tells the client why its connection ends, if it reads at once.
-func (c *conn) lastWord(text string) {
+func (c *clientConn) lastWord(text string) {
 	c.nc.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
 	c.nc.Write(msgrpc.AppendProtocolError(nil, text))
 }
 
 // take handles one message; false ends the connection.
-func (c *conn) take(frame []byte, arrival time.Time) bool {
+func (c *clientConn) take(frame []byte, arrival time.Time) bool {
 	f := c.front
 	m, err := msgrpc.Parse(frame)
 	if err != nil {
@@ -195,7 +195,7 @@
 	}
 	switch string(m.Method) {
 	case msgrpc.MethodReady:
-		c.answer(answer{id: m.ID, plain: msgrpc.AppendReady(nil, m.ID, f.core.Ready() && !f.isDraining())})
+		c.answer(answer{id: m.ID, plain: msgrpc.AppendReady(nil, m.ID, f.handler.Ready() && !f.isDraining())})
 		return true
 	case msgrpc.MethodCall:
 	default:
@@ -205,8 +205,8 @@
 	}
 	c.mu.Lock()
 	_, twice := c.open[m.ID]
-	flood := len(c.open) >= f.cfg.MaxRequestsInFlight || c.held > f.cfg.MaxBufferedResponseBytes
-	full := len(c.line) >= 4*f.cfg.MaxRequestsInFlight
+	flood := len(c.open) >= f.config.MaxRequestsInFlight || c.bufferedBytes > f.config.MaxBufferedResponseBytes
+	full := len(c.responseQueue) >= 4*f.config.MaxRequestsInFlight
 	c.mu.Unlock()
 	if twice { // an answer could not say which of the two it is for
 		f.repeated.Add(1)
@@ -244,12 +244,12 @@
 	c.open[id] = r
 	c.mu.Unlock()
 	f.taken.Add(1)
-	f.core.Submit(r)
+	f.handler.Submit(r)
 	return true
 }
 
 // notified handles a notification.
-func (c *conn) notified(m msgrpc.Message) bool {
+func (c *clientConn) notified(m msgrpc.Message) bool {
 	if string(m.Method) != msgrpc.MethodCancel {
 		return true // a later version's, perhaps
 	}
@@ -263,7 +263,7 @@
 	delete(c.open, id)
 	c.mu.Unlock()
 	if r != nil {
-		c.front.core.Abandon(r)
+		c.front.handler.Abandon(r)
 		c.answer(answer{id: id, fault: &msgrpc.Fault{Kind: msgrpc.KindCancelled}})
 	}
 	return true
@@ -271,34 +271,34 @@
 
 // complain tells the client of a message that was passed over; a connection
 // that brings many of them ends.
-func (c *conn) complain(text string) bool {
+func (c *clientConn) complain(text string) bool {
 	c.mu.Lock()
 	c.note = msgrpc.AppendProtocolError(c.note, text)
 	c.mu.Unlock()
 	c.signal()
 	c.strikes++
-	return c.strikes < strikesOut
+	return c.strikes < maxMalformedMessages
 }
 
 // reply takes the core's answer, on the core's goroutine.
-func (c *conn) reply(id uint32, r *core.Request, a core.Response) {
+func (c *clientConn) reply(id uint32, r *core.Request, a core.Response) {
 	c.mu.Lock()
 	if c.open[id] != r { // given up meanwhile
 		c.mu.Unlock()
 		return
 	}
 	delete(c.open, id)
-	c.line = append(c.line, answer{id: id, core: a})
-	c.held += len(a.Body)
+	c.responseQueue = append(c.responseQueue, answer{id: id, core: a})
+	c.bufferedBytes += len(a.Body)
 	c.mu.Unlock()
 	c.signal()
 }
 
 // answer puts an answer in line that the core has no part in.
-func (c *conn) answer(a answer) {
+func (c *clientConn) answer(a answer) {
 	c.mu.Lock()
 	if !c.closed {
-		c.line = append(c.line, a)
+		c.responseQueue = append(c.responseQueue, a)
 	}
 	c.mu.Unlock()
 	c.signal()
@@ -335,19 +335,19 @@
 
 // write is the writer. A client that does not read what it asked for loses its
 // connection: its answers are not held for it.
-func (c *conn) write() {
+func (c *clientConn) write() {
 	defer c.hangUp()
 	var b []byte
 	var batch []answer
 	for range c.wake {
 		c.mu.Lock()
-		batch, c.line = c.line, batch[:0]
+		batch, c.responseQueue = c.responseQueue, batch[:0]
 		b = append(b[:0], c.note...)
 		c.note = c.note[:0]
 		c.mu.Unlock()
 		size := 0
 		for i := range batch {
-			b = batch[i].append(b, c.front.cfg.ErrorsAsText)
+			b = batch[i].append(b, c.front.config.ErrorsAsText)
 			size += len(batch[i].core.Body)
 			batch[i] = answer{}
 		}
@@ -361,7 +361,7 @@
 			}
 		}
 		c.mu.Lock()
-		c.held = max(0, c.held-size)
+		c.bufferedBytes = max(0, c.bufferedBytes-size)
 		idle := c.idleLocked()
 		if idle {
 			c.since = time.Now()
@@ -389,7 +389,7 @@
 
 // hangUp ends the connection, the reader too, without taking from the client what
 // was written to it.
-func (c *conn) hangUp() {
+func (c *clientConn) hangUp() {
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
--- a/internal/front/rpcfront/front.go
+++ b/internal/front/rpcfront/front.go
@@ -51,10 +51,10 @@
 	floodPause = 100 * time.Millisecond
 	// lookEvery is how often a front that ends looks at connections that say nothing, and
 	// speakIn how old one is before that is held to be so.
-	lookEvery = 10 * time.Millisecond
-	speakIn   = 50 * time.Millisecond
-	// strikesOut is how many messages that are none a connection may send.
-	strikesOut = 16
+	lookEvery      = 10 * time.Millisecond
+	firstByteGrace = 50 * time.Millisecond
+	// maxMalformedMessages is how many messages that are none a connection may send.
+	maxMalformedMessages = 16
 )
 
 // Counters tell what came on the connections.
@@ -71,14 +71,14 @@
 
 // Front is the MessagePack-RPC side towards the application.
 type Front struct {
-	core    Handler
-	cfg     Config
-	classes map[string]int
-	tenants map[string]int
-	ln      *sockets.RetryingListener
+	handler  Handler
+	config   Config
+	classes  map[string]int
+	tenants  map[string]int
+	listener *sockets.RetryingListener
 
 	mu       sync.Mutex
-	conns    map[*conn]struct{}
+	conns    map[*clientConn]struct{}
 	draining bool
 	closed   bool
 	served   chan struct{} // closed when Serve has returned
@@ -96,8 +96,8 @@
 		c.MaxBufferedResponseBytes = DefaultMaxBufferedResponseBytes
 	}
 	return &Front{
-		core: k, cfg: c, classes: core.IndexByName(c.Classes), tenants: core.IndexByName(c.Tenants), ln: sockets.NewRetryingListener(ln),
-		conns: make(map[*conn]struct{}), changed: make(chan struct{}), served: make(chan struct{}),
+		handler: k, config: c, classes: core.IndexByName(c.Classes), tenants: core.IndexByName(c.Tenants), listener: sockets.NewRetryingListener(ln),
+		conns: make(map[*clientConn]struct{}), changed: make(chan struct{}), served: make(chan struct{}),
 	}
 }
 
@@ -105,7 +105,7 @@
 func (f *Front) Counters() Counters {
 	return Counters{
 		f.connections.Load(), f.taken.Load(), f.rejected.Load(), f.flooded.Load(), f.repeated.Load(), f.malformed.Load(), f.stalled.Load(),
-		f.ln.Failures(),
+		f.listener.Failures(),
 	}
 }
 
@@ -113,7 +113,7 @@
 func (f *Front) Serve() error {
 	defer close(f.served)
 	for {
-		nc, err := f.ln.Accept()
+		nc, err := f.listener.Accept()
 		if err != nil {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -141,12 +141,12 @@
 func (f *Front) makeRoom() {
 	for {
 		f.mu.Lock()
-		if len(f.conns) < f.cfg.MaxConnections || f.closed {
+		if len(f.conns) < f.config.MaxConnections || f.closed {
 			f.mu.Unlock()
 			return
 		}
 		changed := f.changed
-		var oldest *conn
+		var oldest *clientConn
 		var since time.Time
 		for c := range f.conns {
 			if s, idle := c.idleSince(); idle && (oldest == nil || s.Before(since)) {
@@ -167,7 +167,7 @@
 	}
 }
 
-func (f *Front) forget(c *conn) {
+func (f *Front) forget(c *clientConn) {
 	f.mu.Lock()
 	delete(f.conns, c)
 	close(f.changed)
@@ -189,11 +189,11 @@
 // taken on it is answered and written, or ctx ends. What crosses the drain is taken:
 // connections that wait to be accepted are, and a message that has begun is read on.
 func (f *Front) Shutdown(ctx context.Context) error {
-	f.ln.DrainBacklog(ctx)
+	f.listener.DrainBacklog(ctx)
 	f.mu.Lock()
 	f.closed = true
 	f.mu.Unlock()
-	err := f.ln.Close()
+	err := f.listener.Close()
 	if errors.Is(err, net.ErrClosed) {
 		err = nil
 	}
@@ -248,7 +248,7 @@
 	if strings.ContainsFunc(call.Target, unprintable) || strings.ContainsFunc(call.Host, unprintable) {
 		return wrong("target and host: printable ASCII is meant")
 	}
-	effect := f.cfg.Idempotency[class]
+	effect := f.config.Idempotency[class]
 	switch {
 	case effect == policy.IdempotentByKey && call.Key == "":
 		return wrong("key is missing: without it a repeat could not be told from a new request")
--- a/internal/front/rpcfront/front_test.go
+++ b/internal/front/rpcfront/front_test.go
@@ -67,7 +67,7 @@
 
 func dial(t *testing.T, f *Front) *client {
 	t.Helper()
-	nc, err := net.Dial("tcp", f.ln.Addr().String())
+	nc, err := net.Dial("tcp", f.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -299,8 +299,8 @@
 		f.mu.Lock()
 		for c := range f.conns {
 			c.mu.Lock()
-			if most := f.cfg.MaxBufferedResponseBytes + (f.cfg.MaxRequestsInFlight+1)*(512<<10); c.held > most || len(c.line) > 4*f.cfg.MaxRequestsInFlight {
-				t.Errorf("%d bytes and %d answers are held for one client", c.held, len(c.line))
+			if most := f.config.MaxBufferedResponseBytes + (f.config.MaxRequestsInFlight+1)*(512<<10); c.bufferedBytes > most || len(c.responseQueue) > 4*f.config.MaxRequestsInFlight {
+				t.Errorf("%d bytes and %d answers are held for one client", c.bufferedBytes, len(c.responseQueue))
 			}
 			c.mu.Unlock()
 		}
@@ -494,20 +494,20 @@
 // A connection that brings nothing but nonsense ends.
 func TestManyBadMessagesEndTheConnection(t *testing.T) {
 	c := dial(t, startFront(t, Config{}, newHolding()))
-	io.WriteString(c, strings.Repeat("\x94\x01\x01\xc0\xc0", strikesOut))
+	io.WriteString(c, strings.Repeat("\x94\x01\x01\xc0\xc0", maxMalformedMessages))
 	told := 0
 	for {
 		_, err := c.read()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("after %d bad messages it goes on", strikesOut)
+			t.Fatalf("after %d bad messages it goes on", maxMalformedMessages)
 		}
 		if err != nil {
 			break
 		}
 		told++
 	}
-	if told > strikesOut {
-		t.Errorf("told of %d, %d were sent", told, strikesOut)
+	if told > maxMalformedMessages {
+		t.Errorf("told of %d, %d were sent", told, maxMalformedMessages)
 	}
 }
 
--- a/internal/front/rpcfront/shutdown_test.go
+++ b/internal/front/rpcfront/shutdown_test.go
@@ -25,7 +25,7 @@
 					defer f.mu.Unlock()
 					for x := range f.conns {
 						x.mu.Lock()
-						begun := x.begun
+						begun := x.messageStarted
 						x.mu.Unlock()
 						return begun
 					}
@@ -35,7 +35,7 @@
 			f.Drain()
 			done := make(chan error, 1)
 			go func() { done <- f.Shutdown(t.Context()) }()
-			time.Sleep(speakIn / 2) // the client's pace
+			time.Sleep(firstByteGrace / 2) // the client's pace
 			c.Write(text[first:])
 			peertest.Await(t, "the request", k.taken).Respond(core.Response{Result: core.Served})
 			for {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -39,7 +39,7 @@
 // ReadExactly reads length bytes and blocks until they have come; the error is
 // io.ErrUnexpectedEOF, or io.EOF where none came, if the reader ends before. Once the
 // first bytes have come, memory for the rest is set aside at once: growing step by step
-// would copy a large body over and over.
+// would copy a large body many times.
 func ReadExactly(reader io.Reader, length int64) ([]byte, error) {
 	body := make([]byte, min(length, initialBodyBytes))
 	if _, err := io.ReadFull(reader, body); err != nil || length <= initialBodyBytes {
--- a/internal/sockets/locked_reader.go
+++ b/internal/sockets/locked_reader.go
@@ -10,7 +10,7 @@
 
 // LockedReader reads from a connection and reports what came under the same lock: who
 // holds the lock sees no bytes that were read and not reported. Code that shuts the
-// connection down under that lock can tell what was read before from what comes after.
+// connection down under that lock knows that nothing was read after it.
 // The lock is not held while a read waits for bytes.
 //
 // One goroutine at a time may call Read.
