--- a/internal/front/frontend/frontend_test.go
+++ b/internal/front/frontend/frontend_test.go
@@ -60,7 +60,9 @@
 }
 
 func TestHasUnprintable(t *testing.T) {
-	for text, want := range map[string]bool{"": false, "aZ~!": false, "a b": true, "a\n": true, "a\x7f": true, "é": true, "\xff": true} {
+	for text, want := range map[string]bool{
+		"": false, "aZ~!": false, "a b": true, "a\n": true, "a\x7f": true, "é": true, "\xff": true,
+	} {
 		if got := HasUnprintable(text); got != want {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
--- a/internal/front/httpfront/listener.go
+++ b/internal/front/httpfront/listener.go
@@ -37,7 +37,9 @@
 	draining bool
 }
 
-func newLimitedListener(listener net.Listener, maxConnections int, earliestArrival func(time.Time) time.Time) *limitedListener {
+func newLimitedListener(
+	listener net.Listener, maxConnections int, earliestArrival func(now time.Time) time.Time,
+) *limitedListener {
 	limited := &limitedListener{
 		RetryingListener: sockets.NewRetryingListener(listener),
 		maxConnections:   maxConnections,
--- /dev/null
+++ b/internal/front/rpcfront/helpers_test.go
@@ -0,0 +1,125 @@
+package rpcfront
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"mothridge/internal/core"
+	"mothridge/internal/msgrpc"
+	"mothridge/internal/peers/peertest"
+	"mothridge/policy"
+)
+
+// holdingHandler hands each request to the test.
+type holdingHandler struct {
+	submitted chan *core.Request
+	abandoned chan *core.Request
+}
+
+func newHoldingHandler() *holdingHandler {
+	return &holdingHandler{submitted: make(chan *core.Request, 10000), abandoned: make(chan *core.Request, 10000)}
+}
+
+func (handler *holdingHandler) Submit(request *core.Request) { handler.submitted <- request }
+
+func (handler *holdingHandler) Abandon(request *core.Request) { handler.abandoned <- request }
+
+func (handler *holdingHandler) Ready() bool { return true }
+
+// startFront serves a front end until the end of the test, which waits for its connections.
+func startFront(t *testing.T, config Config, handler Handler) *Front {
+	t.Helper()
+	config.Classes, config.Tenants = []string{"read", "keyed", "once"}, []string{"north"}
+	config.Idempotency = []policy.Idempotency{policy.Idempotent, policy.IdempotentByKey, policy.NotIdempotent}
+	if config.MaxConnections == 0 {
+		config.MaxConnections = 10
+	}
+	front := New(config, handler, peertest.Listen(t))
+	done := make(chan error, 1)
+	go func() { done <- front.Serve() }()
+	t.Cleanup(func() {
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		front.Shutdown(ctx)
+		if err := peertest.Await(t, "the end of Serve", done); err != nil {
+			t.Errorf("Serve ended with %v", err)
+		}
+		peertest.Until(t, "the connections' end", func() bool {
+			front.mu.Lock()
+			defer front.mu.Unlock()
+			return len(front.conns) == 0
+		})
+	})
+	return front
+}
+
+// testClient is a client that can also send what is not valid.
+type testClient struct {
+	net.Conn
+	framer *msgrpc.Framer
+}
+
+func dial(t *testing.T, front *Front) *testClient {
+	t.Helper()
+	netConn, err := net.Dial("tcp", front.listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { netConn.Close() })
+	return &testClient{netConn, msgrpc.NewFramer(netConn, msgrpc.MaxAnswer, peertest.Patience)}
+}
+
+// call sends a valid call that change, which may be nil, has changed.
+func (client *testClient) call(id uint32, change func(*msgrpc.Call)) {
+	client.Write(callBytes(id, change))
+}
+
+func callBytes(id uint32, change func(*msgrpc.Call)) []byte {
+	call := msgrpc.Call{ID: fmt.Sprint("r", id), Class: "once", Tenant: "north", Left: 5 * time.Second, Body: []byte("{}")}
+	if change != nil {
+		change(&call)
+	}
+	return call.Append(nil, id)
+}
+
+func (client *testClient) readMessage(t *testing.T) msgrpc.Message {
+	t.Helper()
+	message, err := client.read()
+	if err != nil {
+		t.Fatalf("no message: %v", err)
+	}
+	return message
+}
+
+func (client *testClient) read() (msgrpc.Message, error) {
+	client.SetReadDeadline(time.Now().Add(peertest.Patience))
+	frame, err := client.framer.Next()
+	if err != nil {
+		return msgrpc.Message{}, err
+	}
+	return msgrpc.Parse(frame)
+}
+
+func (client *testClient) expectFault(t *testing.T, id uint32) *msgrpc.Fault {
+	t.Helper()
+	message := client.readMessage(t)
+	if message.Kind != msgrpc.Response || message.ID != id || message.Fault == nil {
+		t.Fatalf("got %+v, want an error for %d", message, id)
+	}
+	fault, err := msgrpc.ParseFault(message.Fault)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fault
+}
+
+func (client *testClient) expectProtocolError(t *testing.T) {
+	t.Helper()
+	message := client.readMessage(t)
+	if message.Kind != msgrpc.Notification || string(message.Method) != msgrpc.MethodProtocolError {
+		t.Fatalf("got %+v, want a protocol error", message)
+	}
+}
--- /dev/null
+++ b/internal/front/rpcfront/read_connection.go
@@ -0,0 +1,103 @@
+package rpcfront
+
+import (
+	"errors"
+	"net"
+	"os"
+	"time"
+
+	"mothridge/internal/front/frontend"
+	"mothridge/internal/msgrpc"
+	"mothridge/internal/sockets"
+)
+
+// protocolErrorTimeout bounds the write of the reason for which a connection is closed.
+const protocolErrorTimeout = 100 * time.Millisecond
+
+// readLoop is the reader: it handles messages until the connection ends.
+func (conn *clientConn) readLoop() {
+	defer conn.abandonRequests()
+	reader := recordedConn{conn.netConn, sockets.NewLockedReader(conn.netConn, &conn.mu, conn.onRead)}
+	framer := msgrpc.NewFramer(reader, msgrpc.MaxRequest, frontend.RequestReadTimeout)
+	for {
+		frame, err := framer.Next()
+		if err != nil {
+			conn.onReadError(err)
+			return
+		}
+		if !conn.handleMessage(frame, conn.arrivalTime()) {
+			return
+		}
+		conn.onMessageHandled(framer.Buffered())
+	}
+}
+
+// recordedConn is a connection that is read through a LockedReader.
+type recordedConn struct {
+	net.Conn
+	reader *sockets.LockedReader
+}
+
+// Read implements net.Conn.
+func (conn recordedConn) Read(buffer []byte) (int, error) { return conn.reader.Read(buffer) }
+
+// onRead records that bytes were read; conn.mu is held. Those of a closed connection are
+// dropped.
+func (conn *clientConn) onRead(count int) (accepted bool) {
+	if conn.state == connClosed {
+		return false
+	}
+	if count > 0 {
+		conn.hasRead = true
+		conn.messageStarted = true
+	}
+	return true
+}
+
+// onMessageHandled records that a message was handled; remaining is the number of bytes
+// of the next ones that were read already.
+func (conn *clientConn) onMessageHandled(remaining int) {
+	conn.mu.Lock()
+	conn.messageStarted = remaining > 0
+	finished := conn.state == connFinishing && conn.isIdleLocked()
+	conn.mu.Unlock()
+	if finished {
+		conn.signalWriter()
+	}
+}
+
+// arrivalTime returns when the message that was just read came.
+func (conn *clientConn) arrivalTime() time.Time {
+	now := time.Now()
+	if conn.front.config.EarliestArrival != nil {
+		return conn.front.config.EarliestArrival(now)
+	}
+	return now
+}
+
+// onReadError counts a message that cannot be framed, or that was not complete in time,
+// and writes the reason; it blocks for protocolErrorTimeout at most. Where the client
+// closed the connection it does nothing.
+func (conn *clientConn) onReadError(err error) {
+	if !isFramingError(err) && !errors.Is(err, os.ErrDeadlineExceeded) {
+		return
+	}
+	conn.front.malformed.Add(1)
+	conn.netConn.SetWriteDeadline(time.Now().Add(protocolErrorTimeout))
+	// The connection ends in any case.
+	_, _ = conn.netConn.Write(msgrpc.AppendProtocolError(nil, err.Error()))
+}
+
+// framingErrors are those after which the next message cannot be found.
+var framingErrors = [...]error{
+	msgrpc.ErrTooLarge, msgrpc.ErrTooDeep, msgrpc.ErrExtension, msgrpc.ErrReserved, msgrpc.ErrNotArray,
+}
+
+func isFramingError(err error) bool {
+	for _, framingError := range framingErrors {
+		if errors.Is(err, framingError) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/front/rpcfront/read_request_test.go
@@ -0,0 +1,115 @@
+package rpcfront
+
+import (
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"mothridge/internal/core"
+	"mothridge/internal/msgrpc"
+	"mothridge/internal/peers/peertest"
+)
+
+func TestRequestReachesTheHandler(t *testing.T) {
+	handler := newHoldingHandler()
+	client := dial(t, startFront(t, Config{}, handler))
+	client.call(9, func(call *msgrpc.Call) {
+		call.Class, call.Key, call.Affinity, call.Target = "keyed", "k1", "hive-7", "/a?b=c"
+		call.Retry, call.Work = true, 1500*time.Microsecond
+		call.Fields = map[string][]string{"x-apiary": {"1", "2"}, "Tenant": {"not this one"}}
+	})
+	request := peertest.Await(t, "the request", handler.submitted)
+	if request.ID != "r9" || request.Class != 1 || request.Tenant != 0 {
+		t.Errorf("request %+v", request)
+	}
+	if !request.ClientRetry || request.ExpectedWork != 1500*time.Microsecond {
+		t.Errorf("request %+v", request)
+	}
+	if request.Method != "POST" || request.Target != "/a?b=c" || string(request.Body) != "{}" {
+		t.Errorf("request %+v", request)
+	}
+	if left := time.Until(request.Deadline); left > 5*time.Second || left < 3*time.Second {
+		t.Errorf("request %+v has %v left", request, left)
+	}
+	want := map[string]string{
+		"Request-Id": "r9", "Request-Class": "keyed", "Tenant": "north", "Idempotency-Key": "k1",
+		"Affinity-Key": "hive-7", "Client-Retry": "1", "Work-Hint": "1500", "X-Apiary": "1,2",
+	}
+	for name, values := range request.Fields {
+		if want[name] != strings.Join(values, ",") {
+			t.Errorf("field %s is %q, want %q", name, values, want[name])
+		}
+	}
+	if len(request.Fields) != len(want) {
+		t.Errorf("fields %v", request.Fields)
+	}
+	request.Respond(core.Response{
+		Result: core.Served,
+		Body:   []byte("honey"),
+		Fields: map[string][]string{"X-Grade": {"1"}, "Connection": {"close"}, "X-Odd": {"a\x01b"}},
+	})
+	message := client.readMessage(t)
+	got, err := msgrpc.ParseResult(message.Result)
+	if err != nil || message.ID != 9 || message.Fault != nil || string(got.Body) != "honey" || len(got.Fields) != 1 {
+		t.Errorf("answer %+v %+v, error %v", message, got, err)
+	}
+}
+
+// What is wrong is answered by name, and the connection goes on.
+func TestWrongRequests(t *testing.T) {
+	handler := newHoldingHandler()
+	front := startFront(t, Config{}, handler)
+	client := dial(t, front)
+	for word, change := range map[string]func(*msgrpc.Call){
+		"class":   func(call *msgrpc.Call) { call.Class = "later" },
+		"tenant":  func(call *msgrpc.Call) { call.Tenant = "" },
+		"id":      func(call *msgrpc.Call) { call.ID = "" },
+		"ASCII":   func(call *msgrpc.Call) { call.ID = "a b" },
+		"target":  func(call *msgrpc.Call) { call.Target = "no-path" },
+		"host":    func(call *msgrpc.Call) { call.Target, call.Host = "/a b", "x" },
+		"left_ms": func(call *msgrpc.Call) { call.Left = 0 },
+		"key":     func(call *msgrpc.Call) { call.Class = "keyed" },
+		"have":    func(call *msgrpc.Call) { call.Key = "k" },
+		"none":    func(call *msgrpc.Call) { call.Class = "read" },
+		"field":   func(call *msgrpc.Call) { call.Fields = map[string][]string{"X:Y": {"1"}} },
+		"control": func(call *msgrpc.Call) { call.Fields = map[string][]string{"X": {"1\r\nY: 2"}} },
+		"bytes":   func(call *msgrpc.Call) { call.Body = make([]byte, msgrpc.MaxBody+1) },
+	} {
+		client.call(5, change)
+		if got := client.expectFault(t, 5); got.Kind != msgrpc.KindRejected || !strings.Contains(got.Text, word) {
+			t.Errorf("%s: %+v", word, got)
+		}
+	}
+	client.Write(msgrpc.AppendPlain(nil, 6, "no_such_method"))
+	if got := client.expectFault(t, 6); got.Kind != msgrpc.KindRejected {
+		t.Errorf("an unknown method: %+v", got)
+	}
+	client.Write(msgrpc.AppendPlain(nil, 7, msgrpc.MethodReady))
+	if ready, err := msgrpc.ReadReady(client.readMessage(t).Result); err != nil || !ready {
+		t.Errorf("ready: %v, %v", ready, err)
+	}
+	if len(handler.submitted) > 0 {
+		t.Error("a wrong request was submitted")
+	}
+}
+
+// Params that are wrong in themselves are answered under their msgid.
+func TestWrongParams(t *testing.T) {
+	handler := newHoldingHandler()
+	client := dial(t, startFront(t, Config{}, handler))
+	for name, params := range map[string]string{
+		"none": "\x90", "two": "\x92\x80\x80", "a text": "\x91\xa1x", "key a number": "\x91\x81\x07\x07",
+		"key twice": "\x91\x82\xa2id\xa1x\xa2id\xa1y", "id a number": "\x91\x81\xa2id\x07",
+		"left NaN":     "\x91\x81\xa7left_ms\xcb\x7f\xf8\x00\x00\x00\x00\x00\x00",
+		"left below 0": "\x91\x81\xa7left_ms\xff", "fields a list": "\x91\x81\xa6fields\x90",
+	} {
+		io.WriteString(client, "\x94\x00\x05\xa4call"+params)
+		if fault := client.expectFault(t, 5); fault.Kind != msgrpc.KindRejected || fault.Text == "" {
+			t.Errorf("%s: %+v", name, fault)
+		}
+	}
+	if len(handler.submitted) > 0 {
+		t.Error("a wrong request was submitted")
+	}
+}
