--- a/internal/front/rpcfront/cancel_test.go
+++ b/internal/front/rpcfront/cancel_test.go
@@ -40,7 +40,7 @@
 	client := dial(t, front)
 	var text []byte
 	for id := range uint32(64) {
-		call := msgrpc.Call{ID: fmt.Sprint("r", id), Class: "once", Tenant: "north", Left: 5 * time.Second}
+		call := msgrpc.Call{ID: fmt.Sprint("r", id), Class: "once", Tenant: "north", Timeout: 5 * time.Second}
 		if text = call.Append(text, id); id == 40 {
 			text = msgrpc.AppendCancel(text, 32)
 		}
--- a/internal/front/rpcfront/close.go
+++ b/internal/front/rpcfront/close.go
@@ -7,7 +7,7 @@
 )
 
 // maxLingerBytes bounds what is read from a connection that is closed.
-const maxLingerBytes = 4 * msgrpc.MaxRequest
+const maxLingerBytes = 4 * msgrpc.MaxRequestBytes
 
 // closeIdle closes the connection if it is idle. From then on no request of it is
 // submitted, so that the client may send it again elsewhere.
--- a/internal/front/rpcfront/drain_test.go
+++ b/internal/front/rpcfront/drain_test.go
@@ -123,7 +123,7 @@
 		served = served || message.Kind == msgrpc.Response && message.Fault == nil
 	}
 	for id := range uint32(3) {
-		call := msgrpc.Call{ID: fmt.Sprint("late", id), Class: "once", Tenant: "north", Left: 5 * time.Second}
+		call := msgrpc.Call{ID: fmt.Sprint("late", id), Class: "once", Tenant: "north", Timeout: 5 * time.Second}
 		if _, err := client.Write(call.Append(nil, 10+id)); err != nil {
 			t.Errorf("the connection was reset: %v", err)
 		}
--- a/internal/front/rpcfront/handle_message.go
+++ b/internal/front/rpcfront/handle_message.go
@@ -65,9 +65,9 @@
 	case limitExceeded:
 		front.limitExceeded.Add(1)
 		conn.queueFault(id, &msgrpc.Fault{
-			Kind:  msgrpc.KindRefused,
-			Pause: limitExceededRetryAfter,
-			Text:  "too many at once on one connection",
+			Kind:       msgrpc.KindRefused,
+			RetryAfter: limitExceededRetryAfter,
+			Text:       "too many at once on one connection",
 		})
 		return true
 	case withinLimits:
--- a/internal/front/rpcfront/handle_message_test.go
+++ b/internal/front/rpcfront/handle_message_test.go
@@ -48,7 +48,7 @@
 	for range count - 8 {
 		message := client.readMessage(t)
 		fault, err := msgrpc.ParseFault(message.Fault)
-		if err != nil || fault.Kind != msgrpc.KindRefused || fault.Pause <= 0 {
+		if err != nil || fault.Kind != msgrpc.KindRefused || fault.RetryAfter <= 0 {
 			t.Errorf("got %+v, %v", fault, err)
 		}
 		responses[message.ID]++
--- a/internal/front/rpcfront/helpers_test.go
+++ b/internal/front/rpcfront/helpers_test.go
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { netConn.Close() })
-	return &testClient{netConn, msgrpc.NewFramer(netConn, msgrpc.MaxAnswer, peertest.Patience)}
+	return &testClient{netConn, msgrpc.NewFramer(netConn, msgrpc.MaxResponseBytes, peertest.Patience)}
 }
 
 // call sends a valid call that change, which may be nil, has changed.
@@ -78,7 +78,7 @@
 }
 
 func callBytes(id uint32, change func(*msgrpc.Call)) []byte {
-	call := msgrpc.Call{ID: fmt.Sprint("r", id), Class: "once", Tenant: "north", Left: 5 * time.Second, Body: []byte("{}")}
+	call := msgrpc.Call{ID: fmt.Sprint("r", id), Class: "once", Tenant: "north", Timeout: 5 * time.Second, Body: []byte("{}")}
 	if change != nil {
 		change(&call)
 	}
--- a/internal/front/rpcfront/read_connection.go
+++ b/internal/front/rpcfront/read_connection.go
@@ -18,7 +18,7 @@
 func (conn *clientConn) readLoop() {
 	defer conn.abandonRequests()
 	reader := recordedConn{conn.netConn, sockets.NewLockedReader(conn.netConn, &conn.mu, conn.onRead)}
-	framer := msgrpc.NewFramer(reader, msgrpc.MaxRequest, frontend.RequestReadTimeout)
+	framer := msgrpc.NewFramer(reader, msgrpc.MaxRequestBytes, frontend.RequestReadTimeout)
 	for {
 		frame, err := framer.Next()
 		if err != nil {
--- a/internal/front/rpcfront/read_request.go
+++ b/internal/front/rpcfront/read_request.go
@@ -44,9 +44,9 @@
 		ID:           call.ID,
 		Class:        class,
 		Tenant:       tenant,
-		ClientRetry:  call.Retry,
-		ExpectedWork: call.Work,
-		Deadline:     frontend.Deadline(arrival, call.Left),
+		ClientRetry:  call.ClientRetry,
+		ExpectedWork: call.ExpectedWork,
+		Deadline:     frontend.Deadline(arrival, call.Timeout),
 		Message: core.Message{
 			Method:         frontend.Method(idempotency),
 			Target:         call.Target,
@@ -73,7 +73,7 @@
 // there may be a body.
 func checkIdempotency(call *msgrpc.Call, idempotency policy.Idempotency) *msgrpc.Fault {
 	needsKey := idempotency == policy.IdempotentByKey
-	hasKey := call.Key != ""
+	hasKey := call.IdempotencyKey != ""
 	switch {
 	case needsKey && !hasKey:
 		return rejected("key is missing: without it a repeat could not be told from a new request")
--- a/internal/front/rpcfront/read_request_test.go
+++ b/internal/front/rpcfront/read_request_test.go
@@ -15,8 +15,8 @@
 	handler := newHoldingHandler()
 	client := dial(t, startFront(t, Config{}, handler))
 	client.call(9, func(call *msgrpc.Call) {
-		call.Class, call.Key, call.Affinity, call.Target = "keyed", "k1", "hive-7", "/a?b=c"
-		call.Retry, call.Work = true, 1500*time.Microsecond
+		call.Class, call.IdempotencyKey, call.AffinityKey, call.Target = "keyed", "k1", "hive-7", "/a?b=c"
+		call.ClientRetry, call.ExpectedWork = true, 1500*time.Microsecond
 		call.Fields = map[string][]string{"x-apiary": {"1", "2"}, "Tenant": {"not this one"}}
 	})
 	request := peertest.Await(t, "the request", handler.submitted)
@@ -68,25 +68,25 @@
 		"ASCII":   func(call *msgrpc.Call) { call.ID = "a b" },
 		"target":  func(call *msgrpc.Call) { call.Target = "no-path" },
 		"host":    func(call *msgrpc.Call) { call.Target, call.Host = "/a b", "x" },
-		"left_ms": func(call *msgrpc.Call) { call.Left = 0 },
+		"left_ms": func(call *msgrpc.Call) { call.Timeout = 0 },
 		"key":     func(call *msgrpc.Call) { call.Class = "keyed" },
-		"have":    func(call *msgrpc.Call) { call.Key = "k" },
+		"have":    func(call *msgrpc.Call) { call.IdempotencyKey = "k" },
 		"none":    func(call *msgrpc.Call) { call.Class = "read" },
 		"field":   func(call *msgrpc.Call) { call.Fields = map[string][]string{"X:Y": {"1"}} },
 		"control": func(call *msgrpc.Call) { call.Fields = map[string][]string{"X": {"1\r\nY: 2"}} },
-		"bytes":   func(call *msgrpc.Call) { call.Body = make([]byte, msgrpc.MaxBody+1) },
+		"bytes":   func(call *msgrpc.Call) { call.Body = make([]byte, msgrpc.MaxRequestBodyBytes+1) },
 	} {
 		client.call(5, change)
 		if got := client.expectFault(t, 5); got.Kind != msgrpc.KindRejected || !strings.Contains(got.Text, word) {
 			t.Errorf("%s: %+v", word, got)
 		}
 	}
-	client.Write(msgrpc.AppendPlain(nil, 6, "no_such_method"))
+	client.Write(msgrpc.AppendRequestWithoutParams(nil, 6, "no_such_method"))
 	if got := client.expectFault(t, 6); got.Kind != msgrpc.KindRejected {
 		t.Errorf("an unknown method: %+v", got)
 	}
-	client.Write(msgrpc.AppendPlain(nil, 7, msgrpc.MethodReady))
-	if ready, err := msgrpc.ReadReady(client.readMessage(t).Result); err != nil || !ready {
+	client.Write(msgrpc.AppendRequestWithoutParams(nil, 7, msgrpc.MethodReady))
+	if ready, err := msgrpc.ParseReady(client.readMessage(t).Result); err != nil || !ready {
 		t.Errorf("ready: %v, %v", ready, err)
 	}
 	if len(handler.submitted) > 0 {
--- a/internal/front/rpcfront/write_response.go
+++ b/internal/front/rpcfront/write_response.go
@@ -45,9 +45,9 @@
 	}
 	if fault == nil {
 		fault = &msgrpc.Fault{
-			Kind:  faultKinds[response.result.Result],
-			Pause: response.result.RetryAfter,
-			Text:  response.result.Detail,
+			Kind:       faultKinds[response.result.Result],
+			RetryAfter: response.result.RetryAfter,
+			Text:       response.result.Detail,
 		}
 	}
 	if errorsAsText {
@@ -70,13 +70,13 @@
 // isForwarded reports whether a field of an upstream's response goes on to the client: not
 // where it concerns the upstream's connection alone or cannot stand in a message.
 func isForwarded(name string, values []string) bool {
-	if msgrpc.HopField(name) || !msgrpc.Plain(name) {
+	if msgrpc.IsHopByHopField(name) || !msgrpc.IsPlainText(name) {
 		return false
 	}
 	return !slices.ContainsFunc(values, isNotPlain)
 }
 
-func isNotPlain(value string) bool { return !msgrpc.Plain(value) }
+func isNotPlain(value string) bool { return !msgrpc.IsPlainText(value) }
 
 // writeLoop is the writer. A client that does not read its responses loses its connection:
 // they are not held for it.
--- a/internal/front/rpcfront/write_response_test.go
+++ b/internal/front/rpcfront/write_response_test.go
@@ -23,7 +23,7 @@
 	} {
 		client.call(1, nil)
 		peertest.Await(t, "the request", handler.submitted).Respond(result)
-		if fault := client.expectFault(t, 1); fault.Kind != want || fault.Pause != result.RetryAfter {
+		if fault := client.expectFault(t, 1); fault.Kind != want || fault.RetryAfter != result.RetryAfter {
 			t.Errorf("%+v becomes %+v", result, fault)
 		}
 	}
@@ -87,7 +87,7 @@
 	stalled.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	go func() {
 		for i := uint32(0); ; i++ {
-			call := msgrpc.Call{ID: fmt.Sprint("d", i), Class: "once", Tenant: "north", Left: 5 * time.Second}
+			call := msgrpc.Call{ID: fmt.Sprint("d", i), Class: "once", Tenant: "north", Timeout: 5 * time.Second}
 			if _, err := stalled.Write(call.Append(nil, i)); err != nil {
 				return
 			}
--- a/internal/msgrpc/fault.go
+++ b/internal/msgrpc/fault.go
@@ -15,23 +15,23 @@
 
 // Fault is an answer that serves nothing.
 type Fault struct {
-	Kind  string
-	Pause time.Duration // refused: how long to stay away; 0: no advice
-	Text  string        // for people
+	Kind       string
+	RetryAfter time.Duration // refused: how long to stay away; 0: no advice
+	Text       string        // for people
 }
 
-// maxFaultText bounds what a fault says to people, in bytes.
-const maxFaultText = 1 << 10
+// maxFaultTextBytes bounds what a fault says to people, in bytes.
+const maxFaultTextBytes = 1 << 10
 
-// kinds are those that a fault's text may begin with.
-var kinds = []string{KindRefused, KindFailed, KindTimeout, KindRejected, KindDuplicate, KindNotStarted, KindError, KindCancelled}
+// faultKinds are those that a fault's text may begin with.
+var faultKinds = []string{KindRefused, KindFailed, KindTimeout, KindRejected, KindDuplicate, KindNotStarted, KindError, KindCancelled}
 
 // Append appends the fault as a response, as a map.
 func (f *Fault) Append(b []byte, id uint32) []byte {
 	b = appendResponse(b, id)
-	text := sayable(f.Text)
+	text := sanitize(f.Text)
 	n := uint32(1)
-	if f.Pause > 0 {
+	if f.RetryAfter > 0 {
 		n++
 	}
 	if text != "" {
@@ -39,8 +39,8 @@
 	}
 	b = msgp.AppendMapHeader(b, n)
 	b = msgp.AppendString(msgp.AppendString(b, "kind"), f.Kind)
-	if f.Pause > 0 {
-		b = msgp.AppendFloat64(msgp.AppendString(b, "pause_ms"), millis(f.Pause))
+	if f.RetryAfter > 0 {
+		b = msgp.AppendFloat64(msgp.AppendString(b, "pause_ms"), millis(f.RetryAfter))
 	}
 	if text != "" {
 		b = msgp.AppendString(msgp.AppendString(b, "text"), text)
@@ -60,20 +60,20 @@
 //	refused pause_ms=120: too many at once on one connection
 func (f *Fault) String() string {
 	s := f.Kind
-	if f.Pause > 0 {
-		s += " pause_ms=" + strconv.FormatFloat(millis(f.Pause), 'f', -1, 64)
+	if f.RetryAfter > 0 {
+		s += " pause_ms=" + strconv.FormatFloat(millis(f.RetryAfter), 'f', -1, 64)
 	}
-	if text := sayable(f.Text); text != "" {
+	if text := sanitize(f.Text); text != "" {
 		s += ": " + text
 	}
 	return s
 }
 
-// sayable cuts a text to what may stand in a fault: valid UTF-8 of bounded
+// sanitize cuts a text to what may stand in a fault: valid UTF-8 of bounded
 // length without control bytes, as some readers lose their stream on others.
-func sayable(s string) string {
-	if len(s) > maxFaultText {
-		s = s[:maxFaultText-3] + "..."
+func sanitize(s string) string {
+	if len(s) > maxFaultTextBytes {
+		s = s[:maxFaultTextBytes-3] + "..."
 	}
 	if !utf8.ValidString(s) {
 		s = strings.ToValidUTF8(s, "?")
@@ -94,13 +94,13 @@
 		if err != nil {
 			return nil, err
 		}
-		return ParseText(string(raw[:min(len(raw), 2*maxFaultText)])), nil
+		return ParseFaultText(string(raw[:min(len(raw), 2*maxFaultTextBytes)])), nil
 	}
 	f := new(Fault)
 	err := parseMap(b, false, func(key string, b []byte) (rest []byte, err error) {
 		switch key {
 		case "kind":
-			f.Kind, b, err = text(b, MaxName)
+			f.Kind, b, err = text(b, MaxNameBytes)
 		case "text":
 			f.Text, b, err = text(b, maxText)
 		case "pause_ms":
@@ -108,7 +108,7 @@
 			if ms, b, err = number(b); err == nil && !(ms >= 0) {
 				err = fmt.Errorf("%v: a time of 0 or more is meant", ms)
 			}
-			f.Pause = time.Duration(min(ms, maxLeft) * 1e6)
+			f.RetryAfter = time.Duration(min(ms, maxLeft) * 1e6)
 		default:
 			b, err = msgp.Skip(b)
 		}
@@ -123,22 +123,22 @@
 	return f, nil
 }
 
-// ParseText reads a text as String writes it. What is none is a KindError that
+// ParseFaultText reads a text as String writes it. What is none is a KindError that
 // says it.
-func ParseText(s string) *Fault {
+func ParseFaultText(s string) *Fault {
 	head, said, _ := strings.Cut(s, ": ")
 	kind, rest, more := strings.Cut(head, " ")
-	f := &Fault{Kind: kind, Text: sayable(said)}
+	f := &Fault{Kind: kind, Text: sanitize(said)}
 	if more {
 		digits, is := strings.CutPrefix(rest, "pause_ms=")
 		ms, err := strconv.ParseFloat(digits, 64)
 		if !is || err != nil || math.IsNaN(ms) || ms < 0 {
-			return &Fault{Kind: KindError, Text: sayable(s)}
+			return &Fault{Kind: KindError, Text: sanitize(s)}
 		}
-		f.Pause = time.Duration(min(ms, maxLeft) * 1e6)
+		f.RetryAfter = time.Duration(min(ms, maxLeft) * 1e6)
 	}
-	if !slices.Contains(kinds, kind) {
-		return &Fault{Kind: KindError, Text: sayable(s)}
+	if !slices.Contains(faultKinds, kind) {
+		return &Fault{Kind: KindError, Text: sanitize(s)}
 	}
 	return f
 }
--- a/internal/msgrpc/frame.go
+++ b/internal/msgrpc/frame.go
@@ -152,15 +152,15 @@
 	conn   net.Conn
 	most   int
 	within time.Duration
-	buf    []byte
+	buffer []byte
 	begin  int // of the message under way
 	end    int // of what was read
 	scan   scan
 }
 
 const (
-	firstBuffer = 4 << 10
-	keptBuffer  = 16 << 10 // a larger one is let go once it is empty
+	initialBufferBytes = 4 << 10
+	maxKeptBufferBytes = 16 << 10 // a larger one is let go once it is empty
 )
 
 // NewFramer reads messages of at most most bytes from conn. A message must be
@@ -174,12 +174,12 @@
 func (f *Framer) Next() ([]byte, error) {
 	late := false
 	for {
-		whole, err := f.scan.advance(f.buf[f.begin:f.end], f.most)
+		whole, err := f.scan.advance(f.buffer[f.begin:f.end], f.most)
 		if err != nil {
 			return nil, err
 		}
 		if whole {
-			m := f.buf[f.begin : f.begin+f.scan.pos]
+			m := f.buffer[f.begin : f.begin+f.scan.pos]
 			f.begin += f.scan.pos
 			f.scan = scan{}
 			if late {
@@ -195,7 +195,7 @@
 			f.conn.SetReadDeadline(time.Now().Add(f.within))
 		}
 		f.room()
-		n, err := f.conn.Read(f.buf[f.end:])
+		n, err := f.conn.Read(f.buffer[f.end:])
 		if f.end += n; n == 0 && err != nil {
 			if f.end > f.begin {
 				return nil, fmt.Errorf("message cut after %d bytes: %w", f.end-f.begin, err)
@@ -212,22 +212,22 @@
 func (f *Framer) room() {
 	if f.begin == f.end {
 		f.begin, f.end = 0, 0
-		if len(f.buf) > keptBuffer {
-			f.buf = nil
+		if len(f.buffer) > maxKeptBufferBytes {
+			f.buffer = nil
 		}
 	}
-	if f.buf == nil {
-		f.buf = make([]byte, firstBuffer)
+	if f.buffer == nil {
+		f.buffer = make([]byte, initialBufferBytes)
 	}
-	if f.end < len(f.buf) {
+	if f.end < len(f.buffer) {
 		return
 	}
-	if f.begin > len(f.buf)/2 {
-		f.end = copy(f.buf, f.buf[f.begin:f.end])
+	if f.begin > len(f.buffer)/2 {
+		f.end = copy(f.buffer, f.buffer[f.begin:f.end])
 		f.begin = 0
 		return
 	}
-	grown := make([]byte, min(2*len(f.buf), f.most+firstBuffer))
-	f.end = copy(grown, f.buf[f.begin:f.end])
-	f.buf, f.begin = grown, 0
+	grown := make([]byte, min(2*len(f.buffer), f.most+initialBufferBytes))
+	f.end = copy(grown, f.buffer[f.begin:f.end])
+	f.buffer, f.begin = grown, 0
 }
--- a/internal/msgrpc/mapping.go
+++ b/internal/msgrpc/mapping.go
@@ -35,28 +35,28 @@
 
 // Bounds of the mapping, in bytes.
 const (
-	MaxBody    = 64 << 10            // of a request
-	MaxRequest = MaxBody + 24<<10    // a whole one
-	MaxAnswer  = 1<<20 + 128<<10     // a whole answer of a node
-	MaxName    = 256                 // of a request's id, class and tenant
-	maxText    = 20 << 10            // of any other text: as much as an HTTP header may hold
-	maxLeft    = float64(3600 * 1e3) // ms
+	MaxRequestBodyBytes = 64 << 10                     // of a request
+	MaxRequestBytes     = MaxRequestBodyBytes + 24<<10 // a whole one
+	MaxResponseBytes    = 1<<20 + 128<<10              // a whole answer of a node
+	MaxNameBytes        = 256                          // of a request's id, class and tenant
+	maxText             = 20 << 10                     // of any other text: as much as an HTTP header may hold
+	maxLeft             = float64(3600 * 1e3)          // ms
 )
 
 // Call is one request of the application. Empty strings and zeros are absent.
 type Call struct {
-	ID       string // printable ASCII, at most MaxName bytes
-	Class    string
-	Tenant   string
-	Key      string        // idempotency key
-	Left     time.Duration // how long the sender will wait, from when it sent this
-	Retry    bool          // a client's own further try, known as such
-	Work     time.Duration // a guess at the work
-	Affinity string
-	Target   string              // path and query; "/" where absent
-	Host     string              // the name asked
-	Fields   map[string][]string // further fields, by canonical name
-	Body     []byte
+	ID             string // printable ASCII, at most MaxName bytes
+	Class          string
+	Tenant         string
+	IdempotencyKey string        // idempotency key
+	Timeout        time.Duration // how long the sender will wait, from when it sent this
+	ClientRetry    bool          // a client's own further try, known as such
+	ExpectedWork   time.Duration // a guess at the work
+	AffinityKey    string
+	Target         string              // path and query; "/" where absent
+	Host           string              // the name asked
+	Fields         map[string][]string // further fields, by canonical name
+	Body           []byte
 }
 
 // Append appends the call as a request.
@@ -64,31 +64,31 @@
 	b = msgp.AppendArrayHeader(AppendRequest(b, id, MethodCall), 1)
 	n := uint32(2)
 	texts := [...]struct{ key, value string }{
-		{"class", c.Class}, {"tenant", c.Tenant}, {"key", c.Key}, {"affinity", c.Affinity}, {"target", c.Target}, {"host", c.Host},
+		{"class", c.Class}, {"tenant", c.Tenant}, {"key", c.IdempotencyKey}, {"affinity", c.AffinityKey}, {"target", c.Target}, {"host", c.Host},
 	}
 	for _, t := range texts {
 		if t.value != "" {
 			n++
 		}
 	}
-	for _, there := range [...]bool{c.Retry, c.Work > 0, len(c.Fields) > 0, len(c.Body) > 0} {
+	for _, there := range [...]bool{c.ClientRetry, c.ExpectedWork > 0, len(c.Fields) > 0, len(c.Body) > 0} {
 		if there {
 			n++
 		}
 	}
 	b = msgp.AppendMapHeader(b, n)
 	b = msgp.AppendString(msgp.AppendString(b, "id"), c.ID)
-	b = msgp.AppendFloat64(msgp.AppendString(b, "left_ms"), millis(c.Left))
+	b = msgp.AppendFloat64(msgp.AppendString(b, "left_ms"), millis(c.Timeout))
 	for _, t := range texts {
 		if t.value != "" {
 			b = msgp.AppendString(msgp.AppendString(b, t.key), t.value)
 		}
 	}
-	if c.Retry {
+	if c.ClientRetry {
 		b = msgp.AppendBool(msgp.AppendString(b, "retry"), true)
 	}
-	if c.Work > 0 {
-		b = msgp.AppendFloat64(msgp.AppendString(b, "work_us"), float64(c.Work)/1e3)
+	if c.ExpectedWork > 0 {
+		b = msgp.AppendFloat64(msgp.AppendString(b, "work_us"), float64(c.ExpectedWork)/1e3)
 	}
 	b = appendFields(b, c.Fields)
 	if len(c.Body) > 0 {
@@ -104,37 +104,37 @@
 	err := parseMap(params, true, func(key string, b []byte) (rest []byte, err error) {
 		switch key {
 		case "id":
-			c.ID, b, err = text(b, MaxName)
+			c.ID, b, err = text(b, MaxNameBytes)
 		case "class":
-			c.Class, b, err = text(b, MaxName)
+			c.Class, b, err = text(b, MaxNameBytes)
 		case "tenant":
-			c.Tenant, b, err = text(b, MaxName)
+			c.Tenant, b, err = text(b, MaxNameBytes)
 		case "key":
-			c.Key, b, err = text(b, maxText)
+			c.IdempotencyKey, b, err = text(b, maxText)
 		case "affinity":
-			c.Affinity, b, err = text(b, maxText)
+			c.AffinityKey, b, err = text(b, maxText)
 		case "target":
 			c.Target, b, err = text(b, maxText)
 		case "host":
 			c.Host, b, err = text(b, maxText)
 		case "retry":
-			c.Retry, b, err = msgp.ReadBoolBytes(b)
+			c.ClientRetry, b, err = msgp.ReadBoolBytes(b)
 		case "left_ms":
 			var ms float64
 			if ms, b, err = number(b); err == nil && !(ms > 0) {
 				err = fmt.Errorf("%v: a time above 0 is meant", ms)
 			}
-			c.Left = time.Duration(min(ms, maxLeft) * 1e6)
+			c.Timeout = time.Duration(min(ms, maxLeft) * 1e6)
 		case "work_us":
 			var us float64
 			if us, b, err = number(b); err == nil && !(us >= 0) {
 				err = fmt.Errorf("%v: a time of 0 or more is meant", us)
 			}
-			c.Work = time.Duration(min(us, maxLeft*1e3) * 1e3)
+			c.ExpectedWork = time.Duration(min(us, maxLeft*1e3) * 1e3)
 		case "fields":
 			c.Fields, b, err = parseFields(b)
 		case "body":
-			c.Body, b, err = body(b, MaxBody)
+			c.Body, b, err = body(b, MaxRequestBodyBytes)
 		default:
 			b, err = msgp.Skip(b)
 		}
@@ -151,7 +151,7 @@
 		err = errors.New("id is missing: a text that no other request of this client has")
 	case c.Class == "":
 		err = errors.New("class is missing: the request's class by its name in the settings")
-	case c.Left == 0:
+	case c.Timeout == 0:
 		err = errors.New("left_ms is missing: how long the client will wait, in milliseconds")
 	case c.Target[0] != '/':
 		err = fmt.Errorf("target %.40q: it begins with '/'", c.Target)
@@ -195,7 +195,7 @@
 		switch key {
 		case "body":
 			seen = true
-			r.Body, b, err = body(b, MaxAnswer)
+			r.Body, b, err = body(b, MaxResponseBytes)
 		case "fields":
 			r.Fields, b, err = parseFields(b)
 		case "in_flight":
@@ -315,8 +315,8 @@
 
 func control(c byte) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
-// Plain says whether a text may stand in the mapping: it has no control bytes.
-func Plain(s string) bool {
+// IsPlainText says whether a text may stand in the mapping: it has no control bytes.
+func IsPlainText(s string) bool {
 	for i := range len(s) {
 		if control(s[i]) {
 			return false
--- a/internal/msgrpc/message.go
+++ b/internal/msgrpc/message.go
@@ -135,13 +135,13 @@
 	return msgp.AppendBool(msgp.AppendNil(appendResponse(b, id)), ready)
 }
 
-// ReadReady reads a result of 'ready'.
-func ReadReady(result []byte) (bool, error) {
+// ParseReady reads a result of 'ready'.
+func ParseReady(result []byte) (bool, error) {
 	ready, _, err := msgp.ReadBoolBytes(result)
 	return ready, err
 }
 
-// AppendPlain begins a request without params.
-func AppendPlain(b []byte, id uint32, method string) []byte {
+// AppendRequestWithoutParams begins a request without params.
+func AppendRequestWithoutParams(b []byte, id uint32, method string) []byte {
 	return msgp.AppendArrayHeader(AppendRequest(b, id, method), 0)
 }
--- a/internal/msgrpc/msgrpc_test.go
+++ b/internal/msgrpc/msgrpc_test.go
@@ -39,13 +39,13 @@
 
 func exampleCall() *Call {
 	return &Call{
-		ID: "r1", Class: "keyed", Tenant: "north", Key: "k", Left: 480 * time.Millisecond, Retry: true, Work: 1500 * time.Microsecond,
-		Affinity: "hive-7", Target: "/a?b=c", Host: "h", Fields: map[string][]string{"X-A": {"1"}, "X-B": {"1", "2"}, "X-C": {}}, Body: []byte("{}"),
+		ID: "r1", Class: "keyed", Tenant: "north", IdempotencyKey: "k", Timeout: 480 * time.Millisecond, ClientRetry: true, ExpectedWork: 1500 * time.Microsecond,
+		AffinityKey: "hive-7", Target: "/a?b=c", Host: "h", Fields: map[string][]string{"X-A": {"1"}, "X-B": {"1", "2"}, "X-C": {}}, Body: []byte("{}"),
 	}
 }
 
 func TestCallRoundTrip(t *testing.T) {
-	for name, c := range map[string]*Call{"full": exampleCall(), "least": {ID: "r", Class: "c", Left: time.Nanosecond * 1500, Target: "/"}} {
+	for name, c := range map[string]*Call{"full": exampleCall(), "least": {ID: "r", Class: "c", Timeout: time.Nanosecond * 1500, Target: "/"}} {
 		m, err := Parse(c.Append(nil, 1<<32-1))
 		if err != nil || m.Kind != Request || m.ID != 1<<32-1 || string(m.Method) != MethodCall {
 			t.Fatalf("%s: %+v, %v", name, m, err)
@@ -65,7 +65,7 @@
 	if got, err := ParseResult(m.Result); err != nil || !reflect.DeepEqual(got, r) {
 		t.Errorf("%+v, %v", got, err)
 	}
-	f := &Fault{Kind: KindRefused, Pause: 120 * time.Millisecond, Text: "full"}
+	f := &Fault{Kind: KindRefused, RetryAfter: 120 * time.Millisecond, Text: "full"}
 	if m, err = Parse(f.Append(nil, 7)); err != nil || m.Fault == nil {
 		t.Fatalf("%+v, %v", m, err)
 	}
@@ -87,7 +87,7 @@
 		t.Fatal(m, err)
 	}
 	c, err := ParseCall(m.Params)
-	if err != nil || c.ID != "r1" || c.Left != 480*time.Millisecond || c.Class != "read" || c.Tenant != "north" || c.Target != "/" {
+	if err != nil || c.ID != "r1" || c.Timeout != 480*time.Millisecond || c.Class != "read" || c.Tenant != "north" || c.Target != "/" {
 		t.Errorf("%+v, %v", c, err)
 	}
 	m, err = Parse([]byte("\x94\x01\xce\x00\x00\x00\x07\xc0\x81\xa4body\xc4\x02ok"))
@@ -95,7 +95,7 @@
 		t.Error(r, err, err2)
 	}
 	m, err = Parse([]byte("\x94\x01\xce\x00\x00\x00\x07\x82\xa4kind\xa7refused\xa8pause_ms\xcb\x40\x5e\x00\x00\x00\x00\x00\x00\xc0"))
-	if f, err2 := ParseFault(m.Fault); err != nil || err2 != nil || f.Kind != KindRefused || f.Pause != 120*time.Millisecond {
+	if f, err2 := ParseFault(m.Fault); err != nil || err2 != nil || f.Kind != KindRefused || f.RetryAfter != 120*time.Millisecond {
 		t.Error(f, err, err2)
 	}
 }
@@ -107,7 +107,7 @@
 		"float 32": {0xca, 0x42, 0xc8, 0, 0}, "float 64": {0xcb, 0x40, 0x59, 0, 0, 0, 0, 0, 0},
 	} {
 		b := append([]byte("\x91\x84\xa2id\xa1r\xa5class\xa1c\xa4body\xa2{}\xa7left_ms"), left...)
-		if c, err := ParseCall(b); err != nil || c.Left != 100*time.Millisecond || string(c.Body) != "{}" {
+		if c, err := ParseCall(b); err != nil || c.Timeout != 100*time.Millisecond || string(c.Body) != "{}" {
 			t.Errorf("%s: %+v, %v", name, c, err)
 		}
 	}
@@ -132,12 +132,12 @@
 		"whole": bytes.NewReader(text), "bytes": iotest.OneByteReader(bytes.NewReader(text)), "halves": iotest.HalfReader(bytes.NewReader(text)),
 		"with the error": iotest.DataErrReader(bytes.NewReader(text)),
 	} {
-		all, err := frames(r, MaxRequest)
+		all, err := frames(r, MaxRequestBytes)
 		if err != io.EOF || len(all) != want || !bytes.Equal(bytes.Join(all, nil), text) {
 			t.Errorf("%s: %d messages, %v", name, len(all), err)
 		}
 	}
-	if _, err := frames(bytes.NewReader(text[:len(text)-1]), MaxRequest); err == io.EOF || !errors.Is(err, io.EOF) {
+	if _, err := frames(bytes.NewReader(text[:len(text)-1]), MaxRequestBytes); err == io.EOF || !errors.Is(err, io.EOF) {
 		t.Errorf("a cut message: %v", err)
 	}
 }
@@ -172,8 +172,8 @@
 		if !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
 		}
-		if len(f.buf) > 2*most+firstBuffer {
-			t.Errorf("%s: a buffer of %d bytes", name, len(f.buf))
+		if len(f.buffer) > 2*most+initialBufferBytes {
+			t.Errorf("%s: a buffer of %d bytes", name, len(f.buffer))
 		}
 	}
 }
@@ -181,28 +181,28 @@
 // A buffer that one large message needed is let go.
 func TestFramerLetsLargeBuffersGo(t *testing.T) {
 	c := exampleCall()
-	c.Body = make([]byte, MaxBody)
+	c.Body = make([]byte, MaxRequestBodyBytes)
 	r, w := io.Pipe()
 	go func() {
 		w.Write(c.Append(nil, 1))
 		w.Write(AppendDrain(nil))
 		w.Close()
 	}()
-	f := NewFramer(stream{Reader: r}, MaxRequest, time.Second)
+	f := NewFramer(stream{Reader: r}, MaxRequestBytes, time.Second)
 	for range 2 {
 		if _, err := f.Next(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(f.buf) > keptBuffer {
-		t.Errorf("%d bytes are kept", len(f.buf))
+	if len(f.buffer) > maxKeptBufferBytes {
+		t.Errorf("%d bytes are kept", len(f.buffer))
 	}
 }
 
 func seeds(f *testing.F) {
 	f.Add(exampleCall().Append(nil, 1))
 	f.Add((&Result{Body: []byte("x"), InFlight: 1}).Append(nil, 2))
-	f.Add((&Fault{Kind: KindRefused, Pause: time.Second, Text: "t"}).Append(nil, 3))
+	f.Add((&Fault{Kind: KindRefused, RetryAfter: time.Second, Text: "t"}).Append(nil, 3))
 	f.Add(AppendProtocolError(AppendDrain(AppendCancel(nil, 4)), "x"))
 	f.Add([]byte("\x94\x00\x01\xa4call\x91\x81\xa4body\xc6\xff\xff\xff\xff"))
 	f.Add([]byte(strings.Repeat("\x91", 10000)))
@@ -235,7 +235,7 @@
 func FuzzMapping(f *testing.F) {
 	seeds(f)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		all, _ := frames(bytes.NewReader(text), MaxAnswer)
+		all, _ := frames(bytes.NewReader(text), MaxResponseBytes)
 		for _, frame := range all {
 			m, err := Parse(frame)
 			if err != nil {
@@ -265,7 +265,7 @@
 			}
 			if fault, err := ParseFault(m.Fault); err == nil {
 				again, _ := Parse(fault.Append(nil, m.ID))
-				if f2, err := ParseFault(again.Fault); err != nil || f2.Kind != fault.Kind || f2.Text != sayable(fault.Text) {
+				if f2, err := ParseFault(again.Fault); err != nil || f2.Kind != fault.Kind || f2.Text != sanitize(fault.Text) {
 					t.Fatalf("%+v and then %+v, %v", fault, f2, err)
 				}
 				again, _ = Parse(fault.AppendText(nil, m.ID))
@@ -274,7 +274,7 @@
 				}
 			}
 			ParseCancel(m.Params)
-			ReadReady(m.Result)
+			ParseReady(m.Result)
 		}
 	})
 }
@@ -283,10 +283,10 @@
 func sameCall(a, b *Call) bool {
 	x, y := *a, *b
 	near := func(p, q time.Duration) bool { return (p - q).Abs() <= time.Microsecond }
-	if !near(x.Left, y.Left) || !near(x.Work, y.Work) {
+	if !near(x.Timeout, y.Timeout) || !near(x.ExpectedWork, y.ExpectedWork) {
 		return false
 	}
-	x.Left, x.Work, y.Left, y.Work = 0, 0, 0, 0
+	x.Timeout, x.ExpectedWork, y.Timeout, y.ExpectedWork = 0, 0, 0, 0
 	if len(x.Body) == 0 {
 		x.Body, y.Body = nil, nil
 	}
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -242,7 +242,7 @@
 		return Result{Verdict: Lost, Err: err}
 	}
 	m := msgrpc.Call{
-		ID: call.ID, Class: call.Class, Tenant: call.Tenant, Key: call.Key, Left: call.Timeout, Retry: call.Retry, Target: "/api", Body: call.Body,
+		ID: call.ID, Class: call.Class, Tenant: call.Tenant, IdempotencyKey: call.Key, Timeout: call.Timeout, ClientRetry: call.Retry, Target: "/api", Body: call.Body,
 	}
 	if len(call.Fields) > 0 {
 		m.Fields = make(map[string][]string, len(call.Fields))
@@ -280,7 +280,7 @@
 }
 
 func (c *rpcConn) read() {
-	in := msgrpc.NewFramer(c.nc, msgrpc.MaxAnswer, 10*time.Second)
+	in := msgrpc.NewFramer(c.nc, msgrpc.MaxResponseBytes, 10*time.Second)
 	for {
 		frame, err := in.Next()
 		if err == nil {
@@ -349,7 +349,7 @@
 	}
 	switch f.Kind {
 	case msgrpc.KindRefused:
-		return Result{Verdict: Refused, Pause: f.Pause, Text: f.Text}
+		return Result{Verdict: Refused, Pause: f.RetryAfter, Text: f.Text}
 	case msgrpc.KindRejected, msgrpc.KindDuplicate:
 		return Result{Verdict: Rejected, Text: f.Kind + " " + f.Text}
 	}
--- a/internal/peers/noderpc.go
+++ b/internal/peers/noderpc.go
@@ -12,7 +12,7 @@
 // serveRPC serves one connection of MessagePack-RPC. A request that is to be
 // served at once is answered by the reader itself; others wait beside it.
 func (n *Node) serveRPC(c net.Conn) {
-	in := msgrpc.NewFramer(c, msgrpc.MaxRequest, 10*time.Second)
+	in := msgrpc.NewFramer(c, msgrpc.MaxRequestBytes, 10*time.Second)
 	s := &rpcServing{node: n, conn: c, given: make(map[uint32]chan struct{}), over: make(chan struct{})}
 	defer s.wg.Wait()
 	defer close(s.over)
@@ -67,7 +67,7 @@
 	if err != nil {
 		return s.write((&msgrpc.Fault{Kind: msgrpc.KindRejected, Text: err.Error()}).Append(nil, id))
 	}
-	call := Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Timeout: c.Left, Body: c.Body, Field: func(name string) string { return strings.Join(c.Fields[name], ",") }}
+	call := Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.IdempotencyKey, Timeout: c.Timeout, Body: c.Body, Field: func(name string) string { return strings.Join(c.Fields[name], ",") }}
 	n.inFlight.Add(1)
 	a := n.decide(call)
 	if a.Deed != Hang && a.Delay == 0 && a.Wait == nil {
--- a/internal/transport/rpcnode/conn.go
+++ b/internal/transport/rpcnode/conn.go
@@ -338,7 +338,7 @@
 
 // read is the reader: it hands answers to those who wait for them.
 func (c *conn) read() {
-	f := msgrpc.NewFramer(c.nc, msgrpc.MaxAnswer, partAnswer)
+	f := msgrpc.NewFramer(c.nc, msgrpc.MaxResponseBytes, partAnswer)
 	var err error
 	for {
 		var frame []byte
--- a/internal/transport/rpcnode/transport.go
+++ b/internal/transport/rpcnode/transport.go
@@ -166,7 +166,7 @@
 	ctx, cancel := context.WithTimeout(ctx, n.t.cfg.DialTimeout)
 	defer cancel()
 	r, _ := n.exchange(ctx, nil, func(b []byte, id uint32, _ time.Duration) []byte {
-		return msgrpc.AppendPlain(b, id, msgrpc.MethodProbe)
+		return msgrpc.AppendRequestWithoutParams(b, id, msgrpc.MethodProbe)
 	})
 	switch {
 	case r.err != nil && sockets.IsLocalError(r.err):
@@ -310,17 +310,17 @@
 
 // outgoing is a request in the mapping: what it names goes to its own key.
 func outgoing(m *core.Message, left time.Duration) *msgrpc.Call {
-	c := &msgrpc.Call{Left: left, Target: m.Target, Host: m.Host, Body: m.Body}
+	c := &msgrpc.Call{Timeout: left, Target: m.Target, Host: m.Host, Body: m.Body}
 	rest := 0
 	for name, v := range m.Fields {
-		if !c.SetField(name, v) {
+		if !c.SetHTTPField(name, v) {
 			rest++
 		}
 	}
 	if rest > 0 {
 		c.Fields = make(map[string][]string, rest)
 		for name, v := range m.Fields {
-			if !msgrpc.Named(name) {
+			if !msgrpc.HasOwnKey(name) {
 				c.Fields[name] = v
 			}
 		}
--- a/internal/transport/rpcnode/transport_test.go
+++ b/internal/transport/rpcnode/transport_test.go
@@ -56,7 +56,7 @@
 
 func (c *rawConn) read() {
 	defer close(c.ended)
-	f := msgrpc.NewFramer(c, msgrpc.MaxRequest, time.Minute)
+	f := msgrpc.NewFramer(c, msgrpc.MaxRequestBytes, time.Minute)
 	for {
 		frame, err := f.Next()
 		if err != nil {
@@ -247,7 +247,7 @@
 	tr := testTransport(Config{DialTimeout: 10 * time.Second})
 	n := tr.Node(ln.Addr().String()).(*node)
 	big := message("x")
-	big.Body = make([]byte, msgrpc.MaxBody)
+	big.Body = make([]byte, msgrpc.MaxRequestBodyBytes)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	endings := make(map[policy.AttemptResult]int)
@@ -267,7 +267,7 @@
 	nc.(*net.TCPConn).SetReadBuffer(8 << 10)
 	c := onlyConn(t, n)
 	c.nc.(*net.TCPConn).SetWriteBuffer(8 << 10)
-	f := msgrpc.NewFramer(nc, msgrpc.MaxRequest, time.Minute)
+	f := msgrpc.NewFramer(nc, msgrpc.MaxRequestBytes, time.Minute)
 	if _, err := f.Next(); err != nil {
 		t.Fatal(err)
 	}
