--- a/internal/front/httpfront/close.go
+++ b/internal/front/httpfront/close.go
@@ -11,7 +11,7 @@
 type closeReason int
 
 const (
-	closedByServer   closeReason = iota // by net/http: after a response, an error or a timeout, or as the client disconnected
+	closedByServer   closeReason = iota // by net/http: after a response, an error, a timeout or a disconnect
 	closedIdle                          // too many were idle, or it was evicted as idle
 	closedDrain                         // it was idle in a drain
 	closedSilent                        // nothing had come on it at shutdown
--- a/internal/front/httpfront/close_test.go
+++ b/internal/front/httpfront/close_test.go
@@ -58,7 +58,11 @@
 		t.Fatal(err)
 	}
 	closed := make(chan struct{})
-	conn := &clientConn{TCPConn: netConn.(*net.TCPConn), acceptedAt: time.Now(), onClosed: func(*clientConn) { close(closed) }}
+	conn := &clientConn{
+		TCPConn:    netConn.(*net.TCPConn),
+		acceptedAt: time.Now(),
+		onClosed:   func(*clientConn) { close(closed) },
+	}
 	readResult := make(chan error, 1)
 	go func() { // it waits for the next request as the connection is shut
 		n, err := conn.Read(make([]byte, 4<<10))
--- a/internal/front/rpcfront/drain_test.go
+++ b/internal/front/rpcfront/drain_test.go
@@ -22,7 +22,8 @@
 	client.call(1, nil)
 	held := peertest.Await(t, "the request", handler.submitted)
 	front.Drain()
-	if message := client.readMessage(t); message.Kind != msgrpc.Notification || string(message.Method) != msgrpc.MethodDrain {
+	message := client.readMessage(t)
+	if message.Kind != msgrpc.Notification || string(message.Method) != msgrpc.MethodDrain {
 		t.Fatalf("got %+v, want the drain notification", message)
 	}
 	client.call(2, nil) // it crossed the notification
--- a/internal/front/rpcfront/helpers_test.go
+++ b/internal/front/rpcfront/helpers_test.go
@@ -78,7 +78,13 @@
 }
 
 func callBytes(id uint32, change func(*msgrpc.Call)) []byte {
-	call := msgrpc.Call{ID: fmt.Sprint("r", id), Class: "once", Tenant: "north", Timeout: 5 * time.Second, Body: []byte("{}")}
+	call := msgrpc.Call{
+		ID:      fmt.Sprint("r", id),
+		Class:   "once",
+		Tenant:  "north",
+		Timeout: 5 * time.Second,
+		Body:    []byte("{}"),
+	}
 	if change != nil {
 		change(&call)
 	}
--- a/internal/front/rpcfront/write_response_test.go
+++ b/internal/front/rpcfront/write_response_test.go
@@ -18,8 +18,10 @@
 	handler := newHoldingHandler()
 	client := dial(t, startFront(t, Config{}, handler))
 	for want, result := range map[string]core.Response{
-		msgrpc.KindRefused: {Result: core.Rejected, RetryAfter: 120 * time.Millisecond}, msgrpc.KindFailed: {Result: core.Failed},
-		msgrpc.KindTimeout: {Result: core.TimedOut}, msgrpc.KindDuplicate: {Result: core.Duplicate},
+		msgrpc.KindRefused:   {Result: core.Rejected, RetryAfter: 120 * time.Millisecond},
+		msgrpc.KindFailed:    {Result: core.Failed},
+		msgrpc.KindTimeout:   {Result: core.TimedOut},
+		msgrpc.KindDuplicate: {Result: core.Duplicate},
 	} {
 		client.call(1, nil)
 		peertest.Await(t, "the request", handler.submitted).Respond(result)
--- a/internal/msgrpc/fault.go
+++ b/internal/msgrpc/fault.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"math"
 	"slices"
 	"strconv"
@@ -13,81 +12,88 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Fault is an answer that serves nothing.
+// Fault is a response that does not serve a call: the error of MessagePack-RPC.
 type Fault struct {
-	Kind       string
-	RetryAfter time.Duration // refused: how long to stay away; 0: no advice
-	Text       string        // for people
+	Kind       string        // one of the kinds of the mapping, or of a later version
+	RetryAfter time.Duration // of KindRefused: how long to wait before a retry; 0: not said
+	Text       string        // for people; may be empty
 }
 
-// maxFaultTextBytes bounds what a fault says to people, in bytes.
-const maxFaultTextBytes = 1 << 10
+const (
+	// maxFaultTextBytes bounds Fault.Text where it is written.
+	maxFaultTextBytes = 1 << 10
+	// retryAfterPrefix starts RetryAfter in the text form.
+	retryAfterPrefix = keyRetryAfter + "="
+	ellipsis         = "..."
+)
 
-// faultKinds are those that a fault's text may begin with.
-var faultKinds = []string{KindRefused, KindFailed, KindTimeout, KindRejected, KindDuplicate, KindNotStarted, KindError, KindCancelled}
+// faultKinds are those that the text form of a fault may start with.
+var faultKinds = []string{
+	KindRefused, KindFailed, KindTimeout, KindRejected, KindDuplicate, KindNotStarted, KindError, KindCancelled,
+}
 
-// Append appends the fault as a response, as a map.
-func (f *Fault) Append(b []byte, id uint32) []byte {
-	b = appendResponse(b, id)
-	text := sanitize(f.Text)
-	n := uint32(1)
-	if f.RetryAfter > 0 {
-		n++
+// Append appends the fault as a response of that msgid, as a map.
+func (fault *Fault) Append(b []byte, id uint32) []byte {
+	text := sanitize(fault.Text)
+	keyCount := uint32(1)
+	if fault.RetryAfter > 0 {
+		keyCount++
 	}
 	if text != "" {
-		n++
+		keyCount++
 	}
-	b = msgp.AppendMapHeader(b, n)
-	b = msgp.AppendString(msgp.AppendString(b, "kind"), f.Kind)
-	if f.RetryAfter > 0 {
-		b = msgp.AppendFloat64(msgp.AppendString(b, "pause_ms"), millis(f.RetryAfter))
+	b = msgp.AppendMapHeader(appendResponse(b, id), keyCount)
+	b = appendText(b, keyKind, fault.Kind)
+	if fault.RetryAfter > 0 {
+		b = appendMilliseconds(b, keyRetryAfter, fault.RetryAfter)
 	}
 	if text != "" {
-		b = msgp.AppendString(msgp.AppendString(b, "text"), text)
+		b = appendText(b, keyText, text)
 	}
 	return msgp.AppendNil(b)
 }
 
 // AppendText appends the fault as a response whose error is a str, for codecs
 // that can read no other: see String.
-func (f *Fault) AppendText(b []byte, id uint32) []byte {
-	return msgp.AppendNil(msgp.AppendString(appendResponse(b, id), f.String()))
+func (fault *Fault) AppendText(b []byte, id uint32) []byte {
+	return msgp.AppendNil(msgp.AppendString(appendResponse(b, id), fault.String()))
 }
 
-// String writes a fault as text: its kind, then " pause_ms=" with a number where
-// there is one, then ": " and what it says to people, such as
+// String returns the text form of a fault: its kind, then " pause_ms=" with a number where
+// RetryAfter is set, then ": " and Text where there is one, such as
 //
 //	refused pause_ms=120: too many at once on one connection
-func (f *Fault) String() string {
-	s := f.Kind
-	if f.RetryAfter > 0 {
-		s += " pause_ms=" + strconv.FormatFloat(millis(f.RetryAfter), 'f', -1, 64)
+func (fault *Fault) String() string {
+	form := fault.Kind
+	if fault.RetryAfter > 0 {
+		form += " " + retryAfterPrefix + strconv.FormatFloat(milliseconds(fault.RetryAfter), 'f', -1, 64)
 	}
-	if text := sanitize(f.Text); text != "" {
-		s += ": " + text
+	if text := sanitize(fault.Text); text != "" {
+		form += ": " + text
 	}
-	return s
+	return form
 }
 
 // sanitize cuts a text to what may stand in a fault: valid UTF-8 of bounded
 // length without control bytes, as some readers lose their stream on others.
-func sanitize(s string) string {
-	if len(s) > maxFaultTextBytes {
-		s = s[:maxFaultTextBytes-3] + "..."
+func sanitize(text string) string {
+	if len(text) > maxFaultTextBytes {
+		text = text[:maxFaultTextBytes-len(ellipsis)] + ellipsis
 	}
-	if !utf8.ValidString(s) {
-		s = strings.ToValidUTF8(s, "?")
+	if !utf8.ValidString(text) {
+		text = strings.ToValidUTF8(text, "?")
 	}
-	return strings.Map(func(r rune) rune {
-		if r < ' ' || r == 0x7f {
-			return ' '
-		}
-		return r
-	}, s)
+	return strings.Map(replaceControl, text)
 }
 
-// ParseFault reads the error of a response: a map, or a text as String writes
-// it. Any other text, as the codecs of other people send, is an error by that text.
+func replaceControl(r rune) rune {
+	if r < ' ' || r == 0x7f {
+		return ' '
+	}
+	return r
+}
+
+// ParseFault parses the error of a response: a map, or a text: see ParseFaultText.
 func ParseFault(b []byte) (*Fault, error) {
 	if msgp.NextType(b) == msgp.StrType {
 		raw, _, err := msgp.ReadStringZC(b)
@@ -96,49 +102,56 @@
 		}
 		return ParseFaultText(string(raw[:min(len(raw), 2*maxFaultTextBytes)])), nil
 	}
-	f := new(Fault)
-	err := parseMap(b, false, func(key string, b []byte) (rest []byte, err error) {
-		switch key {
-		case "kind":
-			f.Kind, b, err = text(b, MaxNameBytes)
-		case "text":
-			f.Text, b, err = text(b, maxText)
-		case "pause_ms":
-			var ms float64
-			if ms, b, err = number(b); err == nil && !(ms >= 0) {
-				err = fmt.Errorf("%v: a time of 0 or more is meant", ms)
-			}
-			f.RetryAfter = time.Duration(min(ms, maxLeft) * 1e6)
-		default:
-			b, err = msgp.Skip(b)
-		}
-		return b, err
-	})
-	if err == nil && f.Kind == "" {
-		err = errors.New("kind is missing")
-	}
-	if err != nil {
+	fault := new(Fault)
+	if err := parseMap(b, fault.parseValue); err != nil {
 		return nil, err
 	}
-	return f, nil
+	if fault.Kind == "" {
+		return nil, errors.New("kind is missing")
+	}
+	return fault, nil
 }
 
-// ParseFaultText reads a text as String writes it. What is none is a KindError that
-// says it.
-func ParseFaultText(s string) *Fault {
-	head, said, _ := strings.Cut(s, ": ")
-	kind, rest, more := strings.Cut(head, " ")
-	f := &Fault{Kind: kind, Text: sanitize(said)}
-	if more {
-		digits, is := strings.CutPrefix(rest, "pause_ms=")
-		ms, err := strconv.ParseFloat(digits, 64)
-		if !is || err != nil || math.IsNaN(ms) || ms < 0 {
-			return &Fault{Kind: KindError, Text: sanitize(s)}
-		}
-		f.RetryAfter = time.Duration(min(ms, maxLeft) * 1e6)
+// parseValue parses the value of a key and returns the bytes after it.
+func (fault *Fault) parseValue(key string, b []byte) (rest []byte, err error) {
+	switch key {
+	case keyKind:
+		fault.Kind, rest, err = parseText(b, MaxNameBytes)
+	case keyText:
+		fault.Text, rest, err = parseText(b, maxTextBytes)
+	case keyRetryAfter:
+		fault.RetryAfter, rest, err = parseDuration(b, time.Millisecond)
+	default:
+		rest, err = msgp.Skip(b)
 	}
+	return rest, err
+}
+
+// ParseFaultText parses the text form of a fault, as String writes it. Any other text, as
+// the codecs of other people send, becomes a KindError with that text.
+func ParseFaultText(form string) *Fault {
+	head, text, _ := strings.Cut(form, ": ")
+	kind, option, hasOption := strings.Cut(head, " ")
 	if !slices.Contains(faultKinds, kind) {
-		return &Fault{Kind: KindError, Text: sanitize(s)}
+		return &Fault{Kind: KindError, Text: sanitize(form)}
+	}
+	fault := &Fault{Kind: kind, Text: sanitize(text)}
+	if hasOption {
+		retryAfter, ok := parseRetryAfter(option)
+		if !ok {
+			return &Fault{Kind: KindError, Text: sanitize(form)}
+		}
+		fault.RetryAfter = retryAfter
+	}
+	return fault
+}
+
+// parseRetryAfter parses "pause_ms=" and a number of milliseconds, of 0 or more.
+func parseRetryAfter(option string) (retryAfter time.Duration, ok bool) {
+	digits, hasPrefix := strings.CutPrefix(option, retryAfterPrefix)
+	value, err := strconv.ParseFloat(digits, 64)
+	if !hasPrefix || err != nil || math.IsNaN(value) || value < 0 {
+		return 0, false
 	}
-	return f
+	return toDuration(value, time.Millisecond), true
 }
--- a/internal/msgrpc/fault_test.go
+++ b/internal/msgrpc/fault_test.go
@@ -15,20 +15,23 @@
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 1))
-	signs := []rune("abc :=äß☃\x00\n\t\x7f\"{}[],.0123456789")
+	alphabet := []rune("abc :=äß☃\x00\n\t\x7f\"{}[],.0123456789")
 	for range 2000 {
-		f := &Fault{Kind: faultKinds[rng.IntN(len(faultKinds))], RetryAfter: time.Duration(rng.IntN(5000)) * time.Millisecond / 4}
+		fault := &Fault{
+			Kind:       faultKinds[rng.IntN(len(faultKinds))],
+			RetryAfter: time.Duration(rng.IntN(5000)) * time.Millisecond / 4,
+		}
 		for n := rng.IntN(40) * rng.IntN(40); n > 0; n-- {
-			f.Text += string(signs[rng.IntN(len(signs))])
+			fault.Text += string(alphabet[rng.IntN(len(alphabet))])
 		}
-		for form, b := range map[string][]byte{"map": f.Append(nil, 7), "text": f.AppendText(nil, 7)} {
-			m, err := Parse(b)
+		for form, b := range map[string][]byte{"map": fault.Append(nil, 7), "text": fault.AppendText(nil, 7)} {
+			message, err := Parse(b)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := ParseFault(m.Fault)
-			if err != nil || got.Kind != f.Kind || got.RetryAfter != f.RetryAfter || got.Text != sanitize(f.Text) {
-				t.Fatalf("%s: %q and then %+v, %v", form, f, got, err)
+			got, err := ParseFault(message.Fault)
+			if err != nil || got.Kind != fault.Kind || got.RetryAfter != fault.RetryAfter || got.Text != sanitize(fault.Text) {
+				t.Fatalf("%s: %q and then %+v, %v", form, fault, got, err)
 			}
 			if !utf8.ValidString(got.Text) || strings.ContainsFunc(got.Text, func(r rune) bool { return r < ' ' || r == 0x7f }) {
 				t.Fatalf("%s: it says %q", form, got.Text)
@@ -41,16 +44,24 @@
 func TestFaultsAsTexts(t *testing.T) {
 	long := strings.Repeat("x\x01", 50_000)
 	for text, want := range map[string]Fault{
-		"refused": {Kind: KindRefused}, "refused pause_ms=120: compartment full": {Kind: KindRefused, RetryAfter: 120 * time.Millisecond, Text: "compartment full"},
-		"not_started: draining": {Kind: KindNotStarted, Text: "draining"}, "failed: a: b": {Kind: KindFailed, Text: "a: b"},
-		"": {Kind: KindError}, "boom": {Kind: KindError, Text: "boom"}, "refused by the gods": {Kind: KindError, Text: "refused by the gods"},
-		"refused pause_ms=NaN": {Kind: KindError, Text: "refused pause_ms=NaN"}, "refused pause_ms=-1": {Kind: KindError, Text: "refused pause_ms=-1"},
-		"refused pause_ms=1e99": {Kind: KindRefused, RetryAfter: time.Hour}, "a\nb": {Kind: KindError, Text: "a b"},
-		long: {Kind: KindError, Text: strings.Repeat("x ", 511)[:1021] + "..."},
+		"refused": {Kind: KindRefused},
+		"refused pause_ms=120: compartment full": {
+			Kind: KindRefused, RetryAfter: 120 * time.Millisecond, Text: "compartment full",
+		},
+		"not_started: draining": {Kind: KindNotStarted, Text: "draining"},
+		"failed: a: b":          {Kind: KindFailed, Text: "a: b"},
+		"":                      {Kind: KindError},
+		"boom":                  {Kind: KindError, Text: "boom"},
+		"refused by the gods":   {Kind: KindError, Text: "refused by the gods"},
+		"refused pause_ms=NaN":  {Kind: KindError, Text: "refused pause_ms=NaN"},
+		"refused pause_ms=-1":   {Kind: KindError, Text: "refused pause_ms=-1"},
+		"refused pause_ms=1e99": {Kind: KindRefused, RetryAfter: time.Hour},
+		"a\nb":                  {Kind: KindError, Text: "a b"},
+		long:                    {Kind: KindError, Text: strings.Repeat("x ", 511)[:1021] + "..."},
 	} {
-		f, err := ParseFault(msgp.AppendString(nil, text))
-		if err != nil || *f != want {
-			t.Errorf("%.60q: %.200v, %v; want %.200v", text, f, err, want)
+		fault, err := ParseFault(msgp.AppendString(nil, text))
+		if err != nil || *fault != want {
+			t.Errorf("%.60q: %.200v, %v; want %.200v", text, fault, err, want)
 		}
 	}
 	if b := (&Fault{Kind: KindRejected, Text: long}).AppendText(nil, 1); len(b) > maxFaultTextBytes+100 {
--- a/internal/msgrpc/message.go
+++ b/internal/msgrpc/message.go
@@ -17,131 +17,160 @@
 	Notification Kind = 2
 )
 
+// The number of values of a message.
+const (
+	callValues         = 4 // of a request or a response
+	notificationValues = 3
+)
+
 // Message is a message's envelope. Its slices point into the frame.
 type Message struct {
 	Kind   Kind
-	ID     uint32 // of a request, or the one that a response answers
+	ID     uint32 // msgid of a request, or of the one that a response answers
 	Method []byte // of a request or notification
-	Params []byte // MessagePack: an array
-	Fault  []byte // MessagePack, of a response; nil where there is none
-	Result []byte // MessagePack, of a response
+	Params []byte // of a request or notification; MessagePack: an array
+	Fault  []byte // of a response; MessagePack; nil where there is none
+	Result []byte // of a response; MessagePack
 }
 
-// Parse takes a whole message apart. After an error the stream can be read on:
-// the frame was whole, but it is none of the specification's messages.
+// Parse parses the envelope of a message. After an error the stream can be read on: the
+// frame was complete, but it is none of the specification's messages.
 func Parse(frame []byte) (Message, error) {
-	var m Message
-	n, b, err := msgp.ReadArrayHeaderBytes(frame)
+	var message Message
+	rest, err := message.parseKind(frame)
+	if err != nil {
+		return message, err
+	}
+	if message.Kind != Notification {
+		if message.ID, rest, err = msgp.ReadUint32Bytes(rest); err != nil {
+			return message, fmt.Errorf("msgid: %w", err)
+		}
+	}
+	if message.Kind == Response {
+		err = message.parseResponse(rest)
+	} else {
+		err = message.parseMethod(rest)
+	}
+	return message, err
+}
+
+// parseKind parses the kind, checks the number of values and returns the rest.
+func (message *Message) parseKind(frame []byte) (rest []byte, err error) {
+	count, rest, err := msgp.ReadArrayHeaderBytes(frame)
 	if err != nil {
-		return m, err
+		return nil, err
 	}
-	kind, b, err := msgp.ReadIntBytes(b)
+	kind, rest, err := msgp.ReadIntBytes(rest)
 	if err != nil {
-		return m, fmt.Errorf("type of the message: %w", err)
+		return nil, fmt.Errorf("type of the message: %w", err)
 	}
-	m.Kind = Kind(kind)
-	want := uint32(4)
-	switch m.Kind {
+	message.Kind = Kind(kind)
+	want := uint32(callValues)
+	switch message.Kind {
 	case Request, Response:
 	case Notification:
-		want = 3
+		want = notificationValues
 	default:
-		return m, fmt.Errorf("type of the message is %d: 0, 1 or 2 is meant", kind)
+		return nil, fmt.Errorf("type of the message is %d: 0, 1 or 2 is meant", kind)
 	}
-	if n != want {
-		return m, fmt.Errorf("message of type %d has %d values: %d are meant", kind, n, want)
+	if count != want {
+		return nil, fmt.Errorf("message of type %d has %d values: %d are meant", kind, count, want)
 	}
-	if m.Kind != Notification {
-		if m.ID, b, err = msgp.ReadUint32Bytes(b); err != nil {
-			return m, fmt.Errorf("msgid: %w", err)
-		}
+	return rest, nil
+}
+
+// parseResponse parses error and result of a response.
+func (message *Message) parseResponse(b []byte) error {
+	result, err := msgp.Skip(b)
+	if err != nil {
+		return fmt.Errorf("error: %w", err)
 	}
-	if m.Kind == Response {
-		rest, err := msgp.Skip(b)
-		if err != nil {
-			return m, fmt.Errorf("error: %w", err)
-		}
-		if !msgp.IsNil(b) {
-			m.Fault = b[:len(b)-len(rest)]
-		}
-		m.Result = rest
-		return m, nil
+	if !msgp.IsNil(b) {
+		message.Fault = b[:len(b)-len(result)]
 	}
-	if m.Method, b, err = msgp.ReadStringZC(b); err != nil {
-		return m, fmt.Errorf("method: %w", err)
+	message.Result = result
+	return nil
+}
+
+// parseMethod parses method and params of a request or a notification.
+func (message *Message) parseMethod(b []byte) error {
+	method, params, err := msgp.ReadStringZC(b)
+	if err != nil {
+		return fmt.Errorf("method: %w", err)
 	}
-	if msgp.NextType(b) != msgp.ArrayType {
-		return m, errors.New("params: an array is meant")
+	message.Method = method
+	if msgp.NextType(params) != msgp.ArrayType {
+		return errors.New("params: an array is meant")
 	}
-	m.Params = b
-	return m, nil
+	message.Params = params
+	return nil
 }
 
-// AppendRequest begins a request; its params follow.
+// AppendRequest appends a request up to its params, which the caller appends.
 func AppendRequest(b []byte, id uint32, method string) []byte {
-	b = msgp.AppendArrayHeader(b, 4)
+	b = msgp.AppendArrayHeader(b, callValues)
 	b = msgp.AppendInt(b, int(Request))
 	b = msgp.AppendUint32(b, id)
 	return msgp.AppendString(b, method)
 }
 
-// AppendNotification begins a notification; its params follow.
+// AppendRequestWithoutParams appends a request without params.
+func AppendRequestWithoutParams(b []byte, id uint32, method string) []byte {
+	return msgp.AppendArrayHeader(AppendRequest(b, id, method), 0)
+}
+
+// AppendNotification appends a notification up to its params, which the caller appends.
 func AppendNotification(b []byte, method string) []byte {
-	b = msgp.AppendArrayHeader(b, 3)
+	b = msgp.AppendArrayHeader(b, notificationValues)
 	b = msgp.AppendInt(b, int(Notification))
 	return msgp.AppendString(b, method)
 }
 
-// appendResponse begins a response; error and result follow.
+// appendResponse appends a response up to its error and result.
 func appendResponse(b []byte, id uint32) []byte {
-	b = msgp.AppendArrayHeader(b, 4)
+	b = msgp.AppendArrayHeader(b, callValues)
 	b = msgp.AppendInt(b, int(Response))
 	return msgp.AppendUint32(b, id)
 }
 
-// AppendCancel is the notification that gives a request up.
+// AppendCancel appends the notification that cancels a request.
 func AppendCancel(b []byte, id uint32) []byte {
 	b = msgp.AppendArrayHeader(AppendNotification(b, MethodCancel), 1)
 	return msgp.AppendUint32(b, id)
 }
 
-// ParseCancel reads the params of a cancel notification.
+// ParseCancel parses the params of a cancel notification and returns the msgid.
 func ParseCancel(params []byte) (uint32, error) {
-	n, b, err := msgp.ReadArrayHeaderBytes(params)
+	count, rest, err := msgp.ReadArrayHeaderBytes(params)
 	if err != nil {
 		return 0, err
 	}
-	if n != 1 {
-		return 0, fmt.Errorf("cancel has %d params: the msgid alone is meant", n)
+	if count != 1 {
+		return 0, fmt.Errorf("cancel has %d params: the msgid alone is meant", count)
 	}
-	id, _, err := msgp.ReadUint32Bytes(b)
+	id, _, err := msgp.ReadUint32Bytes(rest)
 	return id, err
 }
 
-// AppendDrain is the notification that nothing new should be sent.
+// AppendDrain appends the notification to send nothing new on the connection.
 func AppendDrain(b []byte) []byte {
 	return msgp.AppendArrayHeader(AppendNotification(b, MethodDrain), 0)
 }
 
-// AppendProtocolError is the notification that tells why a message was passed
-// over that cannot be answered.
+// AppendProtocolError appends the notification why a message was ignored that cannot be
+// answered.
 func AppendProtocolError(b []byte, text string) []byte {
 	b = msgp.AppendArrayHeader(AppendNotification(b, MethodProtocolError), 1)
 	return msgp.AppendString(b, text)
 }
 
-// AppendReady answers a request for readiness.
+// AppendReady appends the response to a request of MethodReady.
 func AppendReady(b []byte, id uint32, ready bool) []byte {
 	return msgp.AppendBool(msgp.AppendNil(appendResponse(b, id)), ready)
 }
 
-// ParseReady reads a result of 'ready'.
+// ParseReady parses the result of MethodReady.
 func ParseReady(result []byte) (bool, error) {
 	ready, _, err := msgp.ReadBoolBytes(result)
 	return ready, err
 }
-
-// AppendRequestWithoutParams begins a request without params.
-func AppendRequestWithoutParams(b []byte, id uint32, method string) []byte {
-	return msgp.AppendArrayHeader(AppendRequest(b, id, method), 0)
-}
--- /dev/null
+++ b/internal/msgrpc/parse.go
@@ -0,0 +1,223 @@
+package msgrpc
+
+import (
+	"fmt"
+	"math"
+	"net/textproto"
+	"strings"
+	"time"
+
+	"github.com/tinylib/msgp/msgp"
+)
+
+// unwrapParams returns the one map that params have to consist of.
+func unwrapParams(params []byte) ([]byte, error) {
+	count, rest, err := msgp.ReadArrayHeaderBytes(params)
+	if err != nil {
+		return nil, fmt.Errorf("params: %w", err)
+	}
+	if count != 1 {
+		return nil, fmt.Errorf("params has %d values: one map is meant", count)
+	}
+	return rest, nil
+}
+
+// parseMap parses a map with texts as keys; parseValue parses the value of a key and
+// returns the bytes after it. A key that comes twice is an error: two readers might take two
+// different ones.
+func parseMap(b []byte, parseValue func(key string, b []byte) (rest []byte, err error)) error {
+	count, b, err := msgp.ReadMapHeaderBytes(b)
+	if err != nil {
+		return fmt.Errorf("a map is meant: %w", err)
+	}
+	if count > maxMapKeys {
+		return fmt.Errorf("a map of %d keys: %d at most", count, maxMapKeys)
+	}
+	var keys [maxMapKeys]string
+	for i := range count {
+		var raw []byte
+		if raw, b, err = msgp.ReadStringZC(b); err != nil {
+			return fmt.Errorf("key %d: %w", i+1, err)
+		}
+		key := internKey(raw)
+		for _, earlier := range keys[:i] {
+			if earlier == key {
+				return fmt.Errorf("%.40q stands twice", key)
+			}
+		}
+		keys[i] = key
+		if b, err = parseValue(key, b); err != nil {
+			return fmt.Errorf("%.40s: %w", key, err)
+		}
+	}
+	return nil
+}
+
+// parseText parses a text that can stand in a header field: without control bytes.
+func parseText(b []byte, maxBytes int) (string, []byte, error) {
+	raw, rest, err := msgp.ReadStringZC(b)
+	if err != nil {
+		return "", rest, err
+	}
+	if len(raw) > maxBytes {
+		return "", rest, fmt.Errorf("%d bytes: %d at most", len(raw), maxBytes)
+	}
+	for _, char := range raw {
+		if isControl(char) {
+			return "", rest, fmt.Errorf("byte %#02x: no control bytes are allowed", char)
+		}
+	}
+	return string(raw), rest, nil
+}
+
+func isControl(char byte) bool { return char < ' ' && char != '\t' || char == 0x7f }
+
+// IsPlainText reports whether a text may stand in the mapping: it has no control bytes and
+// is not too long.
+func IsPlainText(text string) bool {
+	for i := range len(text) {
+		if isControl(text[i]) {
+			return false
+		}
+	}
+	return len(text) <= maxTextBytes
+}
+
+// parseBytes parses bytes, also where an encoder without a bin type wrote a str.
+func parseBytes(b []byte, maxBytes int) (data, rest []byte, err error) {
+	var raw []byte
+	if msgp.NextType(b) == msgp.StrType {
+		raw, rest, err = msgp.ReadStringZC(b)
+	} else {
+		raw, rest, err = msgp.ReadBytesZC(b)
+	}
+	if err != nil {
+		return nil, rest, err
+	}
+	if len(raw) > maxBytes {
+		return nil, rest, fmt.Errorf("%d bytes: %d at most", len(raw), maxBytes)
+	}
+	return append([]byte(nil), raw...), rest, nil
+}
+
+// parseNumber parses an integer, or a float that is finite.
+func parseNumber(b []byte) (float64, []byte, error) {
+	switch msgp.NextType(b) {
+	case msgp.IntType:
+		value, rest, err := msgp.ReadInt64Bytes(b)
+		return float64(value), rest, err
+	case msgp.UintType:
+		value, rest, err := msgp.ReadUint64Bytes(b)
+		return float64(value), rest, err
+	case msgp.Float32Type:
+		value, rest, err := msgp.ReadFloat32Bytes(b)
+		return checkFinite(float64(value), rest, err)
+	default: // an error where it is no float either
+		value, rest, err := msgp.ReadFloat64Bytes(b)
+		return checkFinite(value, rest, err)
+	}
+}
+
+func checkFinite(value float64, rest []byte, err error) (float64, []byte, error) {
+	if err == nil && (math.IsNaN(value) || math.IsInf(value, 0)) {
+		err = fmt.Errorf("%v is no number", value)
+	}
+	return value, rest, err
+}
+
+// parsePositiveMilliseconds parses a duration above 0.
+func parsePositiveMilliseconds(b []byte) (time.Duration, []byte, error) {
+	value, rest, err := parseNumber(b)
+	if err != nil {
+		return 0, rest, err
+	}
+	if value <= 0 {
+		return 0, rest, fmt.Errorf("%v: a time above 0 is meant", value)
+	}
+	return toDuration(value, time.Millisecond), rest, nil
+}
+
+// parseDuration parses a duration of 0 or more, in a unit.
+func parseDuration(b []byte, unit time.Duration) (time.Duration, []byte, error) {
+	value, rest, err := parseNumber(b)
+	if err != nil {
+		return 0, rest, err
+	}
+	if value < 0 {
+		return 0, rest, fmt.Errorf("%v: a time of 0 or more is meant", value)
+	}
+	return toDuration(value, unit), rest, nil
+}
+
+// toDuration converts a value in a unit; it is cut to maxDuration.
+func toDuration(value float64, unit time.Duration) time.Duration {
+	return time.Duration(min(value, float64(maxDuration/unit)) * float64(unit))
+}
+
+// parseFields parses fields that can stand in an HTTP header.
+func parseFields(b []byte) (map[string][]string, []byte, error) {
+	count, b, err := msgp.ReadMapHeaderBytes(b)
+	if err != nil {
+		return nil, b, err
+	}
+	if count > maxFields {
+		return nil, b, fmt.Errorf("%d fields: %d at most", count, maxFields)
+	}
+	fields := make(map[string][]string, min(count, 32))
+	for range count {
+		var name string
+		if name, b, err = parseFieldName(b); err != nil {
+			return nil, b, err
+		}
+		if fields[name] != nil {
+			return nil, b, fmt.Errorf("field %s stands twice", name)
+		}
+		var values []string
+		if values, b, err = parseFieldValues(b); err != nil {
+			return nil, b, fmt.Errorf("field %s: %w", name, err)
+		}
+		fields[name] = values
+	}
+	return fields, b, nil
+}
+
+// parseFieldName returns the canonical name.
+func parseFieldName(b []byte) (string, []byte, error) {
+	name, rest, err := parseText(b, maxTextBytes)
+	if err != nil {
+		return "", rest, err
+	}
+	if name == "" || strings.ContainsFunc(name, isNotTokenChar) {
+		return "", rest, fmt.Errorf(
+			"field %.40q: a name has letters, digits, hyphens and what else RFC 9110 allows in a token", name)
+	}
+	return textproto.CanonicalMIMEHeaderKey(name), rest, nil
+}
+
+// parseFieldValues parses one text or an array of them.
+func parseFieldValues(b []byte) ([]string, []byte, error) {
+	if msgp.NextType(b) != msgp.ArrayType {
+		value, rest, err := parseText(b, maxTextBytes)
+		return []string{value}, rest, err
+	}
+	count, b, err := msgp.ReadArrayHeaderBytes(b)
+	if err != nil {
+		return nil, b, err
+	}
+	values := make([]string, 0, min(count, 16))
+	for range count {
+		var value string
+		if value, b, err = parseText(b, maxTextBytes); err != nil {
+			return nil, b, err
+		}
+		values = append(values, value)
+	}
+	return values, b, nil
+}
+
+// isNotTokenChar reports what cannot stand in a field's name (RFC 9110, section 5.6.2).
+func isNotTokenChar(r rune) bool {
+	isLetter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
+	isDigit := r >= '0' && r <= '9'
+	return !isLetter && !isDigit && !strings.ContainsRune("!#$%&'*+-.^_`|~", r)
+}
