--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -32,7 +32,7 @@
 
 // Server serves queries and pages until Close.
 type Server struct {
-	ln     *sockets.PatientListener
+	ln     *sockets.RetryingListener
 	server *http.Server
 }
 
@@ -58,7 +58,7 @@
 		mux.Handle("GET /"+name, page)
 	}
 	return &Server{
-		ln:     sockets.Patient(ln),
+		ln:     sockets.NewRetryingListener(ln),
 		server: &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes},
 	}, nil
 }
--- a/internal/sidecar/listeners.go
+++ b/internal/sidecar/listeners.go
@@ -70,24 +70,24 @@
 
 func (s *service) newHTTPFrontEnd(listener net.Listener, connections int) *httpfront.Front {
 	return httpfront.New(httpfront.Config{
-		Classes:     s.config.Classes,
-		Effects:     s.config.idempotencies(),
-		Tenants:     s.config.Tenants,
-		Connections: connections,
-		Arrived:     s.core.EarliestArrival,
+		Classes:         s.config.Classes,
+		Idempotency:     s.config.idempotencies(),
+		Tenants:         s.config.Tenants,
+		MaxConnections:  connections,
+		EarliestArrival: s.core.EarliestArrival,
 	}, s.handler, listener)
 }
 
 func (s *service) newRPCFrontEnd(listener net.Listener, connections int, settings operator.Listener) *rpcfront.Front {
 	return rpcfront.New(rpcfront.Config{
-		Classes:     s.config.Classes,
-		Effects:     s.config.idempotencies(),
-		Tenants:     s.config.Tenants,
-		Connections: connections,
-		Arrived:     s.core.EarliestArrival,
-		Open:        int(settings.MaxInFlight),
-		Held:        int(settings.MaxBufferedBytes),
-		Texts:       settings.ErrorFormat == operator.ErrorTexts,
+		Classes:                  s.config.Classes,
+		Idempotency:              s.config.idempotencies(),
+		Tenants:                  s.config.Tenants,
+		MaxConnections:           connections,
+		EarliestArrival:          s.core.EarliestArrival,
+		MaxRequestsInFlight:      int(settings.MaxInFlight),
+		MaxBufferedResponseBytes: int(settings.MaxBufferedBytes),
+		ErrorsAsText:             settings.ErrorFormat == operator.ErrorTexts,
 	}, s.handler, listener)
 }
 
--- a/internal/transport/rpcnode/transport.go
+++ b/internal/transport/rpcnode/transport.go
@@ -130,7 +130,7 @@
 
 var (
 	errRetired  = errors.New("the node has left the list")
-	errNoRoom   = fmt.Errorf("%w: no room for another connection", sockets.ErrNoRoom)
+	errNoRoom   = fmt.Errorf("%w: no room for another connection", sockets.ErrConnectionLimit)
 	errAllOwing = errors.New("every connection to the node waits for answers that it owes")
 )
 
@@ -142,7 +142,7 @@
 	switch {
 	case r.err != nil && !wrote && (errors.Is(ctx.Err(), context.Canceled) || errors.Is(r.err, core.ErrNotSent) || !m.AllowSend(time.Now())):
 		return policy.NotSent, nil // no word against the node: nobody waited for it any more
-	case r.err != nil && !wrote && sockets.Local(r.err):
+	case r.err != nil && !wrote && sockets.IsLocalError(r.err):
 		return policy.NotSent, nil // nor is what this machine lacks
 	case r.err != nil && !wrote:
 		return policy.ConnectionFailed, nil
@@ -166,10 +166,10 @@
 	ctx, cancel := context.WithTimeout(ctx, n.t.cfg.DialTimeout)
 	defer cancel()
 	r, _ := n.exchange(ctx, nil, func(b []byte, id uint32, _ time.Duration) []byte {
-		return msgrpc.AppendPlain(b, id, msgrpc.MethodProbe)
+		return msgrpc.AppendRequestWithoutParams(b, id, msgrpc.MethodProbe)
 	})
 	switch {
-	case r.err != nil && sockets.Local(r.err):
+	case r.err != nil && sockets.IsLocalError(r.err):
 		return unknown, fmt.Errorf("%w: %w", core.ErrNotSent, r.err)
 	case r.err != nil:
 		return unknown, r.err
@@ -310,17 +310,17 @@
 
 // outgoing is a request in the mapping: what it names goes to its own key.
 func outgoing(m *core.Message, left time.Duration) *msgrpc.Call {
-	c := &msgrpc.Call{Left: left, Target: m.Target, Host: m.Host, Body: m.Body}
+	c := &msgrpc.Call{Timeout: left, Target: m.Target, Host: m.Host, Body: m.Body}
 	rest := 0
 	for name, v := range m.Fields {
-		if !c.SetField(name, v) {
+		if !c.SetHTTPField(name, v) {
 			rest++
 		}
 	}
 	if rest > 0 {
 		c.Fields = make(map[string][]string, rest)
 		for name, v := range m.Fields {
-			if !msgrpc.Named(name) {
+			if !msgrpc.HasOwnKey(name) {
 				c.Fields[name] = v
 			}
 		}
