--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,3 +1,9 @@
+// Package core runs the event loop that owns the decision module (policy.Balancer).
+//
+// Listeners turn what they read into a Request and submit it; transports turn a Message into an
+// attempt at an Upstream; discovery sources pass an EndpointUpdate. Each of them is an event of
+// the loop, which passes it to the Balancer and performs the actions that the Balancer decides on.
+// The package knows no protocol.
 package core
 
 import (
