--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -118,9 +118,10 @@
 	asks   chan struct{} // the module wants to subscribe to the list
 	over   chan struct{} // closed once Run has returned: events wait for nobody then
 
-	checks  checks
-	givenUp [policy.ReasonCount]atomic.Uint64
-	endings [policy.NotSent + 1]atomic.Uint64
+	invariants invariantCounters
+	prevented  preventedCounters
+	givenUp    [policy.ReasonCount]atomic.Uint64
+	endings    [policy.NotSent + 1]atomic.Uint64
 
 	begin    time.Time
 	beginNow time.Duration // the module's clock then
@@ -385,7 +386,7 @@
 		l.arrive(e.req)
 	case left:
 		if r := e.req; r.id != 0 && !r.over {
-			r.history.end(time.Now(), true)
+			r.history.complete(time.Now(), true)
 			l.close(r)
 			l.b.ClientDisconnected(l.now, r.id)
 		}
@@ -438,12 +439,12 @@
 // finish gives a request its one answer.
 func (l *Core) finish(id policy.RequestID, a Response) {
 	if r := l.requests[id]; r != nil && !r.over {
-		r.history.end(time.Now(), false)
+		r.history.complete(time.Now(), false)
 		l.close(r)
-		if r.history.answered {
-			violated(&l.checks.answeredTwice, "answered_twice", r.ID)
+		if r.history.responded {
+			reportViolation(&l.invariants.respondedTwice, "answered_twice", r.ID)
 		}
-		r.history.answered = true
+		r.history.responded = true
 		if l.config.OnResponse != nil {
 			l.config.OnResponse(r.Class, a.Result, l.now-r.taken)
 		}
@@ -454,7 +455,7 @@
 func (l *Core) end(e ended) {
 	a, r := e.attempt, e.attempt.req
 	r.out--
-	r.history.ended(a.number, e.ending)
+	r.history.attemptEnded(a.number, e.ending)
 	l.noteEnded(a, e.ending)
 	r.timedOut = e.ending == policy.TimedOut
 	if e.ending == policy.Served {
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -30,15 +30,15 @@
 	}{
 		"nothing":     {happened: func(*Core, *Message) {}},
 		"drain":       {happened: func(_ *Core, m *Message) { m.guard.host.close(1) }, withheld: PreventedSends{Draining: 1}, found: Violations{SentToDraining: 1}},
-		"client left": {happened: func(_ *Core, m *Message) { m.guard.request.history.end(long, true) }, withheld: PreventedSends{ClientGone: 1}, found: Violations{SentAfterClientGone: 1}},
-		"answered":    {happened: func(_ *Core, m *Message) { m.guard.request.history.end(long, false) }, withheld: PreventedSends{Responded: 1}, found: Violations{SentAfterResponse: 1}},
+		"client left": {happened: func(_ *Core, m *Message) { m.guard.request.history.complete(long, true) }, withheld: PreventedSends{ClientGone: 1}, found: Violations{SentAfterClientGone: 1}},
+		"answered":    {happened: func(_ *Core, m *Message) { m.guard.request.history.complete(long, false) }, withheld: PreventedSends{Responded: 1}, found: Violations{SentAfterResponse: 1}},
 		"window over": {happened: func(_ *Core, m *Message) { m.WriteDeadline = long }, withheld: PreventedSends{DedupWindow: 1}},
 		"an unsafe one may have run": {
 			effect: policy.NotIdempotent, happened: func(_ *Core, m *Message) { m.SendCompleted(now, 0) }, found: Violations{RetriedNotIdempotent: 1},
 		},
 		"an unsafe one never ran": {effect: policy.NotIdempotent, happened: func(_ *Core, m *Message) {
 			m.SendCompleted(now, 0)
-			m.guard.request.history.ended(0, policy.Rejected)
+			m.guard.request.history.attemptEnded(0, policy.Rejected)
 		}},
 		"a keyed one within its window": {effect: policy.IdempotentByKey, happened: func(_ *Core, m *Message) { m.SendCompleted(now, 0) }},
 		"a keyed one after its window": {
--- /dev/null
+++ b/internal/core/invariants.go
@@ -0,0 +1,130 @@
+package core
+
+import (
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"mothridge/policy"
+)
+
+// Tolerances of the invariant checks.
+const (
+	clientGoneTolerance = 100 * time.Millisecond // an attempt may start this long after its client disconnected
+	timeoutTolerance    = 150 * time.Millisecond // an upstream may be given this much more time than the client has
+	schedulingTolerance = 150 * time.Millisecond // the process may be paused between reading its clock and writing
+
+	// DefaultDrainGrace is used where Config.DrainGrace is 0.
+	DefaultDrainGrace = time.Second
+)
+
+// Violations counts broken invariants. All counts should stay 0.
+type Violations struct {
+	SentToDraining          uint64 `metric:"sent_to_draining"`  // an attempt started later than DrainGrace after its endpoint began to drain
+	SentAfterClientGone     uint64 `metric:"sent_for_left"`     // an attempt started after its client had disconnected
+	SentAfterResponse       uint64 `metric:"sent_after_answer"` // an attempt started after its request had its response
+	RetriedNotIdempotent    uint64 `metric:"repeated_unsafe"`   // a request that is not idempotent was retried though an earlier attempt may have run
+	RetriedAfterDedupWindow uint64 `metric:"repeated_too_late"` // a keyed retry started after the deduplication window of an earlier attempt
+	TimeoutTooLong          uint64 `metric:"deadline_too_long"` // an upstream was given more time than its client had left
+	RespondedTwice          uint64 `metric:"answered_twice"`    // a request got a second response
+}
+
+// invariantCounters counts violations. The event loop and the goroutines of attempts add to it.
+type invariantCounters struct {
+	startedWhileDraining    atomic.Uint64
+	startedAfterDisconnect  atomic.Uint64
+	startedAfterResponse    atomic.Uint64
+	retriedNotIdempotent    atomic.Uint64
+	retriedAfterDedupWindow atomic.Uint64
+	timeoutTooLong          atomic.Uint64
+	respondedTwice          atomic.Uint64
+}
+
+// Violations returns the counts since the start. It may be called from any goroutine.
+func (c *Core) Violations() Violations {
+	counters := &c.invariants
+	return Violations{
+		SentToDraining:          counters.startedWhileDraining.Load(),
+		SentAfterClientGone:     counters.startedAfterDisconnect.Load(),
+		SentAfterResponse:       counters.startedAfterResponse.Load(),
+		RetriedNotIdempotent:    counters.retriedNotIdempotent.Load(),
+		RetriedAfterDedupWindow: counters.retriedAfterDedupWindow.Load(),
+		TimeoutTooLong:          counters.timeoutTooLong.Load(),
+		RespondedTwice:          counters.respondedTwice.Load(),
+	}
+}
+
+// reportViolation counts and logs a broken invariant. The rule is the count's name in metrics.
+func reportViolation(count *atomic.Uint64, rule, requestID string) {
+	count.Add(1)
+	slog.Error("a rule was broken", "rule", rule, "request", requestID)
+}
+
+// SendCompleted records that the last byte of an attempt was written, and checks the invariants.
+// statedTimeout is the time that the upstream was given for its response; 0: none was stated.
+// Transports call it once for each attempt, from any goroutine.
+func (m *Message) SendCompleted(now time.Time, statedTimeout time.Duration) {
+	guard := m.guard
+	if guard == nil {
+		return
+	}
+	guard.checkEndpoint(now)
+	guard.checkTimeout(now, statedTimeout)
+	guard.checkAndRecordWrite(now)
+}
+
+// checkEndpoint reports an attempt at an endpoint that has been draining for too long.
+func (g *attemptGuard) checkEndpoint(now time.Time) {
+	closedAt := time.Duration(g.host.closedAt.Load())
+	if closedAt == 0 {
+		return
+	}
+	drainingFor := now.Sub(g.core.begin) - closedAt
+	if drainingFor > g.core.config.DrainGrace+schedulingTolerance {
+		reportViolation(&g.core.invariants.startedWhileDraining, "sent_to_draining", g.request.ID)
+	}
+}
+
+// checkTimeout reports an upstream that was given more time than its client waits.
+func (g *attemptGuard) checkTimeout(now time.Time, statedTimeout time.Duration) {
+	remaining := max(g.request.Deadline.Sub(now), 0)
+	if statedTimeout > remaining+timeoutTolerance+schedulingTolerance {
+		reportViolation(&g.core.invariants.timeoutTooLong, "deadline_too_long", g.request.ID)
+	}
+}
+
+// checkAndRecordWrite checks an attempt against the request's history and adds it to that.
+func (g *attemptGuard) checkAndRecordWrite(now time.Time) {
+	history := &g.request.history
+	history.mu.Lock()
+	defer history.mu.Unlock()
+	g.checkNotCompleted(now, history.completedAt, history.clientDisconnected)
+	for _, earlier := range history.writes {
+		g.checkRetry(now, earlier)
+	}
+	history.writes = append(history.writes, attemptWrite{attempt: g.number, at: now})
+}
+
+// checkNotCompleted reports an attempt that was started after its request was completed.
+func (g *attemptGuard) checkNotCompleted(now, completedAt time.Time, clientDisconnected bool) {
+	if completedAt.IsZero() || now.Sub(completedAt) <= clientGoneTolerance+schedulingTolerance {
+		return
+	}
+	if clientDisconnected {
+		reportViolation(&g.core.invariants.startedAfterDisconnect, "sent_for_left", g.request.ID)
+	} else {
+		reportViolation(&g.core.invariants.startedAfterResponse, "sent_after_answer", g.request.ID)
+	}
+}
+
+// checkRetry reports a retry that the idempotency of the request's class forbids after an earlier attempt.
+func (g *attemptGuard) checkRetry(now time.Time, earlier attemptWrite) {
+	class := &g.core.config.Policy.Classes[g.request.Class]
+	switch {
+	case earlier.notExecuted || class.Idempotency == policy.Idempotent:
+	case class.Idempotency == policy.NotIdempotent:
+		reportViolation(&g.core.invariants.retriedNotIdempotent, "repeated_unsafe", g.request.ID)
+	case now.Sub(earlier.at) > class.DedupWindow+schedulingTolerance:
+		reportViolation(&g.core.invariants.retriedAfterDedupWindow, "repeated_too_late", g.request.ID)
+	}
+}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -55,7 +55,7 @@
 	// before its response. The Core does not call it.
 	OnClientGone func()
 
-	history  history
+	history  requestHistory
 	id       policy.RequestID
 	taken    time.Duration // by the module's clock
 	over     bool          // answered, or the client has gone
