--- a/internal/archtest/wallclock_test.go
+++ b/internal/archtest/wallclock_test.go
@@ -13,7 +13,7 @@
 // wallClock are the places of the sidecar that may read the wall clock, and why: all
 // deadlines, windows, waits and graces are spans of monotonic time.
 var wallClock = map[string]string{
-	"internal/core/core.go":                "starts are told in Unix time: policy.StartedAt weighs it",
+	"internal/core/clock.go":               "starts are told in Unix time: policy.StartedAt weighs it",
 	"internal/registry/merge/merge.go":     "a frame for starts, monotonic from then on; the members command shows times",
 	"internal/registry/eureka/register.go": "the registry's lastDirtyTimestamp",
 	"internal/hook/run.go":                 "the language of plug-ins has a time of day",
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -1,11 +1,79 @@
 package core
 
-import "context"
+import (
+	"context"
+	"time"
 
+	"mothridge/policy"
+)
+
+// attempt is one attempt of a request. Its fields do not change once it is started.
 type attempt struct {
-	req    *Request
-	number int
-	server string
-	ctx    context.Context // ends when the attempt is given up
-	cancel context.CancelFunc
+	request  *Request
+	number   int    // in the order of the request's attempts, from 0
+	endpoint string // its name; empty: it was removed before the attempt
+	cancel   context.CancelFunc
+}
+
+// startAttempt starts the next attempt of a request: see policy.Host.Send. It runs in a goroutine,
+// which ends at the latest with the attempt's context; nothing waits for it.
+func (c *Core) startAttempt(id policy.RequestID, to policy.EndpointID, timeout, writeWithin time.Duration) {
+	request := c.requests.byID[id]
+	if request == nil {
+		return
+	}
+	a := &attempt{request: request, number: len(request.attempts)}
+	request.attempts = append(request.attempts, a)
+	request.inFlight++
+	ctx, cancel := context.WithDeadline(context.Background(), attemptDeadline(request, timeout))
+	a.cancel = cancel
+
+	endpoint := c.endpoints.byID[to]
+	if endpoint != nil {
+		a.endpoint = endpoint.entry.Name
+	}
+	if endpoint == nil || request.completed {
+		cancel()
+		c.localEvents = append(c.localEvents, attemptEnded{attempt: a, result: policy.NotSent})
+		return
+	}
+	message := c.attemptMessage(a, endpoint, writeWithin)
+	go c.runAttempt(ctx, a, endpoint.upstream, message)
+}
+
+// attemptDeadline returns when an attempt is cancelled: when its client stops waiting, or after the
+// timeout if that is earlier; 0: no timeout of its own.
+func attemptDeadline(request *Request, timeout time.Duration) time.Time {
+	if timeout == 0 {
+		return request.Deadline
+	}
+	deadline := time.Now().Add(timeout)
+	if request.Deadline.Before(deadline) {
+		return request.Deadline
+	}
+	return deadline
+}
+
+// attemptMessage returns the attempt's copy of the request's message. writeWithin is the time from
+// Core.now on in which its last byte must be written; 0: no bound.
+func (c *Core) attemptMessage(a *attempt, endpoint *endpointState, writeWithin time.Duration) *Message {
+	message := a.request.Message
+	message.guard = &attemptGuard{
+		core:     c,
+		request:  a.request,
+		endpoint: endpoint,
+		number:   a.number,
+	}
+	if writeWithin > 0 {
+		eventDuration := c.clock.now() - c.now
+		message.WriteDeadline = time.Now().Add(writeWithin - eventDuration)
+	}
+	return &message
+}
+
+// runAttempt performs an attempt and posts its end.
+func (c *Core) runAttempt(ctx context.Context, a *attempt, upstream Upstream, message *Message) {
+	defer a.cancel()
+	result, response := upstream.RoundTrip(ctx, message)
+	c.post(attemptEnded{attempt: a, result: result, response: response})
 }
--- /dev/null
+++ b/internal/core/endpoint_table.go
@@ -0,0 +1,224 @@
+package core
+
+import (
+	"log/slog"
+	"net/netip"
+	"sync/atomic"
+	"time"
+
+	"mothridge/policy"
+)
+
+// endpointState is what the Core keeps of an endpoint in the list. Event loop only, but for closedAt.
+type endpointState struct {
+	id        policy.EndpointID
+	entry     Endpoint // as of the last update
+	upstream  Upstream
+	startedAt time.Duration // on the Balancer's clock; 0: long ago
+	probes    []*probe      // with no result reported yet, in the order the Balancer requested them
+
+	// closedAt is when it began to drain or was removed, on the Balancer's clock; 0: it is up. The
+	// guard reads it from the goroutines of attempts.
+	closedAt atomic.Int64
+}
+
+// close records that no further attempt may be started at the endpoint.
+func (e *endpointState) close(now time.Duration) {
+	e.closedAt.CompareAndSwap(0, int64(now))
+}
+
+// endpointTable holds the endpoint list and the endpoints' upstreams. Event loop only.
+type endpointTable struct {
+	byName      map[string]*endpointState
+	byID        map[policy.EndpointID]*endpointState
+	lastID      policy.EndpointID
+	zones       zoneNumbers
+	newUpstream func(Endpoint) Upstream
+	discovered  bool // there was an update other than the cached list
+}
+
+func newEndpointTable(zones []string, newUpstream func(Endpoint) Upstream) endpointTable {
+	return endpointTable{
+		byName:      make(map[string]*endpointState),
+		byID:        make(map[policy.EndpointID]*endpointState),
+		zones:       newZoneNumbers(zones),
+		newUpstream: newUpstream,
+	}
+}
+
+// updateEndpoints applies an update of the endpoint list and passes it to the Balancer. An endpoint
+// that it removes stays known until the Balancer has handled the update.
+func (c *Core) updateEndpoints(kind policy.UpdateKind, update EndpointUpdate) {
+	confirmedAt := time.Duration(0)
+	if !update.ConfirmedAt.IsZero() {
+		confirmedAt = c.now - time.Since(update.ConfirmedAt)
+	}
+	complete := kind != policy.DeltaUpdate
+	entries, present := c.endpoints.merge(update.Endpoints, complete, c.now, confirmedAt)
+	c.balancer.EndpointsUpdated(c.now, kind, entries)
+	if complete {
+		c.endpoints.removeAbsent(present, c.now)
+	} else {
+		c.endpoints.removeNamed(update.Endpoints, c.now)
+	}
+	c.endpoints.zones.removeUnused(c.endpoints.byName)
+
+	discovered := kind != policy.CachedUpdate
+	if discovered || len(c.endpoints.byName) > 0 {
+		c.ready.Store(true)
+	}
+	if discovered {
+		c.endpoints.discovered = true
+	}
+}
+
+// merge adds and changes endpoints as the entries of an update say, and returns these for the
+// Balancer. Unusable entries are logged and ignored. For a complete list it also returns the names of
+// the usable entries. The cost of a delta depends on its own length, not on the list's.
+func (t *endpointTable) merge(
+	entries []Endpoint, complete bool, now, confirmedAt time.Duration,
+) (merged []policy.Endpoint, present map[string]bool) {
+	merged = make([]policy.Endpoint, 0, len(entries))
+	if complete {
+		present = make(map[string]bool, len(entries))
+	}
+	for _, entry := range entries {
+		if present[entry.Name] {
+			slog.Warn("discovery: duplicate endpoint", "endpoint", entry.Name)
+		}
+		endpoint, usable := t.upsert(entry, now, confirmedAt)
+		if !usable {
+			if entry.Health != Removed {
+				slog.Warn("discovery: unusable endpoint ignored", "endpoint", entry.Name, "address", entry.Addr)
+			}
+			continue
+		}
+		if complete {
+			present[entry.Name] = true
+		}
+		merged = append(merged, endpoint)
+	}
+	return merged, present
+}
+
+// upsert adds or changes the endpoint of an entry, and returns it for the Balancer; false: the
+// entry is unusable. confirmedAt is EndpointUpdate.ConfirmedAt on the Balancer's clock; 0: unknown.
+func (t *endpointTable) upsert(entry Endpoint, now, confirmedAt time.Duration) (policy.Endpoint, bool) {
+	if entry.Name == "" {
+		return policy.Endpoint{}, false
+	}
+	endpoint := t.byName[entry.Name]
+	appeared := endpoint == nil && t.discovered
+	if !validAddress(entry.Addr) {
+		if endpoint == nil || entry.Health == Up {
+			return policy.Endpoint{}, false
+		}
+		entry.Addr = endpoint.entry.Addr // it gets no new attempts: its address does not matter
+	}
+	if endpoint == nil {
+		endpoint = t.add(entry)
+	} else if endpoint.movedOrRestarted(entry) {
+		endpoint.upstream.Retire()
+		endpoint.upstream = t.newUpstream(entry)
+	}
+	endpoint.updateStart(entry, appeared, now, confirmedAt)
+	endpoint.entry = entry
+	if entry.Health == Up {
+		endpoint.closedAt.Store(0)
+	} else {
+		endpoint.close(now)
+	}
+	return t.policyEndpoint(endpoint), true
+}
+
+// add adds the endpoint of an entry to the table, without the entry itself.
+func (t *endpointTable) add(entry Endpoint) *endpointState {
+	t.lastID++
+	endpoint := &endpointState{id: t.lastID, upstream: t.newUpstream(entry)}
+	t.byName[entry.Name] = endpoint
+	t.byID[endpoint.id] = endpoint
+	return endpoint
+}
+
+// movedOrRestarted reports whether connections to the endpoint lead to another process than the
+// entry describes.
+func (e *endpointState) movedOrRestarted(entry Endpoint) bool {
+	return e.entry.Addr != entry.Addr || e.entry.StartedAt != entry.StartedAt
+}
+
+// updateStart computes the endpoint's start on the Balancer's clock. Once it is computed it stays
+// until an entry has another start. appeared says that the list before did not have the endpoint.
+func (e *endpointState) updateStart(entry Endpoint, appeared bool, now, confirmedAt time.Duration) {
+	sameStart := e.entry.StartedAt == entry.StartedAt
+	if sameStart && e.startedAt != 0 {
+		return
+	}
+	known := e.entry.Name != ""
+	e.startedAt = policy.StartedAt(policy.StartEvidence{
+		Reported:    entry.StartedAt,
+		Now:         now,
+		WallClock:   unixNow(),
+		Changed:     appeared || known && !sameStart,
+		ConfirmedAt: confirmedAt,
+	})
+}
+
+// policyEndpoint returns the endpoint as the Balancer sees it.
+func (t *endpointTable) policyEndpoint(endpoint *endpointState) policy.Endpoint {
+	entry := &endpoint.entry
+	cell := -int(endpoint.id) // shared with no other endpoint
+	if entry.Cell != nil {
+		cell = *entry.Cell
+	}
+	return policy.Endpoint{
+		ID:        endpoint.id,
+		Zone:      t.zones.number(entry.Zone),
+		Cell:      cell,
+		Health:    entry.Health.forPolicy(),
+		Weight:    entry.Weight,
+		StartedAt: endpoint.startedAt,
+	}
+}
+
+// forPolicy returns the Balancer's value for a state; unknown ones mean no new attempts.
+func (h Health) forPolicy() policy.Health {
+	switch h {
+	case Up:
+		return policy.Ready
+	case Removed:
+		return policy.Removed
+	default:
+		return policy.Draining
+	}
+}
+
+func validAddress(address string) bool {
+	_, err := netip.ParseAddrPort(address)
+	return err == nil
+}
+
+// removeAbsent removes the endpoints that a complete list does not have, or has as removed.
+func (t *endpointTable) removeAbsent(present map[string]bool, now time.Duration) {
+	for name, endpoint := range t.byName {
+		if endpoint.entry.Health == Removed || !present[name] {
+			t.remove(endpoint, now)
+		}
+	}
+}
+
+// removeNamed removes the endpoints of a delta's entries that are removed.
+func (t *endpointTable) removeNamed(entries []Endpoint, now time.Duration) {
+	for _, entry := range entries {
+		endpoint := t.byName[entry.Name]
+		if endpoint != nil && endpoint.entry.Health == Removed {
+			t.remove(endpoint, now)
+		}
+	}
+}
+
+func (t *endpointTable) remove(endpoint *endpointState, now time.Duration) {
+	delete(t.byName, endpoint.entry.Name)
+	delete(t.byID, endpoint.id)
+	endpoint.close(now)
+	endpoint.upstream.Retire()
+}
--- /dev/null
+++ b/internal/core/endpoint_table_test.go
@@ -0,0 +1,85 @@
+package core
+
+import (
+	"testing"
+	"time"
+
+	"mothridge/internal/peers/peertest"
+	"mothridge/policy"
+)
+
+func TestUnusableEntriesAreIgnored(t *testing.T) {
+	core := newTestCore(t)
+	core.updateEndpoints(policy.FullUpdate, EndpointUpdate{Complete: true, Endpoints: []Endpoint{
+		{},
+		{Addr: "127.0.0.1:7", Health: Up},
+		upEndpoint("s-2", "nowhere"),
+		upEndpoint("s-1", "127.0.0.1:7"),
+		upEndpoint("s-3", "127.0.0.1:8"),
+	}})
+	endpoints := core.endpoints.byName
+	if len(endpoints) != 2 || endpoints["s-1"] == nil || endpoints["s-3"] == nil {
+		t.Errorf("endpoints %v, want s-1 and s-3", endpoints)
+	}
+}
+
+func TestEntriesBecomePolicyEndpoints(t *testing.T) {
+	core := newTestCore(t)
+	upsert := func(entry Endpoint) policy.Endpoint {
+		endpoint, usable := core.endpoints.upsert(entry, core.now, 0)
+		if !usable {
+			t.Fatalf("%+v was ignored", entry)
+		}
+		return endpoint
+	}
+	cell := 3
+	entry := Endpoint{Name: "s-1", Addr: "127.0.0.1:7", Zone: "a", Cell: &cell, Health: Up, Weight: 1.5}
+	first := upsert(entry)
+	want := policy.Endpoint{ID: first.ID, Cell: 3, Health: policy.Ready, Weight: 1.5}
+	if first != want {
+		t.Errorf("endpoint %+v, want %+v", first, want)
+	}
+	entry.Addr, entry.Health = "127.0.0.1:8", Draining
+	moved := upsert(entry)
+	if moved.ID != first.ID || moved.Health != policy.Draining || core.endpoints.byName["s-1"].entry.Addr != entry.Addr {
+		t.Errorf("at another address it is %+v, was %+v", moved, first)
+	}
+	entry.Health = Health(99)
+	if unknown := upsert(entry); unknown.Health != policy.Draining {
+		t.Errorf("unknown health gives %v", unknown.Health)
+	}
+	entry.Health, entry.Addr = Removed, ""
+	if removed := upsert(entry); removed.ID != first.ID || removed.Health != policy.Removed {
+		t.Errorf("removed without an address gives %+v", removed)
+	}
+	second := upsert(Endpoint{Name: "s-2", Addr: "127.0.0.1:9", Zone: "elsewhere", Health: Up})
+	third := upsert(Endpoint{Name: "s-3", Addr: "127.0.0.1:9", Zone: "elsewhere", Health: Up})
+	if second.ID == first.ID || second.Zone == 0 || second.Zone != third.Zone || second.Cell == third.Cell {
+		t.Errorf("endpoints %+v and %+v", second, third)
+	}
+}
+
+// An endpoint that started shortly before this process needs a slow start: its start must be a
+// positive time on the Balancer's clock.
+func TestStartBeforeThisProcess(t *testing.T) {
+	core := newTestCore(t)
+	startedAt := time.Duration(time.Now().Add(-2 * time.Second).UnixNano())
+	entry := Endpoint{Name: "s-1", Addr: "127.0.0.1:7", Health: Up, StartedAt: startedAt}
+	endpoint, usable := core.endpoints.upsert(entry, core.now, 0)
+	age := core.clock.now() - endpoint.StartedAt
+	if !usable || endpoint.StartedAt <= 0 || age < time.Second || age > peertest.Patience {
+		t.Errorf("started at %v, %v ago on the Balancer's clock", endpoint.StartedAt, age)
+	}
+}
+
+func TestStartAheadOfTheClockStays(t *testing.T) {
+	core := newTestCore(t)
+	startedAt := time.Duration(time.Now().Add(time.Hour).UnixNano())
+	entry := Endpoint{Name: "s-2", Addr: "127.0.0.1:7", Health: Up, StartedAt: startedAt}
+	first, _ := core.endpoints.upsert(entry, core.now, 0)
+	core.now = core.clock.now() + time.Second
+	again, _ := core.endpoints.upsert(entry, core.now, 0)
+	if first.StartedAt > core.now || again.StartedAt != first.StartedAt {
+		t.Errorf("a start ahead of the clock is %v and then %v", first.StartedAt, again.StartedAt)
+	}
+}
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -15,7 +15,7 @@
 type attemptGuard struct {
 	core      *Core
 	request   *Request
-	host      *host
+	endpoint  *endpointState
 	number    int         // of the attempt, from 0
 	prevented atomic.Bool // already counted
 }
@@ -85,7 +85,7 @@
 
 // preventSend returns the reason that the endpoint or the request gives.
 func (g *attemptGuard) preventSend() preventReason {
-	if g.host.closedAt.Load() != 0 {
+	if g.endpoint.closedAt.Load() != 0 {
 		return preventDraining
 	}
 	completed, clientDisconnected := g.request.history.state()
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -7,59 +7,102 @@
 	"mothridge/policy"
 )
 
-// guarded is an attempt of a request of some effect, as a transport has it.
-func guarded(t *testing.T, effect policy.Idempotency) (*Core, *Message) {
+// guardedMessage returns the message of an attempt, as a transport has it, of a request whose class
+// has an idempotency and a deduplication window of 1 s.
+func guardedMessage(t *testing.T, idempotency policy.Idempotency) (*Core, *Message) {
 	t.Helper()
-	l := newTestLoop(t, up("s-1", "127.0.0.1:7"))
-	l.config.Policy.Classes = []policy.Class{{Idempotency: effect, DedupWindow: time.Second}}
-	r := &Request{ID: "r", Deadline: time.Now().Add(time.Second)}
-	return l, &Message{guard: &attemptGuard{core: l, request: r, host: l.hosts["s-1"]}}
+	core := newTestCore(t, upEndpoint("s-1", "127.0.0.1:7"))
+	core.config.Policy.Classes = []policy.Class{{Idempotency: idempotency, DedupWindow: time.Second}}
+	request := &Request{ID: "r", Deadline: time.Now().Add(time.Second)}
+	guard := &attemptGuard{core: core, request: request, endpoint: core.endpoints.byName["s-1"]}
+	return core, &Message{guard: guard}
 }
 
-// What has happened since the module decided keeps an attempt from beginning; the check
-// behind the guard sees one that begins all the same.
-func TestGuardAndCheck(t *testing.T) {
+// What happened since the Balancer decided keeps an attempt from being started; the invariant checks
+// report one that is started nevertheless.
+func TestGuardAndInvariantChecks(t *testing.T) {
 	now := time.Now()
-	long := now.Add(-time.Minute)
-	for name, c := range map[string]struct {
-		effect   policy.Idempotency
-		happened func(*Core, *Message)
-		told     time.Duration
-		withheld PreventedSends
-		found    Violations
+	longAgo := now.Add(-time.Minute)
+	for _, tt := range []struct {
+		name          string
+		idempotency   policy.Idempotency
+		before        func(*Core, *Message)
+		statedTimeout time.Duration
+		prevented     PreventedSends
+		violations    Violations
 	}{
-		"nothing":     {happened: func(*Core, *Message) {}},
-		"drain":       {happened: func(_ *Core, m *Message) { m.guard.host.close(1) }, withheld: PreventedSends{Draining: 1}, found: Violations{SentToDraining: 1}},
-		"client left": {happened: func(_ *Core, m *Message) { m.guard.request.history.complete(long, true) }, withheld: PreventedSends{ClientGone: 1}, found: Violations{SentAfterClientGone: 1}},
-		"answered":    {happened: func(_ *Core, m *Message) { m.guard.request.history.complete(long, false) }, withheld: PreventedSends{Responded: 1}, found: Violations{SentAfterResponse: 1}},
-		"window over": {happened: func(_ *Core, m *Message) { m.WriteDeadline = long }, withheld: PreventedSends{DedupWindow: 1}},
-		"an unsafe one may have run": {
-			effect: policy.NotIdempotent, happened: func(_ *Core, m *Message) { m.SendCompleted(now, 0) }, found: Violations{RetriedNotIdempotent: 1},
+		{name: "nothing"},
+		{
+			name: "draining",
+			before: func(core *Core, m *Message) {
+				m.guard.endpoint.close(core.clock.at(longAgo))
+			},
+			prevented:  PreventedSends{Draining: 1},
+			violations: Violations{SentToDraining: 1},
 		},
-		"an unsafe one never ran": {effect: policy.NotIdempotent, happened: func(_ *Core, m *Message) {
-			m.SendCompleted(now, 0)
-			m.guard.request.history.attemptEnded(0, policy.Rejected)
-		}},
-		"a keyed one within its window": {effect: policy.IdempotentByKey, happened: func(_ *Core, m *Message) { m.SendCompleted(now, 0) }},
-		"a keyed one after its window": {
-			effect: policy.IdempotentByKey, happened: func(_ *Core, m *Message) { m.SendCompleted(long, 0) }, found: Violations{RetriedAfterDedupWindow: 1},
+		{
+			name:       "client disconnected",
+			before:     func(_ *Core, m *Message) { m.guard.request.history.complete(longAgo, true) },
+			prevented:  PreventedSends{ClientGone: 1},
+			violations: Violations{SentAfterClientGone: 1},
+		},
+		{
+			name:       "response given",
+			before:     func(_ *Core, m *Message) { m.guard.request.history.complete(longAgo, false) },
+			prevented:  PreventedSends{Responded: 1},
+			violations: Violations{SentAfterResponse: 1},
+		},
+		{
+			name:      "write deadline passed",
+			before:    func(_ *Core, m *Message) { m.WriteDeadline = longAgo },
+			prevented: PreventedSends{DedupWindow: 1},
+		},
+		{
+			name:        "not idempotent, earlier attempt may have run",
+			idempotency: policy.NotIdempotent,
+			before:      func(_ *Core, m *Message) { m.SendCompleted(now, 0) },
+			violations:  Violations{RetriedNotIdempotent: 1},
+		},
+		{
+			name:        "not idempotent, earlier attempt did not run",
+			idempotency: policy.NotIdempotent,
+			before: func(_ *Core, m *Message) {
+				m.SendCompleted(now, 0)
+				m.guard.request.history.attemptEnded(0, policy.Rejected)
+			},
+		},
+		{
+			name:        "keyed, within the deduplication window",
+			idempotency: policy.IdempotentByKey,
+			before:      func(_ *Core, m *Message) { m.SendCompleted(now, 0) },
+		},
+		{
+			name:        "keyed, after the deduplication window",
+			idempotency: policy.IdempotentByKey,
+			before:      func(_ *Core, m *Message) { m.SendCompleted(longAgo, 0) },
+			violations:  Violations{RetriedAfterDedupWindow: 1},
+		},
+		{
+			name:          "timeout longer than the client's",
+			statedTimeout: 2 * time.Second,
+			violations:    Violations{TimeoutTooLong: 1},
 		},
-		"told too much": {told: 2 * time.Second, happened: func(*Core, *Message) {}, found: Violations{TimeoutTooLong: 1}},
 	} {
-		t.Run(name, func(t *testing.T) {
-			l, m := guarded(t, c.effect)
-			l.begin = long
-			c.happened(l, m)
-			if got := m.AllowSend(now); got != (c.withheld == PreventedSends{}) {
-				t.Errorf("may begin: %v", got)
+		t.Run(tt.name, func(t *testing.T) {
+			core, message := guardedMessage(t, tt.idempotency)
+			if tt.before != nil {
+				tt.before(core, message)
+			}
+			if got, want := message.AllowSend(now), tt.prevented == (PreventedSends{}); got != want {
+				t.Errorf("AllowSend is %v, want %v", got, want)
 			}
-			m.AllowSend(now)
-			if got := l.PreventedSends(); got != c.withheld {
-				t.Errorf("withheld %+v, want %+v", got, c.withheld)
+			message.AllowSend(now) // counted once
+			if got := core.PreventedSends(); got != tt.prevented {
+				t.Errorf("prevented %+v, want %+v", got, tt.prevented)
 			}
-			m.SendCompleted(now, c.told)
-			if got := l.Violations(); got != c.found {
-				t.Errorf("checks %+v, want %+v", got, c.found)
+			message.SendCompleted(now, tt.statedTimeout)
+			if got := core.Violations(); got != tt.violations {
+				t.Errorf("violations %+v, want %+v", got, tt.violations)
 			}
 		})
 	}
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -10,9 +10,9 @@
 
 // Tolerances of the invariant checks.
 const (
-	clientGoneTolerance = 100 * time.Millisecond // an attempt may start this long after its client disconnected
-	timeoutTolerance    = 150 * time.Millisecond // an upstream may be given this much more time than the client has
-	schedulingTolerance = 150 * time.Millisecond // the process may be paused between reading its clock and writing
+	clientDisconnectTolerance = 100 * time.Millisecond // an attempt may start this long after its client disconnected
+	timeoutTolerance          = 150 * time.Millisecond // an upstream may be given this much more time than the client has
+	schedulingTolerance       = 150 * time.Millisecond // the process may be paused between reading its clock and writing
 
 	// DefaultDrainGrace is used where Config.DrainGrace is 0.
 	DefaultDrainGrace = time.Second
@@ -20,13 +20,20 @@
 
 // Violations counts broken invariants. All counts should stay 0.
 type Violations struct {
-	SentToDraining          uint64 `metric:"sent_to_draining"`  // an attempt started later than DrainGrace after its endpoint began to drain
-	SentAfterClientGone     uint64 `metric:"sent_for_left"`     // an attempt started after its client had disconnected
-	SentAfterResponse       uint64 `metric:"sent_after_answer"` // an attempt started after its request had its response
-	RetriedNotIdempotent    uint64 `metric:"repeated_unsafe"`   // a request that is not idempotent was retried though an earlier attempt may have run
-	RetriedAfterDedupWindow uint64 `metric:"repeated_too_late"` // a keyed retry started after the deduplication window of an earlier attempt
-	TimeoutTooLong          uint64 `metric:"deadline_too_long"` // an upstream was given more time than its client had left
-	RespondedTwice          uint64 `metric:"answered_twice"`    // a request got a second response
+	// An attempt started later than Config.DrainGrace after its endpoint began to drain.
+	SentToDraining uint64 `metric:"sent_to_draining"`
+	// An attempt started after its client had disconnected.
+	SentAfterClientGone uint64 `metric:"sent_for_left"`
+	// An attempt started after its request had its response.
+	SentAfterResponse uint64 `metric:"sent_after_answer"`
+	// A request that is not idempotent was retried though an earlier attempt may have run.
+	RetriedNotIdempotent uint64 `metric:"repeated_unsafe"`
+	// A request that is idempotent by its key was retried after the deduplication window.
+	RetriedAfterDedupWindow uint64 `metric:"repeated_too_late"`
+	// An upstream was given more time than its client had left.
+	TimeoutTooLong uint64 `metric:"deadline_too_long"`
+	// A request got a second response.
+	RespondedTwice uint64 `metric:"answered_twice"`
 }
 
 // invariantCounters counts violations. The event loop and the goroutines of attempts add to it.
@@ -75,11 +82,11 @@
 
 // checkEndpoint reports an attempt at an endpoint that has been draining for too long.
 func (g *attemptGuard) checkEndpoint(now time.Time) {
-	closedAt := time.Duration(g.host.closedAt.Load())
+	closedAt := time.Duration(g.endpoint.closedAt.Load())
 	if closedAt == 0 {
 		return
 	}
-	drainingFor := now.Sub(g.core.begin) - closedAt
+	drainingFor := g.core.clock.at(now) - closedAt
 	if drainingFor > g.core.config.DrainGrace+schedulingTolerance {
 		reportViolation(&g.core.invariants.startedWhileDraining, "sent_to_draining", g.request.ID)
 	}
@@ -107,7 +114,7 @@
 
 // checkNotCompleted reports an attempt that was started after its request was completed.
 func (g *attemptGuard) checkNotCompleted(now, completedAt time.Time, clientDisconnected bool) {
-	if completedAt.IsZero() || now.Sub(completedAt) <= clientGoneTolerance+schedulingTolerance {
+	if completedAt.IsZero() || now.Sub(completedAt) <= clientDisconnectTolerance+schedulingTolerance {
 		return
 	}
 	if clientDisconnected {
--- /dev/null
+++ b/internal/core/probes.go
@@ -0,0 +1,46 @@
+package core
+
+import (
+	"context"
+	"errors"
+
+	"mothridge/policy"
+)
+
+// probe is a health check of an endpoint that the Balancer requested.
+type probe struct {
+	endpoint  *endpointState
+	completed bool
+	load      policy.LoadReport
+	err       error
+}
+
+// startProbe probes an endpoint in a goroutine, which ends within the transport's bound on probes;
+// nothing waits for it. An endpoint that was removed is not probed.
+func (c *Core) startProbe(id policy.EndpointID) {
+	endpoint := c.endpoints.byID[id]
+	if endpoint == nil {
+		return
+	}
+	p := &probe{endpoint: endpoint}
+	endpoint.probes = append(endpoint.probes, p)
+	upstream := endpoint.upstream
+	go func() {
+		load, err := upstream.Probe(context.Background())
+		c.post(probeCompleted{probe: p, load: load, err: err})
+	}()
+}
+
+// reportProbeResults passes an endpoint's results to the Balancer in the order in which it
+// requested the probes, as it matches them by that: a result waits for those before it.
+func (c *Core) reportProbeResults(endpoint *endpointState) {
+	for len(endpoint.probes) > 0 && endpoint.probes[0].completed {
+		p := endpoint.probes[0]
+		endpoint.probes = endpoint.probes[1:]
+		if errors.Is(p.err, ErrNotSent) {
+			c.balancer.ProbeNotSent(c.now, endpoint.id)
+		} else {
+			c.balancer.ProbeCompleted(c.now, endpoint.id, p.err == nil, p.load)
+		}
+	}
+}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"errors"
 	"time"
 
 	"mothridge/policy"
@@ -11,32 +10,6 @@
 // when it sends the request, the listener from when it reads the request.
 const AnswerMargin = 5 * time.Millisecond
 
-// ErrNotSent is returned by transports that wrote nothing, for a reason on this side: Message.AllowSend
-// forbade it, or this machine lacks a resource.
-var ErrNotSent = errors.New("not sent")
-
-// Message is what is forwarded to an upstream, in terms of no protocol. Fields and Body must not
-// be changed after Submit: concurrent attempts read them.
-type Message struct {
-	Method string              // GET if the request is safe to repeat, else POST
-	Target string              // path and query, as received
-	Host   string              // host name the client addressed
-	Fields map[string][]string // by canonical name, Request-Id and the other fields of the request included
-	Body   []byte
-
-	// ClientGone reports whether the client has disconnected by now. Listeners may leave it nil.
-	// It may be called from any goroutine until the request is completed.
-	ClientGone func() bool
-	// RequiresLength says that the listener cannot forward a response whose end is uncertain:
-	// see Response.DelimitedByClose.
-	RequiresLength bool
-	// WriteDeadline is the latest time at which the last byte of an attempt may be written; zero:
-	// no bound. Set by the Core in the copy that an attempt has.
-	WriteDeadline time.Time
-
-	guard *attemptGuard // in the copy that an attempt has; nil elsewhere
-}
-
 // Request is a client's request. Its listener sets the exported fields; each Handler that it
 // passes may wrap Respond and OnClientGone before it calls the next one. From Submit to the Core
 // on, nothing changes them.
@@ -55,13 +28,21 @@
 	// before its response. The Core does not call it.
 	OnClientGone func()
 
-	history  requestHistory
-	id       policy.RequestID
-	taken    time.Duration // by the module's clock
-	over     bool          // answered, or the client has gone
-	attempts []*attempt
-	out      int  // attempts that have not ended
-	timedOut bool // the last attempt did
+	history requestHistory
+
+	// Event loop only.
+	policyID     policy.RequestID // its number in the Balancer; 0: not registered
+	receivedAt   time.Duration    // on the Balancer's clock
+	completed    bool             // it has its response, or its client has disconnected
+	attempts     []*attempt       // by number
+	inFlight     int              // attempts that have not ended
+	lastTimedOut bool             // the attempt that ended last timed out
+}
+
+// ranOutOfTime reports whether a request that fails does so because its deadline passed: the Balancer
+// may notice that before the attempt in flight ends with policy.TimedOut.
+func (r *Request) ranOutOfTime() bool {
+	return r.lastTimedOut || r.inFlight > 0
 }
 
 // Handler takes requests from listeners: the Core, or what precedes it in the chain (plug-ins,
--- a/internal/core/response.go
+++ b/internal/core/response.go
@@ -1,6 +1,10 @@
 package core
 
-import "time"
+import (
+	"time"
+
+	"mothridge/policy"
+)
 
 // Result says how a request ended towards its client.
 type Result int
@@ -34,3 +38,21 @@
 	RetryAfter       time.Duration // if Rejected: how long the client should wait
 	Detail           string        // if Rejected: the reason in one line, where a Handler before the Core gives one
 }
+
+// respond completes a request with a response, unless it is completed.
+func (c *Core) respond(id policy.RequestID, response Response) {
+	request := c.requests.byID[id]
+	if request == nil || request.completed {
+		return
+	}
+	request.history.complete(time.Now(), false)
+	c.requests.complete(request)
+	if request.history.responded {
+		reportViolation(&c.invariants.respondedTwice, "answered_twice", request.ID)
+	}
+	request.history.responded = true
+	if c.config.OnResponse != nil {
+		c.config.OnResponse(request.Class, response.Result, c.now-request.receivedAt)
+	}
+	request.Respond(response)
+}
--- /dev/null
+++ b/internal/core/state.go
@@ -0,0 +1,126 @@
+package core
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"sync/atomic"
+
+	"mothridge/internal/counters"
+	"mothridge/policy"
+)
+
+var errStopped = errors.New("the event loop has stopped")
+
+// State is a snapshot for operators.
+type State struct {
+	Counters  policy.Counters
+	Requests  int   // being handled, those with an attempt in flight after their completion included
+	Endpoints int   // in the list
+	SlotsFree []int // by tenant
+	QueueFree []int // by tenant
+}
+
+// State returns a snapshot that the event loop takes. It blocks until then, at most until ctx ends;
+// it returns ctx's error then, and another one once Run has returned.
+func (c *Core) State(ctx context.Context) (State, error) {
+	state := make(chan State, 1)
+	select {
+	case c.events <- stateRequested{state}:
+	case <-c.done:
+		return State{}, errStopped
+	case <-ctx.Done():
+		return State{}, ctx.Err()
+	}
+	select {
+	case s := <-state:
+		return s, nil
+	case <-c.done:
+		return State{}, errStopped
+	case <-ctx.Done():
+		return State{}, ctx.Err()
+	}
+}
+
+// state takes a snapshot. Event loop only.
+func (c *Core) state() State {
+	s := State{
+		Counters:  c.balancer.Counters(),
+		Requests:  len(c.requests.byID),
+		Endpoints: len(c.endpoints.byName),
+	}
+	for tenant := range max(1, len(c.config.Policy.Tenants)) {
+		s.SlotsFree = append(s.SlotsFree, c.balancer.SlotsFree(tenant))
+		s.QueueFree = append(s.QueueFree, c.balancer.QueueFree(tenant))
+	}
+	return s
+}
+
+// outcomeCounters counts how requests and attempts ended. The event loop adds, any goroutine reads.
+type outcomeCounters struct {
+	unserved [policy.ReasonCount]atomic.Uint64 // rejected or failed requests, by policy.Reason
+	attempts [policy.NotSent + 1]atomic.Uint64 // by policy.AttemptResult
+}
+
+// recordUnserved counts and logs the Balancer's reason to reject or fail a request.
+func (c *Core) recordUnserved(id policy.RequestID, how string) {
+	reason := c.balancer.Reason()
+	c.outcomes.unserved[reason].Add(1)
+	if request := c.requests.byID[id]; request != nil && debugEnabled() {
+		slog.Debug("request given up",
+			"request", request.ID, "how", how, "reason", reason.String(), "attempts", len(request.attempts))
+	}
+}
+
+// recordAttempt counts and logs an attempt's result.
+func (c *Core) recordAttempt(a *attempt, result policy.AttemptResult) {
+	if result >= 0 && int(result) < len(c.outcomes.attempts) {
+		c.outcomes.attempts[result].Add(1)
+	}
+	if debugEnabled() {
+		slog.Debug("attempt ended",
+			"request", a.request.ID, "attempt", a.number, "server", a.endpoint, "ending", result.String())
+	}
+}
+
+// debugEnabled reports whether debug lines are logged; their attributes cost an allocation otherwise.
+func debugEnabled() bool {
+	return slog.Default().Enabled(context.Background(), slog.LevelDebug)
+}
+
+// RejectionsByReason returns how many requests were rejected or failed, by policy.Reason, without
+// those reasons that did not occur. It may be called from any goroutine.
+func (c *Core) RejectionsByReason() map[string]uint64 {
+	counts := make(map[string]uint64)
+	for reason := range c.outcomes.unserved {
+		if n := c.outcomes.unserved[reason].Load(); n > 0 {
+			counts[policy.Reason(reason).String()] = n
+		}
+	}
+	return counts
+}
+
+// AttemptsByResult returns how many attempts have ended, by policy.AttemptResult. It may be called
+// from any goroutine.
+func (c *Core) AttemptsByResult() map[string]uint64 {
+	counts := make(map[string]uint64)
+	for result := range c.outcomes.attempts {
+		counts[policy.AttemptResult(result).String()] = c.outcomes.attempts[result].Load()
+	}
+	return counts
+}
+
+// logCounters logs the counts since the start. Event loop only.
+func (c *Core) logCounters() {
+	slog.Info("counters", counterAttributes(c.balancer.Counters())...)
+	slog.Info("checks", counterAttributes(c.Violations())...)
+}
+
+// counterAttributes returns a log attribute for each counter of a struct.
+func counterAttributes(counts any) []any {
+	var attributes []any
+	counters.Each(counts, func(name string, n uint64) {
+		attributes = append(attributes, slog.Uint64(name, n))
+	})
+	return attributes
+}
--- a/internal/core/upstream.go
+++ b/internal/core/upstream.go
@@ -2,12 +2,17 @@
 
 import (
 	"context"
+	"errors"
 
 	"mothridge/policy"
 )
 
-// Upstream is the process behind one endpoint, as the transport of its protocol reaches it. Its
-// methods may be called concurrently.
+// ErrNotSent is returned by transports that wrote nothing, for a reason on this side:
+// Message.AllowSend forbade it, or this machine lacks a resource.
+var ErrNotSent = errors.New("not sent")
+
+// Upstream is the process at an endpoint, as the transport of its protocol reaches it. Its methods may
+// be called concurrently.
 type Upstream interface {
 	// RoundTrip performs one attempt and blocks until it has ended or ctx has. It returns a
 	// response with policy.Served and only then. Results that rule out that the attempt ran
