--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -15,7 +15,7 @@
 // # State
 //
 // The event loop owns the Balancer, its timer (event_loop.go), the requests (request_registry.go) and
-// the endpoint list (endpoints.go); no lock guards them. What other goroutines read is atomic or has a
+// the endpoint list (endpoint_table.go); no lock guards them. What other goroutines read is atomic or has a
 // lock of its own: the Request-Ids in use, the counts (state.go, invariants.go), the history of a request
 // (request_history.go) and the pauses of the process (pause_detection.go).
 //
@@ -42,7 +42,7 @@
 type Config struct {
 	Policy      policy.Config
 	Seed        uint64                  // of the Balancer's random decisions
-	Zones       []string                // by the numbers that Policy has for them
+	Zones       []string                // zones with a number in Policy, by that number
 	Cached      *EndpointUpdate         // the last known endpoint list; nil: none
 	NewUpstream func(Endpoint) Upstream // called on the event loop: it must not do I/O
 
@@ -55,8 +55,8 @@
 	OnResponse func(class int, result Result, latency time.Duration)
 }
 
-// Core is the event loop and what it owns. Its exported methods may be called from any goroutine; Run
-// must be called once.
+// Core is the event loop and what it owns. Its methods may be called from any goroutine; Run must be
+// called once.
 type Core struct {
 	// Not changed after New.
 	config  Config
@@ -81,6 +81,8 @@
 	prevented  preventedCounters
 }
 
+var _ Handler = (*Core)(nil)
+
 // New returns a Core, which handles nothing before Run. An error names the unusable field of
 // Config.Policy.
 func New(config Config) (*Core, error) {
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// A transport calls Message.AllowSend right before the first byte of an attempt and
-// Message.SendCompleted after the last. AllowSend is the guard: after the Balancer has decided,
-// connections take time to open, clients disconnect and endpoints drain. SendCompleted verifies the
-// guards: it counts broken invariants (invariants.go) and changes nothing.
-
-// attemptGuard ties the message of an attempt to what the guard and the invariant checks need to
-// know. Transports use it, through the Message, from the attempt's goroutine.
+// attemptGuard is what the guard and the invariant checks know of an attempt. Transports use it
+// through its Message: they call Message.AllowSend right before the first byte and
+// Message.SendCompleted after the last, each from any goroutine.
+//
+// AllowSend is the guard: after the Balancer has decided, connections take time to open, clients
+// disconnect and endpoints drain. SendCompleted checks that the guard works: it counts broken
+// invariants (invariants.go) and changes nothing else.
 type attemptGuard struct {
 	core      *Core
 	request   *Request
@@ -23,12 +23,13 @@
 // preventReason says why an attempt may not be started.
 type preventReason int
 
+// The reasons, each counted in the field of PreventedSends that it is given here.
 const (
-	notPrevented preventReason = iota
-	preventDraining
-	preventClientDisconnected
-	preventCompleted
-	preventDedupWindow
+	notPrevented              preventReason = iota
+	preventDraining                         // Draining
+	preventClientDisconnected               // ClientGone
+	preventCompleted                        // Responded
+	preventDedupWindow                      // DedupWindow
 	preventReasonCount
 )
 
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -8,14 +8,18 @@
 	"mothridge/policy"
 )
 
+// DefaultDrainGrace is used where Config.DrainGrace is 0.
+const DefaultDrainGrace = time.Second
+
 // Tolerances of the invariant checks.
 const (
-	clientDisconnectTolerance = 100 * time.Millisecond // an attempt may start this long after its client disconnected
-	timeoutTolerance          = 150 * time.Millisecond // an upstream may be given this much more time than the client has
-	schedulingTolerance       = 150 * time.Millisecond // the process may be paused between reading its clock and writing
-
-	// DefaultDrainGrace is used where Config.DrainGrace is 0.
-	DefaultDrainGrace = time.Second
+	// clientDisconnectTolerance is how long after its client disconnected an attempt may start.
+	clientDisconnectTolerance = 100 * time.Millisecond
+	// timeoutTolerance is how much more time than its client has an upstream may be given.
+	timeoutTolerance = 150 * time.Millisecond
+	// schedulingTolerance is added to each bound, as the process may be held up between reading its
+	// clock and writing.
+	schedulingTolerance = 150 * time.Millisecond
 )
 
 // Violations counts broken invariants. All counts should stay 0.
--- a/internal/core/pause_detection.go
+++ b/internal/core/pause_detection.go
@@ -8,7 +8,7 @@
 
 const (
 	// minPause is the least time without an iteration of the event loop that counts as a pause of the
-	// process. The Balancer's timer fires every 100 ms or more often, without any load too.
+	// process. The Balancer's timer fires at least every 100 ms, also without any load.
 	minPause = 300 * time.Millisecond
 	// catchUpGrace is how long after a pause bytes may be read that were received during it.
 	catchUpGrace = 100 * time.Millisecond
--- /dev/null
+++ b/internal/core/pause_detection_test.go
@@ -0,0 +1,66 @@
+package core
+
+import (
+	"testing"
+	"time"
+)
+
+func TestEarliestArrival(t *testing.T) {
+	startedAt := time.Now()
+	const second = time.Second
+	for _, tt := range []struct {
+		name       string
+		iterations []time.Duration // since the start
+		readAt     time.Duration
+		want       time.Duration
+	}{
+		{name: "no iteration yet", readAt: second, want: second},
+		{
+			name:       "the first iteration ends no pause",
+			iterations: []time.Duration{second},
+			readAt:     second,
+			want:       second,
+		},
+		{
+			name:       "event loop runs",
+			iterations: []time.Duration{second},
+			readAt:     second + minPause - 1,
+			want:       second + minPause - 1,
+		},
+		{
+			name:       "event loop has yet to run after a pause",
+			iterations: []time.Duration{second},
+			readAt:     second + minPause,
+			want:       second,
+		},
+		{
+			name:       "shortly after the shortest pause",
+			iterations: []time.Duration{second, second + minPause},
+			readAt:     second + minPause + catchUpGrace - 1,
+			want:       second,
+		},
+		{
+			name:       "after a pause",
+			iterations: []time.Duration{second, 3 * second},
+			readAt:     3*second + catchUpGrace,
+			want:       3*second + catchUpGrace,
+		},
+		{
+			name:       "after a silence that is too short for a pause",
+			iterations: []time.Duration{second, second + minPause - 1},
+			readAt:     second + minPause,
+			want:       second + minPause,
+		},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			detector := pauseDetector{startedAt: startedAt}
+			for _, iteration := range tt.iterations {
+				detector.iterationStarted(iteration)
+			}
+			got := detector.earliestArrival(startedAt.Add(tt.readAt)).Sub(startedAt)
+			if got != tt.want {
+				t.Errorf("earliest arrival %v after the start, want %v", got, tt.want)
+			}
+		})
+	}
+}
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,4 +1,4 @@
-// Package counters names the counts of a struct, for logs and metrics.
+// Package counters names the counters of a struct, for metrics' labels and log attributes.
 package counters
 
 import (
@@ -7,27 +7,33 @@
 	"unicode"
 )
 
-// Each gives the uint64 fields of a struct in their order, each by the name in its tag
-// `metric:"retry_after"`, or else by its own name in lower case with underscores
-// (RetryAfter: retry_after).
-func Each(counts any, yield func(name string, n uint64)) {
-	v := reflect.ValueOf(counts)
-	for i := range v.NumField() {
-		field := v.Type().Field(i)
-		if field.Type.Kind() != reflect.Uint64 {
-			continue
-		}
-		name, tagged := field.Tag.Lookup("metric")
-		if !tagged {
-			name = snakeCase(field.Name)
+// nameTag is the key of the struct tag that sets a counter's name, as in `metric:"retry_after"`.
+const nameTag = "metric"
+
+// Each calls yield with the name and value of each uint64 field of a struct, in the order of
+// the fields, and ignores fields of other types. The name is that of the field's tag, else the
+// field's own in snake case (RetryAfter: retry_after). Each panics if counts is not a struct.
+func Each(counts any, yield func(name string, value uint64)) {
+	values := reflect.ValueOf(counts)
+	for i := range values.NumField() {
+		field := values.Type().Field(i)
+		if field.Type.Kind() == reflect.Uint64 {
+			yield(counterName(field), values.Field(i).Uint())
 		}
-		yield(name, v.Field(i).Uint())
 	}
 }
 
-func snakeCase(field string) string {
+func counterName(field reflect.StructField) string {
+	if name, tagged := field.Tag.Lookup(nameTag); tagged {
+		return name
+	}
+	return snakeCase(field.Name)
+}
+
+// snakeCase converts a name in camel case without abbreviations in capitals.
+func snakeCase(name string) string {
 	var b strings.Builder
-	for i, r := range field {
+	for i, r := range name {
 		if unicode.IsUpper(r) && i > 0 {
 			b.WriteByte('_')
 		}
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -14,19 +14,21 @@
 	"mothridge/quota"
 )
 
-// The names are the labels of metrics and the attributes of log lines that the operators'
-// pages give: they stay, whatever the fields are called.
-func TestNamesOfCounters(t *testing.T) {
+// The names are the labels of metrics and the log attributes that the operators' pages give: they
+// stay, whatever the fields are called.
+func TestCounterNames(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		counts any
 		want   string
 	}{
 		{"decisions", policy.Counters{}, "ordinary knocked passed trials shed retries refused failed"},
-		{"violations", core.Violations{}, "sent_to_draining sent_for_left sent_after_answer repeated_unsafe repeated_too_late deadline_too_long answered_twice"},
+		{"violations", core.Violations{}, "sent_to_draining sent_for_left sent_after_answer " +
+			"repeated_unsafe repeated_too_late deadline_too_long answered_twice"},
 		{"prevented sends", core.PreventedSends{}, "draining left answered window"},
 		{"quota usage", quota.Usage{}, "own borrowed refused lent repaid"},
-		{"HTTP listener", httpfront.Counters{}, "connections taken rejected left failed closed_by_server closed_idle closed_drain closed_silent closed_unfinished closed_cut closed_unanswered"},
+		{"HTTP listener", httpfront.Counters{}, "connections taken rejected left failed " +
+			"closed_by_server closed_idle closed_drain closed_silent closed_unfinished closed_cut closed_unanswered"},
 		{"RPC listener", rpcfront.Counters{}, "connections taken rejected flooded repeated malformed stalled failed"},
 		{"HTTP transport", httpnode.Counters{}, "dials failed unsized"},
 		{"RPC transport", rpcnode.Counters{}, "late unknown malformed condemned dials"},
