--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -218,14 +218,16 @@
 	out := filepath.Join(t.TempDir(), "r")
 	ctx, cancel := context.WithCancel(context.Background())
 	var second error
+	done := 0 // when it was interrupted: more than 4 where one of the first took longest, as rows go by their order
 	_, err = Run(ctx, e, RunOptions{Out: out, Workers: 2, Progress: func(p Progress) {
 		if second == nil && p.Done >= 4 {
+			done = p.Done
 			_, second = openStore(out, e)
 			cancel()
 		}
 	}})
 	r, lerr := LoadResults(out)
-	if !errors.Is(err, context.Canceled) || lerr != nil || len(r.Rows) < 4 || len(r.Rows) > 8 {
+	if !errors.Is(err, context.Canceled) || lerr != nil || len(r.Rows) < done || len(r.Rows) > done+4 {
 		t.Errorf("%v, %v, %+v", err, lerr, r)
 	}
 	if second == nil || !strings.Contains(second.Error(), "another run is writing it") {
