--- a/policy/host.go
+++ b/policy/host.go
@@ -18,9 +18,9 @@
 	// the endpoints no longer drop a repeat of an earlier attempt.
 	Send(id RequestID, to EndpointID, timeout, writeWithin time.Duration)
 
-	// Reject answers a request that may be retried without harm, best after the
-	// pause, which is between 0 and Config.MaxRetryAfter.
-	Reject(id RequestID, pause time.Duration)
+	// Reject answers a request that may be retried without harm, best after
+	// retryAfter, which is between 0 and Config.MaxRetryAfter.
+	Reject(id RequestID, retryAfter time.Duration)
 
 	// Fail answers a request with no promise about its effect.
 	Fail(id RequestID)
