--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -81,7 +81,7 @@
 
 // transport carries out attempts by one protocol.
 type transport interface {
-	Node(addr string) core.Upstream
+	Upstream(address string) core.Upstream
 	Sweep(now time.Time) // closes what has been idle for too long
 }
 
@@ -218,8 +218,11 @@
 		forRPC = connections / 2
 	}
 	overHTTP := httpnode.New(httpnode.Config{
-		DialTimeout: c.DialTimeout, ConnIdle: c.ConnIdle, Connections: connections - forRPC,
-		LoadField: c.LoadField, Reports: c.Policy.ProbeLoadReports,
+		DialTimeout:      c.DialTimeout,
+		IdleTimeout:      c.ConnIdle,
+		MaxConnections:   connections - forRPC,
+		LoadReportField:  c.LoadField,
+		ProbeLoadReports: c.Policy.ProbeLoadReports,
 	})
 	show("", operator.HTTP, func() any { return overHTTP.Counters() })
 	all := []transport{overHTTP}
@@ -248,10 +251,10 @@
 				continue // its source says otherwise
 			}
 			if p.Matches(cmp.Or(i.Host, i.Name), i.Zone, i.MachineType) {
-				return ofPool[n].Node(i.Addr)
+				return ofPool[n].Upstream(i.Addr)
 			}
 		}
-		return overHTTP.Node(i.Addr)
+		return overHTTP.Upstream(i.Addr)
 	}, all
 }
 
--- /dev/null
+++ b/internal/transport/httpnode/probe_test.go
@@ -0,0 +1,49 @@
+package httpnode
+
+import (
+	"testing"
+	"time"
+
+	"mothridge/internal/peers/peertest"
+)
+
+func TestProbeReadsTheLoadReport(t *testing.T) {
+	const inHeader = statusOK + "Server-Load: TEXT busy_reqs=3\r\n" + emptyBody
+	for name, test := range map[string]struct {
+		text         string
+		wantSuccess  bool
+		wantInFlight float64
+	}{
+		"body":          {peertest.Answer200("TEXT failed_ps=0.5, busy_reqs=7"), true, 7},
+		"header":        {inHeader, true, 3},
+		"without field": {peertest.Answer200("TEXT failed_ps=0.5"), true, -1},
+		"not a number":  {peertest.Answer200("TEXT busy_reqs=many"), true, -1},
+		"negative":      {peertest.Answer200("TEXT busy_reqs=-2"), true, -1},
+		"infinite":      {peertest.Answer200("TEXT busy_reqs=+Inf"), true, -1},
+		"garbage":       {peertest.Answer200("\x00=,,=busy_reqs"), true, -1},
+		"unhealthy":     {"HTTP/1.1 503 x\r\n" + emptyBody, false, -1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := peertest.NewUpstream(t, peertest.Always(test.text))
+			transport := &Transport{pool: newTestPool(1), loadReportField: "busy_reqs", probePath: loadReportPath}
+			load, err := transport.Upstream(server.Addr).Probe(t.Context())
+			if (err == nil) != test.wantSuccess || load.InFlight != test.wantInFlight {
+				t.Errorf("probe: %v, %v; want %v, %v", err, load.InFlight, test.wantSuccess, test.wantInFlight)
+			}
+			request := peertest.Await(t, "the probe", server.Requests)
+			if request.URL.Path != "/stats" || request.Header.Get("Request-Id") != "" {
+				t.Errorf("requested %s with %v", request.URL, request.Header)
+			}
+		})
+	}
+}
+
+func TestProbeWithoutResponseEnds(t *testing.T) {
+	server := peertest.NewUpstream(t, peertest.Always(""))
+	pool := newConnectionPool(500*time.Millisecond, time.Second, 1)
+	load, err := newTestUpstream(pool, server.Addr).Probe(t.Context())
+	if err == nil || load.InFlight >= 0 {
+		t.Errorf("probe of a silent upstream: %v, %v", err, load)
+	}
+	peertest.Await(t, "the connection's end", server.Closed)
+}
--- /dev/null
+++ b/internal/transport/httpnode/write_request.go
@@ -0,0 +1,75 @@
+package httpnode
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+
+	"mothridge/internal/core"
+)
+
+// writeRequest writes a request in one write. It returns nil once the last byte was written. It
+// writes nothing where the attempt was cancelled or message does not allow it any more; the
+// error is core.ErrNotSent in the latter case.
+func (conn *connection) writeRequest(ctx context.Context, message *core.Message) error {
+	conn.requestBuffer.Reset()
+	timeout := remainingTime(ctx)
+	appendRequest(&conn.requestBuffer, message, timeout)
+	if err := ctx.Err(); err != nil {
+		return err
+	}
+	if !message.AllowSend(time.Now()) {
+		return core.ErrNotSent
+	}
+	if !message.WriteDeadline.IsZero() { // the upstream may be slow to read
+		conn.netConn.SetWriteDeadline(message.WriteDeadline)
+		defer conn.netConn.SetWriteDeadline(time.Time{})
+	}
+	count, err := conn.netConn.Write(conn.requestBuffer.Bytes())
+	if count < conn.requestBuffer.Len() {
+		return fmt.Errorf("write request: %w", err)
+	}
+	message.SendCompleted(time.Now(), timeout)
+	return nil
+}
+
+// appendRequest encodes the client's request unchanged, but for its timeout: how long the
+// sidecar waits for the response; 0: none is named. No field holds a line break: the listener
+// front ends check that.
+func appendRequest(buffer *bytes.Buffer, message *core.Message, timeout time.Duration) {
+	buffer.WriteString(message.Method)
+	buffer.WriteByte(' ')
+	buffer.WriteString(message.Target)
+	buffer.WriteString(" HTTP/1.1\r\nHost: ")
+	buffer.WriteString(message.Host)
+	if len(message.Body) > 0 || message.Method != http.MethodGet {
+		buffer.WriteString("\r\nContent-Length: ")
+		buffer.Write(strconv.AppendInt(buffer.AvailableBuffer(), int64(len(message.Body)), 10))
+	}
+	if timeout > 0 {
+		buffer.WriteString("\r\nRequest-Timeout: ")
+		buffer.Write(strconv.AppendFloat(buffer.AvailableBuffer(), timeout.Seconds(), 'f', 3, 64))
+	}
+	appendFields(buffer, message.Fields)
+	buffer.WriteString("\r\n\r\n")
+	buffer.Write(message.Body)
+}
+
+// appendFields encodes the client's header fields without those that appendRequest sets.
+func appendFields(buffer *bytes.Buffer, fields map[string][]string) {
+	for name, values := range fields {
+		switch name {
+		case "Request-Timeout", "Content-Length", "Host":
+			continue
+		}
+		for _, value := range values {
+			buffer.WriteString("\r\n")
+			buffer.WriteString(name)
+			buffer.WriteString(": ")
+			buffer.WriteString(value)
+		}
+	}
+}
--- a/internal/transport/rpcnode/transport.go
+++ b/internal/transport/rpcnode/transport.go
@@ -90,8 +90,8 @@
 	return Counters{t.late.Load(), t.unknown.Load(), t.malformed.Load(), t.condemned.Load(), t.dials.Load()}
 }
 
-// Node makes the node at an address.
-func (t *Transport) Node(addr string) core.Upstream { return &node{t: t, addr: addr} }
+// Upstream makes the node at an address.
+func (t *Transport) Upstream(addr string) core.Upstream { return &node{t: t, addr: addr} }
 
 // Sweep closes the connections that have been idle for too long.
 func (t *Transport) Sweep(now time.Time) {
--- a/internal/transport/rpcnode/transport_test.go
+++ b/internal/transport/rpcnode/transport_test.go
@@ -117,7 +117,7 @@
 	return out
 }
 
-func (r *raw) node(t *Transport) *node { return t.Node(r.ln.Addr().String()).(*node) }
+func (r *raw) node(t *Transport) *node { return t.Upstream(r.ln.Addr().String()).(*node) }
 
 func TestOutcomes(t *testing.T) {
 	fault := func(kind string) func(uint32) []byte {
@@ -245,7 +245,7 @@
 func TestBreakWithFiftyOutstanding(t *testing.T) {
 	ln := peertest.Listen(t)
 	tr := testTransport(Config{DialTimeout: 10 * time.Second})
-	n := tr.Node(ln.Addr().String()).(*node)
+	n := tr.Upstream(ln.Addr().String()).(*node)
 	big := message("x")
 	big.Body = make([]byte, msgrpc.MaxRequestBodyBytes)
 	var wg sync.WaitGroup
@@ -501,7 +501,7 @@
 	ln := peertest.Listen(t)
 	ln.Close()
 	tr := testTransport(Config{})
-	n := tr.Node(ln.Addr().String())
+	n := tr.Upstream(ln.Addr().String())
 	if e, _ := n.RoundTrip(t.Context(), message("x")); e != policy.ConnectionFailed {
 		t.Errorf("ending %v, want no connection", e)
 	}
@@ -561,14 +561,14 @@
 
 // What the module decided may be out of date once it is to be written: see
 // core.Message.MayBegin. Nothing is written, and others on the connection go on.
-func TestWhatMayNotBeginWritesNothing(t *testing.T) {
+func TestPreventedSendWritesNothing(t *testing.T) {
 	for name, m := range map[string]core.Message{
 		"the client has gone": {ClientGone: func() bool { return true }},
 		"its time is over":    {WriteDeadline: time.Now().Add(-time.Millisecond)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRaw(t)
-			n := testTransport(Config{}).Node(r.ln.Addr().String())
+			n := testTransport(Config{}).Upstream(r.ln.Addr().String())
 			first := try(t.Context(), n, "first")
 			conn := peertest.Await(t, "the connection", r.conns)
 			conn.serve(peertest.Await(t, "the first", conn.calls).msgID, "ok")
