--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -239,7 +239,10 @@
 			continue
 		}
 		t := rpcnode.New(rpcnode.Config{
-			DialTimeout: c.DialTimeout, ConnIdle: c.ConnIdle, Connections: max(1, forRPC/rpcPools), Outstanding: int(p.Outstanding),
+			DialTimeout:    c.DialTimeout,
+			IdleTimeout:    c.ConnIdle,
+			MaxConnections: max(1, forRPC/rpcPools),
+			MaxInFlight:    int(p.Outstanding),
 		})
 		ofPool, all = append(ofPool, t), append(all, t)
 		show(p.Name, operator.RPC, func() any { return t.Counters() })
--- a/internal/transport/httpnode/read_response.go
+++ b/internal/transport/httpnode/read_response.go
@@ -41,7 +41,7 @@
 
 // readResponse blocks until a response is complete or its connection is closed.
 func (conn *connection) readResponse() (result response, err error) {
-	result.Response, result.head, err = conn.readHead() //nolint:bodyclose // left open, as readBody tells
+	result.Response, result.head, err = conn.readHead() //nolint:bodyclose // left open: see readBody
 	if err != nil {
 		return result, err
 	}
--- /dev/null
+++ b/internal/transport/rpcnode/helpers_test.go
@@ -0,0 +1,191 @@
+package rpcnode
+
+import (
+	"context"
+	"net"
+	"testing"
+	"time"
+
+	"mothridge/internal/core"
+	"mothridge/internal/msgrpc"
+	"mothridge/internal/peers/peertest"
+	"mothridge/policy"
+)
+
+// testServer is an upstream whose messages the test writes.
+type testServer struct {
+	listener net.Listener
+	conns    chan *serverConn
+}
+
+// serverConn is a connection as the upstream sees it.
+type serverConn struct {
+	net.Conn
+	calls   chan receivedCall
+	cancels chan uint32   // the ids
+	closed  chan struct{} // closed when reading has ended
+}
+
+// receivedCall is a request as the upstream read it.
+type receivedCall struct {
+	id   uint32
+	call *msgrpc.Call // nil: a probe
+}
+
+func newTestServer(t *testing.T) *testServer {
+	t.Helper()
+	server := &testServer{listener: peertest.Listen(t), conns: make(chan *serverConn, 100)}
+	go func() {
+		for {
+			netConn, err := server.listener.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { netConn.Close() })
+			conn := &serverConn{
+				Conn:    netConn,
+				calls:   make(chan receivedCall, 5000),
+				cancels: make(chan uint32, 5000),
+				closed:  make(chan struct{}),
+			}
+			server.conns <- conn
+			go conn.read()
+		}
+	}()
+	return server
+}
+
+func (conn *serverConn) read() {
+	defer close(conn.closed)
+	framer := msgrpc.NewFramer(conn, msgrpc.MaxRequestBytes, time.Minute)
+	for {
+		frame, err := framer.Next()
+		if err != nil {
+			return
+		}
+		message, err := msgrpc.Parse(frame)
+		if err != nil || !conn.receive(&message) {
+			return
+		}
+	}
+}
+
+// receive hands a message to the test; false where it is not valid.
+func (conn *serverConn) receive(message *msgrpc.Message) bool {
+	switch {
+	case message.Kind == msgrpc.Notification:
+		id, _ := msgrpc.ParseCancel(message.Params)
+		conn.cancels <- id
+	case string(message.Method) == msgrpc.MethodProbe:
+		conn.calls <- receivedCall{id: message.ID}
+	default:
+		call, err := msgrpc.ParseCall(message.Params)
+		if err != nil {
+			return false
+		}
+		conn.calls <- receivedCall{id: message.ID, call: call}
+	}
+	return true
+}
+
+func (conn *serverConn) respond(id uint32, body string) {
+	result := &msgrpc.Result{Body: []byte(body), InFlight: -1}
+	conn.Write(result.Append(nil, id))
+}
+
+// respondNext awaits the next request and responds to it.
+func (conn *serverConn) respondNext(t *testing.T) receivedCall {
+	t.Helper()
+	call := peertest.Await(t, "the request", conn.calls)
+	conn.respond(call.id, "ok")
+	return call
+}
+
+func (server *testServer) accept(t *testing.T) *serverConn {
+	t.Helper()
+	return peertest.Await(t, "the connection", server.conns)
+}
+
+func (server *testServer) upstream(transport *Transport) *rpcUpstream {
+	return newTestUpstream(transport, server.listener.Addr().String())
+}
+
+func newTestUpstream(transport *Transport, address string) *rpcUpstream {
+	return transport.Upstream(address).(*rpcUpstream)
+}
+
+func newTestTransport(config Config) *Transport {
+	if config.DialTimeout == 0 {
+		config.DialTimeout = time.Second
+	}
+	if config.MaxConnections == 0 {
+		config.MaxConnections = 20
+	}
+	config.IdleTimeout = 30 * time.Second
+	return New(config)
+}
+
+func newTestMessage(id string) *core.Message {
+	return &core.Message{
+		Method: "POST",
+		Target: "/api?x=1",
+		Host:   "h",
+		Body:   []byte("{}"),
+		Fields: map[string][]string{
+			"Request-Id":      {id},
+			"Request-Class":   {"once"},
+			"Tenant":          {"north"},
+			"Request-Timeout": {"9"},
+			"X-Apiary":        {"a", "b"},
+		},
+	}
+}
+
+// outcome is how an attempt ended.
+type outcome struct {
+	result   policy.AttemptResult
+	response *core.Response
+}
+
+// startAttempt starts an attempt of a request id.
+func startAttempt(ctx context.Context, upstream core.Upstream, id string) <-chan outcome {
+	ended := make(chan outcome, 1)
+	go func() {
+		result, response := upstream.RoundTrip(ctx, newTestMessage(id))
+		ended <- outcome{result, response}
+	}()
+	return ended
+}
+
+// awaitResult awaits the end of an attempt and checks its result.
+func awaitResult(t *testing.T, attempt <-chan outcome, want policy.AttemptResult) outcome {
+	t.Helper()
+	got := peertest.Await(t, "the attempt's end", attempt)
+	if got.result != want {
+		t.Fatalf("result %v, want %v", got.result, want)
+	}
+	return got
+}
+
+// awaitBody awaits a response and checks its body.
+func awaitBody(t *testing.T, attempt <-chan outcome, want string) {
+	t.Helper()
+	got := awaitResult(t, attempt, policy.Served)
+	if string(got.response.Body) != want {
+		t.Errorf("response %+v, want %q", got.response, want)
+	}
+}
+
+// waitingCount returns how many requests the connection waits for.
+func (conn *connection) waitingCount() int {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	return len(conn.waiting)
+}
+
+// awaitConnection awaits the one connection of an upstream.
+func awaitConnection(t *testing.T, upstream *rpcUpstream) *connection {
+	t.Helper()
+	peertest.Until(t, "the connection", func() bool { return len(upstream.connections()) == 1 })
+	return upstream.connections()[0]
+}
