--- a/internal/transport/rpcnode/counters.go
+++ b/internal/transport/rpcnode/counters.go
@@ -6,7 +6,7 @@
 	UnknownResponses  uint64 `metric:"unknown"` // responses to ids that are not in use
 	Malformed         uint64 // messages that could not be read
 	DrainedUnanswered uint64 `metric:"condemned"` // connections drained with abandoned requests that had no response
-	Dials             uint64 // connections that were opened or could not be
+	Dials             uint64 // connections that were to be opened, failures included
 }
 
 // Counters returns the counts so far.
