--- a/internal/transport/rpcnode/read_responses_test.go
+++ b/internal/transport/rpcnode/read_responses_test.go
@@ -44,6 +44,12 @@
 	if counts := transport.Counters(); counts.LateResponses != 1 || counts.UnknownResponses != 2 || counts.Dials != 1 {
 		t.Errorf("counters %+v", counts)
 	}
+	client := awaitConnection(t, upstream)
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if len(client.abandoned) != 0 {
+		t.Errorf("%d ids stay reserved after their response, want none", len(client.abandoned))
+	}
 }
 
 // Ids run on past 2^32 and skip those that are abandoned or waited for.
