--- a/internal/sidecar/transports.go
+++ b/internal/sidecar/transports.go
@@ -13,8 +13,8 @@
 
 // transport carries out attempts by one protocol.
 type transport interface {
-	// Node returns the upstream at an address, without I/O.
-	Node(addr string) core.Upstream
+	// Upstream returns the upstream at an address, without I/O.
+	Upstream(address string) core.Upstream
 	// Sweep closes connections that have been idle for too long by now.
 	Sweep(now time.Time)
 }
@@ -47,10 +47,10 @@
 	return func(e core.Endpoint) core.Upstream {
 		for i := range pools {
 			if serves(&pools[i], &e) {
-				return byPool[i].Node(e.Addr)
+				return byPool[i].Upstream(e.Addr)
 			}
 		}
-		return httpTransport.Node(e.Addr)
+		return httpTransport.Upstream(e.Addr)
 	}
 }
 
@@ -65,11 +65,11 @@
 
 func (s *service) newHTTPTransport(connections int) *httpnode.Transport {
 	t := httpnode.New(httpnode.Config{
-		DialTimeout: s.config.DialTimeout,
-		ConnIdle:    s.config.ConnIdle,
-		Connections: connections,
-		LoadField:   s.config.LoadField,
-		Reports:     s.config.Policy.ProbeLoadReports,
+		DialTimeout:      s.config.DialTimeout,
+		IdleTimeout:      s.config.ConnIdle,
+		MaxConnections:   connections,
+		LoadReportField:  s.config.LoadField,
+		ProbeLoadReports: s.config.Policy.ProbeLoadReports,
 	})
 	s.showTransport("", operator.HTTP, func() any { return t.Counters() })
 	return t
@@ -77,10 +77,10 @@
 
 func (s *service) newRPCTransport(pool *operator.Pool, connections int) *rpcnode.Transport {
 	t := rpcnode.New(rpcnode.Config{
-		DialTimeout: s.config.DialTimeout,
-		ConnIdle:    s.config.ConnIdle,
-		Connections: connections,
-		Outstanding: int(pool.MaxInFlight),
+		DialTimeout:    s.config.DialTimeout,
+		IdleTimeout:    s.config.ConnIdle,
+		MaxConnections: connections,
+		MaxInFlight:    int(pool.MaxInFlight),
 	})
 	s.showTransport(pool.Name, operator.RPC, func() any { return t.Counters() })
 	return t
