--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -6,9 +6,9 @@
 	"mothridge/policy"
 )
 
-// AnswerMargin is subtracted from a client's timeout by listeners: the client counts it from
+// ResponseMargin is subtracted from a client's timeout by listeners: the client counts it from
 // when it sends the request, the listener from when it reads the request.
-const AnswerMargin = 5 * time.Millisecond
+const ResponseMargin = 5 * time.Millisecond
 
 // Request is a client's request. Its listener sets the exported fields; each Handler that it
 // passes may wrap Respond and OnClientGone before it calls the next one. From Submit to the Core
--- a/internal/front/frontend/frontend.go
+++ b/internal/front/frontend/frontend.go
@@ -71,10 +71,10 @@
 	return http.MethodPost
 }
 
-// Deadline returns when the response to a request has to be ready: core.AnswerMargin before
+// Deadline returns when the response to a request has to be ready: core.ResponseMargin before
 // the client gives up, and not before the request's arrival.
 func Deadline(arrival time.Time, timeout time.Duration) time.Time {
-	return arrival.Add(max(0, timeout-core.AnswerMargin))
+	return arrival.Add(max(0, timeout-core.ResponseMargin))
 }
 
 // HasUnprintable reports whether a text has anything but printable ASCII without blanks.
--- a/internal/front/frontend/frontend_test.go
+++ b/internal/front/frontend/frontend_test.go
@@ -51,7 +51,7 @@
 func TestDeadline(t *testing.T) {
 	arrival := time.Now()
 	for timeout, want := range map[time.Duration]time.Duration{
-		time.Second: time.Second - core.AnswerMargin, core.AnswerMargin: 0, time.Nanosecond: 0,
+		time.Second: time.Second - core.ResponseMargin, core.ResponseMargin: 0, time.Nanosecond: 0,
 	} {
 		if got := Deadline(arrival, timeout).Sub(arrival); got != want {
 			t.Errorf("a timeout of %v leaves %v, want %v", timeout, got, want)
