--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -9,50 +9,65 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// A module that asks gets its watch again after a failure, through the whole program.
-func TestAskingSidecarWatches(t *testing.T) {
-	g := peertest.NewRegistry(t)
-	u := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("ok")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{ask: true}, g.Addr, peertest.HostText("s-0", "127.0.0.1:1", "draining", 0)))
-	close(peertest.Await(t, "the watch", g.Watches).Lines)
-	w := peertest.Await(t, "the next watch", g.Watches)
-	w.Lines <- peertest.ListText(2, false, peertest.HostText("s-1", u.Addr, "up", 0))
-	serveSoon(t, addr)
+// A sidecar that requests its watches has one again after a failure, through the program.
+func TestRequestedWatchIsOpenedAgain(t *testing.T) {
+	registry := peertest.NewRegistry(t)
+	upstream := newServingUpstream(t, "ok")
+	address, _, _ := startSidecar(t, testConfig(t, testOptions{watchOnRequest: true}, registry.Addr,
+		peertest.HostText("s-0", "127.0.0.1:1", "draining", 0)))
+	close(peertest.Await(t, "the watch", registry.Watches).Lines)
+	watch := peertest.Await(t, "the next watch", registry.Watches)
+	watch.Lines <- peertest.ListText(2, false, upEndpoint("s-1", upstream.Addr))
+	serveSoon(t, address)
 }
 
-// serveSoon sends requests until one is served: news of the list is on its way.
-func serveSoon(t *testing.T, addr string) {
-	t.Helper()
-	for i, deadline := 0, time.Now().Add(peertest.Patience); ; i++ {
-		if got := (peertest.Call{Class: "once", ID: fmt.Sprint("soon-", i)}).Do(t, addr); got.Status == http.StatusOK {
-			return
+func TestReadyOnceThereIsAList(t *testing.T) {
+	registry := peertest.NewRegistry(t)
+	address, _, _ := startSidecar(t, testConfig(t, testOptions{}, registry.Addr))
+	ready := func() int {
+		status, err := readyStatus(address)
+		if err != nil {
+			t.Fatal(err)
 		}
+		return status
+	}
+	peertest.Await(t, "the call for the list", registry.Asked)
+	if got := ready(); got != http.StatusServiceUnavailable {
+		t.Errorf("ready is %d without a list", got)
+	}
+	upstream := newServingUpstream(t, "ok")
+	registry.Whole <- peertest.ListText(5, true, upEndpoint("s-1", upstream.Addr))
+	if watch := peertest.Await(t, "the watch", registry.Watches); watch.From != "5" {
+		t.Errorf("the watch begins from %s, want 5", watch.From)
+	}
+	for deadline := time.Now().Add(peertest.Patience); ready() != http.StatusOK; {
 		if time.Now().After(deadline) {
-			t.Fatal("never served")
+			t.Fatal("never ready")
 		}
 	}
 }
 
 func TestDrainActsAtOnce(t *testing.T) {
-	g := peertest.NewRegistry(t)
-	a, b := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("a"))), peertest.NewUpstream(t, peertest.Always(peertest.Answer200("b")))
-	addr, _, _ := startSidecar(t, testConfig(t, options{}, g.Addr, peertest.HostText("s-1", a.Addr, "up", 0)))
-	w := peertest.Await(t, "the watch", g.Watches)
-	serveSoon(t, addr)
-	peertest.Await(t, "a request", a.Requests)
-	w.Lines <- peertest.ListText(2, false, peertest.HostText("s-1", a.Addr, "draining", 0), peertest.HostText("s-2", b.Addr, "up", 0))
-	for i := range 1000 { // until the news has arrived; from then on everything goes to the other
-		if got := (peertest.Call{Class: "once", ID: fmt.Sprint(i)}).Do(t, addr); got.Body == "b" {
+	registry := peertest.NewRegistry(t)
+	drained, other := newServingUpstream(t, "a"), newServingUpstream(t, "b")
+	address, _, _ := startSidecar(t, testConfig(t, testOptions{}, registry.Addr, upEndpoint("s-1", drained.Addr)))
+	watch := peertest.Await(t, "the watch", registry.Watches)
+	serveSoon(t, address)
+	peertest.Await(t, "a request", drained.Requests)
+	watch.Lines <- peertest.ListText(2, false,
+		peertest.HostText("s-1", drained.Addr, "draining", 0), upEndpoint("s-2", other.Addr))
+	for i := range 1000 { // until the update has arrived; from then on everything goes to the other
+		if got := (peertest.Call{Class: "once", ID: fmt.Sprint(i)}).Do(t, address); got.Body == "b" {
 			break
 		}
 	}
-	clear := len(a.Requests)
+	before := len(drained.Requests)
 	for i := range 20 {
-		if got := (peertest.Call{Class: "once", ID: fmt.Sprint("later-", i)}).Do(t, addr); got.Body != "b" {
+		if got := (peertest.Call{Class: "once", ID: fmt.Sprint("later-", i)}).Do(t, address); got.Body != "b" {
 			t.Errorf("got %+v", got)
 		}
 	}
-	if len(a.Requests) != clear {
+	if len(drained.Requests) != before {
 		t.Error("a request went to a draining upstream")
 	}
 }
--- /dev/null
+++ b/internal/sidecar/request_framing_test.go
@@ -0,0 +1,122 @@
+package sidecar
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+
+	"mothridge/internal/peers/peertest"
+)
+
+// uncertainLengths puts a hidden request inside or after a request whose length is not certain.
+func uncertainLengths(hidden string) map[string]string {
+	const (
+		twoFramings = "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
+		lastChunk   = "0\r\n\r\n"
+		health      = "GET /health/ready HTTP/1.1\r\nHost: x\r\n"
+	)
+	good, rejected := postHeader("a"), unknownClassHeader("a")
+	oldVersion := strings.Replace(good, "1.1", "1.0", 1)
+	chunk := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden)
+	return map[string]string{
+		"after the chunks":           good + twoFramings + lastChunk + hidden,
+		"inside the chunks":          good + twoFramings + chunk,
+		"broken chunks":              good + chunked + "zz\r\n" + hidden,
+		"a length after":             good + "Transfer-Encoding: chunked\r\ncontent-LENGTH: 5\r\n\r\n" + lastChunk + hidden,
+		"a list of encodings":        good + "Transfer-Encoding: gzip, chunked\r\n\r\n" + chunk,
+		"two encodings":              good + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n" + chunk,
+		"HTTP/1.0":                   oldVersion + "Transfer-Encoding: chunked\r\nConnection: keep-alive\r\n\r\n" + chunk,
+		"a health check":             health + twoFramings + lastChunk + hidden,
+		"all servers":                "OPTIONS * HTTP/1.1\r\nHost: x\r\n" + twoFramings + lastChunk + hidden,
+		"two lengths":                good + "Content-Length: 0\r\nContent-Length: 5\r\n\r\n" + hidden,
+		"a list of lengths":          good + "Content-Length: 0, 0\r\n\r\n" + hidden,
+		"a signed length":            good + "Content-Length: +0\r\n\r\n" + hidden,
+		"a negative length":          good + "Content-Length: -1\r\n\r\n" + hidden,
+		"no length":                  good + "Content-Length:\r\n\r\n" + hidden,
+		"a huge length":              good + "Content-Length: 99999999999999999999\r\n\r\n" + hidden,
+		"after a rejected one":       rejected + noBody + hidden,
+		"as the body of a rejection": rejected + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(hidden)) + hidden,
+	}
+}
+
+// What stands inside or after a request whose length is not certain is no
+// request, wherever its connection leads.
+func TestHiddenRequestIsNotServed(t *testing.T) {
+	upstream := newServingUpstream(t, "ok")
+	address, _, _ := startWithUpstream(t, upstream)
+	for name, text := range uncertainLengths(postHeader("hidden") + noBody) {
+		got := exchange(t, address, text)
+		if strings.Count(got, "HTTP/1.") != 1 || got[len("HTTP/1.1 ")] == '2' {
+			t.Errorf("%s: got %q, want one error and a close", name, got)
+		}
+	}
+	if len(upstream.Requests) > 0 {
+		t.Errorf("%d requests were forwarded", len(upstream.Requests))
+	}
+}
+
+// A body in chunks, and that alone, has a certain length: what looks like a request
+// in it is its body, and what stands after it is the next request.
+func TestChunkedBody(t *testing.T) {
+	upstream := newServingUpstream(t, "ok")
+	address, _, _ := startWithUpstream(t, upstream)
+	inner := postHeader("inner") + noBody
+	client := dial(t, address)
+	for i, c := range []struct{ chunks, body string }{
+		{"0\r\n\r\n", ""},
+		{"0\r\nX-Sum: 1\r\n\r\n", ""},
+		{fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(inner), inner), inner},
+		{fmt.Sprintf("%X;a=b\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", 7, inner[:7], len(inner)-7, inner[7:]), inner},
+	} {
+		text := postHeader(fmt.Sprint("chunks", i)) + chunked + c.chunks
+		want := []string{c.body}
+		if i%2 == 1 { // byte by byte, on a kept connection
+			writeByteByByte(client, text)
+		} else {
+			want = append(want, "hi")
+			io.WriteString(client, text+postHeader(fmt.Sprint("next", i))+"Content-Length: 2\r\n\r\nhi")
+		}
+		for _, body := range want {
+			if status, last := client.readResponse(); status != http.StatusOK || last {
+				t.Fatalf("chunks %d: %d, last %v", i, status, last)
+			}
+			received := peertest.Await(t, "the request", upstream.Requests)
+			if received.Text != body || len(received.TransferEncoding) > 0 || received.ContentLength != int64(len(body)) {
+				t.Errorf("chunks %d: the upstream read %q, %d bytes, %v",
+					i, received.Text, received.ContentLength, received.TransferEncoding)
+			}
+		}
+	}
+	large := postHeader("large") + chunked + strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3) + "0\r\n\r\n"
+	if got := exchange(t, address, large); !strings.HasPrefix(got, "HTTP/1.1 413 ") || len(upstream.Requests) > 0 {
+		t.Errorf("too large a body: %q", got)
+	}
+}
+
+func TestRequestByteByByte(t *testing.T) {
+	upstream := newServingUpstream(t, "ok")
+	address, _, _ := startWithUpstream(t, upstream)
+	client := dial(t, address)
+	for i := range 3 { // on a kept connection too
+		if err := writeByteByByte(client, postHeader(fmt.Sprint(i))+"Content-Length: 4\r\n\r\nabcd"); err != nil {
+			t.Fatal(err)
+		}
+		if status, last := client.readResponse(); status != http.StatusOK || last {
+			t.Fatalf("request %d: %d, last %v", i, status, last)
+		}
+		if received := peertest.Await(t, "the request", upstream.Requests); received.Text != "abcd" {
+			t.Errorf("the upstream read %q", received.Text)
+		}
+	}
+}
+
+func writeByteByByte(writer io.Writer, text string) error {
+	for _, b := range []byte(text) {
+		if _, err := writer.Write([]byte{b}); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -33,66 +33,81 @@
 		Probe     float64
 		CrossZone float64 `toml:"cross_zone"`
 	}
-	Tier []struct {
-		Report struct {
-			How    string
-			Fields []string
-		}
-		Conn struct {
-			Idle    float64 `toml:"idle_s"`
-			Connect float64 `toml:"connect_timeout_ms"`
-		}
-	}
-	Class []struct {
-		Name, Effect, Group string
-		Aim                 float64 `toml:"aim_ms"`
-		Deadline            float64 `toml:"deadline_ms"`
-		Late                float64 `toml:"late_worth"`
-		Window              float64 `toml:"window_ms"`
-		Worth               float64
+	Tier   []siteTier
+	Class  []siteClass
+	Tenant []siteTenant
+}
+
+type siteTier struct {
+	Report struct {
+		How    string
+		Fields []string
 	}
-	Tenant []struct {
-		Name  string
-		Share float64
+	Conn struct {
+		Idle    float64 `toml:"idle_s"`
+		Connect float64 `toml:"connect_timeout_ms"`
 	}
 }
 
-// words are those of the settings' dialect for a site file's.
-var words = map[string]string{
+type siteClass struct {
+	Name, Effect, Group string
+	LatencyObjective    float64 `toml:"aim_ms"`
+	Deadline            float64 `toml:"deadline_ms"`
+	LateValueShare      float64 `toml:"late_worth"`
+	DedupWindow         float64 `toml:"window_ms"`
+	PriorityWeight      float64 `toml:"worth"`
+}
+
+type siteTenant struct {
+	Name  string
+	Share float64
+}
+
+// settingsTerms are the terms of the settings for those of a site file.
+var settingsTerms = map[string]string{
 	"safe": "free", "keyed": "guarded", "unsafe": "single_shot",
 	"answers": "piggyback", "probe": "pull", "none": "silent", "inflight": "busy_reqs", "queue": "pending",
 }
 
+var idempotencyTerms = map[string]policy.Idempotency{
+	"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NotIdempotent,
+}
+
 // settings are those of a sidecar of the site.
 func (s *site) settings() map[string]any {
 	var classes, tenants, columns []any
-	for _, k := range s.Class {
+	for _, class := range s.Class {
 		classes = append(classes, map[string]any{
-			"name": k.Name, "semantics": words[k.Effect], "dedup_scope": k.Group, "aim_ms": k.Aim, "hard_limit_ms": k.Deadline,
-			"late_share": k.Late, "window_ms": k.Window, "worth": k.Worth,
+			"name": class.Name, "semantics": settingsTerms[class.Effect], "dedup_scope": class.Group,
+			"aim_ms": class.LatencyObjective, "hard_limit_ms": class.Deadline,
+			"late_share": class.LateValueShare, "window_ms": class.DedupWindow, "worth": class.PriorityWeight,
 		})
 	}
-	for _, t := range s.Tenant {
-		tenants = append(tenants, map[string]any{"name": t.Name, "share": t.Share, "quota_per_s": 100 * t.Share})
+	for _, tenant := range s.Tenant {
+		tenants = append(tenants, map[string]any{
+			"name": tenant.Name, "share": tenant.Share, "quota_per_s": 100 * tenant.Share,
+		})
 	}
-	for _, f := range s.Tier[0].Report.Fields {
-		columns = append(columns, words[f])
+	tier := s.Tier[0]
+	for _, field := range tier.Report.Fields {
+		columns = append(columns, settingsTerms[field])
 	}
 	return map[string]any{
 		"balancers": 30, "classes": classes, "orgs": tenants, "zones": s.Net.Zones, "discovery": s.Discovery.Mode,
 		"caps": map[string]any{
 			"may_cancel": s.Allow.Cancel, "probes": s.Allow.Probes, "most_tries": s.Allow.MaxAttempts,
-			"dial_timeout_ms": s.Tier[0].Conn.Connect, "conn_idle_ms": 1000 * s.Tier[0].Conn.Idle, "max_retry_after_ms": s.Clients.MaxRetryAfter,
+			"dial_timeout_ms": tier.Conn.Connect, "conn_idle_ms": 1000 * tier.Conn.Idle,
+			"max_retry_after_ms": s.Clients.MaxRetryAfter,
 		},
 		"charges":       map[string]any{"probe": s.Prices.Probe, "cross_zone": s.Prices.CrossZone},
 		"client_habits": map[string]any{"marks_retry": s.Clients.MarksRetry},
 		"rules":         map[string]any{"fall_multiple": s.Rules.FallMultiple},
-		"telemetry":     map[string]any{"how": words[s.Tier[0].Report.How], "columns": columns},
+		"telemetry":     map[string]any{"how": settingsTerms[tier.Report.How], "columns": columns},
 	}
 }
 
 // The sites under deploy/sites are other customers': whatever differs there reaches
-// the decision module and the program by the settings alone.
+// the decisions and the program by the settings alone.
 func TestSitesOfOtherCustomers(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
 	if err != nil || len(files) < 2 {
@@ -100,55 +115,93 @@
 	}
 	seen := make(map[string]string)
 	for _, path := range files {
-		text, err := os.ReadFile(path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var s site
-		if err := toml.Unmarshal(text, &s); err != nil {
-			t.Fatalf("%s: %v", path, err)
-		}
-		whole, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": s.settings()})
-		if err != nil {
-			t.Fatal(err)
-		}
-		c, err := ParseConfig(whole)
-		if err != nil {
-			t.Fatalf("%s: %v", path, err)
-		}
-		ms := func(f float64) time.Duration { return time.Duration(f * float64(time.Millisecond)) }
-		for i, k := range s.Class {
-			got, effects := c.Policy.Classes[i], map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NotIdempotent}
-			if c.Classes[i] != k.Name || got.Idempotency != effects[k.Effect] || got.LatencyObjective != ms(k.Aim) || got.Deadline != ms(k.Deadline) ||
-				got.LateValueShare != k.Late || got.PriorityWeight != k.Worth || (k.Effect == "keyed" && got.DedupWindow != ms(k.Window)) {
-				t.Errorf("%s: class %s is %+v", s.Name, k.Name, got)
-			}
-		}
-		for i, tenant := range s.Tenant {
-			if c.Tenants[i] != tenant.Name || c.Policy.Tenants[i].Share != tenant.Share {
-				t.Errorf("%s: tenant %s is %+v", s.Name, tenant.Name, c.Policy.Tenants[i])
+		site, config := loadSite(t, path)
+		checkSiteClasses(t, site, config)
+		checkSiteTenants(t, site, config)
+		checkSiteLimits(t, site, config)
+		for _, name := range append(config.Classes, config.Tenants...) {
+			if in := seen[name]; in != "" {
+				t.Errorf("%s stands in %s and in %s: each site has names of its own", name, in, site.Name)
 			}
+			seen[name] = site.Name
 		}
-		p := c.Policy
-		if !reflect.DeepEqual(c.Zones, s.Net.Zones) || p.MaxAttempts != s.Allow.MaxAttempts || p.ProbesAllowed != s.Allow.Probes ||
-			p.WatchOnRequest != (s.Discovery.Mode == "ask") || p.ClientsMarkRetries != s.Clients.MarksRetry || p.SlowStartOverloadFactor != s.Rules.FallMultiple ||
-			c.DialTimeout != ms(s.Tier[0].Conn.Connect) || c.ConnIdle != ms(1000*s.Tier[0].Conn.Idle) ||
-			c.LoadField != map[bool]string{true: "busy_reqs"}[len(s.Tier[0].Report.Fields) > 0] ||
-			c.killGrace() != min(longest(p.Classes), maxClientWait)+killMargin {
-			t.Errorf("%s: %+v", s.Name, c)
+	}
+}
+
+// loadSite reads a site file, and the configuration of one of its sidecars.
+func loadSite(t *testing.T, path string) (*site, *Config) {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var s site
+	if err := toml.Unmarshal(text, &s); err != nil {
+		t.Fatalf("%s: %v", path, err)
+	}
+	document, err := json.Marshal(map[string]any{
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": noDiscovery, "seed": "1", "settings": s.settings(),
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	config, err := ParseConfig(document)
+	if err != nil {
+		t.Fatalf("%s: %v", path, err)
+	}
+	return &s, config
+}
+
+func checkSiteClasses(t *testing.T, s *site, config *Config) {
+	t.Helper()
+	for i, class := range s.Class {
+		got := config.Policy.Classes[i]
+		if config.Classes[i] != class.Name || got.Idempotency != idempotencyTerms[class.Effect] ||
+			got.LatencyObjective != milliseconds(class.LatencyObjective) || got.Deadline != milliseconds(class.Deadline) ||
+			got.LateValueShare != class.LateValueShare || got.PriorityWeight != class.PriorityWeight ||
+			(class.Effect == "keyed" && got.DedupWindow != milliseconds(class.DedupWindow)) {
+			t.Errorf("%s: class %s is %+v", s.Name, class.Name, got)
 		}
-		for _, name := range append(c.Classes, c.Tenants...) {
-			if in := seen[name]; in != "" {
-				t.Errorf("%s stands in %s and in %s: each site has names of its own", name, in, s.Name)
-			}
-			seen[name] = s.Name
+	}
+}
+
+func checkSiteTenants(t *testing.T, s *site, config *Config) {
+	t.Helper()
+	for i, tenant := range s.Tenant {
+		if config.Tenants[i] != tenant.Name || config.Policy.Tenants[i].Share != tenant.Share {
+			t.Errorf("%s: tenant %s is %+v", s.Name, tenant.Name, config.Policy.Tenants[i])
 		}
 	}
 }
 
-func longest(classes []policy.Class) (most time.Duration) {
-	for _, k := range classes {
-		most = max(most, k.Deadline)
+func checkSiteLimits(t *testing.T, s *site, config *Config) {
+	t.Helper()
+	decisions, tier := config.Policy, s.Tier[0]
+	loadField := ""
+	if len(tier.Report.Fields) > 0 {
+		loadField = "busy_reqs"
+	}
+	if !reflect.DeepEqual(config.Zones, s.Net.Zones) ||
+		decisions.MaxAttempts != s.Allow.MaxAttempts ||
+		decisions.ProbesAllowed != s.Allow.Probes ||
+		decisions.WatchOnRequest != (s.Discovery.Mode == "ask") ||
+		decisions.ClientsMarkRetries != s.Clients.MarksRetry ||
+		decisions.SlowStartOverloadFactor != s.Rules.FallMultiple ||
+		config.DialTimeout != milliseconds(tier.Conn.Connect) ||
+		config.ConnIdle != milliseconds(1000*tier.Conn.Idle) ||
+		config.LoadField != loadField ||
+		config.killGrace() != min(longestDeadline(decisions.Classes), maxClientWait)+killMargin {
+		t.Errorf("%s: %+v", s.Name, config)
+	}
+}
+
+func milliseconds(count float64) time.Duration {
+	return time.Duration(count * float64(time.Millisecond))
+}
+
+func longestDeadline(classes []policy.Class) (longest time.Duration) {
+	for _, class := range classes {
+		longest = max(longest, class.Deadline)
 	}
-	return most
+	return longest
 }
