--- /dev/null
+++ b/cmd/sidecar/memory_test.go
@@ -0,0 +1,102 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"mothridge/internal/peers"
+)
+
+// BenchmarkResident starts the real program on a registry of so many instances
+// and reports its resident memory once it holds them all.
+func BenchmarkResident(b *testing.B) {
+	for _, instances := range []int{0, 100, 1000, 10000} {
+		b.Run(fmt.Sprint("nodes=", instances), func(b *testing.B) {
+			for range b.N {
+				resident, peak := residentMemory(b, instances)
+				b.ReportMetric(float64(resident), "rss-kB")
+				b.ReportMetric(float64(peak), "peak-kB")
+			}
+		})
+	}
+}
+
+// residentMemory gives the resident memory of the program, in kB, and its peak.
+func residentMemory(b *testing.B, instances int) (resident, peak int) {
+	b.Helper()
+	registry, err := peers.StartEureka("")
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer registry.Close()
+	registerMany(registry, instances)
+	socket := filepath.Join(b.TempDir(), "admin")
+	text := "[admin]\nsocket = \"" + socket + "\"\n"
+	if instances > 0 {
+		text += "[membership]\nplatform = false\n[[eureka]]\nname = \"records\"\nreplicas = [\"" + registry.URL() +
+			"\"]\ninterval = \"1s\"\ntimeout = \"20s\"\n"
+	}
+	operators := writeFile(b, "mothridge.toml", text)
+	config := platformConfig{listen: freeAddresses(b, 1)[0], memoryMB: 32}.write(b)
+	command := exec.Command(buildProgram(b), "run", "--operator", operators)
+	command.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
+	if err := command.Start(); err != nil {
+		b.Fatal(err)
+	}
+	defer killProgram(command)
+	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		view, err := fetchMembers(b.Context(), socket)
+		if err == nil && len(view.Members) == instances ||
+			instances == 0 && err != nil && strings.Contains(err.Error(), "not turned on") {
+			break
+		}
+	}
+	time.Sleep(2500 * time.Millisecond) // some polls, and what was needed for the list is released
+	return readMemory(b, command.Process.Pid)
+}
+
+func registerMany(registry *peers.Eureka, instances int) {
+	for i := range instances {
+		registry.Register(peers.EurekaInstance{
+			ID: fmt.Sprint("records-", i), App: "RECORDS", Host: "127.0.0.1",
+			IP: fmt.Sprintf("127.1.%d.%d", i>>8, i&255), Port: 80, Status: "UP",
+			Metadata: map[string]string{"zone": "a", "weight": "1"},
+		})
+	}
+}
+
+// buildProgram builds the program as deploy/balancer.toml has it and returns its path.
+func buildProgram(b *testing.B) string {
+	b.Helper()
+	path := filepath.Join(b.TempDir(), "mothridge")
+	build := exec.Command("go", "build", "-o", path, ".")
+	build.Env = append(os.Environ(), "CGO_ENABLED=0")
+	if output, err := build.CombinedOutput(); err != nil {
+		b.Fatalf("%v: %s", err, output)
+	}
+	return path
+}
+
+// readMemory reads the resident memory of a process and its peak, in kB.
+func readMemory(b *testing.B, pid int) (resident, peak int) {
+	b.Helper()
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	if err != nil {
+		b.Fatal(err)
+	}
+	read := func(name string) int {
+		_, after, _ := strings.Cut(string(text), name+":")
+		kB, err := strconv.Atoi(strings.Fields(after)[0])
+		if err != nil {
+			b.Fatal(err)
+		}
+		return kB
+	}
+	return read("VmRSS"), read("VmHWM")
+}
