--- a/internal/rig/ready.go
+++ b/internal/rig/ready.go
@@ -1,18 +1,22 @@
 package rig
 
-import "net/http"
+import (
+	"context"
+	"net/http"
+)
 
-// ready asks a sidecar's HTTP side whether it holds a list.
-func ready(addr string) bool {
-	t := &http.Transport{DisableKeepAlives: true}
-	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/health/ready", nil)
+// ready is whether a sidecar's HTTP side says that it has an endpoint list.
+func ready(address string) bool {
+	transport := &http.Transport{DisableKeepAlives: true}
+	url := "http://" + address + "/health/ready"
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
 	if err != nil {
 		return false
 	}
-	resp, err := t.RoundTrip(req)
+	response, err := transport.RoundTrip(request)
 	if err != nil {
 		return false
 	}
-	resp.Body.Close()
-	return resp.StatusCode == http.StatusOK
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
--- a/internal/rig/requests.go
+++ b/internal/rig/requests.go
@@ -2,14 +2,14 @@
 
 import "mothridge/internal/peers"
 
-// Request makes a request of a class, in the form that the class asks for.
+// Request makes a request of a class, in the form that the class needs.
 func Request(class, id, tenant string) peers.Call {
-	c := peers.Call{ID: id, Class: class, Tenant: tenant, Timeout: Deadline}
+	call := peers.Call{ID: id, Class: class, Tenant: tenant, Timeout: Deadline}
 	switch class {
 	case Entry:
-		c.Key, c.Body = "key-"+id, []byte(`{"hive":7}`)
+		call.Key, call.Body = "key-"+id, []byte(`{"hive":7}`)
 	case Once:
-		c.Unsafe, c.Body = true, []byte(`{"hive":7}`)
+		call.Unsafe, call.Body = true, []byte(`{"hive":7}`)
 	}
-	return c
+	return call
 }
