--- a/cmd/sidecar/run_test.go
+++ b/cmd/sidecar/run_test.go
@@ -53,16 +53,16 @@
 
 func testExample(t *testing.T, config, operators string) {
 	address := freeAddresses(t, 1)[0]
-	places := []string{"127.0.0.1:7070", address, "/tmp/mothridge-example", filepath.Join(t.TempDir(), "s")}
+	replacements := []string{"127.0.0.1:7070", address, "/tmp/mothridge-example", filepath.Join(t.TempDir(), "s")}
 	for _, example := range []string{"127.0.0.1:7081", "127.0.0.1:7082"} {
 		node, err := peers.StartNode(peers.HTTP, example, peers.NewLedger(false), peers.Serving)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer node.Close()
-		places = append(places, example, node.Addr())
+		replacements = append(replacements, example, node.Addr())
 	}
-	replacer := strings.NewReplacer(places...)
+	replacer := strings.NewReplacer(replacements...)
 	end := startWithJSONLog(t, copyExample(t, config, replacer), copyExample(t, operators, replacer))
 	for _, call := range []peers.Call{{Class: "weight-reading", Key: "k"}, {Class: "harvest-entry", Unsafe: true}} {
 		call.Tenant, call.Timeout = "lockyer-keepers", time.Second
@@ -73,8 +73,8 @@
 	end()
 }
 
-// copyExample copies a file of the examples with other places and returns its path; no file, no path.
-func copyExample(t *testing.T, file string, places *strings.Replacer) string {
+// copyExample copies a file of the examples with other addresses and paths, and returns its path; no file, no path.
+func copyExample(t *testing.T, file string, replacer *strings.Replacer) string {
 	t.Helper()
 	if file == "" {
 		return ""
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return writeFile(t, filepath.Base(file), places.Replace(string(text)))
+	return writeFile(t, filepath.Base(file), replacer.Replace(string(text)))
 }
 
 // startWithJSONLog starts the real program; end stops it and checks its exit status and its log.
--- a/internal/rig/accept_test.go
+++ b/internal/rig/accept_test.go
@@ -11,7 +11,7 @@
 	"mothridge/internal/peers"
 )
 
-// failingListener fails to accept with each error in turn before it accepts at all.
+// failingListener fails to accept with each error, one after the other, before it accepts at all.
 type failingListener struct {
 	*net.TCPListener
 	errs []error
@@ -35,26 +35,31 @@
 		} {
 			t.Run(fmt.Sprintf("%s/%s", front, errno), func(t *testing.T) {
 				t.Parallel()
-				r, err := Start(Options{Front: front, Number: 1, Listener: func(ln *net.TCPListener) net.Listener {
-					return &failingListener{TCPListener: ln, errs: []error{errno, errno, errno}}
-				}})
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer r.Close()
-				c := r.Client()
-				defer c.Close()
-				for i := range 5 {
-					if got := c.Do(t.Context(), peers.Call{ID: fmt.Sprint(i), Class: Once, Unsafe: true, Tenant: Tenant(0), Timeout: Deadline}); got.Verdict != peers.Served {
-						t.Errorf("request %d: %+v", i, got)
-					}
-				}
-				select {
-				case err := <-r.Ended():
-					t.Fatalf("service ended: %v", err)
-				default:
-				}
+				testFailedAccept(t, front, errno)
 			})
 		}
 	}
 }
+
+func testFailedAccept(t *testing.T, front peers.Protocol, errno syscall.Errno) {
+	rig, err := Start(Options{Front: front, Number: 1, Listener: func(listener *net.TCPListener) net.Listener {
+		return &failingListener{TCPListener: listener, errs: []error{errno, errno, errno}}
+	}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer rig.Close()
+	client := rig.Client()
+	defer client.Close()
+	for i := range 5 {
+		call := peers.Call{ID: fmt.Sprint(i), Class: Once, Unsafe: true, Tenant: Tenant(0), Timeout: Deadline}
+		if got := client.Do(t.Context(), call); got.Verdict != peers.Served {
+			t.Errorf("request %d: %+v", i, got)
+		}
+	}
+	select {
+	case err := <-rig.Ended():
+		t.Fatalf("service ended: %v", err)
+	default:
+	}
+}
--- a/internal/rig/faults_test.go
+++ b/internal/rig/faults_test.go
@@ -11,207 +11,173 @@
 	"time"
 
 	"mothridge/internal/peers"
-	"mothridge/internal/peers/peertest"
 )
 
-// pairings are all that a request can come by and go on by.
-var pairings = []struct{ front, nodes peers.Protocol }{
-	{peers.HTTP, peers.HTTP}, {peers.HTTP, peers.RPC}, {peers.RPC, peers.HTTP}, {peers.RPC, peers.RPC},
+// outcome is what a client and the nodes saw of a run.
+type outcome struct {
+	served, rejected, failed, other int
+	attempts                        int // that reached a node complete
+	doubled                         int // effects of unsafe requests that ran more than once
 }
 
-func pairing(i int) string { return fmt.Sprintf("%s to %s", pairings[i].front, pairings[i].nodes) }
+func (o outcome) String() string {
+	return fmt.Sprintf("%4d %4d %4d %4d %5d %4d", o.served, o.rejected, o.failed, o.other, o.attempts, o.doubled)
+}
 
-// start puts a rig together that ends with the test.
-func start(t testing.TB, o Options) *Rig {
-	t.Helper()
-	r, err := Start(o)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		if err := r.Close(); err != nil {
-			t.Errorf("the sidecar ended with %v", err)
-		}
-	})
-	return r
+// fault is scripted: first is what the first attempt of a request
+// meets, later what every other one does.
+type fault struct {
+	name     string
+	first    peers.Action
+	later    peers.Action
+	timeout  time.Duration // 0: that of the class
+	requests int
 }
 
-// count is what a client and the nodes saw of a run.
-type count struct {
-	served, refused, failed, other int
-	sends                          int // attempts that reached a node whole
-	doubled                        int // effects of unsafe requests that ran more than once
+var faults = []fault{
+	{name: "none", requests: 40},
+	{name: "error, then served", first: peers.Action{Deed: peers.Error}, requests: 20},
+	alwaysFault("error always", peers.Action{Deed: peers.Error}, 10),
+	{name: "rejected, then served", first: peers.Action{Deed: peers.TurnAway}, requests: 20},
+	alwaysFault("rejected always", peers.Action{Deed: peers.TurnAway}, 10),
+	{name: "reset, then served", first: peers.Action{Deed: peers.Reset}, requests: 20},
+	{name: "answer cut, then served", first: peers.Action{Deed: peers.Cut, Bytes: 7}, requests: 20},
+	{name: "no answer at all, spoiled", first: peers.Action{Deed: peers.Spoil}, requests: 20},
+	alwaysFault("answered twice", peers.Action{Deed: peers.Twice}, 20),
+	alwaysFault("an answer to no request", peers.Action{Deed: peers.Stray}, 20),
+	timeoutFault("hangs", peers.Action{Deed: peers.Hang}),
+	timeoutFault("answers late", peers.Action{Delay: 300 * time.Millisecond}),
 }
 
-func (c count) String() string {
-	return fmt.Sprintf("%4d %4d %4d %4d %5d %4d", c.served, c.refused, c.failed, c.other, c.sends, c.doubled)
+// alwaysFault meets each attempt.
+func alwaysFault(name string, action peers.Action, requests int) fault {
+	return fault{name: name, first: action, later: action, requests: requests}
 }
 
-// fault is one scripted trouble. first is what the first try of a request
-// meets, later what every other one does.
-type fault struct {
-	name    string
-	first   peers.Action
-	later   peers.Action
-	timeout time.Duration
-	n       int
+// timeoutFault meets each attempt of requests that wait for 200 ms.
+func timeoutFault(name string, action peers.Action) fault {
+	return fault{name: name, first: action, later: action, timeout: 200 * time.Millisecond, requests: 4}
 }
 
-var faults = []fault{
-	{name: "none", n: 40},
-	{name: "error, then served", first: peers.Action{Deed: peers.Error}, n: 20},
-	{name: "error always", first: peers.Action{Deed: peers.Error}, later: peers.Action{Deed: peers.Error}, n: 10},
-	{name: "turned away, then served", first: peers.Action{Deed: peers.TurnAway}, n: 20},
-	{name: "turned away always", first: peers.Action{Deed: peers.TurnAway}, later: peers.Action{Deed: peers.TurnAway}, n: 10},
-	{name: "reset, then served", first: peers.Action{Deed: peers.Reset}, n: 20},
-	{name: "answer cut, then served", first: peers.Action{Deed: peers.Cut, Bytes: 7}, n: 20},
-	{name: "no answer at all, spoiled", first: peers.Action{Deed: peers.Spoil}, n: 20},
-	{name: "answered twice", first: peers.Action{Deed: peers.Twice}, later: peers.Action{Deed: peers.Twice}, n: 20},
-	{name: "an answer to nobody", first: peers.Action{Deed: peers.Stray}, later: peers.Action{Deed: peers.Stray}, n: 20},
-	{name: "hangs", first: peers.Action{Deed: peers.Hang}, later: peers.Action{Deed: peers.Hang}, timeout: 200 * time.Millisecond, n: 4},
-	{name: "answers late", first: peers.Action{Delay: 300 * time.Millisecond}, later: peers.Action{Delay: 300 * time.Millisecond}, timeout: 200 * time.Millisecond, n: 4},
+func (f fault) script(call peers.Call) peers.Action {
+	if call.Try == 1 {
+		return f.first
+	}
+	return f.later
 }
 
-// play runs one fault with requests of one class, one after the other, so that
+// playFault runs one fault with requests of one class, one after the other, so that
 // the counts do not depend on the machine.
-func play(t *testing.T, f fault, class string, p int) count {
-	r, err := Start(Options{Front: pairings[p].front, Nodes: pairings[p].nodes, Script: func(c peers.Call) peers.Action {
-		if c.Try == 1 {
-			return f.first
-		}
-		return f.later
-	}})
+func playFault(t *testing.T, f fault, class string, pair pairing) (seen outcome) {
+	t.Helper()
+	rig, err := Start(Options{Front: pair.front, Nodes: pair.nodes, Script: f.script})
 	if err != nil {
 		t.Error(err)
-		return count{}
+		return outcome{}
 	}
-	defer r.Close() // here and not when the test ends: the pairings end side by side
-	client := r.Client()
+	defer rig.Close() // here and not when the test ends: the pairings end side by side
+	client := rig.Client()
 	defer client.Close()
-	var c count
-	for i := range f.n {
+	for i := range f.requests {
 		call := Request(class, fmt.Sprintf("%s-%d", class, i), Tenant(i))
 		if f.timeout > 0 {
 			call.Timeout = f.timeout
 		}
-		// A lost request would keep its client waiting: the deadline and the rule's slack.
-		ctx, cancel := context.WithTimeout(t.Context(), call.Timeout+3*time.Second)
-		began := time.Now()
-		got := client.Do(ctx, call)
-		cancel()
-		if took := time.Since(began); took > call.Timeout+time.Second {
-			t.Errorf("%s: answered after %v of %v", call.ID, took, call.Timeout)
-		}
-		switch got.Verdict {
-		case peers.Served:
-			if c.served++; string(got.Body) != call.ID {
-				t.Errorf("%s: served with %q", call.ID, got.Body)
-			}
-		case peers.Refused:
-			c.refused++
-		case peers.Failed:
-			c.failed++
-		default:
-			c.other++
-			t.Errorf("%s: %+v", call.ID, got)
+		seen.add(t, call, doWithinDeadline(t, client, call))
+		seen.attempts += rig.Ledger.Tries(call.ID)
+	}
+	seen.doubled = len(rig.Ledger.Doubled(func(string) bool { return class == Once }))
+	return seen
+}
+
+// doWithinDeadline sends a request whose result must come within its deadline and a second.
+func doWithinDeadline(t *testing.T, client peers.Client, call peers.Call) peers.Result {
+	t.Helper()
+	// A lost request would keep its client waiting: the deadline and the rule's slack.
+	ctx, cancel := context.WithTimeout(t.Context(), call.Timeout+3*time.Second)
+	defer cancel()
+	startedAt := time.Now()
+	got := client.Do(ctx, call)
+	if took := time.Since(startedAt); took > call.Timeout+time.Second {
+		t.Errorf("%s: answered after %v of %v", call.ID, took, call.Timeout)
+	}
+	return got
+}
+
+// add counts a result.
+func (o *outcome) add(t *testing.T, call peers.Call, got peers.Result) {
+	t.Helper()
+	switch got.Verdict {
+	case peers.Served:
+		if o.served++; string(got.Body) != call.ID {
+			t.Errorf("%s: served with %q", call.ID, got.Body)
 		}
-		c.sends += r.Ledger.Tries(call.ID)
+	case peers.Refused:
+		o.rejected++
+	case peers.Failed:
+		o.failed++
+	default:
+		o.other++
+		t.Errorf("%s: %+v", call.ID, got)
 	}
-	c.doubled = len(r.Ledger.Doubled(func(id string) bool { return class == Once }))
-	return c
 }
 
-// The same faults over every pairing give the same counts: what a protocol
+// The same faults with every pairing give the same counts: what a protocol
 // carries is no matter of the decisions. Run with -v for the table.
-func TestFaultsOverAllPairings(t *testing.T) {
-	var mu sync.Mutex
-	rows := make(map[string]string)
+func TestFaultsWithAllPairings(t *testing.T) {
+	var lock sync.Mutex
+	rows := make(map[string]bool)
 	t.Run("faults", func(t *testing.T) {
 		for _, class := range []string{Read, Entry, Once} {
 			for _, f := range faults {
 				t.Run(class+"/"+f.name, func(t *testing.T) {
 					t.Parallel()
-					var got [4]count
-					var wg sync.WaitGroup
-					for p := range pairings {
-						wg.Go(func() { got[p] = play(t, f, class, p) })
-					}
-					wg.Wait()
-					row := fmt.Sprintf("%-14s %-24s %3d", class, f.name, f.n)
-					for p := range pairings {
-						row += " | " + got[p].String()
-						if got[p] != got[0] {
-							t.Errorf("%s gives %v, %s gives %v", pairing(p), got[p], pairing(0), got[0])
-						}
-						if got[p].doubled > 0 {
-							t.Errorf("%s: %d effects ran twice", pairing(p), got[p].doubled)
-						}
-					}
-					mu.Lock()
-					rows[row] = row
-					mu.Unlock()
+					row := testFault(t, f, class)
+					lock.Lock()
+					defer lock.Unlock()
+					rows[row] = true
 				})
 			}
 		}
 	})
+	t.Log(outcomeTable(slices.Sorted(maps.Keys(rows))))
+}
+
+// testFault compares the pairings and returns their row of the table.
+func testFault(t *testing.T, f fault, class string) (row string) {
+	t.Helper()
+	var got [len(pairings)]outcome
+	var running sync.WaitGroup
+	for i, pair := range pairings {
+		running.Go(func() { got[i] = playFault(t, f, class, pair) })
+	}
+	running.Wait()
+	row = fmt.Sprintf("%-14s %-24s %3d", class, f.name, f.requests)
+	for i, pair := range pairings {
+		row += " | " + got[i].String()
+		if got[i] != got[0] {
+			t.Errorf("%s gives %v, %s gives %v", pair, got[i], pairings[0], got[0])
+		}
+		if got[i].doubled > 0 {
+			t.Errorf("%s: %d effects ran twice", pair, got[i].doubled)
+		}
+	}
+	return row
+}
+
+// outcomeTable puts the heads of the columns above the rows.
+func outcomeTable(rows []string) string {
 	var table strings.Builder
-	fmt.Fprintf(&table, "\n%-43s", "served, refused, failed, other, sends,")
-	for p := range pairings {
-		fmt.Fprintf(&table, " | %-27s", pairing(p))
+	fmt.Fprintf(&table, "\n%-43s", "served, rejected, failed, other, attempts,")
+	for _, pair := range pairings {
+		fmt.Fprintf(&table, " | %-27s", pair)
 	}
 	fmt.Fprintf(&table, "\n%-43s", "effects that ran twice")
 	for range pairings {
-		fmt.Fprintf(&table, " | %4s %4s %4s %4s %5s %4s ", "serv", "refu", "fail", "oth", "sends", "dble")
+		fmt.Fprintf(&table, " | %4s %4s %4s %4s %5s %4s ", "serv", "rej", "fail", "oth", "att", "dble")
 	}
-	for _, row := range slices.Sorted(maps.Keys(rows)) {
+	for _, row := range rows {
 		table.WriteString("\n" + row)
 	}
-	t.Log(table.String())
-}
-
-// Nothing is sent to a node later than 2 s after the news that it drains, nor
-// after it has left, however busy the sidecar is. Counted at the node.
-func TestDrainOverAllPairings(t *testing.T) {
-	for p := range pairings {
-		t.Run(pairing(p), func(t *testing.T) {
-			t.Parallel()
-			r := start(t, Options{Front: pairings[p].front, Nodes: pairings[p].nodes, Number: 3, Times: true, Script: func(peers.Call) peers.Action {
-				return peers.Action{Delay: time.Millisecond}
-			}})
-			clients := []peers.Client{r.Client(), r.Client()}
-			over := make(chan struct{})
-			var wg sync.WaitGroup
-			for w := range 6 {
-				wg.Go(func() {
-					for i := 0; ; i++ {
-						select {
-						case <-over:
-							return
-						default:
-							ask(t, clients[w%2], Request([]string{Read, Entry, Once}[i%3], fmt.Sprintf("%d-%d", w, i), Tenant(i)))
-						}
-					}
-				})
-			}
-			peertest.Until(t, "each node to be in use", func() bool { return r.Nodes[0].Served() > 20 && r.Nodes[1].Served() > 20 && r.Nodes[2].Served() > 20 })
-			drains, leaves := r.Nodes[0], r.Nodes[1]
-			r.List(drains, "draining", 0)
-			r.List(leaves, "removed", 0)
-			told := time.Now()
-			time.Sleep(DrainWithin + 300*time.Millisecond) // the rule is about time
-			busy := r.Nodes[2].Served()
-			peertest.Until(t, "the load to go on", func() bool { return r.Nodes[2].Served() > busy+100 })
-			close(over)
-			wg.Wait()
-			for _, c := range clients {
-				c.Close()
-			}
-			for _, n := range []*peers.Node{drains, leaves} {
-				times := r.Ledger.Sends(n.Name)
-				if last := times[len(times)-1]; last.After(told.Add(DrainWithin)) {
-					t.Errorf("%s was sent something %v after the news", n.Name, last.Sub(told))
-				}
-			}
-		})
-	}
+	return table.String()
 }
--- /dev/null
+++ b/internal/rig/plugins_bench_test.go
@@ -0,0 +1,112 @@
+package rig
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"mothridge/internal/peers"
+)
+
+// runawayPhase is how long the calm and the runaway phase last, one after the other.
+const runawayPhase = 200 * time.Millisecond
+
+// runawayLatencies are those of the tenant whose requests the plug-in leaves alone, by phase.
+type runawayLatencies struct {
+	lock    sync.Mutex
+	byPhase [2]*hdrhistogram.Histogram
+	served  int // of both tenants
+}
+
+func newRunawayLatencies() *runawayLatencies {
+	latencies := new(runawayLatencies)
+	for i := range latencies.byPhase {
+		latencies.byPhase[i] = hdrhistogram.New(1, 10_000_000, 3)
+	}
+	return latencies
+}
+
+func (latencies *runawayLatencies) add(phase, tenant int, latency time.Duration) {
+	latencies.lock.Lock()
+	defer latencies.lock.Unlock()
+	latencies.served++
+	if tenant == 0 {
+		latencies.byPhase[phase].RecordValue(latency.Microseconds())
+	}
+}
+
+func (latencies *runawayLatencies) report(b *testing.B, requests int) {
+	b.Helper()
+	for phase, name := range []string{"calm", "runaway"} {
+		b.ReportMetric(float64(latencies.byPhase[phase].ValueAtQuantile(50)), name+"-p50-µs")
+		b.ReportMetric(float64(latencies.byPhase[phase].ValueAtQuantile(99)), name+"-p99-µs")
+	}
+	b.ReportMetric(float64(requests-latencies.served), "unserved")
+}
+
+// BenchmarkRunaway shows what a plug-in that runs away, or nearly so, on one
+// tenant's requests costs the other tenant's: the two phases change every 200 ms
+// in one run, under one load.
+func BenchmarkRunaway(b *testing.B) {
+	for name, program := range map[string]string{
+		"endless": `on request { if header("Spin") == "yes" { while true { } } }`,
+		"doubles": `on request { if header("Spin") == "yes" { var s = "x"  while true { s = s + s } } }`,
+		// Just under its fuel: it is never suspended.
+		"nearly": `on request { if header("Spin") == "yes" { for i in 0..1400 { } } }`,
+	} {
+		b.Run(name, func(b *testing.B) { benchmarkRunaway(b, program) })
+	}
+}
+
+func benchmarkRunaway(b *testing.B, program string) {
+	file := newOperatorsFile(b, "[[plugin]]\nname = \"p\"\nfile = \"0.hook\"\n", program)
+	rig := start(b, Options{
+		Operators: file.load, Slots: 256, Sockets: 4096, Number: 4, Script: delayed(5 * time.Millisecond),
+	})
+	client := startClient(b, rig)
+	latencies := newRunawayLatencies()
+	var running sync.WaitGroup
+	ticker := time.NewTicker(2 * time.Millisecond) // 500 a second, half of them of each tenant
+	defer ticker.Stop()
+	b.ResetTimer()
+	requests, startedAt := 1000*b.N, time.Now()
+	for i := range requests {
+		<-ticker.C
+		phase, tenant := int(time.Since(startedAt)/runawayPhase)%2, i%2
+		call := Request(Read, fmt.Sprint("r", i), Tenant(tenant))
+		call.Fields = map[string]string{"Spin": "no"}
+		if phase == 1 && tenant == 1 {
+			call.Fields["Spin"] = "yes"
+		}
+		running.Go(func() {
+			requestedAt := time.Now()
+			if got := client.Do(context.Background(), call); got.Verdict == peers.Served {
+				latencies.add(phase, tenant, time.Since(requestedAt))
+			}
+		})
+	}
+	running.Wait()
+	latencies.report(b, requests)
+}
+
+// BenchmarkPlugins is what a request costs through the real program, by how many
+// plug-ins see it, each of which tags it.
+func BenchmarkPlugins(b *testing.B) {
+	const program = `on request { if event.class == "read" and has_prefix(event.target, "/") { tag("seen") } }`
+	for _, plugins := range []int{0, 1, 10} {
+		b.Run(fmt.Sprint(plugins), func(b *testing.B) {
+			text, programs := "", []string{}
+			for i := range plugins {
+				text += fmt.Sprintf("[[plugin]]\nname = \"p%d\"\nfile = \"%d.hook\"\n", i, i)
+				programs = append(programs, program)
+			}
+			file := newOperatorsFile(b, text, programs...)
+			rig := start(b, Options{Operators: file.load, Number: 1, Slots: 1024, Sockets: 4096})
+			benchmarkRequests(b, rig.Addr, rig.Front, 16)
+		})
+	}
+}
