--- a/internal/rig/metrics_test.go
+++ b/internal/rig/metrics_test.go
@@ -45,23 +45,7 @@
 		t.Errorf("a wrong one: %+v", got)
 	}
 	families := scrape(t, socket)
-	for _, want := range []struct {
-		family string
-		labels map[string]string
-		value  float64
-	}{
-		{"mothridge_request_seconds", map[string]string{"class": Read, "ending": "served"}, 10},
-		{"mothridge_request_seconds", map[string]string{"class": Entry, "ending": "served"}, 10},
-		{"mothridge_request_seconds", map[string]string{"class": Once, "ending": "failed"}, 10},
-		{"mothridge_request_seconds", map[string]string{"class": Once, "ending": "served"}, 0},
-		{"mothridge_front_total", map[string]string{"event": "taken", "protocol": string(pair.front)}, 30},
-		{"mothridge_front_total", map[string]string{"event": "rejected", "protocol": string(pair.front)}, 1},
-		{"mothridge_decisions_total", map[string]string{"decision": "failed"}, 10},
-		{"mothridge_decisions_total", map[string]string{"decision": "refused"}, 0},
-		{"mothridge_slots_free", map[string]string{"tenant": "south"}, 11},
-		{"mothridge_nodes", nil, 2},
-		{"mothridge_requests", nil, 0},
-	} {
+	for _, want := range wantedMetrics(string(pair.front)) {
 		if got := valueOf(families[want.family], want.labels); got != want.value {
 			t.Errorf("%s%v is %v, want %v", want.family, want.labels, got, want.value)
 		}
@@ -75,6 +59,29 @@
 	}
 }
 
+type wantedMetric struct {
+	family string
+	labels map[string]string
+	value  float64
+}
+
+// wantedMetrics are those after ten requests of each class and a wrong one.
+func wantedMetrics(front string) []wantedMetric {
+	return []wantedMetric{
+		{"mothridge_request_seconds", map[string]string{"class": Read, "ending": "served"}, 10},
+		{"mothridge_request_seconds", map[string]string{"class": Entry, "ending": "served"}, 10},
+		{"mothridge_request_seconds", map[string]string{"class": Once, "ending": "failed"}, 10},
+		{"mothridge_request_seconds", map[string]string{"class": Once, "ending": "served"}, 0},
+		{"mothridge_front_total", map[string]string{"event": "taken", "protocol": front}, 30},
+		{"mothridge_front_total", map[string]string{"event": "rejected", "protocol": front}, 1},
+		{"mothridge_decisions_total", map[string]string{"decision": "failed"}, 10},
+		{"mothridge_decisions_total", map[string]string{"decision": "refused"}, 0},
+		{"mothridge_slots_free", map[string]string{"tenant": "south"}, 11},
+		{"mothridge_nodes", nil, 2},
+		{"mothridge_requests", nil, 0},
+	}
+}
+
 func scrape(t *testing.T, socket string) map[string]*dto.MetricFamily {
 	t.Helper()
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -101,7 +101,9 @@
 }
 
 // startWithUpstream runs a sidecar with one endpoint, that of the upstream.
-func startWithUpstream(t *testing.T, upstream *peertest.Upstream) (address string, shutdown func(), ended <-chan error) {
+func startWithUpstream(t *testing.T, upstream *peertest.Upstream) (
+	address string, shutdown func(), ended <-chan error,
+) {
 	t.Helper()
 	return startSidecar(t, testConfig(t, testOptions{}, noDiscovery, upEndpoint("s-1", upstream.Addr)))
 }
