--- a/cmd/sidecar/run_test.go
+++ b/cmd/sidecar/run_test.go
@@ -16,12 +16,12 @@
 
 // The real program with an operators' file: a MessagePack-RPC listener and pool.
 func TestRunWithOperatorsFile(t *testing.T) {
-	node, err := peers.StartNode(peers.RPC, "records-01", peers.NewLedger(false), peers.Serving)
+	node, err := peers.StartUpstream(peers.RPC, "records-01", peers.NewLedger(false), peers.ServeAll)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer node.Close()
-	discovery, err := peers.StartDiscovery(peers.Host{Host: node.Name, Dial: node.Addr(), Health: "up", Share: 1})
+	discovery, err := peers.StartDiscovery(peers.Endpoint{Name: node.Name, Addr: node.Addr(), Health: "up", Weight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,8 +32,8 @@
 		"\"\n[[pool]]\nname = \"records\"\nprotocol = \"msgpack-rpc\"\nhosts = [\"records-*\"]\n")
 	end := startWithJSONLog(t, config, operators)
 	for i, protocol := range []peers.Protocol{peers.HTTP, peers.RPC} {
-		call := peers.Call{Class: "a", Unsafe: true, Timeout: time.Second}
-		if got := requestUntilServed(t, protocol, addresses[i], call); got.Verdict != peers.Served {
+		call := peers.Call{Class: "a", NotIdempotent: true, Timeout: time.Second}
+		if got := requestUntilServed(t, protocol, addresses[i], call); got.Outcome != peers.Served {
 			t.Errorf("over %s: %+v", protocol, got)
 		}
 	}
@@ -55,7 +55,7 @@
 	address := freeAddresses(t, 1)[0]
 	replacements := []string{"127.0.0.1:7070", address, "/tmp/mothridge-example", filepath.Join(t.TempDir(), "s")}
 	for _, example := range []string{"127.0.0.1:7081", "127.0.0.1:7082"} {
-		node, err := peers.StartNode(peers.HTTP, example, peers.NewLedger(false), peers.Serving)
+		node, err := peers.StartUpstream(peers.HTTP, example, peers.NewLedger(false), peers.ServeAll)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,9 +64,9 @@
 	}
 	replacer := strings.NewReplacer(replacements...)
 	end := startWithJSONLog(t, copyExample(t, config, replacer), copyExample(t, operators, replacer))
-	for _, call := range []peers.Call{{Class: "weight-reading", Key: "k"}, {Class: "harvest-entry", Unsafe: true}} {
+	for _, call := range []peers.Call{{Class: "weight-reading", IdempotencyKey: "k"}, {Class: "harvest-entry", NotIdempotent: true}} {
 		call.Tenant, call.Timeout = "lockyer-keepers", time.Second
-		if got := requestUntilServed(t, peers.HTTP, address, call); got.Verdict != peers.Served {
+		if got := requestUntilServed(t, peers.HTTP, address, call); got.Outcome != peers.Served {
 			t.Errorf("%s: %+v", call.Class, got)
 		}
 	}
@@ -132,7 +132,7 @@
 		call.ID = fmt.Sprint(protocol, time.Now().UnixNano())
 		got = client.Do(ctx, call)
 		cancel()
-		if got.Verdict == peers.Served {
+		if got.Outcome == peers.Served {
 			break
 		}
 	}
--- a/internal/rig/accept_test.go
+++ b/internal/rig/accept_test.go
@@ -52,8 +52,8 @@
 	client := rig.Client()
 	defer client.Close()
 	for i := range 5 {
-		call := peers.Call{ID: fmt.Sprint(i), Class: Once, Unsafe: true, Tenant: Tenant(0), Timeout: Deadline}
-		if got := client.Do(t.Context(), call); got.Verdict != peers.Served {
+		call := peers.Call{ID: fmt.Sprint(i), Class: Once, NotIdempotent: true, Tenant: Tenant(0), Timeout: Deadline}
+		if got := client.Do(t.Context(), call); got.Outcome != peers.Served {
 			t.Errorf("request %d: %+v", i, got)
 		}
 	}
--- a/internal/rig/bench_test.go
+++ b/internal/rig/bench_test.go
@@ -36,7 +36,7 @@
 		running.Go(func() {
 			for i := next.Add(1); i <= int64(requests); i = next.Add(1) {
 				call := Request(Read, fmt.Sprintf("%s%d", prefix, i), Tenant(int(i)))
-				if got := client.Do(context.Background(), call); got.Verdict != peers.Served {
+				if got := client.Do(context.Background(), call); got.Outcome != peers.Served {
 					unserved.Add(1)
 				}
 			}
@@ -88,9 +88,9 @@
 	}
 }
 
-func startNode(b *testing.B, protocol peers.Protocol) *peers.Node {
+func startNode(b *testing.B, protocol peers.Protocol) *peers.Upstream {
 	b.Helper()
-	node, err := peers.StartNode(protocol, "n", peers.NewLedger(false), peers.Serving)
+	node, err := peers.StartUpstream(protocol, "n", peers.NewLedger(false), peers.ServeAll)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/rig/breaks_test.go
+++ b/internal/rig/breaks_test.go
@@ -30,8 +30,8 @@
 	}
 	rig := start(t, Options{
 		Front: pair.front, Nodes: pair.nodes, Number: 3, Slots: 300, Open: 300,
-		Script: func(call peers.Call) peers.Action {
-			return peers.Action{Delay: time.Duration(len(call.ID)%3) * time.Millisecond}
+		Script: func(call peers.Call) peers.Response {
+			return peers.Response{Delay: time.Duration(len(call.ID)%3) * time.Millisecond}
 		},
 	})
 	clients := make([]peers.Client, 8)
@@ -44,8 +44,8 @@
 		call := Request(class, fmt.Sprintf("%s-%d-%d", class, worker, i), Tenant(i))
 		got := doRequest(t, clients[worker%len(clients)], call)
 		verdicts.add(got)
-		if got.Verdict == peers.Refused { // its pause, cut short
-			time.Sleep(min(got.Pause, 3*time.Millisecond))
+		if got.Outcome == peers.Rejected { // its pause, cut short
+			time.Sleep(min(got.RetryAfter, 3*time.Millisecond))
 		}
 	})
 	for i := range breaks {
@@ -61,10 +61,10 @@
 }
 
 // breakAfterResponse breaks a node's connections once it has served a request, or after 50 ms.
-func breakAfterResponse(node *peers.Node) {
+func breakAfterResponse(node *peers.Upstream) {
 	before := node.Served()
 	for end := time.Now().Add(50 * time.Millisecond); node.Served() == before && time.Now().Before(end); {
 		time.Sleep(200 * time.Microsecond)
 	}
-	node.Break()
+	node.ResetConnections()
 }
--- a/internal/rig/cancel_test.go
+++ b/internal/rig/cancel_test.go
@@ -13,11 +13,11 @@
 // The cancel notification is lost or ignored: an unsafe request that was given
 // up is not repeated, and a keyed one runs its effect once.
 func TestIgnoredCancelDoublesNothing(t *testing.T) {
-	rig := start(t, Options{Front: peers.RPC, Nodes: peers.RPC, Script: func(call peers.Call) peers.Action {
-		if call.Try == 1 {
-			return peers.Action{Delay: 700 * time.Millisecond} // longer than the client waits, and it runs on
+	rig := start(t, Options{Front: peers.RPC, Nodes: peers.RPC, Script: func(call peers.Call) peers.Response {
+		if call.Attempt == 1 {
+			return peers.Response{Delay: 700 * time.Millisecond} // longer than the client waits, and it runs on
 		}
-		return peers.Action{}
+		return peers.Response{}
 	}})
 	for _, node := range rig.Nodes {
 		node.IgnoreCancels(true)
@@ -30,7 +30,7 @@
 				call := Request(class, fmt.Sprintf("%s-%d", class, i), Tenant(i))
 				call.Timeout = 300 * time.Millisecond
 				doRequest(t, client, call)
-				if attempts := rig.Ledger.Tries(call.ID); class == Once && attempts != 1 {
+				if attempts := rig.Ledger.Attempts(call.ID); class == Once && attempts != 1 {
 					t.Errorf("%s had %d attempts", call.ID, attempts)
 				}
 			})
@@ -47,7 +47,7 @@
 func TestClientDisconnectsWithHundredInFlight(t *testing.T) {
 	rig := start(t, Options{
 		Front: peers.RPC, Nodes: peers.RPC, Slots: 400, Open: 200,
-		Script: func(peers.Call) peers.Action { return peers.Action{Deed: peers.Hang} },
+		Script: func(peers.Call) peers.Response { return peers.Response{Action: peers.Hang} },
 	})
 	client := rig.Client()
 	var running sync.WaitGroup
@@ -63,7 +63,7 @@
 	})
 	other := startClient(t, rig)
 	for _, node := range rig.Nodes {
-		node.Play(peers.Serving)
+		node.SetScript(peers.ServeAll)
 	}
 	expectServed(t, "after it", other, Request(Read, "after", "north"))
 }
--- a/internal/rig/drain_test.go
+++ b/internal/rig/drain_test.go
@@ -36,8 +36,8 @@
 	before := stays.Served()
 	peertest.Until(t, "the load to go on", func() bool { return stays.Served() > before+100 })
 	stop()
-	for _, node := range []*peers.Node{drained, removed} {
-		times := rig.Ledger.Sends(node.Name)
+	for _, node := range []*peers.Upstream{drained, removed} {
+		times := rig.Ledger.AttemptTimes(node.Name)
 		if last := times[len(times)-1]; last.After(notified.Add(DrainWithin)) {
 			t.Errorf("%s received something %v after the notification", node.Name, last.Sub(notified))
 		}
--- a/internal/rig/eureka_flips_test.go
+++ b/internal/rig/eureka_flips_test.go
@@ -62,7 +62,7 @@
 	flips.end()
 	stop()
 	late, lags := flips.measure()
-	served, unserved := verdicts.counts[peers.Served], verdicts.counts[peers.Refused]+verdicts.counts[peers.Failed]
+	served, unserved := verdicts.counts[peers.Served], verdicts.counts[peers.Rejected]+verdicts.counts[peers.Failed]
 	t.Logf("%v; %d drains, %d attempts too late; %d answers in a row at most were not served",
 		verdicts, len(lags), late, verdicts.worstUnserved)
 	if slices.Sort(lags); len(lags) > 0 {
@@ -111,10 +111,10 @@
 }
 
 func (f *flips) failRegistry() {
-	faults := [...]peers.EurekaFault{peers.EmptyList, peers.ServerFail, peers.CutBody, peers.Garbage, peers.Silent}
-	f.rig.Eureka.Fault(faults[f.rng.IntN(len(faults))])
+	faults := [...]peers.EurekaFault{peers.EmptyList, peers.ServerError, peers.TruncatedBody, peers.NotJSON, peers.NoResponse}
+	f.rig.Eureka.SetFault(faults[f.rng.IntN(len(faults))])
 	time.Sleep(150 * time.Millisecond)
-	f.rig.Eureka.Fault(peers.NoFault)
+	f.rig.Eureka.SetFault(peers.NoFault)
 }
 
 // mayDrain is whether a node may be drained without flapping, and without too many others.
@@ -142,7 +142,7 @@
 // the registry's change to the last attempt, a drain that shows one each.
 func (f *flips) measure() (late int, lags []time.Duration) {
 	for node, drains := range f.drains {
-		attempts := f.rig.Ledger.Sends(f.rig.Nodes[node].Name)
+		attempts := f.rig.Ledger.AttemptTimes(f.rig.Nodes[node].Name)
 		for _, drain := range drains {
 			notified, ok := f.notification(drain)
 			if !ok {
@@ -169,7 +169,7 @@
 // notification is when the sidecar could know of a drain: by the first good answer of
 // the registry. Without one in its time there is none.
 func (f *flips) notification(drain drainPeriod) (at time.Time, ok bool) {
-	for _, at := range f.rig.Eureka.Told() {
+	for _, at := range f.rig.Eureka.FetchTimes() {
 		if at.After(drain.from) {
 			return at, at != drain.to
 		}
--- a/internal/rig/eureka_test.go
+++ b/internal/rig/eureka_test.go
@@ -57,8 +57,8 @@
 func TestEurekaSilentKeepsThePool(t *testing.T) {
 	registry := startEureka(t)
 	_, client := startWithEureka(t, registry, Options{Number: 3})
-	for _, fault := range []peers.EurekaFault{peers.EmptyList, peers.Silent} {
-		registry.Fault(fault)
+	for _, fault := range []peers.EurekaFault{peers.EmptyList, peers.NoResponse} {
+		registry.SetFault(fault)
 		if fault == peers.EmptyList {
 			awaitPolls(t, registry, 6)
 		} else {
@@ -67,7 +67,7 @@
 		for i := range 30 {
 			expectServed(t, fmt.Sprint("fault ", fault), client, Request(Once, fmt.Sprint(fault, "-", i), Tenant(i)))
 		}
-		registry.Fault(peers.NoFault)
+		registry.SetFault(peers.NoFault)
 	}
 }
 
@@ -87,11 +87,11 @@
 	registry := startEureka(t)
 	rig, client := startWithEureka(t, registry, Options{Front: pair.front, Nodes: pair.nodes, Number: 1})
 	node := rig.Nodes[0]
-	node.Play(func(call peers.Call) peers.Action {
+	node.SetScript(func(call peers.Call) peers.Response {
 		if call.ID == "old" {
-			return peers.Action{Delay: 400 * time.Millisecond} // within its latency objective
+			return peers.Response{Delay: 400 * time.Millisecond} // within its latency objective
 		}
-		return peers.Action{}
+		return peers.Response{}
 	})
 	before := node.Accepted()
 	old := make(chan peers.Result, 1)
@@ -103,7 +103,7 @@
 		client.Do(t.Context(), Request(Read, fmt.Sprint("n-", time.Now().UnixNano()), "north"))
 		return node.Accepted() > before
 	})
-	if got := <-old; got.Verdict != peers.Served || string(got.Body) != "old" {
+	if got := <-old; got.Outcome != peers.Served || string(got.Body) != "old" {
 		t.Errorf("the old work: %+v", got)
 	}
 	expectServed(t, "the new one", client, Request(Once, "new", "north"))
@@ -126,7 +126,7 @@
 		expectServed(t, fmt.Sprint("round ", usage.round), usage.client, call)
 	}
 	for _, node := range usage.rig.Nodes {
-		times := usage.rig.Ledger.Sends(node.Name)
+		times := usage.rig.Ledger.AttemptTimes(node.Name)
 		if len(times) > 0 && times[len(times)-1].After(since) {
 			nodes = append(nodes, node.Name)
 		}
@@ -147,16 +147,16 @@
 	for _, node := range rig.Nodes { // the other replica has no notification of the drain
 		instance, _ := registry.Instance(node.Name)
 		instance.Override = ""
-		stale.Skew(-time.Hour)
+		stale.SetClockSkew(-time.Hour)
 		stale.Register(instance)
 	}
-	registry.Fault(peers.ServerFail)
+	registry.SetFault(peers.ServerError)
 	awaitPolls(t, stale, 3)
 	if nodes := usage.used(t); len(nodes) != 5 || slices.Contains(nodes, drained) {
 		t.Errorf("a stale replica rolled the drain back: %v are used", nodes)
 	}
-	registry.Fault(peers.NoFault)
-	stale.Fault(peers.ServerFail)
+	registry.SetFault(peers.NoFault)
+	stale.SetFault(peers.ServerError)
 	awaitPolls(t, registry, 3)
 	for _, node := range rig.Nodes[:3] {
 		registry.Cancel(node.Name)
@@ -171,7 +171,7 @@
 func testDrainWithClockSkew(t *testing.T, registry *peers.Eureka, usage *nodeUsage, drained string) {
 	t.Helper()
 	for _, skew := range []time.Duration{time.Hour, -time.Hour, 0} {
-		registry.Skew(skew)
+		registry.SetClockSkew(skew)
 		registry.Override(drained, "OUT_OF_SERVICE")
 		awaitPolls(t, registry, 3)
 		if nodes := usage.used(t); len(nodes) != 5 || slices.Contains(nodes, drained) {
--- a/internal/rig/faults_test.go
+++ b/internal/rig/faults_test.go
@@ -28,39 +28,39 @@
 // meets, later what every other one does.
 type fault struct {
 	name     string
-	first    peers.Action
-	later    peers.Action
+	first    peers.Response
+	later    peers.Response
 	timeout  time.Duration // 0: that of the class
 	requests int
 }
 
 var faults = []fault{
 	{name: "none", requests: 40},
-	{name: "error, then served", first: peers.Action{Deed: peers.Error}, requests: 20},
-	alwaysFault("error always", peers.Action{Deed: peers.Error}, 10),
-	{name: "rejected, then served", first: peers.Action{Deed: peers.TurnAway}, requests: 20},
-	alwaysFault("rejected always", peers.Action{Deed: peers.TurnAway}, 10),
-	{name: "reset, then served", first: peers.Action{Deed: peers.Reset}, requests: 20},
-	{name: "answer cut, then served", first: peers.Action{Deed: peers.Cut, Bytes: 7}, requests: 20},
-	{name: "no answer at all, spoiled", first: peers.Action{Deed: peers.Spoil}, requests: 20},
-	alwaysFault("answered twice", peers.Action{Deed: peers.Twice}, 20),
-	alwaysFault("an answer to no request", peers.Action{Deed: peers.Stray}, 20),
-	timeoutFault("hangs", peers.Action{Deed: peers.Hang}),
-	timeoutFault("answers late", peers.Action{Delay: 300 * time.Millisecond}),
+	{name: "error, then served", first: peers.Response{Action: peers.Error}, requests: 20},
+	alwaysFault("error always", peers.Response{Action: peers.Error}, 10),
+	{name: "rejected, then served", first: peers.Response{Action: peers.Reject}, requests: 20},
+	alwaysFault("rejected always", peers.Response{Action: peers.Reject}, 10),
+	{name: "reset, then served", first: peers.Response{Action: peers.Reset}, requests: 20},
+	{name: "answer cut, then served", first: peers.Response{Action: peers.Truncate, TruncateAt: 7}, requests: 20},
+	{name: "no answer at all, spoiled", first: peers.Response{Action: peers.Malformed}, requests: 20},
+	alwaysFault("answered twice", peers.Response{Action: peers.Duplicate}, 20),
+	alwaysFault("an answer to no request", peers.Response{Action: peers.Unsolicited}, 20),
+	timeoutFault("hangs", peers.Response{Action: peers.Hang}),
+	timeoutFault("answers late", peers.Response{Delay: 300 * time.Millisecond}),
 }
 
 // alwaysFault meets each attempt.
-func alwaysFault(name string, action peers.Action, requests int) fault {
+func alwaysFault(name string, action peers.Response, requests int) fault {
 	return fault{name: name, first: action, later: action, requests: requests}
 }
 
 // timeoutFault meets each attempt of requests that wait for 200 ms.
-func timeoutFault(name string, action peers.Action) fault {
+func timeoutFault(name string, action peers.Response) fault {
 	return fault{name: name, first: action, later: action, timeout: 200 * time.Millisecond, requests: 4}
 }
 
-func (f fault) script(call peers.Call) peers.Action {
-	if call.Try == 1 {
+func (f fault) script(call peers.Call) peers.Response {
+	if call.Attempt == 1 {
 		return f.first
 	}
 	return f.later
@@ -84,9 +84,9 @@
 			call.Timeout = f.timeout
 		}
 		seen.add(t, call, doWithinDeadline(t, client, call))
-		seen.attempts += rig.Ledger.Tries(call.ID)
+		seen.attempts += rig.Ledger.Attempts(call.ID)
 	}
-	seen.doubled = len(rig.Ledger.Doubled(func(string) bool { return class == Once }))
+	seen.doubled = len(rig.Ledger.ExecutedTwice(func(string) bool { return class == Once }))
 	return seen
 }
 
@@ -107,12 +107,12 @@
 // add counts a result.
 func (o *outcome) add(t *testing.T, call peers.Call, got peers.Result) {
 	t.Helper()
-	switch got.Verdict {
+	switch got.Outcome {
 	case peers.Served:
 		if o.served++; string(got.Body) != call.ID {
 			t.Errorf("%s: served with %q", call.ID, got.Body)
 		}
-	case peers.Refused:
+	case peers.Rejected:
 		o.rejected++
 	case peers.Failed:
 		o.failed++
--- a/internal/rig/hang_test.go
+++ b/internal/rig/hang_test.go
@@ -18,13 +18,13 @@
 	hangs := playHangs(rig)
 	client := startClient(t, rig)
 	for i := range 20 {
-		if got := doRequest(t, client, Request(Once, fmt.Sprint("before-", i), "north")); got.Verdict != peers.Served {
+		if got := doRequest(t, client, Request(Once, fmt.Sprint("before-", i), "north")); got.Outcome != peers.Served {
 			t.Fatalf("before the hang: %+v", got)
 		}
 	}
 	hanging := rig.Nodes[0]
 	hangs.Store(hanging.Name, true)
-	earlier := len(rig.Ledger.Sends(hanging.Name))
+	earlier := len(rig.Ledger.AttemptTimes(hanging.Name))
 	verdicts := newVerdictCounts()
 	var running sync.WaitGroup
 	for i := range requests {
@@ -36,7 +36,7 @@
 		time.Sleep(2 * time.Millisecond) // an even load: 500 a second
 	}
 	running.Wait()
-	hung := len(rig.Ledger.Sends(hanging.Name)) - earlier
+	hung := len(rig.Ledger.AttemptTimes(hanging.Name)) - earlier
 	served, failed := verdicts.counts[peers.Served], verdicts.counts[peers.Failed]
 	t.Logf("%v; %d attempts at the node that hangs", verdicts, hung)
 	if failed != hung || hung == 0 {
@@ -57,11 +57,11 @@
 	hangs = new(sync.Map)
 	for _, node := range rig.Nodes {
 		node.IgnoreCancels(true) // the worst: what is given up runs on for all of the 19 s
-		node.Play(func(peers.Call) peers.Action {
+		node.SetScript(func(peers.Call) peers.Response {
 			if _, hung := hangs.Load(node.Name); hung {
-				return peers.Action{Delay: 19 * time.Second}
+				return peers.Response{Delay: 19 * time.Second}
 			}
-			return peers.Action{Delay: 2 * time.Millisecond}
+			return peers.Response{Delay: 2 * time.Millisecond}
 		})
 	}
 	return hangs
--- a/internal/rig/helpers_test.go
+++ b/internal/rig/helpers_test.go
@@ -55,7 +55,7 @@
 
 // delayed is a script whose nodes take their time to respond.
 func delayed(delay time.Duration) peers.Script {
-	return func(peers.Call) peers.Action { return peers.Action{Delay: delay} }
+	return func(peers.Call) peers.Response { return peers.Response{Delay: delay} }
 }
 
 // doRequest sends a request and fails the test if its response is late or lost.
@@ -69,7 +69,7 @@
 	if took := time.Since(startedAt); took > call.Timeout+500*time.Millisecond {
 		t.Errorf("%s: answered after %v of %v", call.ID, took, call.Timeout)
 	}
-	if got.Verdict == peers.Lost || got.Verdict == peers.Rejected {
+	if got.Outcome == peers.Lost || got.Outcome == peers.InvalidRequest {
 		t.Errorf("%s: %+v", call.ID, got)
 	}
 	return got
@@ -78,7 +78,7 @@
 // expectServed sends a request that must be served.
 func expectServed(t *testing.T, what string, client peers.Client, call peers.Call) {
 	t.Helper()
-	if got := doRequest(t, client, call); got.Verdict != peers.Served {
+	if got := doRequest(t, client, call); got.Outcome != peers.Served {
 		t.Errorf("%s: %+v", what, got)
 	}
 }
@@ -114,19 +114,19 @@
 // verdictCounts counts results by verdict.
 type verdictCounts struct {
 	lock          sync.Mutex
-	counts        map[peers.Verdict]int
+	counts        map[peers.Outcome]int
 	unserved      int // in a row, of all clients
 	worstUnserved int
 }
 
-func newVerdictCounts() *verdictCounts { return &verdictCounts{counts: make(map[peers.Verdict]int)} }
+func newVerdictCounts() *verdictCounts { return &verdictCounts{counts: make(map[peers.Outcome]int)} }
 
 func (c *verdictCounts) add(got peers.Result) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.counts[got.Verdict]++
+	c.counts[got.Outcome]++
 	c.unserved++
-	if got.Verdict == peers.Served {
+	if got.Outcome == peers.Served {
 		c.unserved = 0
 	}
 	c.worstUnserved = max(c.worstUnserved, c.unserved)
@@ -134,13 +134,13 @@
 
 func (c *verdictCounts) String() string {
 	return fmt.Sprintf("served %d, rejected %d, failed %d",
-		c.counts[peers.Served], c.counts[peers.Refused], c.counts[peers.Failed])
+		c.counts[peers.Served], c.counts[peers.Rejected], c.counts[peers.Failed])
 }
 
 // expectNoneDoubled checks the effects of the requests whose id is of interest.
 func expectNoneDoubled(t *testing.T, rig *Rig, ofInterest func(id string) bool) {
 	t.Helper()
-	for _, what := range rig.Ledger.Doubled(ofInterest) {
+	for _, what := range rig.Ledger.ExecutedTwice(ofInterest) {
 		t.Error(what)
 	}
 }
--- a/internal/rig/listing.go
+++ b/internal/rig/listing.go
@@ -12,10 +12,10 @@
 
 // List sets a node's entry in the endpoint list; health is up, draining or
 // removed, started its last start in Unix ms, zero for long ago.
-func (rig *Rig) List(node *peers.Node, health string, started int64) {
+func (rig *Rig) List(node *peers.Upstream, health string, started int64) {
 	if rig.Eureka == nil {
-		rig.Discovery.Set(peers.Host{
-			Host: node.Name, Dial: node.Addr(), Site: "a", Class: "m", Block: 1, Health: health, Share: 1, BornMS: started,
+		rig.Discovery.Set(peers.Endpoint{
+			Name: node.Name, Addr: node.Addr(), Zone: "a", MachineType: "m", Cell: 1, Health: health, Weight: 1, StartedAtMs: started,
 		})
 		return
 	}
@@ -27,7 +27,7 @@
 }
 
 // Instance is a node as it registers with a Eureka registry under an id.
-func (rig *Rig) Instance(node *peers.Node, id, status string, started int64) peers.EurekaInstance {
+func (rig *Rig) Instance(node *peers.Upstream, id, status string, started int64) peers.EurekaInstance {
 	host, port, _ := net.SplitHostPort(node.Addr())
 	number, _ := strconv.Atoi(port)
 	return peers.EurekaInstance{
--- a/internal/rig/metrics_test.go
+++ b/internal/rig/metrics_test.go
@@ -17,11 +17,11 @@
 )
 
 // failOnce fails the requests that are not idempotent and serves the others.
-func failOnce(call peers.Call) peers.Action {
+func failOnce(call peers.Call) peers.Response {
 	if call.Class == Once {
-		return peers.Action{Deed: peers.Error}
+		return peers.Response{Action: peers.Error}
 	}
-	return peers.Action{}
+	return peers.Response{}
 }
 
 // What the metrics say is what happened, with either protocol.
@@ -41,7 +41,7 @@
 	for i := range 30 {
 		doRequest(t, client, Request([]string{Read, Entry, Once}[i%3], fmt.Sprint("m", i), Tenant(i)))
 	}
-	if got := client.Do(t.Context(), Request(Read, "wrong", "nobody")); got.Verdict != peers.Rejected {
+	if got := client.Do(t.Context(), Request(Read, "wrong", "nobody")); got.Outcome != peers.InvalidRequest {
 		t.Errorf("a wrong one: %+v", got)
 	}
 	families := scrape(t, socket)
--- a/internal/rig/options.go
+++ b/internal/rig/options.go
@@ -37,7 +37,7 @@
 	options.Sockets = cmp.Or(options.Sockets, 1024)
 	options.Seed = cmp.Or(options.Seed, "1")
 	if options.Script == nil {
-		options.Script = peers.Serving
+		options.Script = peers.ServeAll
 	}
 	return options
 }
--- a/internal/rig/plugins_bench_test.go
+++ b/internal/rig/plugins_bench_test.go
@@ -84,7 +84,7 @@
 		}
 		running.Go(func() {
 			requestedAt := time.Now()
-			if got := client.Do(context.Background(), call); got.Verdict == peers.Served {
+			if got := client.Do(context.Background(), call); got.Outcome == peers.Served {
 				latencies.add(phase, tenant, time.Since(requestedAt))
 			}
 		})
--- a/internal/rig/plugins_test.go
+++ b/internal/rig/plugins_test.go
@@ -80,11 +80,11 @@
 	seen []string
 }
 
-func (s *seenByNodes) script(call peers.Call) peers.Action {
+func (s *seenByNodes) script(call peers.Call) peers.Response {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.seen = append(s.seen, call.ID+" "+call.Field("Request-Tags")+" "+call.Field("X-Was"))
-	return peers.Action{}
+	return peers.Response{}
 }
 
 // take returns what was seen and forgets it.
@@ -118,15 +118,15 @@
 	})
 	client := startClient(t, rig)
 	do := func(call peers.Call) peers.Result { return client.Do(t.Context(), call) }
-	if got := do(Request(Entry, "a", Tenant(0))); got.Verdict != peers.Refused || got.Pause != time.Second {
+	if got := do(Request(Entry, "a", Tenant(0))); got.Outcome != peers.Rejected || got.RetryAfter != time.Second {
 		t.Errorf("out of season: %+v", got)
 	}
-	if got := do(Request(Once, "b", Tenant(0))); got.Verdict != peers.Refused || got.Pause <= 0 {
+	if got := do(Request(Once, "b", Tenant(0))); got.Outcome != peers.Rejected || got.RetryAfter <= 0 {
 		t.Errorf("a failure, of a class that is rejected then: %+v", got)
 	}
 	forged := Request(Read, "c", Tenant(0))
 	forged.Fields = map[string]string{"Request-Tags": "forged"}
-	if got := do(forged); got.Verdict != peers.Served {
+	if got := do(forged); got.Outcome != peers.Served {
 		t.Errorf("%+v", got)
 	}
 	if got := nodes.take(); got != "c one read" {
@@ -135,12 +135,12 @@
 	file.writeProgram(0, `on request { }`)
 	file.writeProgram(1, `on request { tag(2) }`)
 	reloadTwice(reload)
-	if got := do(Request(Entry, "d", Tenant(0))); got.Verdict != peers.Refused {
+	if got := do(Request(Entry, "d", Tenant(0))); got.Outcome != peers.Rejected {
 		t.Errorf("after a reload to a broken program: %+v", got)
 	}
 	file.writeProgram(1, `on request { tag("two") }`)
 	reloadTwice(reload)
-	if got := do(Request(Entry, "e", Tenant(0))); got.Verdict != peers.Served {
+	if got := do(Request(Entry, "e", Tenant(0))); got.Outcome != peers.Served {
 		t.Errorf("after a reload: %+v", got)
 	}
 	if got := nodes.take(); got != "e two " {
@@ -155,16 +155,16 @@
 	}
 	file := newOperatorsFile(t, "[[plugin]]\nname = \"p\"\nfile = \"0.hook\"\nheaders = [\"X-*\"]\n", program(1))
 	reload := make(chan os.Signal)
-	rig := start(t, Options{Operators: file.load, Reload: reload, Slots: 64, Script: func(call peers.Call) peers.Action {
+	rig := start(t, Options{Operators: file.load, Reload: reload, Slots: 64, Script: func(call peers.Call) peers.Response {
 		if a, b := call.Field("X-A"), call.Field("X-B"); a != b || a == "" {
-			return peers.Action{Deed: peers.Error} // of two sets, or of none
+			return peers.Response{Action: peers.Error} // of two sets, or of none
 		}
-		return peers.Action{}
+		return peers.Response{}
 	}})
 	client := startClient(t, rig)
 	stop := keepSending(4, func(worker, i int) {
 		call := Request(Read, fmt.Sprintf("%d-%d", worker, i), Tenant(0))
-		if got := client.Do(context.Background(), call); got.Verdict != peers.Served {
+		if got := client.Do(context.Background(), call); got.Outcome != peers.Served {
 			t.Errorf("%+v", got)
 		}
 	})
--- a/internal/rig/quotas_test.go
+++ b/internal/rig/quotas_test.go
@@ -84,9 +84,9 @@
 		lock.Lock()
 		defer lock.Unlock()
 		switch {
-		case got.Verdict == peers.Served:
+		case got.Outcome == peers.Served:
 			served[tenant]++
-		case got.Verdict != peers.Refused || got.Pause <= 0:
+		case got.Outcome != peers.Rejected || got.RetryAfter <= 0:
 			t.Errorf("tenant %d: %+v", tenant, got)
 		}
 	}
@@ -137,7 +137,7 @@
 	t.Helper()
 	for i := range 40 {
 		call := Request(Read, fmt.Sprint(prefix, i), Tenant(0))
-		if client.Do(t.Context(), call).Verdict == peers.Served {
+		if client.Do(t.Context(), call).Outcome == peers.Served {
 			served++
 		}
 	}
--- a/internal/rig/requests.go
+++ b/internal/rig/requests.go
@@ -7,9 +7,9 @@
 	call := peers.Call{ID: id, Class: class, Tenant: tenant, Timeout: Deadline}
 	switch class {
 	case Entry:
-		call.Key, call.Body = "key-"+id, []byte(`{"hive":7}`)
+		call.IdempotencyKey, call.Body = "key-"+id, []byte(`{"hive":7}`)
 	case Once:
-		call.Unsafe, call.Body = true, []byte(`{"hive":7}`)
+		call.NotIdempotent, call.Body = true, []byte(`{"hive":7}`)
 	}
 	return call
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -21,7 +21,7 @@
 type Rig struct {
 	Addr      string // where clients connect
 	Front     peers.Protocol
-	Nodes     []*peers.Node
+	Nodes     []*peers.Upstream
 	Ledger    *peers.Ledger
 	Discovery *peers.Discovery
 	Eureka    *peers.Eureka // as the options have it
@@ -60,7 +60,7 @@
 
 func (rig *Rig) startNodes(options Options) error {
 	for i := range options.Number {
-		node, err := peers.StartNode(options.Nodes, fmt.Sprintf("records-%02d", i+1), rig.Ledger, options.Script)
+		node, err := peers.StartUpstream(options.Nodes, fmt.Sprintf("records-%02d", i+1), rig.Ledger, options.Script)
 		if err != nil {
 			return err
 		}
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -52,7 +52,7 @@
 // A keyed repeat is dropped by upstreams only as long as they remember the first: one
 // whose connection comes up after that is not written.
 func TestKeyedRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
-	late := peertest.NewUnreached(t)
+	late := peertest.NewStalledListener(t)
 	breaks := peertest.NewUpstream(t, func(peertest.Received) (string, bool) { return "", true })
 	first := strings.Replace(upEndpoint("s-1", breaks.Addr), `"share":1.0`, `"share":100`, 1)
 	config := testConfig(t, testOptions{}, noDiscovery, first, upEndpoint("s-2", late.Addr))
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -11,7 +11,7 @@
 
 // A sidecar that requests its watches has one again after a failure, through the program.
 func TestRequestedWatchIsOpenedAgain(t *testing.T) {
-	registry := peertest.NewRegistry(t)
+	registry := peertest.NewDiscovery(t)
 	upstream := newServingUpstream(t, "ok")
 	address, _, _ := startSidecar(t, testConfig(t, testOptions{watchOnRequest: true}, registry.Addr,
 		peertest.HostText("s-0", "127.0.0.1:1", "draining", 0)))
@@ -22,7 +22,7 @@
 }
 
 func TestReadyOnceThereIsAList(t *testing.T) {
-	registry := peertest.NewRegistry(t)
+	registry := peertest.NewDiscovery(t)
 	address, _, _ := startSidecar(t, testConfig(t, testOptions{}, registry.Addr))
 	ready := func() int {
 		status, err := readyStatus(address)
@@ -31,16 +31,16 @@
 		}
 		return status
 	}
-	peertest.Await(t, "the call for the list", registry.Asked)
+	peertest.Await(t, "the call for the list", registry.ListRequests)
 	if got := ready(); got != http.StatusServiceUnavailable {
 		t.Errorf("ready is %d without a list", got)
 	}
 	upstream := newServingUpstream(t, "ok")
-	registry.Whole <- peertest.ListText(5, true, upEndpoint("s-1", upstream.Addr))
+	registry.ListResponses <- peertest.ListText(5, true, upEndpoint("s-1", upstream.Addr))
 	if watch := peertest.Await(t, "the watch", registry.Watches); watch.From != "5" {
 		t.Errorf("the watch begins from %s, want 5", watch.From)
 	}
-	for deadline := time.Now().Add(peertest.Patience); ready() != http.StatusOK; {
+	for deadline := time.Now().Add(peertest.WaitTimeout); ready() != http.StatusOK; {
 		if time.Now().After(deadline) {
 			t.Fatal("never ready")
 		}
@@ -48,7 +48,7 @@
 }
 
 func TestDrainActsAtOnce(t *testing.T) {
-	registry := peertest.NewRegistry(t)
+	registry := peertest.NewDiscovery(t)
 	drained, other := newServingUpstream(t, "a"), newServingUpstream(t, "b")
 	address, _, _ := startSidecar(t, testConfig(t, testOptions{}, registry.Addr, upEndpoint("s-1", drained.Addr)))
 	watch := peertest.Await(t, "the watch", registry.Watches)
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -170,7 +170,7 @@
 // serveSoon sends requests until one is served: an endpoint update is on its way.
 func serveSoon(t *testing.T, address string) {
 	t.Helper()
-	for i, deadline := 0, time.Now().Add(peertest.Patience); ; i++ {
+	for i, deadline := 0, time.Now().Add(peertest.WaitTimeout); ; i++ {
 		if got := (peertest.Call{Class: "once", ID: fmt.Sprint("soon-", i)}).Do(t, address); got.Status == http.StatusOK {
 			return
 		}
--- a/internal/sidecar/raw_client_test.go
+++ b/internal/sidecar/raw_client_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(peertest.Patience))
+	conn.SetDeadline(time.Now().Add(peertest.WaitTimeout))
 	return &rawClient{conn.(*net.TCPConn), t, bufio.NewReader(conn)}
 }
 
@@ -110,7 +110,7 @@
 	held := make(chan struct{})
 	go func() {
 		defer close(held)
-		for end := time.Now().Add(peertest.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(peertest.WaitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			if isHeld, err := isRequestHeld(address, id); isHeld || err != nil {
 				return
 			}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -28,7 +28,7 @@
 // list stays in force until the new address has brought another, and a file
 // that cannot be used changes nothing.
 func TestReloadMovesDiscovery(t *testing.T) {
-	oldRegistry, newRegistry := peertest.NewRegistry(t), peertest.NewRegistry(t)
+	oldRegistry, newRegistry := peertest.NewDiscovery(t), peertest.NewDiscovery(t)
 	release := make(chan struct{})
 	oldUpstream, newUpstream := newHoldingUpstream(t, "a", release), newServingUpstream(t, "b")
 	config := testConfig(t, testOptions{}, oldRegistry.Addr, upEndpoint("s-1", oldUpstream.Addr))
@@ -43,7 +43,7 @@
 	watch := peertest.Await(t, "the watch", oldRegistry.Watches)
 	held := peertest.Call{Class: "once", ID: "held"}.Start(t, address)
 	peertest.Await(t, "the held one", oldUpstream.Requests)
-	unresolved := peertest.Valid(t, reloadText("discovery.internal"))
+	unresolved := peertest.ValidJSON(t, reloadText("discovery.internal"))
 	for _, wrong := range []string{"", "{", unresolved, `{"discovery":"127.0.0.1:1"}`} {
 		reload(wrong)
 	}
@@ -52,12 +52,12 @@
 	case <-watch.Ended:
 		t.Fatal("a wrong file ended the watch")
 	}
-	reload(peertest.Valid(t, reloadText(newRegistry.Addr)))
-	peertest.Await(t, "the call for the new list", newRegistry.Asked)
+	reload(peertest.ValidJSON(t, reloadText(newRegistry.Addr)))
+	peertest.Await(t, "the call for the new list", newRegistry.ListRequests)
 	if got := (peertest.Call{Class: "once", ID: "meanwhile"}).Do(t, address); got.Body != "a" {
 		t.Errorf("without a new list: %+v", got)
 	}
-	newRegistry.Whole <- peertest.ListText(1, true, upEndpoint("s-2", newUpstream.Addr))
+	newRegistry.ListResponses <- peertest.ListText(1, true, upEndpoint("s-2", newUpstream.Addr))
 	peertest.Await(t, "the new watch", newRegistry.Watches)
 	awaitBody(t, address, "b")
 	close(release)
@@ -69,7 +69,7 @@
 // awaitBody sends requests until one is served with the body.
 func awaitBody(t *testing.T, address, body string) {
 	t.Helper()
-	for i, deadline := 0, time.Now().Add(peertest.Patience); ; i++ {
+	for i, deadline := 0, time.Now().Add(peertest.WaitTimeout); ; i++ {
 		got := peertest.Call{Class: "once", ID: fmt.Sprint(i)}.Do(t, address)
 		if got.Body == body {
 			return
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -62,7 +62,7 @@
 }
 
 func testShutdownBeforeConnect(t *testing.T) {
-	late := peertest.NewUnreached(t)
+	late := peertest.NewStalledListener(t)
 	config := testConfig(t, testOptions{}, noDiscovery, upEndpoint("s-1", late.Addr))
 	config.DialTimeout = 2 * time.Second
 	address, shutdown, _ := startSidecar(t, config)
--- a/internal/sidecar/watch_drain_test.go
+++ b/internal/sidecar/watch_drain_test.go
@@ -17,7 +17,7 @@
 // watchDrain is a sidecar with a watch on a registry, another registry to which
 // discovery may move, and a client that sends requests all the time.
 type watchDrain struct {
-	registry, moved *peertest.Registry
+	registry, moved *peertest.Discovery
 	watch           *peertest.Watch
 	drained, stays  *peertest.Upstream
 	drain           string // the change that drains one of them
@@ -34,7 +34,7 @@
 func startWatchDrain(t *testing.T) *watchDrain {
 	t.Helper()
 	scene := &watchDrain{
-		registry: peertest.NewRegistry(t), moved: peertest.NewRegistry(t),
+		registry: peertest.NewDiscovery(t), moved: peertest.NewDiscovery(t),
 		stays:   newServingUpstream(t, "b"),
 		signals: make(chan os.Signal), stopRequesting: make(chan struct{}), stopped: make(chan struct{}),
 	}
@@ -79,7 +79,7 @@
 }
 
 // nextWatch waits for a further watch at a registry.
-func nextWatch(t *testing.T, registry *peertest.Registry) *peertest.Watch {
+func nextWatch(t *testing.T, registry *peertest.Discovery) *peertest.Watch {
 	t.Helper()
 	return peertest.Await(t, "another watch", registry.Watches)
 }
@@ -114,20 +114,20 @@
 	}},
 	"moves": {0, func(t *testing.T, scene *watchDrain) {
 		scene.reload(t, scene.moved.Addr)
-		<-scene.moved.Asked
-		scene.moved.Whole <- scene.complete
+		<-scene.moved.ListRequests
+		scene.moved.ListResponses <- scene.complete
 	}},
 	"moves twice": {0, func(t *testing.T, scene *watchDrain) {
 		scene.reload(t, "127.0.0.1:1")
 		scene.reload(t, scene.moved.Addr)
-		<-scene.moved.Asked
-		scene.moved.Whole <- scene.complete
+		<-scene.moved.ListRequests
+		scene.moved.ListResponses <- scene.complete
 	}},
 	"moves, then drain": {0, func(t *testing.T, scene *watchDrain) {
 		scene.reload(t, scene.moved.Addr)
-		<-scene.moved.Asked
+		<-scene.moved.ListRequests
 		both := `"hosts":[` + upEndpoint("s-1", "127.0.0.1:1") + ","
-		scene.moved.Whole <- strings.Replace(scene.complete, `"hosts":[`, both, 1)
+		scene.moved.ListResponses <- strings.Replace(scene.complete, `"hosts":[`, both, 1)
 		nextWatch(t, scene.moved).Lines <- strings.Replace(scene.drain, `"seq":2`, `"seq":10`, 1)
 	}},
 }
