--- a/cmd/fleetsim/sockets.go
+++ b/cmd/fleetsim/sockets.go
@@ -109,7 +109,7 @@
 	p := s.NodeAt(c.Number)
 	n := load.NewNode(p, s.Classes[0].Work)
 	defer n.Close()
-	peer, err := peers.StartNodeAt(c.Address, protocol(c.Protocol), c.Address, nil, n.Script)
+	peer, err := peers.StartUpstreamAt(c.Address, protocol(c.Protocol), c.Address, nil, n.Script)
 	if err != nil {
 		return err
 	}
--- a/cmd/sidecar/commands_test.go
+++ b/cmd/sidecar/commands_test.go
@@ -68,12 +68,12 @@
 // The real program with an operators' file: a MessagePack-RPC listener and pool.
 func TestRunWithOperatorsFile(t *testing.T) {
 	ledger := peers.NewLedger(false)
-	node, err := peers.StartNode(peers.RPC, "records-01", ledger, peers.Serving)
+	node, err := peers.StartUpstream(peers.RPC, "records-01", ledger, peers.ServeAll)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer node.Close()
-	discovery, err := peers.StartDiscovery(peers.Host{Host: node.Name, Dial: node.Addr(), Health: "up", Share: 1})
+	discovery, err := peers.StartDiscovery(peers.Endpoint{Name: node.Name, Addr: node.Addr(), Health: "up", Weight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 		"\"\n[[pool]]\nname = \"records\"\nprotocol = \"msgpack-rpc\"\nhosts = [\"records-*\"]\n")
 	end := startProgram(t, config, operators)
 	for i, p := range []peers.Protocol{peers.HTTP, peers.RPC} {
-		if got := requestUntilServed(t, p, addrs[i], peers.Call{Class: "a", Unsafe: true, Timeout: time.Second}); got.Verdict != peers.Served {
+		if got := requestUntilServed(t, p, addrs[i], peers.Call{Class: "a", NotIdempotent: true, Timeout: time.Second}); got.Outcome != peers.Served {
 			t.Errorf("over %s: %+v", p, got)
 		}
 	}
@@ -135,7 +135,7 @@
 		c.ID = fmt.Sprint(p, time.Now().UnixNano())
 		got = client.Do(ctx, c)
 		cancel()
-		if got.Verdict == peers.Served {
+		if got.Outcome == peers.Served {
 			break
 		}
 	}
@@ -154,7 +154,7 @@
 			addrs := freeAddrs(t, 1)
 			real := []string{"127.0.0.1:7070", addrs[0], "/tmp/mothridge-example", filepath.Join(t.TempDir(), "s")}
 			for _, at := range []string{"127.0.0.1:7081", "127.0.0.1:7082"} {
-				n, err := peers.StartNode(peers.HTTP, at, peers.NewLedger(false), peers.Serving)
+				n, err := peers.StartUpstream(peers.HTTP, at, peers.NewLedger(false), peers.ServeAll)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -173,9 +173,9 @@
 				paths[i] = write(t, filepath.Base(file), strings.NewReplacer(real...).Replace(string(text)))
 			}
 			end := startProgram(t, paths[0], paths[1])
-			for _, c := range []peers.Call{{Class: "weight-reading", Key: "k"}, {Class: "harvest-entry", Unsafe: true}} {
+			for _, c := range []peers.Call{{Class: "weight-reading", IdempotencyKey: "k"}, {Class: "harvest-entry", NotIdempotent: true}} {
 				c.Tenant, c.Timeout = "lockyer-keepers", time.Second
-				if got := requestUntilServed(t, peers.HTTP, addrs[0], c); got.Verdict != peers.Served {
+				if got := requestUntilServed(t, peers.HTTP, addrs[0], c); got.Outcome != peers.Served {
 					t.Errorf("%s: %+v", c.Class, got)
 				}
 			}
--- a/cmd/sidecar/standin.go
+++ b/cmd/sidecar/standin.go
@@ -64,15 +64,15 @@
 		protocol = peers.RPC
 	}
 	name := cmp.Or(c.Name, c.Address)
-	n, err := peers.StartNodeAt(c.Address, protocol, name, nil, func(call peers.Call) peers.Action {
-		a := peers.Action{Delay: c.Delay, Body: fmt.Appendf(nil, "%s served %s\n", name, call.ID)}
+	n, err := peers.StartUpstreamAt(c.Address, protocol, name, nil, func(call peers.Call) peers.Response {
+		a := peers.Response{Delay: c.Delay, Body: fmt.Appendf(nil, "%s served %s\n", name, call.ID)}
 		switch x := rand.IntN(100); {
 		case x < c.Errors:
-			a.Deed = peers.Error
+			a.Action = peers.Error
 		case x < c.Errors+c.Away:
-			a.Deed = peers.TurnAway
+			a.Action = peers.Reject
 		case x < c.Errors+c.Away+c.Hang:
-			a.Deed = peers.Hang
+			a.Action = peers.Hang
 		}
 		return a
 	})
@@ -101,7 +101,7 @@
 		return err
 	}
 	defer e.Close()
-	e.Lease(c.Lease)
+	e.SetLeaseDuration(c.Lease)
 	fmt.Printf("a stand-in Eureka registry at %s for %v\n\n", e.URL(), c.Duration)
 	fmt.Printf("register   curl -X POST -H 'Content-Type: application/json' %s/apps/RECORDS -d \\\n", e.URL())
 	fmt.Println(`             '{"instance":{"instanceId":"r1","hostName":"127.0.0.1","app":"RECORDS","ipAddr":"127.0.0.1","status":"UP","port":{"$":8080,"@enabled":"true"},"dataCenterInfo":{"name":"MyOwn"}}}'`)
--- a/internal/core/endpoint_table_test.go
+++ b/internal/core/endpoint_table_test.go
@@ -67,7 +67,7 @@
 	entry := Endpoint{Name: "s-1", Addr: "127.0.0.1:7", Health: Up, StartedAt: startedAt}
 	endpoint, usable := core.endpoints.upsert(entry, core.now, 0)
 	age := core.clock.now() - endpoint.StartedAt
-	if !usable || endpoint.StartedAt <= 0 || age < time.Second || age > peertest.Patience {
+	if !usable || endpoint.StartedAt <= 0 || age < time.Second || age > peertest.WaitTimeout {
 		t.Errorf("started at %v, %v ago on the Balancer's clock", endpoint.StartedAt, age)
 	}
 }
--- a/internal/core/response_test.go
+++ b/internal/core/response_test.go
@@ -34,7 +34,7 @@
 	request := &Request{
 		ID:       "x",
 		Class:    2,
-		Deadline: time.Now().Add(peertest.Patience),
+		Deadline: time.Now().Add(peertest.WaitTimeout),
 		Respond:  func(r Response) { responses <- r },
 	}
 	core.now = core.clock.now()
--- a/internal/front/httpfront/helpers_test.go
+++ b/internal/front/httpfront/helpers_test.go
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(peertest.Patience))
+	conn.SetDeadline(time.Now().Add(peertest.WaitTimeout))
 	return conn, bufio.NewReader(conn)
 }
 
--- a/internal/front/rpcfront/helpers_test.go
+++ b/internal/front/rpcfront/helpers_test.go
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { netConn.Close() })
-	return &testClient{netConn, msgrpc.NewFramer(netConn, msgrpc.MaxResponseBytes, peertest.Patience)}
+	return &testClient{netConn, msgrpc.NewFramer(netConn, msgrpc.MaxResponseBytes, peertest.WaitTimeout)}
 }
 
 // call sends a valid call that change, which may be nil, has changed.
@@ -101,7 +101,7 @@
 }
 
 func (client *testClient) read() (msgrpc.Message, error) {
-	client.SetReadDeadline(time.Now().Add(peertest.Patience))
+	client.SetReadDeadline(time.Now().Add(peertest.WaitTimeout))
 	frame, err := client.framer.Next()
 	if err != nil {
 		return msgrpc.Message{}, err
--- a/internal/front/rpcfront/write_response_test.go
+++ b/internal/front/rpcfront/write_response_test.go
@@ -113,7 +113,7 @@
 		if message := other.readMessage(t); message.ID != 1 || message.Fault != nil {
 			t.Fatalf("the other got %+v", message)
 		}
-		if took := time.Since(startedAt); took > peertest.Patience/2 {
+		if took := time.Since(startedAt); took > peertest.WaitTimeout/2 {
 			t.Errorf("the other waited for %v", took)
 		}
 		checkBuffered(t, front, bodyBytes)
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -177,13 +177,13 @@
 	k := &g.Scenario.Classes[p.Class]
 	c := peers.Call{
 		ID: fmt.Sprintf("%d-%d-%d", g.Scenario.Seed, number, try), Class: className(&g.Scenario, p.Class), Tenant: tenantName(&g.Scenario, p.Tenant),
-		Timeout: left, Retry: try > 1, Body: fmt.Appendf(nil, "%s%d", workField, p.Work.Microseconds()),
+		Timeout: left, ClientRetry: try > 1, Body: fmt.Appendf(nil, "%s%d", workField, p.Work.Microseconds()),
 	}
 	switch policy.Idempotency(k.Effect) {
 	case policy.IdempotentByKey:
-		c.Key = fmt.Sprintf("%d-%d", g.Scenario.Seed, number)
+		c.IdempotencyKey = fmt.Sprintf("%d-%d", g.Scenario.Seed, number)
 	case policy.NotIdempotent:
-		c.Unsafe = true
+		c.NotIdempotent = true
 	}
 	return c
 }
@@ -216,7 +216,7 @@
 	r := g.result
 	r.Asked++
 	at := &r.Windows[max(0, min(int(now.Sub(g.began)/time.Second), len(r.Windows)-1))]
-	switch got.Verdict {
+	switch got.Outcome {
 	case peers.Served:
 		r.Served++
 		at.Served++
@@ -232,7 +232,7 @@
 		if took <= aim {
 			w.Good++
 		}
-	case peers.Refused:
+	case peers.Rejected:
 		r.Refused++
 		at.Refused++
 	case peers.Failed:
@@ -240,9 +240,9 @@
 		at.Failed++
 	default:
 		r.Lost++
-		g.odd("%s: %s %s %v", call.ID, got.Verdict, got.Text, got.Err)
+		g.odd("%s: %s %s %v", call.ID, got.Outcome, got.Text, got.Err)
 	}
-	if over := now.Sub(began) - call.Timeout; over > 50*time.Millisecond && got.Verdict != peers.Lost {
+	if over := now.Sub(began) - call.Timeout; over > 50*time.Millisecond && got.Outcome != peers.Lost {
 		g.odd("%s: answered %v after its deadline", call.ID, over)
 	}
 }
@@ -260,11 +260,11 @@
 	switch {
 	case try >= c.Tries:
 		return 0, false
-	case got.Verdict == peers.Refused && (c.Heeds >= 1 || g.draw() < c.Heeds):
-		return got.Pause, true
-	case got.Verdict == peers.Refused:
+	case got.Outcome == peers.Rejected && (c.Heeds >= 1 || g.draw() < c.Heeds):
+		return got.RetryAfter, true
+	case got.Outcome == peers.Rejected:
 		return own(), true
-	case got.Verdict != peers.Served && policy.Idempotency(k.Effect) == policy.Idempotent && (c.Insists || got.Verdict == peers.Lost):
+	case got.Outcome != peers.Served && policy.Idempotency(k.Effect) == policy.Idempotent && (c.Insists || got.Outcome == peers.Lost):
 		return own(), true
 	}
 	return 0, false
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -55,10 +55,10 @@
 // from the time at which they were due.
 func TestNoCoordinatedOmission(t *testing.T) {
 	var stall sync.Mutex
-	n, err := peers.StartNode(peers.HTTP, "n", nil, func(peers.Call) peers.Action {
+	n, err := peers.StartUpstream(peers.HTTP, "n", nil, func(peers.Call) peers.Response {
 		stall.Lock()
 		defer stall.Unlock()
-		return peers.Action{}
+		return peers.Response{}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 	began := time.Now()
 	given := make(chan struct{})
 	first, second, third := n.Script(peers.Call{}), n.Script(peers.Call{Body: []byte("work_us=50000")}), n.Script(peers.Call{})
-	if first.Wait(given) != peers.Serve || second.Wait(given) != peers.Serve || third.Deed != peers.TurnAway {
+	if first.Wait(given) != peers.Serve || second.Wait(given) != peers.Serve || third.Action != peers.Reject {
 		t.Error("two are served and a third one turned away")
 	}
 	if took := time.Since(began); took < 95*ms {
--- a/internal/load/node.go
+++ b/internal/load/node.go
@@ -69,7 +69,7 @@
 
 // Script is what the node does with a request: it takes as long as the model
 // has it, beside all others that it holds.
-func (n *Node) Script(c peers.Call) peers.Action {
+func (n *Node) Script(c peers.Call) peers.Response {
 	work := n.mean
 	if text, ok := strings.CutPrefix(string(c.Body), workField); ok {
 		if us, err := strconv.ParseInt(text, 10, 64); err == nil {
@@ -83,9 +83,9 @@
 	n.advance()
 	n.mu.Unlock()
 	if !taken {
-		return peers.Action{Deed: peers.TurnAway}
+		return peers.Response{Action: peers.Reject}
 	}
-	return peers.Action{Wait: func(given <-chan struct{}) peers.Deed {
+	return peers.Response{Wait: func(given <-chan struct{}) peers.ResponseAction {
 		select {
 		case ok := <-done:
 			if ok {
--- a/internal/load/world.go
+++ b/internal/load/world.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, twice := range w.rigs[0].Ledger.Doubled(func(string) bool { return true }) {
+	for _, twice := range w.rigs[0].Ledger.ExecutedTwice(func(string) bool { return true }) {
 		r.Broken = append(r.Broken, "rule 2: "+twice)
 	}
 	return r, nil
@@ -104,7 +104,7 @@
 		}
 		o.Beside = r
 		for n := range r.Nodes {
-			r.Nodes[n].Play(w.nodes[n].Script)
+			r.Nodes[n].SetScript(w.nodes[n].Script)
 			w.list(n, "up", 0)
 		}
 	}
@@ -123,7 +123,7 @@
 // list tells the discovery of a node.
 func (w *world) list(i int, health string, started int64) {
 	n := w.rigs[0].Nodes[i]
-	w.rigs[0].Discovery.Set(peers.Host{Host: n.Name, Dial: n.Addr(), Site: "a", Class: "m", Block: i, Health: health, Share: w.s.Weight(i), BornMS: started})
+	w.rigs[0].Discovery.Set(peers.Endpoint{Name: n.Name, Addr: n.Addr(), Zone: "a", MachineType: "m", Cell: i, Health: health, Weight: w.s.Weight(i), StartedAtMs: started})
 }
 
 // settings are the platform's, as the scenario has them.
@@ -174,7 +174,7 @@
 	case fleet.Restart:
 		began := time.Now().UnixMilli()
 		w.nodes[t.Node].Strike(t)
-		w.rigs[0].Nodes[t.Node].Break()
+		w.rigs[0].Nodes[t.Node].ResetConnections()
 		tell("up", began)
 	default:
 		end := w.nodes[t.Node].Strike(t)
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -63,12 +63,12 @@
 	if n := peertest.Await(t, "the loss", losses); n != 41 || s.Lost() != n {
 		t.Errorf("told of %d, %d in all, want 41", n, s.Lost())
 	}
-	if !s.Flush(peertest.Patience) || f.String() != strings.Repeat(string(line), 9) {
+	if !s.Flush(peertest.WaitTimeout) || f.String() != strings.Repeat(string(line), 9) {
 		t.Errorf("wrote %q", f)
 	}
 	for i := range 100 { // the queue is free again
 		s.Write(fmt.Appendf(nil, "%d\n", i))
-		s.Flush(peertest.Patience)
+		s.Flush(peertest.WaitTimeout)
 	}
 	if s.Lost() != 41 {
 		t.Errorf("%d lost later", s.Lost()-41)
@@ -81,10 +81,10 @@
 	losses := make(chan uint64, 1)
 	s := New(f, DefaultLimit, func(n uint64) { losses <- n })
 	s.Write([]byte("first\n"))
-	s.Flush(peertest.Patience)
+	s.Flush(peertest.WaitTimeout)
 	f.set(0)
 	s.Write([]byte("second\n"))
-	s.Flush(peertest.Patience)
+	s.Flush(peertest.WaitTimeout)
 	f.set(-1)
 	s.Write([]byte("third\n"))
 	if n := peertest.Await(t, "the loss", losses); n != 2 {
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -17,29 +17,29 @@
 	"mothridge/internal/msgrpc"
 )
 
-// Verdict is how a request ended for its client.
-type Verdict int
+// Outcome is how a request ended for its client.
+type Outcome int
 
 // The verdicts.
 const (
-	Served  Verdict = iota
-	Refused         // trying again is harmless
+	Served   Outcome = iota
+	Rejected         // trying again is harmless
 	Failed
-	Rejected // wrong, by the sidecar's word
-	Lost     // no whole answer
+	InvalidRequest // wrong, by the sidecar's word
+	Lost           // no whole answer
 )
 
-func (v Verdict) String() string {
+func (v Outcome) String() string {
 	return [...]string{"served", "refused", "failed", "rejected", "lost"}[v]
 }
 
 // Result is what a client got.
 type Result struct {
-	Verdict Verdict
-	Pause   time.Duration // refused: how long to stay away
-	Body    []byte
-	Text    string // why, where the answer says
-	Err     error  // lost: what was seen
+	Outcome    Outcome
+	RetryAfter time.Duration // refused: how long to stay away
+	Body       []byte
+	Text       string // why, where the answer says
+	Err        error  // lost: what was seen
 }
 
 // Client sends requests to a sidecar. It is safe for concurrent use and never
@@ -100,7 +100,7 @@
 	for {
 		c, kept, err := h.get(ctx)
 		if err != nil {
-			return Result{Verdict: Lost, Err: err}
+			return Result{Outcome: Lost, Err: err}
 		}
 		r, crossed := h.exchange(ctx, c, call)
 		// The sidecar may close a kept connection between requests; one that
@@ -126,35 +126,35 @@
 	c.out.Reset()
 	call.writeHTTP(&c.out)
 	if _, err := c.Write(c.out.Bytes()); err != nil {
-		return Result{Verdict: Lost, Err: err}, true
+		return Result{Outcome: Lost, Err: err}, true
 	}
 	if _, err := c.in.Peek(1); err != nil {
-		return Result{Verdict: Lost, Err: err}, ctx.Err() == nil
+		return Result{Outcome: Lost, Err: err}, ctx.Err() == nil
 	}
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		return Result{Verdict: Lost, Err: err}, false
+		return Result{Outcome: Lost, Err: err}, false
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Result{Verdict: Lost, Err: err}, false
+		return Result{Outcome: Lost, Err: err}, false
 	}
 	keep = !resp.Close
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		return Result{Verdict: Served, Body: body}, false
+		return Result{Outcome: Served, Body: body}, false
 	case resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable:
 		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-		return Result{Verdict: Refused, Pause: time.Duration(s * 1e9)}, false
+		return Result{Outcome: Rejected, RetryAfter: time.Duration(s * 1e9)}, false
 	case resp.StatusCode >= 500:
-		return Result{Verdict: Failed, Text: resp.Status}, false
+		return Result{Outcome: Failed, Text: resp.Status}, false
 	}
-	return Result{Verdict: Rejected, Text: resp.Status}, false
+	return Result{Outcome: InvalidRequest, Text: resp.Status}, false
 }
 
 func (c *Call) writeHTTP(b *bytes.Buffer) {
 	method := http.MethodGet
-	if c.Key != "" || c.Unsafe {
+	if c.IdempotencyKey != "" || c.NotIdempotent {
 		method = http.MethodPost
 	}
 	fmt.Fprintf(b, "%s /api HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nRequest-Timeout: %.3f\r\n",
@@ -165,8 +165,8 @@
 		}
 	}
 	field("Tenant", c.Tenant)
-	field("Idempotency-Key", c.Key)
-	if c.Retry {
+	field("Idempotency-Key", c.IdempotencyKey)
+	if c.ClientRetry {
 		field("Client-Retry", "1")
 	}
 	for name, value := range c.Fields {
@@ -187,9 +187,9 @@
 	mu   sync.Mutex
 	conn *rpcConn
 
-	// Strange counts responses to ids that were not open, and notifications of
+	// UnexpectedMessages counts responses to ids that were not open, and notifications of
 	// messages that the sidecar passed over.
-	Strange atomic.Int64
+	UnexpectedMessages atomic.Int64
 }
 
 type rpcConn struct {
@@ -239,10 +239,10 @@
 func (r *RPCClient) Do(ctx context.Context, call Call) Result {
 	c, err := r.get(ctx)
 	if err != nil {
-		return Result{Verdict: Lost, Err: err}
+		return Result{Outcome: Lost, Err: err}
 	}
 	m := msgrpc.Call{
-		ID: call.ID, Class: call.Class, Tenant: call.Tenant, IdempotencyKey: call.Key, Timeout: call.Timeout, ClientRetry: call.Retry, Target: "/api", Body: call.Body,
+		ID: call.ID, Class: call.Class, Tenant: call.Tenant, IdempotencyKey: call.IdempotencyKey, Timeout: call.Timeout, ClientRetry: call.ClientRetry, Target: "/api", Body: call.Body,
 	}
 	if len(call.Fields) > 0 {
 		m.Fields = make(map[string][]string, len(call.Fields))
@@ -254,7 +254,7 @@
 	c.mu.Lock()
 	if err := c.err; err != nil {
 		c.mu.Unlock()
-		return Result{Verdict: Lost, Err: err}
+		return Result{Outcome: Lost, Err: err}
 	}
 	id := c.next
 	c.next++
@@ -269,7 +269,7 @@
 		delete(c.open, id)
 		c.mu.Unlock()
 		c.write(msgrpc.AppendCancel(nil, id))
-		return Result{Verdict: Lost, Err: ctx.Err()}
+		return Result{Outcome: Lost, Err: ctx.Err()}
 	}
 }
 
@@ -293,7 +293,7 @@
 			c.open = nil
 			c.mu.Unlock()
 			for _, done := range open {
-				done <- Result{Verdict: Lost, Err: err}
+				done <- Result{Outcome: Lost, Err: err}
 			}
 			c.nc.Close()
 			return
@@ -313,7 +313,7 @@
 			c.mu.Unlock()
 			return nil
 		}
-		c.client.Strange.Add(1)
+		c.client.UnexpectedMessages.Add(1)
 		return nil
 	}
 	if m.Kind != msgrpc.Response {
@@ -325,7 +325,7 @@
 	idle := c.drain && len(c.open) == 0
 	c.mu.Unlock()
 	if done == nil {
-		c.client.Strange.Add(1)
+		c.client.UnexpectedMessages.Add(1)
 		return nil
 	}
 	done <- rpcResult(m)
@@ -339,19 +339,19 @@
 	if m.Fault == nil {
 		r, err := msgrpc.ParseResult(m.Result)
 		if err != nil {
-			return Result{Verdict: Lost, Err: err}
+			return Result{Outcome: Lost, Err: err}
 		}
-		return Result{Verdict: Served, Body: r.Body}
+		return Result{Outcome: Served, Body: r.Body}
 	}
 	f, err := msgrpc.ParseFault(m.Fault)
 	if err != nil {
-		return Result{Verdict: Lost, Err: err}
+		return Result{Outcome: Lost, Err: err}
 	}
 	switch f.Kind {
 	case msgrpc.KindRefused:
-		return Result{Verdict: Refused, Pause: f.RetryAfter, Text: f.Text}
+		return Result{Outcome: Rejected, RetryAfter: f.RetryAfter, Text: f.Text}
 	case msgrpc.KindRejected, msgrpc.KindDuplicate:
-		return Result{Verdict: Rejected, Text: f.Kind + " " + f.Text}
+		return Result{Outcome: InvalidRequest, Text: f.Kind + " " + f.Text}
 	}
-	return Result{Verdict: Failed, Text: f.Kind + " " + f.Text}
+	return Result{Outcome: Failed, Text: f.Kind + " " + f.Text}
 }
--- a/internal/peers/discovery.go
+++ b/internal/peers/discovery.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Host is an entry of the platform's list.
-type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms"`
+// Endpoint is an entry of the platform's list.
+type Endpoint struct {
+	Name        string  `json:"host"`
+	Addr        string  `json:"dial"`
+	Zone        string  `json:"site"`
+	MachineType string  `json:"class"`
+	Cell        int     `json:"block"`
+	Health      string  `json:"health"`
+	Weight      float64 `json:"share"`
+	StartedAtMs int64   `json:"born_ms"`
 }
 
 // Discovery stands in for the platform's discovery: the list, and watches of
@@ -30,7 +30,7 @@
 
 	mu      sync.Mutex
 	seq     uint64
-	hosts   map[string]Host
+	hosts   map[string]Endpoint
 	order   []string
 	log     []change
 	changed chan struct{} // closed and made anew with each change
@@ -38,22 +38,22 @@
 
 type change struct {
 	seq  uint64
-	host Host
+	host Endpoint
 }
 
 type listing struct {
-	Seq   uint64 `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []Host `json:"hosts"`
+	Seq   uint64     `json:"seq"`
+	Whole bool       `json:"whole"`
+	Hosts []Endpoint `json:"hosts"`
 }
 
 // StartDiscovery starts one on a loopback port of its own.
-func StartDiscovery(hosts ...Host) (*Discovery, error) {
+func StartDiscovery(hosts ...Endpoint) (*Discovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	d := &Discovery{ln: ln, hosts: make(map[string]Host), changed: make(chan struct{})}
+	d := &Discovery{ln: ln, hosts: make(map[string]Endpoint), changed: make(chan struct{})}
 	for _, h := range hosts {
 		d.Set(h)
 	}
@@ -69,21 +69,21 @@
 func (d *Discovery) Close() { d.server.Close() }
 
 // Set adds or changes an entry; health 'removed' takes it out.
-func (d *Discovery) Set(h Host) {
+func (d *Discovery) Set(h Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seq++
-	if _, known := d.hosts[h.Host]; !known {
-		d.order = append(d.order, h.Host)
+	if _, known := d.hosts[h.Name]; !known {
+		d.order = append(d.order, h.Name)
 	}
-	d.hosts[h.Host] = h
+	d.hosts[h.Name] = h
 	d.log = append(d.log, change{d.seq, h})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
 func (d *Discovery) whole() listing {
-	l := listing{Seq: d.seq, Whole: true, Hosts: []Host{}}
+	l := listing{Seq: d.seq, Whole: true, Hosts: []Endpoint{}}
 	for _, name := range d.order {
 		if h := d.hosts[name]; h.Health != "removed" {
 			l.Hosts = append(l.Hosts, h)
@@ -113,7 +113,7 @@
 	defer tick.Stop()
 	for first := true; ; first = false {
 		d.mu.Lock()
-		l := listing{Seq: d.seq, Hosts: []Host{}}
+		l := listing{Seq: d.seq, Hosts: []Endpoint{}}
 		switch {
 		case from > d.seq || first && from == 0:
 			l = d.whole()
--- a/internal/peers/eureka.go
+++ b/internal/peers/eureka.go
@@ -13,26 +13,26 @@
 
 // EurekaInstance is an instance in the stand-in registry.
 type EurekaInstance struct {
-	ID       string
-	App      string
-	Host     string
-	IP       string
-	Port     int
-	VIP      string // one name, or several with commas
-	Status   string // by its own word
-	Override string // by an operator's
-	Metadata map[string]string
-	Dirty    int64 // Unix ms by the instance's clock
-	Updated  int64 // Unix ms by the registry's
-
-	PortOff                           bool // the plain port is not in use
-	Secure                            bool // SecurePort is in use
-	SecurePort                        int  // 0: 443, as the published server has it
-	SVIP, Group                       string
-	HomePage, StatusPage, HealthCheck string
-	Country                           int64  // 0: 1
-	DataCenter                        string // empty: MyOwn
-	RenewalSecs, DurationSecs         int64  // of its lease, by its own word; 0: 30 and 90
+	ID            string
+	App           string
+	Host          string
+	IP            string
+	Port          int
+	VIP           string // one name, or several with commas
+	Status        string // by its own word
+	Override      string // by an operator's
+	Metadata      map[string]string
+	LastDirtyMs   int64 // Unix ms by the instance's clock
+	LastUpdatedMs int64 // Unix ms by the registry's
+
+	PortDisabled                                 bool // the plain port is not in use
+	SecurePortEnabled                            bool // SecurePort is in use
+	SecurePort                                   int  // 0: 443, as the published server has it
+	SecureVIP, Group                             string
+	HomePage, StatusPage, HealthCheck            string
+	Country                                      int64  // 0: 1
+	DataCenter                                   string // empty: MyOwn
+	RenewalIntervalSeconds, LeaseDurationSeconds int64  // of its lease, by its own word; 0: 30 and 90
 
 	renewed    time.Time
 	registered int64
@@ -55,16 +55,16 @@
 
 // The faults. They last until another is set.
 const (
-	NoFault    EurekaFault = iota
-	Silent                 // takes calls and never answers
-	Slow                   // answers after 300 ms
-	ServerFail             // 500
-	CutBody                // half of the answer
-	Stale                  // what it held when the fault began
-	WrongHash              // a hash code that does not add up
-	EmptyList              // 200 and no instances
-	Garbage                // 200 and no JSON
-	Announced              // each format announced as the other
+	NoFault          EurekaFault = iota
+	NoResponse                   // takes calls and never answers
+	Slow                         // answers after 300 ms
+	ServerError                  // 500
+	TruncatedBody                // half of the answer
+	StaleList                    // what it held when the fault began
+	WrongHash                    // a hash code that does not add up
+	EmptyList                    // 200 and no instances
+	NotJSON                      // 200 and no JSON
+	WrongContentType             // each format announced as the other
 )
 
 // Eureka stands in for a Eureka registry: the REST API as docs/protocol/eureka.md
@@ -126,13 +126,13 @@
 	})
 }
 
-// Fault sets what it does wrong from now on.
-func (e *Eureka) Fault(f EurekaFault) {
+// SetFault sets what it does wrong from now on.
+func (e *Eureka) SetFault(f EurekaFault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault = f
 	e.stale = nil
-	if f == Stale {
+	if f == StaleList {
 		e.stale = make(map[string][]byte)
 		for _, path := range []string{"apps", "apps/delta"} {
 			for _, asXML := range []bool{false, true} {
@@ -144,22 +144,22 @@
 
 func staleKey(path string, asXML bool) string { return fmt.Sprint(path, " ", asXML) }
 
-// Dialect sets how it writes from now on.
-func (e *Eureka) Dialect(d EurekaDialect) {
+// SetDialect sets how it writes from now on.
+func (e *Eureka) SetDialect(d EurekaDialect) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dialect = d
 }
 
-// Skew sets its clock wrong.
-func (e *Eureka) Skew(d time.Duration) {
+// SetClockSkew sets its clock wrong.
+func (e *Eureka) SetClockSkew(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.skew = d
 }
 
-// Lease makes leases run out that are not renewed for this long.
-func (e *Eureka) Lease(d time.Duration) {
+// SetLeaseDuration makes leases run out that are not renewed for this long.
+func (e *Eureka) SetLeaseDuration(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lease = d
@@ -180,23 +180,23 @@
 	return e.bytes
 }
 
-// Preserving says whether it keeps leases that have run out, as too many have.
-func (e *Eureka) Preserving() bool {
+// SelfPreservation says whether it keeps leases that have run out, as too many have.
+func (e *Eureka) SelfPreservation() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.evict()
 	return e.preserve
 }
 
-// Forget lets the changes go that a delta would repeat, as if time had passed.
-func (e *Eureka) Forget() {
+// ClearDelta lets the changes go that a delta would repeat, as if time had passed.
+func (e *Eureka) ClearDelta() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.queue = nil
 }
 
-// Told gives the times at which good answers to fetches were written.
-func (e *Eureka) Told() []time.Time {
+// FetchTimes gives the times at which good answers to fetches were written.
+func (e *Eureka) FetchTimes() []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.told)
@@ -229,17 +229,17 @@
 	} else if i.Override == "" {
 		i.Override = old.Override
 	}
-	if i.Dirty == 0 {
-		i.Dirty = time.Now().UnixMilli()
+	if i.LastDirtyMs == 0 {
+		i.LastDirtyMs = time.Now().UnixMilli()
 		if old != nil {
-			i.Dirty = max(i.Dirty, old.Dirty+1)
+			i.LastDirtyMs = max(i.LastDirtyMs, old.LastDirtyMs+1)
 		}
 	}
-	i.Updated, i.renewed, i.registered = e.now(), time.Now(), e.now()
-	i.RenewalSecs, i.DurationSecs = cmp.Or(i.RenewalSecs, 30), cmp.Or(i.DurationSecs, 90)
+	i.LastUpdatedMs, i.renewed, i.registered = e.now(), time.Now(), e.now()
+	i.RenewalIntervalSeconds, i.LeaseDurationSeconds = cmp.Or(i.RenewalIntervalSeconds, 30), cmp.Or(i.LeaseDurationSeconds, 90)
 	if old != nil {
 		i.upSince, i.registered = old.upSince, old.registered
-		i.Updated = max(i.Updated, old.Updated+1)
+		i.LastUpdatedMs = max(i.LastUpdatedMs, old.LastUpdatedMs+1)
 	}
 	if i.upSince == 0 && i.Status == "UP" {
 		i.upSince = e.now()
@@ -280,7 +280,7 @@
 	}
 	delete(e.all, id)
 	e.order = slices.DeleteFunc(e.order, func(x string) bool { return x == id })
-	i.Updated = max(e.now(), i.Updated+1)
+	i.LastUpdatedMs = max(e.now(), i.LastUpdatedMs+1)
 	e.change("DELETED", i)
 	return true
 }
--- a/internal/peers/eurekaapi.go
+++ b/internal/peers/eurekaapi.go
@@ -37,7 +37,7 @@
 	fault := e.fault
 	e.mu.Unlock()
 	switch fault {
-	case Silent:
+	case NoResponse:
 		select {
 		case <-r.Context().Done():
 		case <-e.over:
@@ -45,7 +45,7 @@
 		return
 	case Slow:
 		time.Sleep(300 * time.Millisecond)
-	case ServerFail:
+	case ServerError:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -70,18 +70,18 @@
 	e.calls[kind]++
 	text := e.answer(parts, asXML)
 	switch fault {
-	case Stale:
+	case StaleList:
 		if old := e.stale[staleKey(path, asXML)]; old != nil {
 			text = old
 		}
 	case EmptyList:
 		text = e.write("applications", []eurekaField{{"versions__delta", "1"}, {"apps__hashcode", ""}, {"application", eurekaList{}}}, asXML)
-	case Garbage:
+	case NotJSON:
 		text = []byte("<html>a proxy's page</html>")
 	}
 	if text != nil {
 		e.bytes += int64(len(text))
-		if fault == NoFault || fault == Slow || fault == Announced {
+		if fault == NoFault || fault == Slow || fault == WrongContentType {
 			e.told = append(e.told, time.Now())
 		}
 	}
@@ -91,10 +91,10 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if asXML != (fault == Announced) {
+	if asXML != (fault == WrongContentType) {
 		w.Header().Set("Content-Type", "application/xml")
 	}
-	if fault == CutBody {
+	if fault == TruncatedBody {
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		w.Write(text[:len(text)/2])
 		return
@@ -135,7 +135,7 @@
 	case "PUT ":
 		e.calls["renew"]++
 		dirty, _ := strconv.ParseInt(query.Get("lastDirtyTimestamp"), 10, 64)
-		if i.effective() == "UNKNOWN" || dirty > i.Dirty {
+		if i.effective() == "UNKNOWN" || dirty > i.LastDirtyMs {
 			http.Error(w, "the instance is to register anew", http.StatusNotFound)
 			return
 		}
@@ -175,7 +175,7 @@
 
 // modified notes a change of an instance that is held.
 func (e *Eureka) modified(i *EurekaInstance) {
-	i.Updated = max(e.now(), i.Updated+1)
+	i.LastUpdatedMs = max(e.now(), i.LastUpdatedMs+1)
 	e.change("MODIFIED", i)
 }
 
@@ -198,7 +198,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.calls["register"]++
-	if old := e.all[i.ID]; old != nil && i.Dirty != 0 && i.Dirty < old.Dirty {
+	if old := e.all[i.ID]; old != nil && i.LastDirtyMs != 0 && i.LastDirtyMs < old.LastDirtyMs {
 		old.renewed = time.Now() // two clients under one id: the newer news stay
 	} else {
 		e.register(*i)
@@ -228,7 +228,7 @@
 	case len(parts) == 2 && parts[0] == "vips":
 		among(func(i *EurekaInstance) bool { return names(i.VIP, parts[1]) })
 	case len(parts) == 2 && parts[0] == "svips":
-		among(func(i *EurekaInstance) bool { return names(i.SVIP, parts[1]) })
+		among(func(i *EurekaInstance) bool { return names(i.SecureVIP, parts[1]) })
 	case len(parts) == 2 && parts[0] == "instances":
 		among(func(i *EurekaInstance) bool { return i.ID == parts[1] })
 	case len(parts) == 3 && parts[0] == "apps":
--- a/internal/peers/eurekaapi_test.go
+++ b/internal/peers/eurekaapi_test.go
@@ -150,14 +150,14 @@
 	register("1111", "60")
 	register("2222", "50")
 	register("1111", "61")
-	if i, _ := e.Instance("r1"); i.Port != 1111 || i.Dirty != 61 || e.Calls("register") != 3 {
+	if i, _ := e.Instance("r1"); i.Port != 1111 || i.LastDirtyMs != 61 || e.Calls("register") != 3 {
 		t.Errorf("two under one id: %+v", i)
 	}
-	e.Lease(time.Nanosecond)
+	e.SetLeaseDuration(time.Nanosecond)
 	if status, _ := callEureka(t, "PUT", e.URL()+"/apps/RECORDS/r1", "json", ""); status != 404 {
 		t.Errorf("renewed after its eviction: %d", status)
 	}
-	e.Lease(time.Hour)
+	e.SetLeaseDuration(time.Hour)
 	register("1111", "61")
 	if status, _ := callEureka(t, "PUT", e.URL()+"/apps/RECORDS/r1", "json", ""); status != 200 {
 		t.Errorf("renewed after registering anew: %d", status)
--- a/internal/peers/eurekaformat.go
+++ b/internal/peers/eurekaformat.go
@@ -69,24 +69,24 @@
 	}
 	out := []eurekaField{
 		{"instanceId", i.ID}, {"hostName", i.Host}, {"app", i.App}, {"ipAddr", i.IP}, {"status", i.effective()}, {overridden, override},
-		{"port", port(i.Port, !i.PortOff)}, {"securePort", port(i.securePort(), i.Secure)}, {"countryId", number(max(1, i.Country))},
+		{"port", port(i.Port, !i.PortDisabled)}, {"securePort", port(i.securePort(), i.SecurePortEnabled)}, {"countryId", number(max(1, i.Country))},
 		{"dataCenterInfo", []eurekaField{{"@class", class}, {"name", centre}}},
 		{"leaseInfo", []eurekaField{
-			{"renewalIntervalInSecs", number(i.RenewalSecs)}, {"durationInSecs", number(i.DurationSecs)}, {"registrationTimestamp", number(i.registered)},
+			{"renewalIntervalInSecs", number(i.RenewalIntervalSeconds)}, {"durationInSecs", number(i.LeaseDurationSeconds)}, {"registrationTimestamp", number(i.registered)},
 			{"lastRenewalTimestamp", number(i.renewed.UnixMilli())}, {"evictionTimestamp", number(0)}, {"serviceUpTimestamp", number(i.upSince)},
 		}},
 		{"metadata", metadataFields(i.Metadata, asXML)},
 	}
 	for _, f := range []eurekaField{
 		{"appGroupName", i.Group}, {"homePageUrl", i.HomePage}, {"statusPageUrl", i.StatusPage}, {"healthCheckUrl", i.HealthCheck},
-		{"vipAddress", i.VIP}, {"secureVipAddress", i.SVIP},
+		{"vipAddress", i.VIP}, {"secureVipAddress", i.SecureVIP},
 	} {
 		if f.value != "" {
 			out = append(out, f)
 		}
 	}
-	return append(out, eurekaField{"isCoordinatingDiscoveryServer", "false"}, eurekaField{"lastUpdatedTimestamp", strconv.FormatInt(i.Updated, 10)},
-		eurekaField{"lastDirtyTimestamp", strconv.FormatInt(i.Dirty, 10)}, eurekaField{"actionType", action})
+	return append(out, eurekaField{"isCoordinatingDiscoveryServer", "false"}, eurekaField{"lastUpdatedTimestamp", strconv.FormatInt(i.LastUpdatedMs, 10)},
+		eurekaField{"lastDirtyTimestamp", strconv.FormatInt(i.LastDirtyMs, 10)}, eurekaField{"actionType", action})
 }
 
 // metadataFields are an instance's metadata. None are told as an empty map by
@@ -209,10 +209,10 @@
 	lease, centre := object(o["leaseInfo"]), object(o["dataCenterInfo"])
 	i := &EurekaInstance{
 		ID: word(o["instanceId"]), App: strings.ToUpper(word(o["app"])), Host: word(o["hostName"]), IP: word(o["ipAddr"]), VIP: word(o["vipAddress"]),
-		SVIP: word(o["secureVipAddress"]), Status: strings.ToUpper(word(o["status"])), Group: strings.ToUpper(word(o["appGroupName"])),
+		SecureVIP: word(o["secureVipAddress"]), Status: strings.ToUpper(word(o["status"])), Group: strings.ToUpper(word(o["appGroupName"])),
 		HomePage: word(o["homePageUrl"]), StatusPage: word(o["statusPageUrl"]), HealthCheck: word(o["healthCheckUrl"]),
-		Country: whole(o["countryId"]), DataCenter: word(centre["name"]), RenewalSecs: whole(lease["renewalIntervalInSecs"]),
-		DurationSecs: whole(lease["durationInSecs"]), Dirty: whole(o["lastDirtyTimestamp"]), Metadata: make(map[string]string),
+		Country: whole(o["countryId"]), DataCenter: word(centre["name"]), RenewalIntervalSeconds: whole(lease["renewalIntervalInSecs"]),
+		LeaseDurationSeconds: whole(lease["durationInSecs"]), LastDirtyMs: whole(o["lastDirtyTimestamp"]), Metadata: make(map[string]string),
 	}
 	for _, key := range []string{"overriddenStatus", "overriddenstatus"} {
 		if s := strings.ToUpper(word(o[key])); s != "" && s != "UNKNOWN" {
@@ -221,8 +221,8 @@
 	}
 	var on bool
 	i.Port, on = portOf(o["port"], true)
-	i.PortOff = !on
-	i.SecurePort, i.Secure = portOf(o["securePort"], false)
+	i.PortDisabled = !on
+	i.SecurePort, i.SecurePortEnabled = portOf(o["securePort"], false)
 	for key, v := range object(o["metadata"]) {
 		if key[0] != '@' && key[0] != '$' {
 			i.Metadata[key] = word(v)
--- a/internal/peers/ledger.go
+++ b/internal/peers/ledger.go
@@ -41,30 +41,30 @@
 func (l *Ledger) run(c Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.Key == "" {
+	if c.IdempotencyKey == "" {
 		l.runs[c.ID]++
-	} else if l.runs["key "+c.Key] == 0 {
-		l.runs["key "+c.Key]++
+	} else if l.runs["key "+c.IdempotencyKey] == 0 {
+		l.runs["key "+c.IdempotencyKey]++
 	}
 }
 
-// Tries says how often a request reached a node.
-func (l *Ledger) Tries(id string) int {
+// Attempts says how often a request reached a node.
+func (l *Ledger) Attempts(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tries[id]
 }
 
-// Runs says how often a request's effect ran.
-func (l *Ledger) Runs(id string) int {
+// Executions says how often a request's effect ran.
+func (l *Ledger) Executions(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[id]
 }
 
-// Doubled lists the ids of which more than one effect ran, among those that
+// ExecutedTwice lists the ids of which more than one effect ran, among those that
 // unsafe says must not be repeated.
-func (l *Ledger) Doubled(unsafe func(id string) bool) []string {
+func (l *Ledger) ExecutedTwice(unsafe func(id string) bool) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var ids []string
@@ -76,8 +76,8 @@
 	return ids
 }
 
-// Sends gives the times at which a node was sent something, in order of arrival.
-func (l *Ledger) Sends(node string) []time.Time {
+// AttemptTimes gives the times at which a node was sent something, in order of arrival.
+func (l *Ledger) AttemptTimes(node string) []time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]time.Time(nil), l.sends[node]...)
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -19,55 +19,55 @@
 
 // Call is a request as a node reads it and a client sends it.
 type Call struct {
-	ID      string
-	Class   string
-	Tenant  string
-	Key     string
-	Unsafe  bool // HTTP: POST without a key
-	Timeout time.Duration
-	Body    []byte
-	Fields  map[string]string
-	Retry   bool
-	Try     int // at a node: how often the request reached one, this time included
+	ID             string
+	Class          string
+	Tenant         string
+	IdempotencyKey string
+	NotIdempotent  bool // HTTP: POST without a key
+	Timeout        time.Duration
+	Body           []byte
+	Fields         map[string]string
+	ClientRetry    bool
+	Attempt        int // at a node: how often the request reached one, this time included
 	// Field, at a node, gives the first value of a field that came with it.
 	Field func(name string) string
 }
 
-// Deed is what a node does with a request.
-type Deed int
+// ResponseAction is what a node does with a request.
+type ResponseAction int
 
-// The deeds. All but TurnAway and Reset run the effect, Reset only where told.
+// The deeds. All but Reject and Reset run the effect, Reset only where told.
 const (
-	Serve    Deed = iota // run it and answer
-	Error                // run it and answer that something went wrong
-	TurnAway             // do not run it, and say so
-	Hang                 // never answer; runs the effect
-	Reset                // run it and break the connection
-	Cut                  // run it and break the connection after Bytes of the answer
-	Twice                // run it and answer twice
-	Spoil                // run it and answer what is no answer
-	Stray                // run it, and answer a request that nobody sent before this one
+	Serve       ResponseAction = iota // run it and answer
+	Error                             // run it and answer that something went wrong
+	Reject                            // do not run it, and say so
+	Hang                              // never answer; runs the effect
+	Reset                             // run it and break the connection
+	Truncate                          // run it and break the connection after Bytes of the answer
+	Duplicate                         // run it and answer twice
+	Malformed                         // run it and answer what is no answer
+	Unsolicited                       // run it, and answer a request that nobody sent before this one
 )
 
-// Action is what a script answers.
-type Action struct {
-	Deed  Deed
-	Delay time.Duration // before the answer
-	Body  []byte        // of the answer; nil gives the request's id
-	Bytes int           // Cut: how many of the answer's
+// Response is what a script answers.
+type Response struct {
+	Action     ResponseAction
+	Delay      time.Duration // before the answer
+	Body       []byte        // of the answer; nil gives the request's id
+	TruncateAt int           // Cut: how many of the answer's
 	// Wait, where it is set, comes after the delay and gives the deed. It must
 	// end when its argument is closed: nobody waits any more.
-	Wait func(given <-chan struct{}) Deed
+	Wait func(given <-chan struct{}) ResponseAction
 }
 
 // Script decides what a node does with a request. It may be called concurrently.
-type Script func(Call) Action
+type Script func(Call) Response
 
-// Serving serves everything at once.
-func Serving(Call) Action { return Action{} }
+// ServeAll serves everything at once.
+func ServeAll(Call) Response { return Response{} }
 
-// Node is a stand-in for a server.
-type Node struct {
+// Upstream is a stand-in for a server.
+type Upstream struct {
 	Name   string
 	ledger *Ledger
 	ln     net.Listener
@@ -84,19 +84,19 @@
 	ignoreCancels                       atomic.Bool
 }
 
-// StartNode starts a node on a loopback port of its own.
-func StartNode(p Protocol, name string, ledger *Ledger, script Script) (*Node, error) {
-	return StartNodeAt("127.0.0.1:0", p, name, ledger, script)
+// StartUpstream starts a node on a loopback port of its own.
+func StartUpstream(p Protocol, name string, ledger *Ledger, script Script) (*Upstream, error) {
+	return StartUpstreamAt("127.0.0.1:0", p, name, ledger, script)
 }
 
-// StartNodeAt starts a node at an address.
-func StartNodeAt(addr string, p Protocol, name string, ledger *Ledger, script Script) (*Node, error) {
+// StartUpstreamAt starts a node at an address.
+func StartUpstreamAt(addr string, p Protocol, name string, ledger *Ledger, script Script) (*Upstream, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("node %s: %w", name, err)
 	}
-	n := &Node{Name: name, ledger: ledger, ln: ln, over: make(chan struct{}), conns: make(map[net.Conn]struct{})}
-	n.Play(script)
+	n := &Upstream{Name: name, ledger: ledger, ln: ln, over: make(chan struct{}), conns: make(map[net.Conn]struct{})}
+	n.SetScript(script)
 	n.serve = n.serveHTTP
 	if p == RPC {
 		n.serve = n.serveRPC
@@ -106,29 +106,29 @@
 	return n, nil
 }
 
-// Play changes the script for the requests that come from now on.
-func (n *Node) Play(s Script) { n.script.Store(&s) }
+// SetScript changes the script for the requests that come from now on.
+func (n *Upstream) SetScript(s Script) { n.script.Store(&s) }
 
 // IgnoreCancels makes a MessagePack-RPC node work on whatever is cancelled.
-func (n *Node) IgnoreCancels(yes bool) { n.ignoreCancels.Store(yes) }
+func (n *Upstream) IgnoreCancels(yes bool) { n.ignoreCancels.Store(yes) }
 
 // Addr is where it listens.
-func (n *Node) Addr() string { return n.ln.Addr().String() }
+func (n *Upstream) Addr() string { return n.ln.Addr().String() }
 
 // Accepted says how many connections came so far.
-func (n *Node) Accepted() int64 { return n.accepted.Load() }
+func (n *Upstream) Accepted() int64 { return n.accepted.Load() }
 
 // InFlight says how many requests it holds.
-func (n *Node) InFlight() int64 { return n.inFlight.Load() }
+func (n *Upstream) InFlight() int64 { return n.inFlight.Load() }
 
 // Cancels says how many cancel notifications came.
-func (n *Node) Cancels() int64 { return n.cancels.Load() }
+func (n *Upstream) Cancels() int64 { return n.cancels.Load() }
 
 // Served says how many requests it answered as served.
-func (n *Node) Served() int64 { return n.served.Load() }
+func (n *Upstream) Served() int64 { return n.served.Load() }
 
-// Break resets all connections that are open.
-func (n *Node) Break() {
+// ResetConnections resets all connections that are open.
+func (n *Upstream) ResetConnections() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
@@ -140,7 +140,7 @@
 }
 
 // Close ends the node and all that it holds.
-func (n *Node) Close() {
+func (n *Upstream) Close() {
 	n.mu.Lock()
 	if n.closed {
 		n.mu.Unlock()
@@ -156,7 +156,7 @@
 	n.wg.Wait()
 }
 
-func (n *Node) accept() {
+func (n *Upstream) accept() {
 	defer n.wg.Done()
 	for {
 		c, err := n.ln.Accept()
@@ -185,7 +185,7 @@
 }
 
 // decide notes a request in the ledger and asks the script.
-func (n *Node) decide(c Call) Action {
+func (n *Upstream) decide(c Call) Response {
 	if n.ledger == nil { // it runs for long, and nobody counts
 		a := (*n.script.Load())(c)
 		if a.Body == nil {
@@ -193,9 +193,9 @@
 		}
 		return a
 	}
-	c.Try = n.ledger.arrive(n.Name, c.ID, time.Now())
+	c.Attempt = n.ledger.arrive(n.Name, c.ID, time.Now())
 	a := (*n.script.Load())(c)
-	if a.Deed != TurnAway {
+	if a.Action != Reject {
 		n.ledger.run(c)
 	}
 	if a.Body == nil {
@@ -205,7 +205,7 @@
 }
 
 // sleep waits, but not past the node's end or the request's.
-func (n *Node) sleep(d time.Duration, given <-chan struct{}) {
+func (n *Upstream) sleep(d time.Duration, given <-chan struct{}) {
 	if d <= 0 {
 		return
 	}
--- a/internal/peers/nodehttp.go
+++ b/internal/peers/nodehttp.go
@@ -12,7 +12,7 @@
 )
 
 // serveHTTP serves one connection of HTTP/1.1.
-func (n *Node) serveHTTP(c net.Conn) {
+func (n *Upstream) serveHTTP(c net.Conn) {
 	in := bufio.NewReader(c)
 	var out bytes.Buffer
 	for {
@@ -36,17 +36,17 @@
 		seconds, _ := strconv.ParseFloat(r.Header.Get("Request-Timeout"), 64)
 		call := Call{
 			ID: r.Header.Get("Request-Id"), Class: r.Header.Get("Request-Class"), Tenant: r.Header.Get("Tenant"),
-			Key: r.Header.Get("Idempotency-Key"), Timeout: time.Duration(seconds * 1e9), Body: body,
+			IdempotencyKey: r.Header.Get("Idempotency-Key"), Timeout: time.Duration(seconds * 1e9), Body: body,
 			Field: r.Header.Get,
 		}
-		call.Unsafe = r.Method == http.MethodPost && call.Key == ""
+		call.NotIdempotent = r.Method == http.MethodPost && call.IdempotencyKey == ""
 		n.inFlight.Add(1)
 		a := n.decide(call)
 		n.sleep(a.Delay, nil)
 		if a.Wait != nil {
-			a.Deed = a.Wait(n.over)
+			a.Action = a.Wait(n.over)
 		}
-		if a.Deed == Hang {
+		if a.Action == Hang {
 			io.Copy(io.Discard, c) // until the other side closes
 		}
 		more := n.actHTTP(c, &out, a)
@@ -58,37 +58,37 @@
 }
 
 // actHTTP carries an action out; false ends the connection.
-func (n *Node) actHTTP(c net.Conn, out *bytes.Buffer, a Action) bool {
-	switch a.Deed {
+func (n *Upstream) actHTTP(c net.Conn, out *bytes.Buffer, a Response) bool {
+	switch a.Action {
 	case Hang:
 		return false
 	case Error:
 		answerHTTP(out, "500 Internal Server Error", "", nil)
-	case TurnAway:
+	case Reject:
 		answerHTTP(out, "503 Service Unavailable", "Not-Started: 1\r\n", nil)
 	case Reset:
 		c.(*net.TCPConn).SetLinger(0)
 		return false
-	case Spoil:
+	case Malformed:
 		out.WriteString("\x00\x01 no HTTP at all\r\n\r\n")
-	case Twice:
+	case Duplicate:
 		answerHTTP(out, "200 OK", "", a.Body)
 		answerHTTP(out, "200 OK", "", []byte("the second answer"))
-	case Stray: // on HTTP/1.1 whatever comes first is the answer: only behind it can it be told
+	case Unsolicited: // on HTTP/1.1 whatever comes first is the answer: only behind it can it be told
 		answerHTTP(out, "200 OK", "", a.Body)
 		answerHTTP(out, "200 OK", "", []byte("to nobody"))
 	default:
 		answerHTTP(out, "200 OK", "", a.Body)
 	}
-	if a.Deed == Cut {
-		c.Write(out.Bytes()[:min(a.Bytes, out.Len()-1)])
+	if a.Action == Truncate {
+		c.Write(out.Bytes()[:min(a.TruncateAt, out.Len()-1)])
 		return false
 	}
-	if a.Deed == Serve {
+	if a.Action == Serve {
 		n.served.Add(1)
 	}
 	_, err := c.Write(out.Bytes())
-	return err == nil && a.Deed != Spoil
+	return err == nil && a.Action != Malformed
 }
 
 func answerHTTP(b *bytes.Buffer, status, fields string, body []byte) {
--- a/internal/peers/noderpc.go
+++ b/internal/peers/noderpc.go
@@ -11,7 +11,7 @@
 
 // serveRPC serves one connection of MessagePack-RPC. A request that is to be
 // served at once is answered by the reader itself; others wait beside it.
-func (n *Node) serveRPC(c net.Conn) {
+func (n *Upstream) serveRPC(c net.Conn) {
 	in := msgrpc.NewFramer(c, msgrpc.MaxRequestBytes, 10*time.Second)
 	s := &rpcServing{node: n, conn: c, given: make(map[uint32]chan struct{}), over: make(chan struct{})}
 	defer s.wg.Wait()
@@ -32,7 +32,7 @@
 }
 
 type rpcServing struct {
-	node *Node
+	node *Upstream
 	conn net.Conn
 	over chan struct{} // the connection has ended
 	wg   sync.WaitGroup
@@ -67,10 +67,10 @@
 	if err != nil {
 		return s.write((&msgrpc.Fault{Kind: msgrpc.KindRejected, Text: err.Error()}).Append(nil, id))
 	}
-	call := Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.IdempotencyKey, Timeout: c.Timeout, Body: c.Body, Field: func(name string) string { return strings.Join(c.Fields[name], ",") }}
+	call := Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, IdempotencyKey: c.IdempotencyKey, Timeout: c.Timeout, Body: c.Body, Field: func(name string) string { return strings.Join(c.Fields[name], ",") }}
 	n.inFlight.Add(1)
 	a := n.decide(call)
-	if a.Deed != Hang && a.Delay == 0 && a.Wait == nil {
+	if a.Action != Hang && a.Delay == 0 && a.Wait == nil {
 		defer n.inFlight.Add(-1)
 		return s.act(id, a)
 	}
@@ -82,7 +82,7 @@
 	go func() {
 		defer s.wg.Done()
 		defer n.inFlight.Add(-1)
-		if a.Deed == Hang {
+		if a.Action == Hang {
 			a.Delay = time.Hour
 		}
 		t := time.NewTimer(a.Delay)
@@ -92,7 +92,7 @@
 			waited := make(chan time.Time, 1)
 			ready = waited
 			s.wg.Go(func() {
-				a.Deed = a.Wait(given)
+				a.Action = a.Wait(given)
 				waited <- time.Time{}
 			})
 		}
@@ -114,27 +114,27 @@
 }
 
 // act carries an action out; false ends the connection.
-func (s *rpcServing) act(id uint32, a Action) bool {
+func (s *rpcServing) act(id uint32, a Response) bool {
 	served := msgrpc.Result{Body: a.Body, InFlight: -1}
-	switch a.Deed {
+	switch a.Action {
 	case Error:
 		return s.write((&msgrpc.Fault{Kind: msgrpc.KindError}).Append(nil, id))
-	case TurnAway:
+	case Reject:
 		return s.write((&msgrpc.Fault{Kind: msgrpc.KindNotStarted}).Append(nil, id))
 	case Reset:
 		s.conn.(*net.TCPConn).SetLinger(0)
 		return false
-	case Cut:
+	case Truncate:
 		b := served.Append(nil, id)
-		s.write(b[:min(a.Bytes, len(b)-1)])
+		s.write(b[:min(a.TruncateAt, len(b)-1)])
 		return false
-	case Twice:
+	case Duplicate:
 		second := msgrpc.Result{Body: []byte("the second answer"), InFlight: -1}
 		return s.write(second.Append(served.Append(nil, id), id))
-	case Stray:
+	case Unsolicited:
 		stray := msgrpc.Result{Body: []byte("to nobody"), InFlight: -1}
 		return s.write(served.Append(stray.Append(nil, id+1000), id))
-	case Spoil:
+	case Malformed:
 		s.write([]byte{0xc1, 0xc1, 0xc1})
 		return false
 	}
--- a/internal/peers/peertest/peertest.go
+++ b/internal/peers/peertest/peertest.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-const Patience = 10 * time.Second // how long a test waits for an event; it never has to in a good run
+const WaitTimeout = 10 * time.Second // how long a test waits for an event; it never has to in a good run
 
 // Await takes the next value of a channel.
 func Await[T any](t testing.TB, what string, c <-chan T) T {
@@ -25,7 +25,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Fatalf("waited in vain for %s", what)
 		panic("unreachable")
 	}
@@ -34,7 +34,7 @@
 // Until waits until something holds.
 func Until(t testing.TB, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(WaitTimeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
@@ -121,12 +121,12 @@
 // ListPath is where discovery has the list.
 const ListPath = "/registry/instances"
 
-// Registry is a fake discovery: the test writes the lines of each watch.
-type Registry struct {
-	Addr    string
-	Watches chan *Watch
-	Whole   chan string // what the next Call for the whole list gets
-	Asked   chan string // the query of each Call for the whole list
+// Discovery is a fake discovery: the test writes the lines of each watch.
+type Discovery struct {
+	Addr          string
+	Watches       chan *Watch
+	ListResponses chan string // what the next Call for the whole list gets
+	ListRequests  chan string // the query of each Call for the whole list
 }
 
 type Watch struct {
@@ -136,9 +136,9 @@
 	Ended chan struct{}
 }
 
-func NewRegistry(t testing.TB) *Registry {
+func NewDiscovery(t testing.TB) *Discovery {
 	t.Helper()
-	g := &Registry{Watches: make(chan *Watch, 10), Whole: make(chan string, 10), Asked: make(chan string, 10)}
+	g := &Discovery{Watches: make(chan *Watch, 10), ListResponses: make(chan string, 10), ListRequests: make(chan string, 10)}
 	ln := Listen(t)
 	g.Addr = ln.Addr().String()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -147,9 +147,9 @@
 			return
 		}
 		if r.URL.Query().Get("watch") == "" {
-			g.Asked <- r.URL.RawQuery
+			g.ListRequests <- r.URL.RawQuery
 			select {
-			case text := <-g.Whole:
+			case text := <-g.ListResponses:
 				io.WriteString(w, text)
 			case <-r.Context().Done():
 			}
@@ -261,8 +261,8 @@
 	return out
 }
 
-// Valid says whether a text is JSON, so that a test's own list cannot be wrong by a slip.
-func Valid(t testing.TB, text string) string {
+// ValidJSON says whether a text is JSON, so that a test's own list cannot be wrong by a slip.
+func ValidJSON(t testing.TB, text string) string {
 	t.Helper()
 	if !json.Valid([]byte(text)) {
 		t.Fatalf("not JSON: %s", text)
@@ -270,23 +270,23 @@
 	return text
 }
 
-// Unreached is an address at which connections do not come up before Admit: what
+// StalledListener is an address at which connections do not come up before Admit: what
 // waits there to be accepted fills its queue, so that the system passes over
 // further ones, and their clients try again 1 s and 3 s after they began.
-type Unreached struct {
+type StalledListener struct {
 	Addr   string
 	fd     int
 	filler net.Conn
 }
 
-// NewUnreached makes one.
-func NewUnreached(t testing.TB) *Unreached {
+// NewStalledListener makes one.
+func NewStalledListener(t testing.TB) *StalledListener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &Unreached{fd: fd}
+	u := &StalledListener{fd: fd}
 	t.Cleanup(func() { syscall.Close(fd) })
 	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, 0)); err != nil {
 		t.Fatal(err)
@@ -305,7 +305,7 @@
 
 // Admit lets the next connection come up and returns the requests that are read
 // on it; each is answered 200.
-func (u *Unreached) Admit(t testing.TB) <-chan Received {
+func (u *StalledListener) Admit(t testing.TB) <-chan Received {
 	t.Helper()
 	first, _, err := syscall.Accept(u.fd)
 	if err != nil {
--- a/internal/registry/eureka/bench_test.go
+++ b/internal/registry/eureka/bench_test.go
@@ -121,7 +121,7 @@
 					ID: fmt.Sprint("i", i), App: "A", Host: "127.0.0.1", IP: "127.0.0.1", Port: 1 + i, Status: "UP",
 				})
 			}
-			registry.Forget()
+			registry.ClearDelta()
 			client := newBenchClient(b, registry.URL())
 			defer client.http.CloseIdleConnections()
 			if err := client.poll(b.Context()); err != nil {
--- a/internal/registry/eureka/client_test.go
+++ b/internal/registry/eureka/client_test.go
@@ -73,18 +73,18 @@
 	client.list.countByStatus["UP"] = 7 // as if a change had been missed
 	registry.Register(testInstance(2, "UP"))
 	client.wantList(t, "1 UP, 2 UP")
-	registry.Fault(peers.WrongHash)
+	registry.SetFault(peers.WrongHash)
 	if err := client.poll(t.Context()); !errors.Is(err, errHashMismatch) || !strings.Contains(err.Error(), "adds up") {
 		t.Errorf("a complete list that does not add up either: %v", err)
 	}
-	registry.Fault(peers.NoFault)
+	registry.SetFault(peers.NoFault)
 	client.wantList(t, "1 UP, 2 UP")
 }
 
 // Each fault of a registry is an error without an update; the next good poll goes on.
 func TestFaults(t *testing.T) {
 	for name, fault := range map[string]peers.EurekaFault{
-		"fails": peers.ServerFail, "cut": peers.CutBody, "garbage": peers.Garbage, "silent": peers.Silent,
+		"fails": peers.ServerError, "cut": peers.TruncatedBody, "garbage": peers.NotJSON, "silent": peers.NoResponse,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -92,7 +92,7 @@
 			registry.Register(testInstance(1, "UP"))
 			client := newPolledClient(t, Config{Timeout: 200 * time.Millisecond}, registry)
 			client.nextUpdate(t)
-			registry.Fault(fault)
+			registry.SetFault(fault)
 			for range 2 {
 				if err := client.poll(t.Context()); err == nil || strings.Contains(err.Error(), "\n") {
 					t.Errorf("error %v", err)
@@ -101,7 +101,7 @@
 			if len(client.updates) != 1 {
 				t.Errorf("%d updates came of it", len(client.updates)-1)
 			}
-			registry.Fault(peers.NoFault)
+			registry.SetFault(peers.NoFault)
 			client.cfg.Timeout = time.Second
 			client.wantChanges(t, "")
 		})
@@ -131,12 +131,12 @@
 	if update.Replica != first.URL() || summary(update) != "1 UP" {
 		t.Errorf("got %+v", update)
 	}
-	first.Fault(peers.ServerFail)
+	first.SetFault(peers.ServerError)
 	if update := nextOf(t, updates, second); !update.Complete || summary(update) != "1 UP, 2 UP" {
 		t.Errorf("got %+v", update)
 	}
 	second.Close()
-	first.Fault(peers.NoFault)
+	first.SetFault(peers.NoFault)
 	if update := nextOf(t, updates, first); !update.Complete {
 		t.Errorf("got %+v", update)
 	}
--- a/internal/registry/eureka/parse_test.go
+++ b/internal/registry/eureka/parse_test.go
@@ -204,18 +204,18 @@
 func TestStandinReadsBack(t *testing.T) {
 	registry := startRegistry(t)
 	full := testInstance(1, "UP")
-	full.Secure, full.SecurePort, full.SVIP = true, 8443, "s"
+	full.SecurePortEnabled, full.SecurePort, full.SecureVIP = true, 8443, "s"
 	full.Group, full.HomePage, full.Country = "G", "http://127.0.0.1/", 49
 	bare := testInstance(2, "UP")
-	bare.Metadata, bare.PortOff = nil, true
+	bare.Metadata, bare.PortDisabled = nil, true
 	registry.Register(full)
 	registry.Register(bare)
 	registry.Override(bare.ID, "OUT_OF_SERVICE")
 	var first []Instance
 	client := newPolledClient(t, Config{}, registry)
 	for step, asXML := range []bool{false, true, false, true, true, false} {
-		registry.Dialect([]peers.EurekaDialect{peers.Jackson, peers.XStream}[step/2%2])
-		registry.Fault(map[bool]peers.EurekaFault{true: peers.Announced}[step == 4])
+		registry.SetDialect([]peers.EurekaDialect{peers.Jackson, peers.XStream}[step/2%2])
+		registry.SetFault(map[bool]peers.EurekaFault{true: peers.WrongContentType}[step == 4])
 		client.cfg.XML, client.list = asXML, nil
 		update := client.wantList(t, "1 UP, 2 OUT_OF_SERVICE")
 		if first == nil {
@@ -228,7 +228,7 @@
 			client.cfg.XML = !asXML
 			registry.Register(full)
 			client.wantChanges(t, "ADDED 1 UP")
-			registry.Forget()
+			registry.ClearDelta()
 			first = nil
 		}
 	}
--- a/internal/registry/eureka/register_test.go
+++ b/internal/registry/eureka/register_test.go
@@ -52,7 +52,7 @@
 	peertest.Until(t, "renewals", func() bool { return first.Calls("renew") > renewals+2 })
 	first.Cancel(registrar.ID()) // as if its lease had run out
 	waitForStatus("registering again", first, "UP")
-	first.Fault(peers.ServerFail)
+	first.SetFault(peers.ServerError)
 	waitForStatus("the other replica", second, "UP")
 	cancel()
 	peertest.Await(t, "the end", ended)
--- a/internal/registry/platform/discovery_test.go
+++ b/internal/registry/platform/discovery_test.go
@@ -14,19 +14,19 @@
 func TestAddressChange(t *testing.T) {
 	for name, known := range map[string]*Listing{"watching": knownList(41), "waiting for a list": nil} {
 		t.Run(name, func(t *testing.T) {
-			previous, next := peertest.NewRegistry(t), peertest.NewRegistry(t)
+			previous, next := peertest.NewDiscovery(t), peertest.NewDiscovery(t)
 			discovery, updates := newDiscovery(previous.Addr, known)
 			go discovery.Run(t.Context())
 			if known == nil {
-				peertest.Await(t, "the call to the old address", previous.Asked)
+				peertest.Await(t, "the call to the old address", previous.ListRequests)
 			} else {
 				watch := peertest.Await(t, "the old watch", previous.Watches)
 				defer peertest.Await(t, "the old watch's end", watch.Ended)
 			}
 			discovery.SetAddress("127.0.0.1:1") // and another one at once: the last one counts
 			discovery.SetAddress(next.Addr)
-			peertest.Await(t, "the call for the new list", next.Asked)
-			next.Whole <- peertest.ListText(7, true, endpointText("up"))
+			peertest.Await(t, "the call for the new list", next.ListRequests)
+			next.ListResponses <- peertest.ListText(7, true, endpointText("up"))
 			wantList(t, updates, 7)
 			wantWatchFrom(t, next, "7")
 			wantNoMore(t, updates)
@@ -44,15 +44,15 @@
 
 // A change of address needs no watch request, and a failure at the new address is reported.
 func TestAddressChangeWithWatchOnRequest(t *testing.T) {
-	previous, next := peertest.NewRegistry(t), peertest.NewRegistry(t)
+	previous, next := peertest.NewDiscovery(t), peertest.NewDiscovery(t)
 	discovery, updates := newDiscovery(previous.Addr, knownList(3))
 	requests, failures := watchOnRequest(discovery)
 	go discovery.Run(t.Context())
 	requests <- struct{}{}
 	peertest.Await(t, "the old watch", previous.Watches)
 	discovery.SetAddress(next.Addr)
-	peertest.Await(t, "the call for the new list", next.Asked)
-	next.Whole <- peertest.ListText(1, true)
+	peertest.Await(t, "the call for the new list", next.ListRequests)
+	next.ListResponses <- peertest.ListText(1, true)
 	if update := peertest.Await(t, "the list", updates); update.Version != 1 || !update.Complete {
 		t.Errorf("published %+v", update)
 	}
@@ -62,7 +62,7 @@
 
 // Each watch waits for a request; success and failure are reported.
 func TestWatchOnRequest(t *testing.T) {
-	registry := peertest.NewRegistry(t)
+	registry := peertest.NewDiscovery(t)
 	discovery, updates := newDiscovery(registry.Addr, knownList(3))
 	requests, failures := watchOnRequest(discovery)
 	go discovery.Run(t.Context())
--- a/internal/registry/platform/helpers_test.go
+++ b/internal/registry/platform/helpers_test.go
@@ -17,7 +17,7 @@
 }
 
 // startDiscovery runs a Discovery at a stand-in, and returns its updates.
-func startDiscovery(t *testing.T, registry *peertest.Registry, known *Listing) <-chan core.EndpointUpdate {
+func startDiscovery(t *testing.T, registry *peertest.Discovery, known *Listing) <-chan core.EndpointUpdate {
 	t.Helper()
 	discovery, updates := newDiscovery(registry.Addr, known)
 	go discovery.Run(t.Context())
@@ -28,7 +28,7 @@
 func endpointText(health string) string { return peertest.HostText("s-1", "127.0.0.1:7", health, 0) }
 
 // wantWatchFrom waits for the next watch and checks its version.
-func wantWatchFrom(t *testing.T, registry *peertest.Registry, version string) *peertest.Watch {
+func wantWatchFrom(t *testing.T, registry *peertest.Discovery, version string) *peertest.Watch {
 	t.Helper()
 	watch := peertest.Await(t, "the watch", registry.Watches)
 	if watch.From != version {
--- a/internal/registry/platform/listing_test.go
+++ b/internal/registry/platform/listing_test.go
@@ -10,7 +10,7 @@
 
 // An unusable entry makes no other entry of its list unusable.
 func TestUnusableEntries(t *testing.T) {
-	text := peertest.Valid(t, peertest.ListText(1, true,
+	text := peertest.ValidJSON(t, peertest.ListText(1, true,
 		`{"host":7,"dial":"127.0.0.1:7","health":"up"}`,
 		`"nonsense"`,
 		peertest.HostText("s-1", "127.0.0.1:7", "up", 4000),
--- a/internal/registry/platform/message_forms_test.go
+++ b/internal/registry/platform/message_forms_test.go
@@ -29,7 +29,7 @@
 		"a list without it":         {peertest.ListText(43, true, other) + "\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			registry := peertest.NewRegistry(t)
+			registry := peertest.NewDiscovery(t)
 			updates := startDiscovery(t, registry, knownList(41))
 			watch := peertest.Await(t, "the watch", registry.Watches)
 			for _, piece := range pieces {
@@ -69,14 +69,14 @@
 }
 
 // wantStillOpen checks that a watch is still read and that there was no other call.
-func wantStillOpen(t *testing.T, registry *peertest.Registry, watch *peertest.Watch) {
+func wantStillOpen(t *testing.T, registry *peertest.Discovery, watch *peertest.Watch) {
 	t.Helper()
 	select {
 	case watch.Lines <- "":
 	case <-watch.Ended:
 		t.Error("the watch was ended")
 	}
-	if len(registry.Watches) > 0 || len(registry.Asked) > 0 {
+	if len(registry.Watches) > 0 || len(registry.ListRequests) > 0 {
 		t.Error("another call was needed")
 	}
 }
--- a/internal/registry/platform/watch_test.go
+++ b/internal/registry/platform/watch_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestWatchPublishesChangesInOrder(t *testing.T) {
-	registry := peertest.NewRegistry(t)
+	registry := peertest.NewDiscovery(t)
 	updates := startDiscovery(t, registry, knownList(41))
 	watch := wantWatchFrom(t, registry, "41")
 	watch.Lines <- peertest.ListText(43, false, endpointText("up"))
@@ -40,12 +40,12 @@
 		"no list":    `{"seq":42,"hosts":7}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			registry := peertest.NewRegistry(t)
+			registry := peertest.NewDiscovery(t)
 			updates := startDiscovery(t, registry, knownList(41))
 			watch := peertest.Await(t, "the watch", registry.Watches)
 			watch.Lines <- line
-			peertest.Await(t, "the call for the complete list", registry.Asked)
-			registry.Whole <- peertest.ListText(45, true, endpointText("up"))
+			peertest.Await(t, "the call for the complete list", registry.ListRequests)
+			registry.ListResponses <- peertest.ListText(45, true, endpointText("up"))
 			wantList(t, updates, 45)
 			wantWatchFrom(t, registry, "45")
 		})
@@ -53,7 +53,7 @@
 }
 
 func TestSilentWatchIsReopened(t *testing.T) {
-	registry := peertest.NewRegistry(t)
+	registry := peertest.NewDiscovery(t)
 	startDiscovery(t, registry, knownList(1))
 	silent := peertest.Await(t, "the watch", registry.Watches)
 	start := time.Now()
@@ -66,7 +66,7 @@
 
 // Half a message and empty lines after it do not count as data: its rest may never come.
 func TestHalfAMessageIsSilence(t *testing.T) {
-	registry := peertest.NewRegistry(t)
+	registry := peertest.NewDiscovery(t)
 	updates := startDiscovery(t, registry, knownList(41))
 	watch := peertest.Await(t, "the watch", registry.Watches)
 	change := peertest.ListText(43, false, endpointText("draining"))
--- a/internal/rig/accept_test.go
+++ b/internal/rig/accept_test.go
@@ -45,7 +45,7 @@
 				c := r.Client()
 				defer c.Close()
 				for i := range 5 {
-					if got := c.Do(t.Context(), peers.Call{ID: fmt.Sprint(i), Class: Once, Unsafe: true, Tenant: Tenant(0), Timeout: Deadline}); got.Verdict != peers.Served {
+					if got := c.Do(t.Context(), peers.Call{ID: fmt.Sprint(i), Class: Once, NotIdempotent: true, Tenant: Tenant(0), Timeout: Deadline}); got.Outcome != peers.Served {
 						t.Errorf("request %d: %+v", i, got)
 					}
 				}
--- a/internal/rig/bench_test.go
+++ b/internal/rig/bench_test.go
@@ -42,7 +42,7 @@
 					if i > int64(n) {
 						return
 					}
-					if r := shared.Do(context.Background(), Request(Read, fmt.Sprintf("%s%d", prefix, i), Tenant(int(i)))); r.Verdict != peers.Served {
+					if r := shared.Do(context.Background(), Request(Read, fmt.Sprintf("%s%d", prefix, i), Tenant(int(i)))); r.Outcome != peers.Served {
 						unserved.Add(1)
 					}
 				}
@@ -69,7 +69,7 @@
 	for _, clients := range []int{1, 2, 8, 16, 64, 256} {
 		for _, p := range []peers.Protocol{peers.HTTP, peers.RPC} {
 			b.Run(fmt.Sprintf("direct/%s/clients=%d", p, clients), func(b *testing.B) {
-				n, err := peers.StartNode(p, "n", peers.NewLedger(false), peers.Serving)
+				n, err := peers.StartUpstream(p, "n", peers.NewLedger(false), peers.ServeAll)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -78,7 +78,7 @@
 			})
 		}
 		b.Run(fmt.Sprintf("reverseproxy/http/clients=%d", clients), func(b *testing.B) {
-			n, err := peers.StartNode(peers.HTTP, "n", peers.NewLedger(false), peers.Serving)
+			n, err := peers.StartUpstream(peers.HTTP, "n", peers.NewLedger(false), peers.ServeAll)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/rig/eureka_test.go
+++ b/internal/rig/eureka_test.go
@@ -66,8 +66,8 @@
 			}
 			r := withEureka(t, e, Options{Front: pair.front, Nodes: pair.nodes, Number: number, Slots: 120, Open: 200, Operators: func(f *operator.File) {
 				f.Eureka[0].Interval = operator.Duration(interval.String())
-			}, Script: func(peers.Call) peers.Action {
-				return peers.Action{Delay: 2 * time.Millisecond}
+			}, Script: func(peers.Call) peers.Response {
+				return peers.Response{Delay: 2 * time.Millisecond}
 			}})
 			seed := uint64(time.Now().UnixNano())
 			rng := rand.New(rand.NewPCG(seed, 4))
@@ -75,7 +75,7 @@
 			over := make(chan struct{})
 			var wg sync.WaitGroup
 			var mu sync.Mutex
-			verdicts := make(map[peers.Verdict]int)
+			verdicts := make(map[peers.Outcome]int)
 			refusals := 0 // in a row, over all
 			worst := 0
 			client := r.Client()
@@ -90,8 +90,8 @@
 						}
 						got := ask(t, client, Request([]string{Read, Entry, Once}[i%3], fmt.Sprintf("%d-%d", w, i), Tenant(i)))
 						mu.Lock()
-						verdicts[got.Verdict]++
-						if refusals++; got.Verdict == peers.Served {
+						verdicts[got.Outcome]++
+						if refusals++; got.Outcome == peers.Served {
 							refusals = 0
 						}
 						worst = max(worst, refusals)
@@ -106,9 +106,9 @@
 			for time.Now().Before(until) {
 				switch x := rng.IntN(12); {
 				case x == 0:
-					e.Fault([]peers.EurekaFault{peers.EmptyList, peers.ServerFail, peers.CutBody, peers.Garbage, peers.Silent}[rng.IntN(5)])
+					e.SetFault([]peers.EurekaFault{peers.EmptyList, peers.ServerError, peers.TruncatedBody, peers.NotJSON, peers.NoResponse}[rng.IntN(5)])
 					time.Sleep(150 * time.Millisecond)
-					e.Fault(peers.NoFault)
+					e.SetFault(peers.NoFault)
 				default:
 					i := rng.IntN(len(r.Nodes) - 1) // one always stays in service
 					if from, is := drained[i]; is {
@@ -136,7 +136,7 @@
 				for _, p := range all {
 					// It hears of it by the first good answer; a while is for that to be written and read.
 					heard := p.to
-					for _, at := range e.Told() {
+					for _, at := range e.FetchTimes() {
 						if at.After(p.from) {
 							heard = at
 							break
@@ -148,7 +148,7 @@
 					}
 					lag := time.Duration(0)
 					used := false
-					for _, at := range r.Ledger.Sends(r.Nodes[i].Name) {
+					for _, at := range r.Ledger.AttemptTimes(r.Nodes[i].Name) {
 						used = used || at.Before(p.from) && p.from.Sub(at) < 200*time.Millisecond
 						if at.After(told) && at.Before(p.to) {
 							late++
@@ -164,17 +164,17 @@
 				}
 			}
 			t.Logf("served %d, refused %d, failed %d; %d drains, %d sends too late; %d answers in a row at most were not served",
-				verdicts[peers.Served], verdicts[peers.Refused], verdicts[peers.Failed], checked, late, worst)
+				verdicts[peers.Served], verdicts[peers.Rejected], verdicts[peers.Failed], checked, late, worst)
 			if slices.Sort(lags); len(lags) > 0 {
 				t.Logf("from the registry's change to the last send, polled every %v: median %v, worst %v", *interval, lags[len(lags)/2], lags[len(lags)-1])
 			}
 			if late > 0 || checked == 0 {
 				t.Errorf("%d sends reached a drained node too late, of %d drains", late, checked)
 			}
-			if verdicts[peers.Served] < 1000 || verdicts[peers.Refused]+verdicts[peers.Failed] > verdicts[peers.Served]/50 || worst > 30 {
+			if verdicts[peers.Served] < 1000 || verdicts[peers.Rejected]+verdicts[peers.Failed] > verdicts[peers.Served]/50 || worst > 30 {
 				t.Errorf("verdicts %v, %d in a row not served: was the pool empty?", verdicts, worst)
 			}
-			for _, what := range r.Ledger.Doubled(func(string) bool { return true }) {
+			for _, what := range r.Ledger.ExecutedTwice(func(string) bool { return true }) {
 				t.Error(what)
 			}
 		})
@@ -187,8 +187,8 @@
 	r := withEureka(t, e, Options{Number: 3})
 	client := r.Client()
 	defer client.Close()
-	for _, fault := range []peers.EurekaFault{peers.EmptyList, peers.Silent} {
-		e.Fault(fault)
+	for _, fault := range []peers.EurekaFault{peers.EmptyList, peers.NoResponse} {
+		e.SetFault(fault)
 		calls := e.Calls("/apps") + e.Calls("/apps/delta")
 		if fault == peers.EmptyList {
 			peertest.Until(t, "polls in vain", func() bool { return e.Calls("/apps")+e.Calls("/apps/delta") > calls+5 })
@@ -196,11 +196,11 @@
 			time.Sleep(2500 * time.Millisecond) // over silent_after
 		}
 		for i := range 30 {
-			if got := ask(t, client, Request(Once, fmt.Sprint(fault, "-", i), Tenant(i))); got.Verdict != peers.Served {
+			if got := ask(t, client, Request(Once, fmt.Sprint(fault, "-", i), Tenant(i))); got.Outcome != peers.Served {
 				t.Errorf("fault %d: %+v", fault, got)
 			}
 		}
-		e.Fault(peers.NoFault)
+		e.SetFault(peers.NoFault)
 	}
 }
 
@@ -219,11 +219,11 @@
 			client := r.Client()
 			defer client.Close()
 			n := r.Nodes[0]
-			n.Play(func(c peers.Call) peers.Action {
+			n.SetScript(func(c peers.Call) peers.Response {
 				if c.ID == "old" {
-					return peers.Action{Delay: 400 * time.Millisecond} // within its aim
+					return peers.Response{Delay: 400 * time.Millisecond} // within its aim
 				}
-				return peers.Action{}
+				return peers.Response{}
 			})
 			before := n.Accepted()
 			old := make(chan peers.Result, 1)
@@ -235,10 +235,10 @@
 				client.Do(t.Context(), Request(Read, fmt.Sprint("n-", time.Now().UnixNano()), "north"))
 				return n.Accepted() > before
 			})
-			if got := <-old; got.Verdict != peers.Served || string(got.Body) != "old" {
+			if got := <-old; got.Outcome != peers.Served || string(got.Body) != "old" {
 				t.Errorf("the old work: %+v", got)
 			}
-			if got := ask(t, client, Request(Once, "new", "north")); got.Verdict != peers.Served {
+			if got := ask(t, client, Request(Once, "new", "north")); got.Outcome != peers.Served {
 				t.Errorf("the new one: %+v", got)
 			}
 		})
@@ -261,12 +261,12 @@
 		round++
 		since := time.Now()
 		for i := range 40 {
-			if got := ask(t, client, Request(Once, fmt.Sprint("g", round, "-", i), Tenant(i))); got.Verdict != peers.Served {
+			if got := ask(t, client, Request(Once, fmt.Sprint("g", round, "-", i), Tenant(i))); got.Outcome != peers.Served {
 				t.Errorf("round %d: %+v", round, got)
 			}
 		}
 		for _, n := range r.Nodes {
-			if sends := r.Ledger.Sends(n.Name); len(sends) > 0 && sends[len(sends)-1].After(since) {
+			if sends := r.Ledger.AttemptTimes(n.Name); len(sends) > 0 && sends[len(sends)-1].After(since) {
 				nodes = append(nodes, n.Name)
 			}
 		}
@@ -277,7 +277,7 @@
 		peertest.Until(t, "polls", func() bool { return e.Calls("/apps")+e.Calls("/apps/delta") >= calls+n })
 	}
 	for _, skew := range []time.Duration{time.Hour, -time.Hour, 0} { // a drain is honoured whatever the registry's clock says
-		e.Skew(skew)
+		e.SetClockSkew(skew)
 		e.Override(r.Nodes[5].Name, "OUT_OF_SERVICE")
 		polls(e, 3)
 		if nodes := used(); len(nodes) != 5 || slices.Contains(nodes, r.Nodes[5].Name) {
@@ -294,16 +294,16 @@
 	for _, n := range r.Nodes { // the other replica has not heard of the drain
 		i, _ := e.Instance(n.Name)
 		i.Override = ""
-		behind.Skew(-time.Hour)
+		behind.SetClockSkew(-time.Hour)
 		behind.Register(i)
 	}
-	e.Fault(peers.ServerFail)
+	e.SetFault(peers.ServerError)
 	polls(behind, 3)
 	if nodes := used(); len(nodes) != 5 || slices.Contains(nodes, r.Nodes[5].Name) {
 		t.Errorf("a replica that is behind rolled the drain back: %v are used", nodes)
 	}
-	e.Fault(peers.NoFault)
-	behind.Fault(peers.ServerFail)
+	e.SetFault(peers.NoFault)
+	behind.SetFault(peers.ServerError)
 	polls(e, 3)
 	for _, n := range r.Nodes[:3] {
 		e.Cancel(n.Name)
--- a/internal/rig/faults_test.go
+++ b/internal/rig/faults_test.go
@@ -51,32 +51,32 @@
 // meets, later what every other one does.
 type fault struct {
 	name    string
-	first   peers.Action
-	later   peers.Action
+	first   peers.Response
+	later   peers.Response
 	timeout time.Duration
 	n       int
 }
 
 var faults = []fault{
 	{name: "none", n: 40},
-	{name: "error, then served", first: peers.Action{Deed: peers.Error}, n: 20},
-	{name: "error always", first: peers.Action{Deed: peers.Error}, later: peers.Action{Deed: peers.Error}, n: 10},
-	{name: "turned away, then served", first: peers.Action{Deed: peers.TurnAway}, n: 20},
-	{name: "turned away always", first: peers.Action{Deed: peers.TurnAway}, later: peers.Action{Deed: peers.TurnAway}, n: 10},
-	{name: "reset, then served", first: peers.Action{Deed: peers.Reset}, n: 20},
-	{name: "answer cut, then served", first: peers.Action{Deed: peers.Cut, Bytes: 7}, n: 20},
-	{name: "no answer at all, spoiled", first: peers.Action{Deed: peers.Spoil}, n: 20},
-	{name: "answered twice", first: peers.Action{Deed: peers.Twice}, later: peers.Action{Deed: peers.Twice}, n: 20},
-	{name: "an answer to nobody", first: peers.Action{Deed: peers.Stray}, later: peers.Action{Deed: peers.Stray}, n: 20},
-	{name: "hangs", first: peers.Action{Deed: peers.Hang}, later: peers.Action{Deed: peers.Hang}, timeout: 200 * time.Millisecond, n: 4},
-	{name: "answers late", first: peers.Action{Delay: 300 * time.Millisecond}, later: peers.Action{Delay: 300 * time.Millisecond}, timeout: 200 * time.Millisecond, n: 4},
+	{name: "error, then served", first: peers.Response{Action: peers.Error}, n: 20},
+	{name: "error always", first: peers.Response{Action: peers.Error}, later: peers.Response{Action: peers.Error}, n: 10},
+	{name: "turned away, then served", first: peers.Response{Action: peers.Reject}, n: 20},
+	{name: "turned away always", first: peers.Response{Action: peers.Reject}, later: peers.Response{Action: peers.Reject}, n: 10},
+	{name: "reset, then served", first: peers.Response{Action: peers.Reset}, n: 20},
+	{name: "answer cut, then served", first: peers.Response{Action: peers.Truncate, TruncateAt: 7}, n: 20},
+	{name: "no answer at all, spoiled", first: peers.Response{Action: peers.Malformed}, n: 20},
+	{name: "answered twice", first: peers.Response{Action: peers.Duplicate}, later: peers.Response{Action: peers.Duplicate}, n: 20},
+	{name: "an answer to nobody", first: peers.Response{Action: peers.Unsolicited}, later: peers.Response{Action: peers.Unsolicited}, n: 20},
+	{name: "hangs", first: peers.Response{Action: peers.Hang}, later: peers.Response{Action: peers.Hang}, timeout: 200 * time.Millisecond, n: 4},
+	{name: "answers late", first: peers.Response{Delay: 300 * time.Millisecond}, later: peers.Response{Delay: 300 * time.Millisecond}, timeout: 200 * time.Millisecond, n: 4},
 }
 
 // play runs one fault with requests of one class, one after the other, so that
 // the counts do not depend on the machine.
 func play(t *testing.T, f fault, class string, p int) count {
-	r, err := Start(Options{Front: pairings[p].front, Nodes: pairings[p].nodes, Script: func(c peers.Call) peers.Action {
-		if c.Try == 1 {
+	r, err := Start(Options{Front: pairings[p].front, Nodes: pairings[p].nodes, Script: func(c peers.Call) peers.Response {
+		if c.Attempt == 1 {
 			return f.first
 		}
 		return f.later
@@ -102,12 +102,12 @@
 		if took := time.Since(began); took > call.Timeout+time.Second {
 			t.Errorf("%s: answered after %v of %v", call.ID, took, call.Timeout)
 		}
-		switch got.Verdict {
+		switch got.Outcome {
 		case peers.Served:
 			if c.served++; string(got.Body) != call.ID {
 				t.Errorf("%s: served with %q", call.ID, got.Body)
 			}
-		case peers.Refused:
+		case peers.Rejected:
 			c.refused++
 		case peers.Failed:
 			c.failed++
@@ -115,9 +115,9 @@
 			c.other++
 			t.Errorf("%s: %+v", call.ID, got)
 		}
-		c.sends += r.Ledger.Tries(call.ID)
+		c.sends += r.Ledger.Attempts(call.ID)
 	}
-	c.doubled = len(r.Ledger.Doubled(func(id string) bool { return class == Once }))
+	c.doubled = len(r.Ledger.ExecutedTwice(func(id string) bool { return class == Once }))
 	return c
 }
 
@@ -175,8 +175,8 @@
 	for p := range pairings {
 		t.Run(pairing(p), func(t *testing.T) {
 			t.Parallel()
-			r := start(t, Options{Front: pairings[p].front, Nodes: pairings[p].nodes, Number: 3, Times: true, Script: func(peers.Call) peers.Action {
-				return peers.Action{Delay: time.Millisecond}
+			r := start(t, Options{Front: pairings[p].front, Nodes: pairings[p].nodes, Number: 3, Times: true, Script: func(peers.Call) peers.Response {
+				return peers.Response{Delay: time.Millisecond}
 			}})
 			clients := []peers.Client{r.Client(), r.Client()}
 			over := make(chan struct{})
@@ -206,8 +206,8 @@
 			for _, c := range clients {
 				c.Close()
 			}
-			for _, n := range []*peers.Node{drains, leaves} {
-				times := r.Ledger.Sends(n.Name)
+			for _, n := range []*peers.Upstream{drains, leaves} {
+				times := r.Ledger.AttemptTimes(n.Name)
 				if last := times[len(times)-1]; last.After(told.Add(DrainWithin)) {
 					t.Errorf("%s was sent something %v after the news", n.Name, last.Sub(told))
 				}
--- a/internal/rig/metrics_test.go
+++ b/internal/rig/metrics_test.go
@@ -26,18 +26,18 @@
 			socket := filepath.Join(t.TempDir(), "s")
 			r := start(t, Options{Front: pair.front, Nodes: pair.nodes, Slots: 50, Operators: func(f *operator.File) {
 				f.Admin = operator.Admin{Socket: socket, Metrics: true}
-			}, Script: func(c peers.Call) peers.Action {
+			}, Script: func(c peers.Call) peers.Response {
 				if c.Class == Once {
-					return peers.Action{Deed: peers.Error}
+					return peers.Response{Action: peers.Error}
 				}
-				return peers.Action{}
+				return peers.Response{}
 			}})
 			client := r.Client()
 			defer client.Close()
 			for i := range 30 {
 				ask(t, client, Request([]string{Read, Entry, Once}[i%3], fmt.Sprint("m", i), Tenant(i)))
 			}
-			if got := client.Do(t.Context(), Request(Read, "wrong", "nobody")); got.Verdict != peers.Rejected {
+			if got := client.Do(t.Context(), Request(Read, "wrong", "nobody")); got.Outcome != peers.InvalidRequest {
 				t.Errorf("a wrong one: %+v", got)
 			}
 			families := scrape(t, socket)
--- a/internal/rig/plugins_test.go
+++ b/internal/rig/plugins_test.go
@@ -73,11 +73,11 @@
 			var mu sync.Mutex
 			var seen []string
 			reload := make(chan os.Signal)
-			r := start(t, Options{Front: pair.front, Nodes: pair.nodes, Operators: set, Reload: reload, Script: func(c peers.Call) peers.Action {
+			r := start(t, Options{Front: pair.front, Nodes: pair.nodes, Operators: set, Reload: reload, Script: func(c peers.Call) peers.Response {
 				mu.Lock()
 				seen = append(seen, c.ID+" "+c.Field("Request-Tags")+" "+c.Field("X-Was"))
 				mu.Unlock()
-				return peers.Action{}
+				return peers.Response{}
 			}})
 			client := r.Client()
 			defer client.Close()
@@ -88,15 +88,15 @@
 				seen = nil
 				return s
 			}
-			if got := client.Do(t.Context(), Request(Entry, "a", Tenant(0))); got.Verdict != peers.Refused || got.Pause != time.Second {
+			if got := client.Do(t.Context(), Request(Entry, "a", Tenant(0))); got.Outcome != peers.Rejected || got.RetryAfter != time.Second {
 				t.Errorf("out of season: %+v", got)
 			}
-			if got := client.Do(t.Context(), Request(Once, "b", Tenant(0))); got.Verdict != peers.Refused || got.Pause <= 0 {
+			if got := client.Do(t.Context(), Request(Once, "b", Tenant(0))); got.Outcome != peers.Rejected || got.RetryAfter <= 0 {
 				t.Errorf("a failure, of a class that is refused then: %+v", got)
 			}
 			c := Request(Read, "c", Tenant(0))
 			c.Fields = map[string]string{"Request-Tags": "forged"}
-			if got := client.Do(t.Context(), c); got.Verdict != peers.Served {
+			if got := client.Do(t.Context(), c); got.Outcome != peers.Served {
 				t.Errorf("%+v", got)
 			}
 			if got := nodes(); got != "c one read" {
@@ -106,13 +106,13 @@
 			rewrite(1, `on request { tag(2) }`)
 			reload <- syscall.SIGHUP
 			reload <- syscall.SIGHUP // the first has been handled when the second is taken
-			if got := client.Do(t.Context(), Request(Entry, "d", Tenant(0))); got.Verdict != peers.Refused {
+			if got := client.Do(t.Context(), Request(Entry, "d", Tenant(0))); got.Outcome != peers.Rejected {
 				t.Errorf("after a reload to a broken program: %+v", got)
 			}
 			rewrite(1, `on request { tag("two") }`)
 			reload <- syscall.SIGHUP
 			reload <- syscall.SIGHUP
-			if got := client.Do(t.Context(), Request(Entry, "e", Tenant(0))); got.Verdict != peers.Served {
+			if got := client.Do(t.Context(), Request(Entry, "e", Tenant(0))); got.Outcome != peers.Served {
 				t.Errorf("after a reload: %+v", got)
 			}
 			if got := nodes(); got != "e two " {
@@ -126,11 +126,11 @@
 func TestPluginsReloadUnderLoad(t *testing.T) {
 	set, rewrite := operators(t, "[[plugin]]\nname = \"p\"\nfile = \"0.hook\"\nheaders = [\"X-*\"]\n", `on request { set_header("X-A", "1")  set_header("X-B", "1") }`)
 	reload := make(chan os.Signal)
-	r := start(t, Options{Operators: set, Reload: reload, Slots: 64, Script: func(c peers.Call) peers.Action {
+	r := start(t, Options{Operators: set, Reload: reload, Slots: 64, Script: func(c peers.Call) peers.Response {
 		if a, b := c.Field("X-A"), c.Field("X-B"); a != b || a == "" {
-			return peers.Action{Deed: peers.Error} // of two sets, or of none
+			return peers.Response{Action: peers.Error} // of two sets, or of none
 		}
-		return peers.Action{}
+		return peers.Response{}
 	}})
 	client := r.Client()
 	defer client.Close()
@@ -144,7 +144,7 @@
 					return
 				default:
 				}
-				if got := client.Do(context.Background(), Request(Read, fmt.Sprintf("%d-%d", n, i), Tenant(0))); got.Verdict != peers.Served {
+				if got := client.Do(context.Background(), Request(Read, fmt.Sprintf("%d-%d", n, i), Tenant(0))); got.Outcome != peers.Served {
 					t.Errorf("%+v", got)
 					return
 				}
@@ -170,7 +170,7 @@
 	} {
 		b.Run(name, func(b *testing.B) {
 			set, _ := operators(b, "[[plugin]]\nname = \"p\"\nfile = \"0.hook\"\n", program)
-			r := start(b, Options{Operators: set, Slots: 256, Sockets: 4096, Number: 4, Script: func(peers.Call) peers.Action { return peers.Action{Delay: 5 * time.Millisecond} }})
+			r := start(b, Options{Operators: set, Slots: 256, Sockets: 4096, Number: 4, Script: func(peers.Call) peers.Response { return peers.Response{Delay: 5 * time.Millisecond} }})
 			client := r.Client()
 			defer client.Close()
 			var took [2]*hdrhistogram.Histogram
@@ -195,7 +195,7 @@
 					got := client.Do(context.Background(), c)
 					mu.Lock()
 					defer mu.Unlock()
-					if got.Verdict == peers.Served {
+					if got.Outcome == peers.Served {
 						answers++
 						if i%2 == 0 {
 							took[phase].RecordValue(time.Since(at).Microseconds())
--- a/internal/rig/quotas_test.go
+++ b/internal/rig/quotas_test.go
@@ -70,9 +70,9 @@
 								mu.Lock()
 								defer mu.Unlock()
 								switch {
-								case got.Verdict == peers.Served:
+								case got.Outcome == peers.Served:
 									served[club]++
-								case got.Verdict != peers.Refused || got.Pause <= 0:
+								case got.Outcome != peers.Rejected || got.RetryAfter <= 0:
 									t.Errorf("club %d: %+v", club, got)
 								}
 							})
@@ -120,7 +120,7 @@
 	defer client.Close()
 	served := func(name string) (n int) {
 		for i := range 40 {
-			if client.Do(t.Context(), Request(Read, fmt.Sprint(name, i), Tenant(0))).Verdict == peers.Served {
+			if client.Do(t.Context(), Request(Read, fmt.Sprint(name, i), Tenant(0))).Outcome == peers.Served {
 				n++
 			}
 		}
--- a/internal/rig/requests.go
+++ b/internal/rig/requests.go
@@ -7,9 +7,9 @@
 	c := peers.Call{ID: id, Class: class, Tenant: tenant, Timeout: Deadline}
 	switch class {
 	case Entry:
-		c.Key, c.Body = "key-"+id, []byte(`{"hive":7}`)
+		c.IdempotencyKey, c.Body = "key-"+id, []byte(`{"hive":7}`)
 	case Once:
-		c.Unsafe, c.Body = true, []byte(`{"hive":7}`)
+		c.NotIdempotent, c.Body = true, []byte(`{"hive":7}`)
 	}
 	return c
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -43,7 +43,7 @@
 type Rig struct {
 	Addr      string // where clients connect
 	Front     peers.Protocol
-	Nodes     []*peers.Node
+	Nodes     []*peers.Upstream
 	Ledger    *peers.Ledger
 	Discovery *peers.Discovery
 	Eureka    *peers.Eureka // as the options have it
@@ -108,7 +108,7 @@
 		o.Number = 2
 	}
 	if o.Script == nil {
-		o.Script = peers.Serving
+		o.Script = peers.ServeAll
 	}
 	if o.Sockets == 0 {
 		o.Sockets = 1024
@@ -123,7 +123,7 @@
 		return nil, err
 	}
 	for i := range o.Number {
-		n, err := peers.StartNode(o.Nodes, fmt.Sprintf("records-%02d", i+1), r.Ledger, o.Script)
+		n, err := peers.StartUpstream(o.Nodes, fmt.Sprintf("records-%02d", i+1), r.Ledger, o.Script)
 		if err != nil {
 			r.closePeers()
 			return nil, err
@@ -205,7 +205,7 @@
 
 // List tells what lists the nodes of one of them; health is up, draining or
 // removed, started its last start in Unix ms, zero for long ago.
-func (r *Rig) List(n *peers.Node, health string, started int64) {
+func (r *Rig) List(n *peers.Upstream, health string, started int64) {
 	if r.Eureka != nil {
 		if health == "removed" {
 			r.Eureka.Cancel(n.Name)
@@ -214,11 +214,11 @@
 		r.Eureka.Register(r.Instance(n, n.Name, map[string]string{"up": "UP", "draining": "OUT_OF_SERVICE"}[health], started))
 		return
 	}
-	r.Discovery.Set(peers.Host{Host: n.Name, Dial: n.Addr(), Site: "a", Class: "m", Block: 1, Health: health, Share: 1, BornMS: started})
+	r.Discovery.Set(peers.Endpoint{Name: n.Name, Addr: n.Addr(), Zone: "a", MachineType: "m", Cell: 1, Health: health, Weight: 1, StartedAtMs: started})
 }
 
 // Instance is a node as it registers under an id.
-func (r *Rig) Instance(n *peers.Node, id, status string, started int64) peers.EurekaInstance {
+func (r *Rig) Instance(n *peers.Upstream, id, status string, started int64) peers.EurekaInstance {
 	host, port, _ := net.SplitHostPort(n.Addr())
 	number, _ := strconv.Atoi(port)
 	return peers.EurekaInstance{
--- a/internal/rig/rpc_test.go
+++ b/internal/rig/rpc_test.go
@@ -33,7 +33,7 @@
 	if took := time.Since(began); took > c.Timeout+500*time.Millisecond {
 		t.Errorf("%s: answered after %v of %v", c.ID, took, c.Timeout)
 	}
-	if got.Verdict == peers.Lost || got.Verdict == peers.Rejected {
+	if got.Outcome == peers.Lost || got.Outcome == peers.InvalidRequest {
 		t.Errorf("%s: %+v", c.ID, got)
 	}
 	return got
@@ -47,24 +47,24 @@
 	r := start(t, Options{Front: peers.RPC, Nodes: peers.RPC, Number: 4, Slots: 200, Open: 400, Times: true})
 	for _, n := range r.Nodes {
 		n.IgnoreCancels(true) // the worst: what is given up runs on for all of the 19 s
-		n.Play(func(peers.Call) peers.Action {
+		n.SetScript(func(peers.Call) peers.Response {
 			if _, hung := hangs.Load(n.Name); hung {
-				return peers.Action{Delay: 19 * time.Second}
+				return peers.Response{Delay: 19 * time.Second}
 			}
-			return peers.Action{Delay: 2 * time.Millisecond}
+			return peers.Response{Delay: 2 * time.Millisecond}
 		})
 	}
 	client := r.Client()
 	defer client.Close()
 	for i := range 20 {
-		if got := ask(t, client, Request(Once, fmt.Sprint("before-", i), "north")); got.Verdict != peers.Served {
+		if got := ask(t, client, Request(Once, fmt.Sprint("before-", i), "north")); got.Outcome != peers.Served {
 			t.Fatalf("before the hang: %+v", got)
 		}
 	}
 	hangs.Store(r.Nodes[0].Name, true)
-	earlier := len(r.Ledger.Sends(r.Nodes[0].Name))
+	earlier := len(r.Ledger.AttemptTimes(r.Nodes[0].Name))
 	var mu sync.Mutex
-	verdicts := make(map[peers.Verdict]int)
+	verdicts := make(map[peers.Outcome]int)
 	var wg sync.WaitGroup
 	const n = 600
 	for i := range n {
@@ -73,14 +73,14 @@
 			c.Timeout = time.Duration(400+i%5*100) * time.Millisecond
 			got := ask(t, client, c)
 			mu.Lock()
-			verdicts[got.Verdict]++
+			verdicts[got.Outcome]++
 			mu.Unlock()
 		})
 		time.Sleep(2 * time.Millisecond) // an even load: 500 a second
 	}
 	wg.Wait()
-	hung := len(r.Ledger.Sends(r.Nodes[0].Name)) - earlier
-	t.Logf("served %d, refused %d, failed %d; %d sends to the node that hangs", verdicts[peers.Served], verdicts[peers.Refused], verdicts[peers.Failed], hung)
+	hung := len(r.Ledger.AttemptTimes(r.Nodes[0].Name)) - earlier
+	t.Logf("served %d, refused %d, failed %d; %d sends to the node that hangs", verdicts[peers.Served], verdicts[peers.Rejected], verdicts[peers.Failed], hung)
 	if verdicts[peers.Failed] != hung || hung == 0 {
 		t.Errorf("%d failed and %d hang: each one that hangs must fail, and no other", verdicts[peers.Failed], hung)
 	}
@@ -91,7 +91,7 @@
 	if a := r.Nodes[0].Accepted(); a > 4+20 {
 		t.Errorf("%d connections to the node that hangs", a)
 	}
-	for _, what := range r.Ledger.Doubled(func(string) bool { return true }) {
+	for _, what := range r.Ledger.ExecutedTwice(func(string) bool { return true }) {
 		t.Error(what)
 	}
 }
@@ -105,8 +105,8 @@
 		}
 		t.Run(pairing(p), func(t *testing.T) {
 			t.Parallel()
-			r := start(t, Options{Front: pairings[p].front, Nodes: pairings[p].nodes, Number: 3, Slots: 300, Open: 300, Script: func(c peers.Call) peers.Action {
-				return peers.Action{Delay: time.Duration(len(c.ID)%3) * time.Millisecond}
+			r := start(t, Options{Front: pairings[p].front, Nodes: pairings[p].nodes, Number: 3, Slots: 300, Open: 300, Script: func(c peers.Call) peers.Response {
+				return peers.Response{Delay: time.Duration(len(c.ID)%3) * time.Millisecond}
 			}})
 			clients := make([]peers.Client, 8)
 			for i := range clients {
@@ -120,7 +120,7 @@
 			over := make(chan struct{})
 			var wg sync.WaitGroup
 			var mu sync.Mutex
-			verdicts := make(map[peers.Verdict]int)
+			verdicts := make(map[peers.Outcome]int)
 			for w := range 50 { // outstanding all the time
 				wg.Go(func() {
 					for i := 0; ; i++ {
@@ -132,10 +132,10 @@
 						class := []string{Once, Once, Entry, Read}[i%4]
 						got := ask(t, clients[w%len(clients)], Request(class, fmt.Sprintf("%s-%d-%d", class, w, i), Tenant(i)))
 						mu.Lock()
-						verdicts[got.Verdict]++
+						verdicts[got.Outcome]++
 						mu.Unlock()
-						if got.Verdict == peers.Refused { // its pause, cut short
-							time.Sleep(min(got.Pause, 3*time.Millisecond))
+						if got.Outcome == peers.Rejected { // its pause, cut short
+							time.Sleep(min(got.RetryAfter, 3*time.Millisecond))
 						}
 					}
 				})
@@ -145,15 +145,15 @@
 				for end := time.Now().Add(50 * time.Millisecond); r.Nodes[i%3].Served() == before && time.Now().Before(end); {
 					time.Sleep(200 * time.Microsecond)
 				}
-				r.Nodes[i%3].Break()
+				r.Nodes[i%3].ResetConnections()
 			}
 			close(over)
 			wg.Wait()
-			t.Logf("%d breaks: served %d, refused %d, failed %d", breaks, verdicts[peers.Served], verdicts[peers.Refused], verdicts[peers.Failed])
+			t.Logf("%d breaks: served %d, refused %d, failed %d", breaks, verdicts[peers.Served], verdicts[peers.Rejected], verdicts[peers.Failed])
 			if verdicts[peers.Served] == 0 || verdicts[peers.Failed] == 0 {
 				t.Errorf("verdicts %v: breaks with requests out fail some and leave others", verdicts)
 			}
-			for _, what := range r.Ledger.Doubled(func(id string) bool { return strings.HasPrefix(id, Once) }) {
+			for _, what := range r.Ledger.ExecutedTwice(func(id string) bool { return strings.HasPrefix(id, Once) }) {
 				t.Error(what)
 			}
 		})
@@ -163,11 +163,11 @@
 // The cancel notification is lost or ignored: an unsafe request that was given
 // up is not sent again, and a keyed one runs its effect once.
 func TestIgnoredCancelDoublesNothing(t *testing.T) {
-	r := start(t, Options{Front: peers.RPC, Nodes: peers.RPC, Script: func(c peers.Call) peers.Action {
-		if c.Try == 1 {
-			return peers.Action{Delay: 700 * time.Millisecond} // over the client's time, and it runs on
+	r := start(t, Options{Front: peers.RPC, Nodes: peers.RPC, Script: func(c peers.Call) peers.Response {
+		if c.Attempt == 1 {
+			return peers.Response{Delay: 700 * time.Millisecond} // over the client's time, and it runs on
 		}
-		return peers.Action{}
+		return peers.Response{}
 	}})
 	for _, n := range r.Nodes {
 		n.IgnoreCancels(true)
@@ -181,14 +181,14 @@
 				c := Request(class, fmt.Sprintf("%s-%d", class, i), Tenant(i))
 				c.Timeout = 300 * time.Millisecond
 				ask(t, client, c)
-				if tries := r.Ledger.Tries(c.ID); class == Once && tries != 1 {
+				if tries := r.Ledger.Attempts(c.ID); class == Once && tries != 1 {
 					t.Errorf("%s was sent %d times", c.ID, tries)
 				}
 			})
 		}
 	}
 	wg.Wait()
-	for _, what := range r.Ledger.Doubled(func(string) bool { return true }) {
+	for _, what := range r.Ledger.ExecutedTwice(func(string) bool { return true }) {
 		t.Error(what)
 	}
 	if r.Nodes[0].Cancels()+r.Nodes[1].Cancels() == 0 {
@@ -198,8 +198,8 @@
 
 // A client leaves with 100 open: the nodes are told, and the sidecar holds nothing.
 func TestClientLeavesWithHundredOpen(t *testing.T) {
-	r := start(t, Options{Front: peers.RPC, Nodes: peers.RPC, Slots: 400, Open: 200, Script: func(peers.Call) peers.Action {
-		return peers.Action{Deed: peers.Hang}
+	r := start(t, Options{Front: peers.RPC, Nodes: peers.RPC, Slots: 400, Open: 200, Script: func(peers.Call) peers.Response {
+		return peers.Response{Action: peers.Hang}
 	}})
 	client := r.Client()
 	var wg sync.WaitGroup
@@ -214,9 +214,9 @@
 	other := r.Client()
 	defer other.Close()
 	for _, n := range r.Nodes {
-		n.Play(peers.Serving)
+		n.SetScript(peers.ServeAll)
 	}
-	if got := ask(t, other, Request(Read, "after", "north")); got.Verdict != peers.Served {
+	if got := ask(t, other, Request(Read, "after", "north")); got.Outcome != peers.Served {
 		t.Errorf("after it: %+v", got)
 	}
 }
@@ -227,8 +227,8 @@
 	for p := range pairings {
 		t.Run(pairing(p), func(t *testing.T) {
 			t.Parallel()
-			r, err := Start(Options{Front: pairings[p].front, Nodes: pairings[p].nodes, Slots: 400, Open: 200, Script: func(peers.Call) peers.Action {
-				return peers.Action{Delay: 400 * time.Millisecond}
+			r, err := Start(Options{Front: pairings[p].front, Nodes: pairings[p].nodes, Slots: 400, Open: 200, Script: func(peers.Call) peers.Response {
+				return peers.Response{Delay: 400 * time.Millisecond}
 			}})
 			if err != nil {
 				t.Fatal(err)
@@ -240,7 +240,7 @@
 			send := func(name string) {
 				for i := range 30 {
 					wg.Go(func() {
-						if got := ask(t, client, Request(Once, fmt.Sprint(name, i), Tenant(i))); got.Verdict != peers.Served {
+						if got := ask(t, client, Request(Once, fmt.Sprint(name, i), Tenant(i))); got.Outcome != peers.Served {
 							t.Errorf("%s%d: %+v", name, i, got)
 						}
 					})
--- a/internal/sidecar/client_test.go
+++ b/internal/sidecar/client_test.go
@@ -135,7 +135,7 @@
 			t.Fatal(err)
 		}
 		io.WriteString(c, text)
-		c.SetReadDeadline(time.Now().Add(peertest.Patience))
+		c.SetReadDeadline(time.Now().Add(peertest.WaitTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode < 400 || resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
 			t.Errorf("%s: got %v, error %v, want a plain 4xx or 5xx, no refusal", name, resp, err)
@@ -167,7 +167,7 @@
 }
 
 func TestReadyOnceAListIsHeld(t *testing.T) {
-	g := peertest.NewRegistry(t)
+	g := peertest.NewDiscovery(t)
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, g.Addr))
 	ready := func() int {
 		resp, err := http.Get("http://" + addr + "/health/ready")
@@ -177,16 +177,16 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	peertest.Await(t, "the call for the list", g.Asked)
+	peertest.Await(t, "the call for the list", g.ListRequests)
 	if got := ready(); got != http.StatusServiceUnavailable {
 		t.Errorf("ready is %d without a list", got)
 	}
 	u := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("ok")))
-	g.Whole <- peertest.ListText(5, true, peertest.HostText("s-1", u.Addr, "up", 0))
+	g.ListResponses <- peertest.ListText(5, true, peertest.HostText("s-1", u.Addr, "up", 0))
 	if w := peertest.Await(t, "the watch", g.Watches); w.From != "5" {
 		t.Errorf("the watch begins from %s, want 5", w.From)
 	}
-	for deadline := time.Now().Add(peertest.Patience); ready() != http.StatusOK; {
+	for deadline := time.Now().Add(peertest.WaitTimeout); ready() != http.StatusOK; {
 		if time.Now().After(deadline) {
 			t.Fatal("never ready")
 		}
@@ -206,7 +206,7 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		nc.SetDeadline(time.Now().Add(peertest.Patience))
+		nc.SetDeadline(time.Now().Add(peertest.WaitTimeout))
 		peertest.Call{Class: "once", ID: fmt.Sprint(i)}.Request(t, addr).Write(nc)
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		if err != nil || resp.StatusCode != 200 {
@@ -236,7 +236,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(peertest.Patience))
+	c.SetDeadline(time.Now().Add(peertest.WaitTimeout))
 	go io.WriteString(c, text)
 	got, err := io.ReadAll(c)
 	if err != nil && len(got) == 0 {
@@ -352,7 +352,7 @@
 		}
 		defer c.Close()
 		start := time.Now()
-		c.SetDeadline(start.Add(peertest.Patience))
+		c.SetDeadline(start.Add(peertest.WaitTimeout))
 		go func() {
 			io.WriteString(c, text)
 			io.Copy(io.Discard, c)
@@ -411,7 +411,7 @@
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	kept.SetDeadline(time.Now().Add(peertest.Patience))
+	kept.SetDeadline(time.Now().Add(peertest.WaitTimeout))
 	in := bufio.NewReader(kept)
 	ask := func(id string) {
 		t.Helper()
@@ -456,7 +456,7 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		nc.SetDeadline(time.Now().Add(peertest.Patience))
+		nc.SetDeadline(time.Now().Add(peertest.WaitTimeout))
 		io.WriteString(nc, rawHead(fmt.Sprint(i))+"Content-Length: 0\r\n\r\n")
 		in := bufio.NewReader(nc)
 		resp, err := http.ReadResponse(in, nil)
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(peertest.Patience))
+	c.SetDeadline(time.Now().Add(peertest.WaitTimeout))
 	return &client{c.(*net.TCPConn), t, bufio.NewReader(c)}
 }
 
@@ -134,7 +134,7 @@
 		c.ended()
 	})
 	t.Run("before its first attempt is connected", func(t *testing.T) {
-		late := peertest.NewUnreached(t)
+		late := peertest.NewStalledListener(t)
 		conf := testConfig(t, options{}, "127.0.0.1:1", peertest.HostText("s-1", late.Addr, "up", 0))
 		conf.DialTimeout = 2 * time.Second
 		addr, stop, _ := startSidecar(t, conf)
@@ -227,7 +227,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for end := time.Now().Add(peertest.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(peertest.WaitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
 				return
@@ -341,7 +341,7 @@
 // A keyed repeat is dropped by servers only as long as they remember the first: one
 // whose connection comes up after that is not written.
 func TestKeyedRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
-	late := peertest.NewUnreached(t)
+	late := peertest.NewStalledListener(t)
 	breaks := peertest.NewUpstream(t, func(peertest.Received) (string, bool) { return "", true })
 	first := strings.Replace(peertest.HostText("s-1", breaks.Addr, "up", 0), `"share":1.0`, `"share":100`, 1)
 	c := testConfig(t, options{}, "127.0.0.1:1", first, peertest.HostText("s-2", late.Addr, "up", 0))
@@ -441,13 +441,13 @@
 func TestDrainAfterWhatBecomesOfTheWatch(t *testing.T) {
 	const grace = 2 * time.Second
 	type scene struct {
-		g, moved *peertest.Registry
+		g, moved *peertest.Discovery
 		w        *peertest.Watch
 		drain    string // the change
 		whole    string // the list without the one that drains
 		reload   func(discovery string)
 	}
-	again := func(t *testing.T, g *peertest.Registry) *peertest.Watch {
+	again := func(t *testing.T, g *peertest.Discovery) *peertest.Watch {
 		return peertest.Await(t, "another watch", g.Watches)
 	}
 	for name, become := range map[string]struct {
@@ -469,17 +469,21 @@
 			again(t, s.g).Lines <- s.drain
 		}},
 		"falls silent": {6 * time.Second, func(t *testing.T, s scene) { again(t, s.g).Lines <- s.drain }},
-		"moves":        {0, func(t *testing.T, s scene) { s.reload(s.moved.Addr); <-s.moved.Asked; s.moved.Whole <- s.whole }},
+		"moves": {0, func(t *testing.T, s scene) {
+			s.reload(s.moved.Addr)
+			<-s.moved.ListRequests
+			s.moved.ListResponses <- s.whole
+		}},
 		"moves twice": {0, func(t *testing.T, s scene) {
 			s.reload("127.0.0.1:1")
 			s.reload(s.moved.Addr)
-			<-s.moved.Asked
-			s.moved.Whole <- s.whole
+			<-s.moved.ListRequests
+			s.moved.ListResponses <- s.whole
 		}},
 		"moves, then drain": {0, func(t *testing.T, s scene) {
 			s.reload(s.moved.Addr)
-			<-s.moved.Asked
-			s.moved.Whole <- strings.Replace(s.whole, `"hosts":[`, `"hosts":[`+peertest.HostText("s-1", "127.0.0.1:1", "up", 0)+",", 1)
+			<-s.moved.ListRequests
+			s.moved.ListResponses <- strings.Replace(s.whole, `"hosts":[`, `"hosts":[`+peertest.HostText("s-1", "127.0.0.1:1", "up", 0)+",", 1)
 			again(t, s.moved).Lines <- strings.Replace(s.drain, `"seq":2`, `"seq":10`, 1)
 		}},
 	} {
@@ -494,7 +498,7 @@
 				return peertest.Answer200("a"), false
 			})
 			b := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("b")))
-			s := scene{g: peertest.NewRegistry(t), moved: peertest.NewRegistry(t)}
+			s := scene{g: peertest.NewDiscovery(t), moved: peertest.NewDiscovery(t)}
 			s.drain = peertest.ListText(2, false, peertest.HostText("s-1", a.Addr, "draining", 0))
 			s.whole = peertest.ListText(2, true, peertest.HostText("s-2", b.Addr, "up", 0))
 			c := testConfig(t, options{}, s.g.Addr, peertest.HostText("s-1", a.Addr, "up", 0), peertest.HostText("s-2", b.Addr, "up", 0))
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -11,7 +11,7 @@
 
 // A module that asks gets its watch again after a failure, through the whole program.
 func TestAskingSidecarWatches(t *testing.T) {
-	g := peertest.NewRegistry(t)
+	g := peertest.NewDiscovery(t)
 	u := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("ok")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{ask: true}, g.Addr, peertest.HostText("s-0", "127.0.0.1:1", "draining", 0)))
 	close(peertest.Await(t, "the watch", g.Watches).Lines)
@@ -23,7 +23,7 @@
 // serveSoon sends requests until one is served: news of the list is on its way.
 func serveSoon(t *testing.T, addr string) {
 	t.Helper()
-	for i, deadline := 0, time.Now().Add(peertest.Patience); ; i++ {
+	for i, deadline := 0, time.Now().Add(peertest.WaitTimeout); ; i++ {
 		if got := (peertest.Call{Class: "once", ID: fmt.Sprint("soon-", i)}).Do(t, addr); got.Status == http.StatusOK {
 			return
 		}
@@ -34,7 +34,7 @@
 }
 
 func TestDrainActsAtOnce(t *testing.T) {
-	g := peertest.NewRegistry(t)
+	g := peertest.NewDiscovery(t)
 	a, b := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("a"))), peertest.NewUpstream(t, peertest.Always(peertest.Answer200("b")))
 	addr, _, _ := startSidecar(t, testConfig(t, options{}, g.Addr, peertest.HostText("s-1", a.Addr, "up", 0)))
 	w := peertest.Await(t, "the watch", g.Watches)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	idle.SetDeadline(time.Now().Add(peertest.Patience))
+	idle.SetDeadline(time.Now().Add(peertest.WaitTimeout))
 	peertest.Call{Class: "once", ID: "first"}.Request(t, addr).Write(idle)
 	in := bufio.NewReader(idle)
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || resp.Close {
@@ -52,7 +52,7 @@
 		t.Fatalf("a new connection after the announcement: %v", err)
 	}
 	defer fresh.Close()
-	fresh.SetDeadline(time.Now().Add(peertest.Patience))
+	fresh.SetDeadline(time.Now().Add(peertest.WaitTimeout))
 	peertest.Call{Class: "once", ID: "fresh"}.Request(t, addr).Write(fresh)
 	if resp, err := http.ReadResponse(bufio.NewReader(fresh), nil); err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a new connection: %+v, error %v; want 200 and close", resp, err)
@@ -93,7 +93,7 @@
 // list stays in force until the new address has brought another, and a file
 // that cannot be used changes nothing.
 func TestReloadMovesDiscovery(t *testing.T) {
-	old, fresh := peertest.NewRegistry(t), peertest.NewRegistry(t)
+	old, fresh := peertest.NewDiscovery(t), peertest.NewDiscovery(t)
 	release := make(chan struct{})
 	a := peertest.NewUpstream(t, func(r peertest.Received) (string, bool) {
 		if r.Header.Get("Request-Id") == "held" {
@@ -111,7 +111,7 @@
 		}
 	}
 	good := func(discovery string) string {
-		return peertest.Valid(t, fmt.Sprintf(`{"discovery":%q,"seed":"1","settings":%s}`, discovery, fmt.Sprintf(testSettings, false, 500, "push")))
+		return peertest.ValidJSON(t, fmt.Sprintf(`{"discovery":%q,"seed":"1","settings":%s}`, discovery, fmt.Sprintf(testSettings, false, 500, "push")))
 	}
 	reload := make(chan os.Signal)
 	addr, _, _ := startReloadable(t, c, reload)
@@ -129,13 +129,13 @@
 	}
 	write(good(fresh.Addr))
 	reload <- syscall.SIGHUP
-	peertest.Await(t, "the call for the new list", fresh.Asked)
+	peertest.Await(t, "the call for the new list", fresh.ListRequests)
 	if got := (peertest.Call{Class: "once", ID: "meanwhile"}).Do(t, addr); got.Body != "a" {
 		t.Errorf("without a new list: %+v", got)
 	}
-	fresh.Whole <- peertest.ListText(1, true, peertest.HostText("s-2", b.Addr, "up", 0))
+	fresh.ListResponses <- peertest.ListText(1, true, peertest.HostText("s-2", b.Addr, "up", 0))
 	peertest.Await(t, "the new watch", fresh.Watches)
-	for i, deadline := 0, time.Now().Add(peertest.Patience); ; i++ {
+	for i, deadline := 0, time.Now().Add(peertest.WaitTimeout); ; i++ {
 		if got := (peertest.Call{Class: "once", ID: fmt.Sprint(i)}).Do(t, addr); got.Body == "b" {
 			break
 		} else if time.Now().After(deadline) {
--- a/internal/try/report.go
+++ b/internal/try/report.go
@@ -68,7 +68,7 @@
 	fmt.Fprintf(&b, "%-12s %-9s %7s %7s %9s %10s %10s\n", "node", "is", "sends", "served", "in flight", "p50", "p99")
 	for i, n := range d.rig.Nodes {
 		t := d.byNode[n.Name]
-		fmt.Fprintf(&b, "%-12s %-9s %7d %7d %9d %10s %10s\n", n.Name, d.state[i], len(d.rig.Ledger.Sends(n.Name)), t.served, n.InFlight(),
+		fmt.Fprintf(&b, "%-12s %-9s %7d %7d %9d %10s %10s\n", n.Name, d.state[i], len(d.rig.Ledger.AttemptTimes(n.Name)), t.served, n.InFlight(),
 			show(quantile(t.took, 0.5)), show(quantile(t.took, 0.99)))
 	}
 	fmt.Fprintf(&b, "\nserved %d  refused %d  failed %d  lost %d  p50 %s  p99 %s  after %.1f s\n", d.total.served, d.total.refused,
@@ -80,10 +80,10 @@
 func (d *day) verdict() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, what := range d.rig.Ledger.Doubled(func(id string) bool { return strings.HasPrefix(id, rig.Once) }) {
+	for _, what := range d.rig.Ledger.ExecutedTwice(func(id string) bool { return strings.HasPrefix(id, rig.Once) }) {
 		d.breach("2 (no effect twice)", what)
 	}
-	if late := after(d.rig.Ledger.Sends(d.rig.Nodes[drained].Name), d.drainAt.Add(rig.DrainWithin+slack)); late > 0 {
+	if late := after(d.rig.Ledger.AttemptTimes(d.rig.Nodes[drained].Name), d.drainAt.Add(rig.DrainWithin+slack)); late > 0 {
 		d.breach("3 (drains kept)", fmt.Sprintf("%d requests were sent to %s later than %v after it drained", late, d.rig.Nodes[drained].Name, rig.DrainWithin))
 	}
 	if how := d.pushedOver(); how != "" {
@@ -128,7 +128,7 @@
 	}
 	capacity := crowded * float64(d.Rate) / nodes // a second, when warm
 	var sends []time.Time
-	for _, t := range d.rig.Ledger.Sends(d.rig.Nodes[cold].Name) {
+	for _, t := range d.rig.Ledger.AttemptTimes(d.rig.Nodes[cold].Name) {
 		if t.After(d.coldAt) {
 			sends = append(sends, t)
 		}
--- a/internal/try/try.go
+++ b/internal/try/try.go
@@ -112,9 +112,9 @@
 }
 
 // script is what every node does: some milliseconds of work.
-func (d *day) script(c peers.Call) peers.Action {
+func (d *day) script(c peers.Call) peers.Response {
 	r := rand.New(rand.NewPCG(d.Seed, uint64(len(c.ID))+hash(c.ID)))
-	return peers.Action{Delay: time.Duration(3+r.IntN(10)) * time.Millisecond}
+	return peers.Response{Delay: time.Duration(3+r.IntN(10)) * time.Millisecond}
 }
 
 func hash(s string) uint64 {
@@ -128,7 +128,7 @@
 // named makes the answer tell who gave it.
 func (d *day) named(i int, s peers.Script) peers.Script {
 	name := []byte(d.rig.Nodes[i].Name)
-	return func(c peers.Call) peers.Action {
+	return func(c peers.Call) peers.Response {
 		a := s(c)
 		a.Body = name
 		return a
@@ -138,7 +138,7 @@
 // trouble lets things happen, at set parts of the day.
 func (d *day) trouble(ctx context.Context) {
 	for i, n := range d.rig.Nodes {
-		n.Play(d.named(i, d.script))
+		n.SetScript(d.named(i, d.script))
 	}
 	at := func(part float64) bool {
 		t := time.NewTimer(time.Until(d.began.Add(time.Duration(part * float64(d.Duration)))))
@@ -159,7 +159,7 @@
 	if !at(0.2) {
 		return
 	}
-	n[hanging].Play(func(peers.Call) peers.Action { return peers.Action{Deed: peers.Hang} })
+	n[hanging].SetScript(func(peers.Call) peers.Response { return peers.Response{Action: peers.Hang} })
 	set(hanging, "hangs")
 	if !at(0.35) {
 		return
@@ -172,7 +172,7 @@
 	if !at(0.5) {
 		return
 	}
-	n[cold].Break() // as a process that starts anew
+	n[cold].ResetConnections() // as a process that starts anew
 	d.mu.Lock()
 	d.coldAt = time.Now()
 	d.mu.Unlock()
@@ -181,7 +181,7 @@
 	if !at(0.75) {
 		return
 	}
-	n[hanging].Play(d.named(hanging, d.script))
+	n[hanging].SetScript(d.named(hanging, d.script))
 	set(hanging, "up again")
 }
 
@@ -218,26 +218,26 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t := &d.total
-	if got.Verdict == peers.Served {
+	if got.Outcome == peers.Served {
 		if n := d.byNode[string(got.Body)]; n != nil {
-			n.add(got.Verdict, took)
+			n.add(got.Outcome, took)
 		}
 	}
-	t.add(got.Verdict, took)
+	t.add(got.Outcome, took)
 	switch {
-	case got.Verdict == peers.Lost || got.Verdict == peers.Rejected:
-		d.breach("1 (one final answer)", fmt.Sprintf("%s: %s %s %v", c.ID, got.Verdict, got.Text, got.Err))
+	case got.Outcome == peers.Lost || got.Outcome == peers.InvalidRequest:
+		d.breach("1 (one final answer)", fmt.Sprintf("%s: %s %s %v", c.ID, got.Outcome, got.Text, got.Err))
 	case took > c.Timeout+slack:
 		d.breach("1 (one final answer)", fmt.Sprintf("%s: answered after %v of %v", c.ID, took, c.Timeout))
 	}
 }
 
-func (t *tally) add(v peers.Verdict, took time.Duration) {
+func (t *tally) add(v peers.Outcome, took time.Duration) {
 	switch v {
 	case peers.Served:
 		t.served++
 		t.took = append(t.took, took)
-	case peers.Refused:
+	case peers.Rejected:
 		t.refused++
 	case peers.Failed:
 		t.failed++
--- a/internal/try/try_test.go
+++ b/internal/try/try_test.go
@@ -60,7 +60,7 @@
 type brokenClient struct{}
 
 func (brokenClient) Do(context.Context, peers.Call) peers.Result {
-	return peers.Result{Verdict: peers.Lost}
+	return peers.Result{Outcome: peers.Lost}
 }
 
 func (brokenClient) Close() {}
--- a/interop/eureka.go
+++ b/interop/eureka.go
@@ -52,7 +52,7 @@
 	}{
 		{"register", func() error { return e.RegisterInstance(instance) }},
 		{"be sent something", func() error {
-			return wait(ctx, func() bool { return len(w.ledger.Sends(node.Name)) > 0 })
+			return wait(ctx, func() bool { return len(w.ledger.AttemptTimes(node.Name)) > 0 })
 		}},
 		{"heartbeat", func() error { return e.HeartBeatInstance(instance) }},
 		{"list the apps", func() error {
@@ -86,7 +86,7 @@
 			}
 			time.Sleep(drainWithin + time.Second) // a poll, 2 s, and a while in which nothing may come
 			late := 0
-			for _, at := range w.ledger.Sends(node.Name) {
+			for _, at := range w.ledger.AttemptTimes(node.Name) {
 				if at.Sub(told) > drainWithin+200*time.Millisecond { // it polls every 100 ms or so
 					late++
 				}
@@ -94,19 +94,19 @@
 			return must(late == 0, "%d requests reached it over 2 s after the sidecar heard", late)
 		}},
 		{"come back", func() error {
-			before := len(w.ledger.Sends(node.Name))
-			return firstOf(e.UpdateInstanceStatus(instance, fargo.UP), wait(ctx, func() bool { return len(w.ledger.Sends(node.Name)) > before }))
+			before := len(w.ledger.AttemptTimes(node.Name))
+			return firstOf(e.UpdateInstanceStatus(instance, fargo.UP), wait(ctx, func() bool { return len(w.ledger.AttemptTimes(node.Name)) > before }))
 		}},
 		{"outlive the registry's silence", func() error {
-			w.registry.Fault(peers.Silent)
+			w.registry.SetFault(peers.NoResponse)
 			time.Sleep(500 * time.Millisecond)
-			w.registry.Fault(peers.NoFault)
+			w.registry.SetFault(peers.NoFault)
 			return nil
 		}},
 		{"be evicted and told to register anew", func() error {
-			w.registry.Lease(time.Nanosecond)
+			w.registry.SetLeaseDuration(time.Nanosecond)
 			err := e.HeartBeatInstance(instance)
-			w.registry.Lease(0)
+			w.registry.SetLeaseDuration(0)
 			return firstOf(must(err != nil, "its heartbeat was taken"), e.RegisterInstance(instance))
 		}},
 		{"deregister", func() error { return e.DeregisterInstance(instance) }},
--- a/interop/world.go
+++ b/interop/world.go
@@ -24,7 +24,7 @@
 	maps     string // by MessagePack-RPC with errors as maps
 	texts    string // and as texts
 	registry *peers.Eureka
-	nodes    []*peers.Node
+	nodes    []*peers.Upstream
 	ledger   *peers.Ledger
 
 	dir     string
@@ -96,15 +96,15 @@
 	if w.registry, err = peers.StartEureka(""); err != nil {
 		return nil, err
 	}
-	script := func(c peers.Call) peers.Action {
-		a := peers.Action{Delay: 2 * time.Millisecond, Body: []byte("for " + c.ID)}
+	script := func(c peers.Call) peers.Response {
+		a := peers.Response{Delay: 2 * time.Millisecond, Body: []byte("for " + c.ID)}
 		if strings.HasPrefix(c.ID, slow) {
 			a.Delay = 300 * time.Millisecond
 		}
 		return a
 	}
 	for i := range 4 { // two are listed for good, two are for registrations
-		n, err := peers.StartNode(peers.HTTP, fmt.Sprintf("node-%d", i+1), w.ledger, script)
+		n, err := peers.StartUpstream(peers.HTTP, fmt.Sprintf("node-%d", i+1), w.ledger, script)
 		if err != nil {
 			return nil, err
 		}
@@ -195,7 +195,7 @@
 
 // doubled names the effects that ran twice.
 func (w *world) doubled() error {
-	if ids := w.ledger.Doubled(func(string) bool { return true }); len(ids) > 0 {
+	if ids := w.ledger.ExecutedTwice(func(string) bool { return true }); len(ids) > 0 {
 		return fmt.Errorf("effects ran twice: %v", ids)
 	}
 	return nil
