--- a/internal/archtest/wallclock_test.go
+++ b/internal/archtest/wallclock_test.go
@@ -18,9 +18,9 @@
 	"internal/registry/eureka/register.go": "the registry's lastDirtyTimestamp",
 	"internal/hook/run.go":                 "the language of plug-ins has a time of day",
 	"internal/hook/machine.go":             "the same",
-	"internal/peers/eureka.go":             "a stand-in",
-	"internal/peers/eurekaformat.go":       "a stand-in",
-	"internal/peers/client.go":             "a deadline that is past",
+	"internal/peers/eureka_leases.go":      "a stand-in",
+	"internal/peers/eureka_fields.go":      "a stand-in",
+	"internal/peers/client_http.go":        "a deadline that is past",
 	"internal/try/try.go":                  "a stand-in's starts",
 }
 
--- /dev/null
+++ b/internal/peers/client_http.go
@@ -0,0 +1,175 @@
+package peers
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+)
+
+// httpClient has one request at a time on a connection, keeps idle connections and opens another
+// one when all of them are busy, as the application does.
+type httpClient struct {
+	addr string
+	mu   sync.Mutex
+	idle []*httpClientConn
+}
+
+type httpClientConn struct {
+	net.Conn
+	reader *bufio.Reader
+	out    bytes.Buffer
+}
+
+// httpExchange is how one request went on one connection.
+type httpExchange struct {
+	result    Result
+	unread    bool // the connection ended before a response; the server may not have read the request
+	keepsConn bool // the connection can carry another request
+}
+
+// Close closes the idle connections.
+func (h *httpClient) Close() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, conn := range h.idle {
+		conn.Close()
+	}
+	h.idle = nil
+}
+
+// Do sends a request. The sidecar may close an idle connection at any time: a request that crosses
+// that was not read, and is sent on another connection.
+func (h *httpClient) Do(ctx context.Context, call Call) Result {
+	for {
+		conn, reused, err := h.takeConn(ctx)
+		if err != nil {
+			return lost(err)
+		}
+		exchange := h.exchange(ctx, conn, call)
+		crossedClose := exchange.unread && reused
+		if !crossedClose || ctx.Err() != nil {
+			return exchange.result
+		}
+	}
+}
+
+// takeConn returns an idle connection or opens one.
+func (h *httpClient) takeConn(ctx context.Context) (conn *httpClientConn, reused bool, err error) {
+	if conn := h.takeIdle(); conn != nil {
+		return conn, true, nil
+	}
+	netConn, err := new(net.Dialer).DialContext(ctx, "tcp", h.addr)
+	if err != nil {
+		return nil, false, err
+	}
+	return &httpClientConn{Conn: netConn, reader: bufio.NewReader(netConn)}, false, nil
+}
+
+// takeIdle returns the connection that was used last, or nil.
+func (h *httpClient) takeIdle() *httpClientConn {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.idle) == 0 {
+		return nil
+	}
+	last := len(h.idle) - 1
+	conn := h.idle[last]
+	h.idle = h.idle[:last]
+	return conn
+}
+
+func (h *httpClient) putIdle(conn *httpClientConn) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.idle = append(h.idle, conn)
+}
+
+// exchange sends a request on a connection and keeps or closes it afterwards. The end of ctx ends
+// the connection's reads and writes.
+func (h *httpClient) exchange(ctx context.Context, conn *httpClientConn, call Call) httpExchange {
+	pastDeadline := time.Unix(1, 0)
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
+	exchange := conn.roundTrip(call)
+	if stop() && exchange.keepsConn {
+		h.putIdle(conn)
+	} else {
+		conn.Close()
+	}
+	return exchange
+}
+
+func (c *httpClientConn) roundTrip(call Call) httpExchange {
+	c.out.Reset()
+	call.appendHTTP(&c.out)
+	if _, err := c.Write(c.out.Bytes()); err != nil {
+		return httpExchange{result: lost(err), unread: true}
+	}
+	if _, err := c.reader.Peek(1); err != nil {
+		return httpExchange{result: lost(err), unread: true}
+	}
+	response, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return httpExchange{result: lost(err)}
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	if err != nil {
+		return httpExchange{result: lost(err)}
+	}
+	return httpExchange{result: httpResult(response, body), keepsConn: !response.Close}
+}
+
+// httpResult reads a response by its status.
+func httpResult(response *http.Response, body []byte) Result {
+	status := response.StatusCode
+	switch {
+	case status == http.StatusOK:
+		return Result{Outcome: Served, Body: body}
+	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
+		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // 0 where it is absent
+		return Result{Outcome: Rejected, RetryAfter: time.Duration(seconds * float64(time.Second))}
+	case status >= http.StatusInternalServerError:
+		return Result{Outcome: Failed, Text: response.Status}
+	default:
+		return Result{Outcome: InvalidRequest, Text: response.Status}
+	}
+}
+
+// appendHTTP appends the call as an HTTP/1.1 request.
+func (c *Call) appendHTTP(out *bytes.Buffer) {
+	method := http.MethodGet
+	if c.IdempotencyKey != "" || c.NotIdempotent {
+		method = http.MethodPost
+	}
+	fmt.Fprintf(out, "%s /api HTTP/1.1\r\nHost: service.internal\r\n", method)
+	fmt.Fprintf(out, "Request-Id: %s\r\n", c.ID)
+	fmt.Fprintf(out, "Request-Class: %s\r\n", c.Class)
+	fmt.Fprintf(out, "Request-Timeout: %.3f\r\n", c.Timeout.Seconds())
+	appendHTTPField(out, "Tenant", c.Tenant)
+	appendHTTPField(out, "Idempotency-Key", c.IdempotencyKey)
+	if c.ClientRetry {
+		appendHTTPField(out, "Client-Retry", "1")
+	}
+	for name, value := range c.Fields {
+		appendHTTPField(out, name, value)
+	}
+	if len(c.Body) > 0 || method == http.MethodPost {
+		appendHTTPField(out, "Content-Length", strconv.Itoa(len(c.Body)))
+	}
+	out.WriteString("\r\n")
+	out.Write(c.Body)
+}
+
+// appendHTTPField appends a header field, unless its value is empty.
+func appendHTTPField(out *bytes.Buffer, name, value string) {
+	if value != "" {
+		out.WriteString(name + ": " + value + "\r\n")
+	}
+}
--- /dev/null
+++ b/internal/peers/client_rpc.go
@@ -0,0 +1,239 @@
+package peers
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"sync/atomic"
+
+	"mothridge/internal/msgrpc"
+)
+
+// Errors that end a connection of an RPCClient.
+var (
+	errRequestFromServer = errors.New("the sidecar sent a request")
+	errDrained           = errors.New("drained")
+)
+
+// RPCClient sends its requests on one MessagePack-RPC connection at a time. It opens another one
+// when that one has ended or drains. It is safe for concurrent use.
+type RPCClient struct {
+	Addr string // of the sidecar; not to be changed after the first request
+
+	mu   sync.Mutex
+	conn *rpcClientConn
+
+	// UnexpectedMessages counts responses to ids that are not in flight, and notifications other
+	// than drain, by which the sidecar reports messages that it skipped.
+	UnexpectedMessages atomic.Int64
+}
+
+// rpcClientConn is one connection. Its goroutine reads responses until the connection fails or has
+// drained; closing the connection ends it; it is not waited for.
+type rpcClientConn struct {
+	client  *RPCClient
+	conn    net.Conn
+	writing sync.Mutex // held for each write
+
+	mu       sync.Mutex
+	nextID   uint32
+	inFlight map[uint32]chan Result
+	draining bool
+	err      error // why the connection ended
+}
+
+// Close closes the connection; requests in flight are lost.
+func (r *RPCClient) Close() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.conn != nil {
+		r.conn.conn.Close()
+		r.conn = nil
+	}
+}
+
+// connect returns the connection, or opens one where there is none that takes requests.
+func (r *RPCClient) connect(ctx context.Context) (*rpcClientConn, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.conn != nil && r.conn.usable() {
+		return r.conn, nil
+	}
+	netConn, err := new(net.Dialer).DialContext(ctx, "tcp", r.Addr)
+	if err != nil {
+		return nil, err
+	}
+	r.conn = &rpcClientConn{client: r, conn: netConn, inFlight: make(map[uint32]chan Result)}
+	go r.conn.readResponses()
+	return r.conn, nil
+}
+
+func (c *rpcClientConn) usable() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.err == nil && !c.draining
+}
+
+// Do sends a request and blocks until its response. The end of ctx cancels the request.
+func (r *RPCClient) Do(ctx context.Context, call Call) Result {
+	conn, err := r.connect(ctx)
+	if err != nil {
+		return lost(err)
+	}
+	id, done, err := conn.register()
+	if err != nil {
+		return lost(err)
+	}
+	message := call.rpc()
+	conn.write(message.Append(nil, id))
+	select {
+	case result := <-done:
+		return result
+	case <-ctx.Done():
+		conn.unregister(id)
+		conn.write(msgrpc.AppendCancel(nil, id))
+		return lost(ctx.Err())
+	}
+}
+
+// rpc is the call as MessagePack-RPC has it.
+func (c *Call) rpc() msgrpc.Call {
+	message := msgrpc.Call{
+		ID:             c.ID,
+		Class:          c.Class,
+		Tenant:         c.Tenant,
+		IdempotencyKey: c.IdempotencyKey,
+		Timeout:        c.Timeout,
+		ClientRetry:    c.ClientRetry,
+		Target:         "/api",
+		Body:           c.Body,
+	}
+	if len(c.Fields) > 0 {
+		message.Fields = make(map[string][]string, len(c.Fields))
+	}
+	for name, value := range c.Fields {
+		message.Fields[name] = []string{value}
+	}
+	return message
+}
+
+// register reserves an id for a request; done gets its result.
+func (c *rpcClientConn) register() (id uint32, done <-chan Result, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.err != nil {
+		return 0, nil, c.err
+	}
+	id = c.nextID
+	c.nextID++
+	result := make(chan Result, 1)
+	c.inFlight[id] = result
+	return id, result, nil
+}
+
+func (c *rpcClientConn) unregister(id uint32) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.inFlight, id)
+}
+
+func (c *rpcClientConn) write(message []byte) {
+	c.writing.Lock()
+	defer c.writing.Unlock()
+	_, _ = c.conn.Write(message) // the reader sees that the connection failed
+}
+
+func (c *rpcClientConn) readResponses() {
+	framer := msgrpc.NewFramer(c.conn, msgrpc.MaxResponseBytes, rpcReadTimeout)
+	for {
+		frame, err := framer.Next()
+		if err == nil {
+			err = c.handleFrame(frame)
+		}
+		if err != nil {
+			c.end(err)
+			return
+		}
+	}
+}
+
+// end completes the requests in flight as lost and closes the connection.
+func (c *rpcClientConn) end(err error) {
+	c.mu.Lock()
+	c.err = err
+	inFlight := c.inFlight
+	c.inFlight = nil
+	c.mu.Unlock()
+	for _, done := range inFlight {
+		done <- lost(err)
+	}
+	c.conn.Close()
+}
+
+// handleFrame handles a message of the sidecar; an error ends the connection.
+func (c *rpcClientConn) handleFrame(frame []byte) error {
+	message, err := msgrpc.Parse(frame)
+	if err != nil {
+		return err
+	}
+	switch message.Kind {
+	case msgrpc.Notification:
+		c.handleNotification(message)
+		return nil
+	case msgrpc.Response:
+		return c.handleResponse(message)
+	default:
+		return errRequestFromServer
+	}
+}
+
+func (c *rpcClientConn) handleNotification(message msgrpc.Message) {
+	if string(message.Method) != msgrpc.MethodDrain {
+		c.client.UnexpectedMessages.Add(1)
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.draining = true
+}
+
+// handleResponse completes a request; errDrained after the last one of a draining connection.
+func (c *rpcClientConn) handleResponse(message msgrpc.Message) error {
+	c.mu.Lock()
+	done := c.inFlight[message.ID]
+	delete(c.inFlight, message.ID)
+	drained := c.draining && len(c.inFlight) == 0
+	c.mu.Unlock()
+	if done == nil {
+		c.client.UnexpectedMessages.Add(1)
+		return nil
+	}
+	done <- rpcResult(message)
+	if drained {
+		return errDrained
+	}
+	return nil
+}
+
+// rpcResult reads a response by the kind of its fault.
+func rpcResult(message msgrpc.Message) Result {
+	if message.Fault == nil {
+		result, err := msgrpc.ParseResult(message.Result)
+		if err != nil {
+			return lost(err)
+		}
+		return Result{Outcome: Served, Body: result.Body}
+	}
+	fault, err := msgrpc.ParseFault(message.Fault)
+	if err != nil {
+		return lost(err)
+	}
+	switch fault.Kind {
+	case msgrpc.KindRefused:
+		return Result{Outcome: Rejected, RetryAfter: fault.RetryAfter, Text: fault.Text}
+	case msgrpc.KindRejected, msgrpc.KindDuplicate:
+		return Result{Outcome: InvalidRequest, Text: fault.Kind + " " + fault.Text}
+	}
+	return Result{Outcome: Failed, Text: fault.Kind + " " + fault.Text}
+}
--- a/internal/peers/discovery.go
+++ b/internal/peers/discovery.go
@@ -10,133 +10,161 @@
 	"time"
 )
 
-// Endpoint is an entry of the platform's list.
+const (
+	listPath           = "/registry/instances"
+	watchHeartbeatTime = 2 * time.Second // between an unchanged watch's empty lines
+	removedHealth      = "removed"
+)
+
+// Endpoint is an entry of the platform's endpoint list; its tags are the platform's names.
 type Endpoint struct {
 	Name        string  `json:"host"`
 	Addr        string  `json:"dial"`
 	Zone        string  `json:"site"`
 	MachineType string  `json:"class"`
 	Cell        int     `json:"block"`
-	Health      string  `json:"health"`
+	Health      string  `json:"health"` // up, draining or removed
 	Weight      float64 `json:"share"`
-	StartedAtMs int64   `json:"born_ms"`
+	StartedAtMs int64   `json:"born_ms"` // Unix time; 0: long ago
 }
 
-// Discovery stands in for the platform's discovery: the list, and watches of
-// its changes.
+// Discovery is a stand-in for the platform's discovery: the endpoint list and watches of its
+// changes. It is safe for concurrent use. Its HTTP server's goroutines end with Close.
 type Discovery struct {
-	ln     net.Listener
-	server *http.Server
-
-	mu      sync.Mutex
-	seq     uint64
-	hosts   map[string]Endpoint
-	order   []string
-	log     []change
-	changed chan struct{} // closed and made anew with each change
+	listener net.Listener
+	server   *http.Server
+
+	mu        sync.Mutex
+	version   uint64
+	endpoints map[string]Endpoint
+	names     []string // of endpoints, in the order in which they were added
+	changes   []endpointChange
+	changed   chan struct{} // closed and replaced on each change
 }
 
-type change struct {
-	seq  uint64
-	host Endpoint
+type endpointChange struct {
+	version  uint64
+	endpoint Endpoint
 }
 
-type listing struct {
-	Seq   uint64     `json:"seq"`
-	Whole bool       `json:"whole"`
-	Hosts []Endpoint `json:"hosts"`
+// endpointUpdate is a line of the platform's: the complete list, or what changed.
+type endpointUpdate struct {
+	Version   uint64     `json:"seq"`
+	Complete  bool       `json:"whole"`
+	Endpoints []Endpoint `json:"hosts"`
 }
 
-// StartDiscovery starts one on a loopback port of its own.
-func StartDiscovery(hosts ...Endpoint) (*Discovery, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// StartDiscovery starts a discovery with these endpoints on a free loopback port.
+func StartDiscovery(endpoints ...Endpoint) (*Discovery, error) {
+	listener, err := listen(loopbackAddr)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	d := &Discovery{ln: ln, hosts: make(map[string]Endpoint), changed: make(chan struct{})}
-	for _, h := range hosts {
-		d.Set(h)
+	d := &Discovery{
+		listener:  listener,
+		endpoints: make(map[string]Endpoint),
+		changed:   make(chan struct{}),
+	}
+	for _, endpoint := range endpoints {
+		d.Set(endpoint)
 	}
 	d.server = &http.Server{Handler: http.HandlerFunc(d.serve)}
-	go d.server.Serve(ln)
+	go func() { _ = d.server.Serve(listener) }()
 	return d, nil
 }
 
-// Addr is where it listens.
-func (d *Discovery) Addr() string { return d.ln.Addr().String() }
+// Addr returns the address that it listens at.
+func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// Close ends it and its watches.
+// Close ends the server and its watches.
 func (d *Discovery) Close() { d.server.Close() }
 
-// Set adds or changes an entry; health 'removed' takes it out.
-func (d *Discovery) Set(h Endpoint) {
+// Set adds or changes an endpoint by its name; health 'removed' removes it.
+func (d *Discovery) Set(endpoint Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seq++
-	if _, known := d.hosts[h.Name]; !known {
-		d.order = append(d.order, h.Name)
+	d.version++
+	if _, known := d.endpoints[endpoint.Name]; !known {
+		d.names = append(d.names, endpoint.Name)
 	}
-	d.hosts[h.Name] = h
-	d.log = append(d.log, change{d.seq, h})
+	d.endpoints[endpoint.Name] = endpoint
+	d.changes = append(d.changes, endpointChange{d.version, endpoint})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-func (d *Discovery) whole() listing {
-	l := listing{Seq: d.seq, Whole: true, Hosts: []Endpoint{}}
-	for _, name := range d.order {
-		if h := d.hosts[name]; h.Health != "removed" {
-			l.Hosts = append(l.Hosts, h)
+// completeList is called with mu held.
+func (d *Discovery) completeList() endpointUpdate {
+	update := endpointUpdate{Version: d.version, Complete: true, Endpoints: []Endpoint{}}
+	for _, name := range d.names {
+		if endpoint := d.endpoints[name]; endpoint.Health != removedHealth {
+			update.Endpoints = append(update.Endpoints, endpoint)
 		}
 	}
-	return l
+	return update
+}
+
+// changesAfter is called with mu held.
+func (d *Discovery) changesAfter(version uint64) endpointUpdate {
+	update := endpointUpdate{Version: d.version, Endpoints: []Endpoint{}}
+	for _, change := range d.changes {
+		if change.version > version {
+			update.Endpoints = append(update.Endpoints, change.endpoint)
+		}
+	}
+	return update
 }
 
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != "/registry/instances" {
+	if r.URL.Path != listPath {
 		http.NotFound(w, r)
 		return
 	}
-	out := json.NewEncoder(w) // ends each value with a line break
-	if r.URL.Query().Get("watch") == "" {
-		d.mu.Lock()
-		l := d.whole()
-		d.mu.Unlock()
-		out.Encode(l)
+	if r.URL.Query().Get("watch") != "" {
+		d.serveWatch(w, r)
 		return
 	}
+	d.mu.Lock()
+	update := d.completeList()
+	d.mu.Unlock()
+	_ = json.NewEncoder(w).Encode(update) // fails only where the client has disconnected
+}
+
+// serveWatch writes the changes after the version 'from' as they come, and empty lines as
+// heartbeats in between. A watch from 0, or from a version that is not known, begins with the
+// complete list.
+func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request) {
+	encoder := json.NewEncoder(w) // ends each value with a line break
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		from = 0
 	}
-	tick := time.NewTicker(2 * time.Second)
-	defer tick.Stop()
+	heartbeat := time.NewTicker(watchHeartbeatTime)
+	defer heartbeat.Stop()
 	for first := true; ; first = false {
-		d.mu.Lock()
-		l := listing{Seq: d.seq, Hosts: []Endpoint{}}
-		switch {
-		case from > d.seq || first && from == 0:
-			l = d.whole()
-		default:
-			for _, c := range d.log {
-				if c.seq > from {
-					l.Hosts = append(l.Hosts, c.host)
-				}
-			}
-		}
-		changed := d.changed
-		d.mu.Unlock()
-		if from = l.Seq; first || len(l.Hosts) > 0 {
-			out.Encode(l)
+		update, changed := d.nextUpdate(from, first)
+		from = update.Version
+		if first || len(update.Endpoints) > 0 {
+			_ = encoder.Encode(update) // a disconnected client ends r's context
 		} else {
 			fmt.Fprintln(w)
 		}
 		w.(http.Flusher).Flush()
 		select {
 		case <-changed:
-		case <-tick.C:
+		case <-heartbeat.C:
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
+
+// nextUpdate returns a watch's next line, and a channel that the change after it closes.
+func (d *Discovery) nextUpdate(from uint64, first bool) (endpointUpdate, <-chan struct{}) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if from > d.version || first && from == 0 {
+		return d.completeList(), d.changed
+	}
+	return d.changesAfter(from), d.changed
+}
--- /dev/null
+++ b/internal/peers/eureka_change.go
@@ -0,0 +1,160 @@
+package peers
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"maps"
+	"mime"
+	"net/http"
+	"net/url"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// maxRegistrationBytes bounds the body of a registration.
+const maxRegistrationBytes = 1 << 20
+
+// serveChange responds to a call that changes something: apps/APP, apps/APP/ID and below.
+func (e *Eureka) serveChange(w http.ResponseWriter, r *http.Request, parts []string) {
+	if len(parts) < 2 || parts[0] != "apps" {
+		http.NotFound(w, r)
+		return
+	}
+	if len(parts) > 2 {
+		e.changeInstance(w, r, parts)
+		return
+	}
+	if r.Method != http.MethodPost {
+		http.Error(w, "POST registers an instance of an app", http.StatusMethodNotAllowed)
+		return
+	}
+	e.serveRegister(w, r, parts[1])
+}
+
+// changeInstance responds to a call that changes a registered instance.
+func (e *Eureka) changeInstance(w http.ResponseWriter, r *http.Request, parts []string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	app, id := parts[1], parts[2]
+	instance := e.instances[id]
+	if instance == nil || !strings.EqualFold(instance.App, app) {
+		http.NotFound(w, r)
+		return
+	}
+	query := r.URL.Query()
+	switch call := r.Method + " " + strings.Join(parts[3:], "/"); call {
+	case "PUT ":
+		e.renew(w, instance, query)
+	case "DELETE ":
+		e.calls["cancel"]++
+		e.cancel(id)
+	case "PUT status":
+		e.overrideStatus(w, instance, query.Get("value"))
+	case "DELETE status":
+		e.removeOverride(instance, query.Get("value"))
+	case "PUT metadata":
+		e.addMetadata(instance, query)
+	default:
+		http.Error(w, "no such call: "+call, http.StatusMethodNotAllowed)
+	}
+}
+
+// renew handles a heartbeat. An instance has to register again where it has changed since its
+// registration or its status is not known.
+func (e *Eureka) renew(w http.ResponseWriter, instance *EurekaInstance, query url.Values) {
+	e.calls["renew"]++
+	lastDirtyMs, _ := strconv.ParseInt(query.Get("lastDirtyTimestamp"), 10, 64) // 0 where it is absent
+	if instance.effectiveStatus() == statusUnknown || lastDirtyMs > instance.LastDirtyMs {
+		http.Error(w, "the instance is to register anew", http.StatusNotFound)
+		return
+	}
+	instance.renewedAt = time.Now()
+}
+
+// overrideStatus sets an operator's status, which renews the lease as well.
+func (e *Eureka) overrideStatus(w http.ResponseWriter, instance *EurekaInstance, status string) {
+	e.calls["status"]++
+	if !slices.Contains(eurekaStatuses, status) {
+		message := "value is none of " + strings.Join(eurekaStatuses, ", ")
+		http.Error(w, message, http.StatusInternalServerError)
+		return
+	}
+	instance.Override = status
+	instance.renewedAt = time.Now()
+	e.recordModified(instance)
+}
+
+// removeOverride removes an operator's status. The caller may give the status from here on; else
+// it is UNKNOWN until the instance registers again.
+func (e *Eureka) removeOverride(instance *EurekaInstance, status string) {
+	e.calls["status"]++
+	instance.Override = ""
+	instance.Status = status
+	if status == "" {
+		instance.Status = statusUnknown
+	}
+	e.recordModified(instance)
+}
+
+// addMetadata sets a key for each query parameter. The map is copied, as the delta shares it.
+func (e *Eureka) addMetadata(instance *EurekaInstance, query url.Values) {
+	e.calls["metadata"]++
+	instance.Metadata = maps.Clone(instance.Metadata)
+	if instance.Metadata == nil {
+		instance.Metadata = make(map[string]string)
+	}
+	for key, values := range query {
+		instance.Metadata[key] = values[0]
+	}
+	e.recordModified(instance)
+}
+
+// serveRegister responds to the registration of an instance of an app.
+func (e *Eureka) serveRegister(w http.ResponseWriter, r *http.Request, app string) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRegistrationBytes))
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
+		return
+	}
+	instance, err := decodeInstance(body, isXML(r, body))
+	if err == nil && !strings.EqualFold(instance.App, app) {
+		err = fmt.Errorf("app is %.80q and the path says %.80q", instance.App, app)
+	}
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.calls["register"]++
+	e.registerUnlessOutdated(*instance)
+	w.WriteHeader(http.StatusNoContent)
+}
+
+// isXML reports a registration's format: by its Content-Type, or by its first byte where that
+// names neither format.
+func isXML(r *http.Request, body []byte) bool {
+	mediaType, _, _ := mime.ParseMediaType(r.Header.Get("Content-Type"))
+	if strings.Contains(mediaType, "xml") {
+		return true
+	}
+	return !strings.Contains(mediaType, "json") && bytes.HasPrefix(bytes.TrimSpace(body), []byte("<"))
+}
+
+// registerUnlessOutdated registers an instance. Two clients may register under one id: the later
+// registration of the two stays, and the other one renews its lease.
+func (e *Eureka) registerUnlessOutdated(instance EurekaInstance) {
+	registered := e.instances[instance.ID]
+	if registered != nil && isOutdated(instance, *registered) {
+		registered.renewedAt = time.Now()
+		return
+	}
+	e.register(instance)
+}
+
+func isOutdated(instance, registered EurekaInstance) bool {
+	return instance.LastDirtyMs != 0 && instance.LastDirtyMs < registered.LastDirtyMs
+}
--- /dev/null
+++ b/internal/peers/eureka_leases.go
@@ -0,0 +1,156 @@
+package peers
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// The actions of a change, as a delta has them.
+const (
+	actionAdded    = "ADDED"
+	actionModified = "MODIFIED"
+	actionDeleted  = "DELETED"
+)
+
+// maxExpiredPercent is the share of leases that may expire at once: above it, self-preservation
+// keeps them all.
+const maxExpiredPercent = 15
+
+// eurekaChange is a change in the delta, with the instance as it was then.
+type eurekaChange struct {
+	at       time.Time
+	action   string
+	instance EurekaInstance
+}
+
+// nowMs is the Unix time by the registry's clock.
+func (e *Eureka) nowMs() int64 { return time.Now().Add(e.clockSkew).UnixMilli() }
+
+// Register adds an instance or replaces the one of its id, as the instance's own call does. An
+// override stays, unless the instance brings another one.
+func (e *Eureka) Register(instance EurekaInstance) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.register(instance)
+}
+
+func (e *Eureka) register(instance EurekaInstance) {
+	previous := e.instances[instance.ID]
+	if previous == nil {
+		e.ids = append(e.ids, instance.ID)
+	}
+	e.setTimes(&instance, previous)
+	if previous != nil {
+		instance.Override = cmp.Or(instance.Override, previous.Override)
+	}
+	instance.RenewalIntervalSeconds = cmp.Or(instance.RenewalIntervalSeconds, defaultRenewalIntervalSeconds)
+	instance.LeaseDurationSeconds = cmp.Or(instance.LeaseDurationSeconds, defaultLeaseDurationSeconds)
+	e.instances[instance.ID] = &instance
+	e.recordChange(actionAdded, &instance)
+}
+
+// setTimes sets a registration's times; previous is the instance that it replaces, or nil.
+func (e *Eureka) setTimes(instance, previous *EurekaInstance) {
+	setLastDirty(instance, previous)
+	instance.LastUpdatedMs = e.nowMs()
+	instance.renewedAt = time.Now()
+	instance.registeredAtMs = e.nowMs()
+	if previous != nil {
+		instance.upSinceMs = previous.upSinceMs
+		instance.registeredAtMs = previous.registeredAtMs
+		instance.LastUpdatedMs = max(instance.LastUpdatedMs, previous.LastUpdatedMs+1)
+	}
+	if instance.upSinceMs == 0 && instance.Status == statusUp {
+		instance.upSinceMs = e.nowMs()
+	}
+}
+
+// setLastDirty sets the time of a registration that brings none, later than the previous one's.
+func setLastDirty(instance, previous *EurekaInstance) {
+	if instance.LastDirtyMs != 0 {
+		return
+	}
+	instance.LastDirtyMs = time.Now().UnixMilli()
+	if previous != nil {
+		instance.LastDirtyMs = max(instance.LastDirtyMs, previous.LastDirtyMs+1)
+	}
+}
+
+// recordChange adds a change to the delta.
+func (e *Eureka) recordChange(action string, instance *EurekaInstance) {
+	e.version++
+	e.delta = append(e.delta, eurekaChange{time.Now(), action, *instance})
+}
+
+// recordModified records the change of a registered instance.
+func (e *Eureka) recordModified(instance *EurekaInstance) {
+	instance.LastUpdatedMs = max(e.nowMs(), instance.LastUpdatedMs+1)
+	e.recordChange(actionModified, instance)
+}
+
+// Override sets an operator's status; "" removes it. It returns false where the id is not known.
+func (e *Eureka) Override(id, status string) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	instance := e.instances[id]
+	if instance == nil {
+		return false
+	}
+	instance.Override = status
+	e.recordModified(instance)
+	return true
+}
+
+// Cancel removes an instance. It returns false where the id is not known.
+func (e *Eureka) Cancel(id string) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.cancel(id)
+}
+
+func (e *Eureka) cancel(id string) bool {
+	instance := e.instances[id]
+	if instance == nil {
+		return false
+	}
+	delete(e.instances, id)
+	e.ids = slices.DeleteFunc(e.ids, func(other string) bool { return other == id })
+	instance.LastUpdatedMs = max(e.nowMs(), instance.LastUpdatedMs+1)
+	e.recordChange(actionDeleted, instance)
+	return true
+}
+
+// evict removes old changes from the delta, and instances whose lease has expired. It removes no
+// instance while more than maxExpiredPercent of them have expired (self-preservation).
+func (e *Eureka) evict() {
+	e.pruneDelta()
+	e.preserving = false
+	if e.leaseDuration == 0 {
+		return
+	}
+	expired := e.expiredIDs()
+	tooMany := len(expired)*100 > len(e.instances)*maxExpiredPercent
+	if tooMany && len(e.instances) > 1 {
+		e.preserving = true
+		return
+	}
+	for _, id := range expired {
+		e.cancel(id)
+	}
+}
+
+func (e *Eureka) pruneDelta() {
+	oldest := time.Now().Add(-deltaRetention)
+	e.delta = slices.DeleteFunc(e.delta, func(change eurekaChange) bool { return change.at.Before(oldest) })
+}
+
+func (e *Eureka) expiredIDs() []string {
+	var expired []string
+	for id, instance := range e.instances {
+		if time.Since(instance.renewedAt) > e.leaseDuration {
+			expired = append(expired, id)
+		}
+	}
+	return expired
+}
--- a/internal/peers/ledger.go
+++ b/internal/peers/ledger.go
@@ -1,84 +1,89 @@
-// Package peers has stand-ins for what a sidecar talks to: clients, nodes and
-// the platform's discovery, over real loopback sockets. Nodes play scripted
-// faults, and a ledger holds what clients and nodes saw, so that the two can be
-// compared. Tests, benchmarks and 'sidecar try' use them; the sidecar does not.
 package peers
 
 import (
 	"fmt"
+	"slices"
 	"sync"
 	"time"
 )
 
-// Ledger holds what nodes ran, by request. It is safe for concurrent use.
+// Ledger records which requests reached upstreams and which of their effects were executed.
+// It is safe for concurrent use and grows with each request.
 type Ledger struct {
-	mu    sync.Mutex
-	tries map[string]int // requests that reached a node whole, by id
-	runs  map[string]int // those whose effect ran, by id or, for a keyed request, by key
-	sends map[string][]time.Time
-	keep  bool
+	keepTimes bool
+
+	mu           sync.Mutex
+	attempts     map[string]int // requests read to their end by an upstream, by id
+	executions   map[string]int // executed effects, by id or, for a keyed request, by key
+	attemptTimes map[string][]time.Time
 }
 
-// NewLedger makes an empty one. With times it also keeps when each node was
-// sent something, which grows with the load.
-func NewLedger(times bool) *Ledger {
-	return &Ledger{tries: make(map[string]int), runs: make(map[string]int), sends: make(map[string][]time.Time), keep: times}
+// NewLedger makes an empty ledger. With keepTimes it also keeps the time of each attempt by upstream.
+func NewLedger(keepTimes bool) *Ledger {
+	return &Ledger{
+		keepTimes:    keepTimes,
+		attempts:     make(map[string]int),
+		executions:   make(map[string]int),
+		attemptTimes: make(map[string][]time.Time),
+	}
 }
 
-// arrive notes that a request reached a node whole, and says how often it did by now.
-func (l *Ledger) arrive(node, id string, at time.Time) int {
+// recordAttempt records that a request reached an upstream and returns its attempts so far.
+func (l *Ledger) recordAttempt(upstream, id string, at time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tries[id]++
-	if l.keep {
-		l.sends[node] = append(l.sends[node], at)
+	l.attempts[id]++
+	if l.keepTimes {
+		l.attemptTimes[upstream] = append(l.attemptTimes[upstream], at)
 	}
-	return l.tries[id]
+	return l.attempts[id]
 }
 
-// run notes that a node ran a request's effect. Nodes remember keys in common,
-// as where the scope of a keyed class is all: a repeat runs no effect.
-func (l *Ledger) run(c Call) {
+// recordExecution records that an upstream executed a request's effect. Upstreams share the
+// idempotency keys that they have seen, as in the deduplication scope 'all': the repeat of a key
+// has no effect.
+func (l *Ledger) recordExecution(call Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.IdempotencyKey == "" {
-		l.runs[c.ID]++
-	} else if l.runs["key "+c.IdempotencyKey] == 0 {
-		l.runs["key "+c.IdempotencyKey]++
+	if call.IdempotencyKey == "" {
+		l.executions[call.ID]++
+		return
 	}
+	l.executions["key "+call.IdempotencyKey] = 1
 }
 
-// Attempts says how often a request reached a node.
+// Attempts returns how often a request reached an upstream.
 func (l *Ledger) Attempts(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tries[id]
+	return l.attempts[id]
 }
 
-// Executions says how often a request's effect ran.
+// Executions returns how often the effect of a request without an idempotency key was executed.
 func (l *Ledger) Executions(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.runs[id]
+	return l.executions[id]
 }
 
-// ExecutedTwice lists the ids of which more than one effect ran, among those that
-// unsafe says must not be repeated.
-func (l *Ledger) ExecutedTwice(unsafe func(id string) bool) []string {
+// ExecutedTwice describes, in no order, the requests that were executed more than once although
+// notIdempotent says that they must not be.
+func (l *Ledger) ExecutedTwice(notIdempotent func(id string) bool) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var ids []string
-	for id, n := range l.runs {
-		if n > 1 && unsafe(id) {
-			ids = append(ids, fmt.Sprintf("%s ran %d times", id, n))
+	var descriptions []string
+	for id, count := range l.executions {
+		if count > 1 && notIdempotent(id) {
+			descriptions = append(descriptions, fmt.Sprintf("%s ran %d times", id, count))
 		}
 	}
-	return ids
+	return descriptions
 }
 
-// AttemptTimes gives the times at which a node was sent something, in order of arrival.
-func (l *Ledger) AttemptTimes(node string) []time.Time {
+// AttemptTimes returns when requests reached an upstream, in order of arrival; none without
+// NewLedger's keepTimes.
+func (l *Ledger) AttemptTimes(upstream string) []time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]time.Time(nil), l.sends[node]...)
+	return slices.Clone(l.attemptTimes[upstream])
 }
--- /dev/null
+++ b/internal/peers/upstream_rpc.go
@@ -0,0 +1,196 @@
+package peers
+
+import (
+	"net"
+	"strings"
+	"sync"
+	"time"
+
+	"mothridge/internal/msgrpc"
+)
+
+const (
+	rpcReadTimeout = 10 * time.Second // for the rest of a frame that has begun
+	rpcHangTime    = time.Hour        // after which Hang responds after all
+	// unsolicitedIDOffset is added to a request's id for a response that belongs to no request.
+	unsolicitedIDOffset = 1000
+)
+
+// rpcServerConn is one connection of a MessagePack-RPC upstream. Its reader responds to a request
+// that needs no wait; each other request has a goroutine, which ends with its response, its
+// cancellation, the connection or the upstream. serveRPC waits for them.
+type rpcServerConn struct {
+	upstream *Upstream
+	conn     net.Conn
+	closed   chan struct{} // closed when the reader ends
+	wg       sync.WaitGroup
+
+	mu        sync.Mutex
+	cancelled map[uint32]chan struct{} // of waiting requests, by id; closed on a cancel notification
+}
+
+// serveRPC serves one connection of MessagePack-RPC.
+func (u *Upstream) serveRPC(conn net.Conn) {
+	framer := msgrpc.NewFramer(conn, msgrpc.MaxRequestBytes, rpcReadTimeout)
+	c := &rpcServerConn{
+		upstream:  u,
+		conn:      conn,
+		closed:    make(chan struct{}),
+		cancelled: make(map[uint32]chan struct{}),
+	}
+	defer c.wg.Wait()
+	defer close(c.closed)
+	for {
+		frame, err := framer.Next()
+		if err != nil {
+			return
+		}
+		message, err := msgrpc.Parse(frame)
+		if err != nil {
+			return
+		}
+		if !c.handleMessage(message) {
+			return
+		}
+	}
+}
+
+// handleMessage handles one message; false ends the connection.
+func (c *rpcServerConn) handleMessage(message msgrpc.Message) bool {
+	if message.Kind == msgrpc.Notification && string(message.Method) == msgrpc.MethodCancel {
+		c.handleCancel(message)
+		return true
+	}
+	if message.Kind != msgrpc.Request {
+		return true
+	}
+	if string(message.Method) == msgrpc.MethodProbe {
+		report := msgrpc.Result{InFlight: float64(c.upstream.inFlight.Load())}
+		return c.write(report.Append(nil, message.ID))
+	}
+	request, err := msgrpc.ParseCall(message.Params)
+	if err != nil {
+		return c.writeFault(message.ID, msgrpc.Fault{Kind: msgrpc.KindRejected, Text: err.Error()})
+	}
+	return c.handleCall(message.ID, rpcCall(request))
+}
+
+func (c *rpcServerConn) handleCancel(message msgrpc.Message) {
+	c.upstream.cancels.Add(1)
+	id, err := msgrpc.ParseCancel(message.Params)
+	if err != nil || c.upstream.ignoreCancels.Load() {
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if cancelled := c.cancelled[id]; cancelled != nil {
+		delete(c.cancelled, id)
+		close(cancelled)
+	}
+}
+
+func rpcCall(request *msgrpc.Call) Call {
+	return Call{
+		ID:             request.ID,
+		Class:          request.Class,
+		Tenant:         request.Tenant,
+		IdempotencyKey: request.IdempotencyKey,
+		Timeout:        request.Timeout,
+		Body:           request.Body,
+		Field:          func(name string) string { return strings.Join(request.Fields[name], ",") },
+	}
+}
+
+// handleCall carries out what the script decides for a request; false ends the connection.
+func (c *rpcServerConn) handleCall(id uint32, call Call) bool {
+	c.upstream.inFlight.Add(1)
+	response := c.upstream.decide(call)
+	if respondsAtOnce(response) {
+		defer c.upstream.inFlight.Add(-1)
+		return c.respond(id, response)
+	}
+	cancelled := make(chan struct{})
+	c.mu.Lock()
+	c.cancelled[id] = cancelled
+	c.mu.Unlock()
+	c.wg.Go(func() {
+		defer c.upstream.inFlight.Add(-1)
+		c.respondLater(id, response, cancelled)
+	})
+	return true
+}
+
+func respondsAtOnce(response Response) bool {
+	return response.Action != Hang && response.Delay == 0 && response.Wait == nil
+}
+
+// respondLater responds after the response's delay or wait, unless the request is cancelled before.
+func (c *rpcServerConn) respondLater(id uint32, response Response, cancelled <-chan struct{}) {
+	if response.Action == Hang {
+		response.Delay = rpcHangTime
+	}
+	timer := time.NewTimer(response.Delay)
+	defer timer.Stop()
+	ready := timer.C
+	if response.Wait != nil {
+		waited := make(chan time.Time, 1)
+		ready = waited
+		c.wg.Go(func() {
+			response.Action = response.Wait(cancelled)
+			waited <- time.Time{}
+		})
+	}
+	select {
+	case <-ready:
+		c.mu.Lock()
+		delete(c.cancelled, id)
+		c.mu.Unlock()
+		if !c.respond(id, response) {
+			c.conn.Close()
+		}
+	case <-cancelled:
+		c.writeFault(id, msgrpc.Fault{Kind: msgrpc.KindCancelled})
+	case <-c.closed:
+	case <-c.upstream.closing:
+	}
+}
+
+// respond carries out a response action; false ends the connection.
+func (c *rpcServerConn) respond(id uint32, response Response) bool {
+	result := msgrpc.Result{Body: response.Body, InFlight: -1}
+	switch response.Action {
+	case Error:
+		return c.writeFault(id, msgrpc.Fault{Kind: msgrpc.KindError})
+	case Reject:
+		return c.writeFault(id, msgrpc.Fault{Kind: msgrpc.KindNotStarted})
+	case Reset:
+		resetOnClose(c.conn)
+		return false
+	case Truncate:
+		message := result.Append(nil, id)
+		c.write(message[:min(response.TruncateAt, len(message)-1)])
+		return false
+	case Duplicate:
+		second := msgrpc.Result{Body: []byte(duplicateBody), InFlight: -1}
+		return c.write(second.Append(result.Append(nil, id), id))
+	case Unsolicited:
+		unsolicited := msgrpc.Result{Body: []byte(unsolicitedBody), InFlight: -1}
+		return c.write(result.Append(unsolicited.Append(nil, id+unsolicitedIDOffset), id))
+	case Malformed:
+		c.write([]byte{0xc1, 0xc1, 0xc1}) // 0xc1 is never used in MessagePack
+		return false
+	default:
+		c.upstream.served.Add(1)
+		return c.write(result.Append(nil, id))
+	}
+}
+
+func (c *rpcServerConn) writeFault(id uint32, fault msgrpc.Fault) bool {
+	return c.write(fault.Append(nil, id))
+}
+
+// write writes with one call, so that messages of different goroutines do not mix.
+func (c *rpcServerConn) write(message []byte) bool {
+	_, err := c.conn.Write(message)
+	return err == nil
+}
