--- /dev/null
+++ b/internal/peers/peertest/discovery.go
@@ -0,0 +1,109 @@
+package peertest
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+)
+
+// ListPath is the path of the platform's endpoint list.
+const ListPath = "/registry/instances"
+
+// discoveryChannelSize is the buffer of a Discovery's channels.
+const discoveryChannelSize = 10
+
+// Discovery is a discovery of the platform's whose responses the test writes.
+type Discovery struct {
+	Addr          string
+	Watches       chan *Watch
+	ListResponses chan string // bodies for calls of the complete list, one each, in order
+	ListRequests  chan string // the query of each call of the complete list
+}
+
+// Watch is a watch request that is open. The test writes to it until it closes Lines or the client
+// disconnects.
+type Watch struct {
+	From  string        // the query's from
+	Lines chan string   // written with a line break
+	Bytes chan string   // written as they are
+	Ended chan struct{} // closed when the response has ended
+}
+
+// NewDiscovery starts a discovery on a free loopback port.
+func NewDiscovery(t testing.TB) *Discovery {
+	t.Helper()
+	listener := Listen(t)
+	d := &Discovery{
+		Addr:          listener.Addr().String(),
+		Watches:       make(chan *Watch, discoveryChannelSize),
+		ListResponses: make(chan string, discoveryChannelSize),
+		ListRequests:  make(chan string, discoveryChannelSize),
+	}
+	server := &http.Server{Handler: http.HandlerFunc(d.serve)}
+	go func() { _ = server.Serve(listener) }()
+	t.Cleanup(func() { server.Close() })
+	return d
+}
+
+func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path != ListPath {
+		http.NotFound(w, r)
+		return
+	}
+	if r.URL.Query().Get("watch") != "" {
+		d.serveWatch(w, r)
+		return
+	}
+	d.ListRequests <- r.URL.RawQuery
+	select {
+	case text := <-d.ListResponses:
+		_, _ = io.WriteString(w, text) // fails only where the client has disconnected
+	case <-r.Context().Done():
+	}
+}
+
+func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request) {
+	watch := &Watch{
+		From:  r.URL.Query().Get("from"),
+		Lines: make(chan string),
+		Bytes: make(chan string),
+		Ended: make(chan struct{}),
+	}
+	defer close(watch.Ended)
+	w.WriteHeader(http.StatusOK)
+	w.(http.Flusher).Flush()
+	d.Watches <- watch
+	for {
+		text, ok := watch.next(r)
+		if !ok {
+			return
+		}
+		_, _ = io.WriteString(w, text) // a disconnected client ends r's context
+		w.(http.Flusher).Flush()
+	}
+}
+
+// next returns what to write; false: the watch has ended.
+func (w *Watch) next(r *http.Request) (text string, ok bool) {
+	select {
+	case line, open := <-w.Lines:
+		return line + "\n", open
+	case text := <-w.Bytes:
+		return text, true
+	case <-r.Context().Done():
+		return "", false
+	}
+}
+
+// HostText returns an entry of the platform's list. startedAtMs is Unix time.
+func HostText(name, addr, health string, startedAtMs int64) string {
+	const entry = `{"host":%q,"dial":%q,"site":"a","block":3,"health":%q,"share":1.0,"born_ms":%d}`
+	return fmt.Sprintf(entry, name, addr, health, startedAtMs)
+}
+
+// ListText returns an update of the platform's with these entries.
+func ListText(version int, complete bool, entries ...string) string {
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, complete, strings.Join(entries, ","))
+}
