--- a/internal/peers/eureka_test.go
+++ b/internal/peers/eureka_test.go
@@ -11,155 +11,136 @@
 	"time"
 )
 
-// The calls of docs/protocol/eureka.md, in its order; each goes on from those before it.
-var eurekaCalls = []struct {
-	name, call string // method and path below the base
-	kind       string // json or xml: what is sent and asked for
-	body       string
-	status     int
-	want       string // in the answer; with -: not in it
-}{
-	{"register JSON", "POST apps/records", "json", `{"instance":` + registrationJSON + `}`, 204, ""},
-	{"register XML", "POST apps/RECORDS", "xml", `<?xml version="1.0"?><instance><instanceId>x/2</instanceId><hostName>h2</hostName><app>records</app><ipAddr>127.0.0.2</ipAddr>
-		<vipAddress>records</vipAddress><status>UP</status><port enabled="true">1234</port><countryId>1</countryId><homePageUrl>http://127.0.0.2/</homePageUrl>
-		<dataCenterInfo class="x"><name>MyOwn</name></dataCenterInfo><leaseInfo><renewalIntervalInSecs>30</renewalIntervalInSecs></leaseInfo>
-		<metadata><zone>a</zone></metadata></instance>`, 204, ""},
-	{"register numbers as texts", "POST apps/RECORDS", "json", strings.NewReplacer(`:1234`, `:"1234"`, `"countryId":1`, `"countryId":"1"`, `r1`, `r3`).Replace(`{"instance":` + registrationJSON + `}`), 204, ""},
-	{"register without an id", "POST apps/RECORDS", "json", strings.NewReplacer(`"instanceId":"r1",`, ``, `h1`, `h4`).Replace(`{"instance":` + registrationJSON + `}`), 204, ""},
-	{"register by the body's look", "POST apps/RECORDS", "", ` <instance><hostName>h5</hostName><app>RECORDS</app><ipAddr>127.0.0.5</ipAddr><dataCenterInfo><name>MyOwn</name></dataCenterInfo></instance>`, 204, ""},
-	{"register JSON announced as XML", "POST apps/RECORDS", "xml", `{"instance":` + registrationJSON + `}`, 400, "cannot be read"},
-	{"register no host", "POST apps/RECORDS", "json", `{"instance":{"instanceId":"r9","app":"RECORDS"}}`, 400, "hostName is missing"},
-	{"register another app", "POST apps/OTHER", "json", `{"instance":` + registrationJSON + `}`, 400, "the path says"},
-	{"register an unknown status", "POST apps/RECORDS", "json", strings.Replace(`{"instance":`+registrationJSON+`}`, `"UP"`, `"FINE"`, 1), 400, "OUT_OF_SERVICE"},
-	{"register with a document type", "POST apps/RECORDS", "xml", `<!DOCTYPE a [<!ENTITY a "b">]><instance/>`, 400, "document type"},
-	{"register too much", "POST apps/RECORDS", "json", `{"instance":"` + strings.Repeat("x", 1<<20) + `"}`, 413, ""},
-	{"register older news", "POST apps/RECORDS", "json", strings.NewReplacer(`:"50"`, `:"49"`, `:1234`, `:4321`).Replace(`{"instance":` + registrationJSON + `}`), 204, ""},
-	{"renew", "PUT apps/RECORDS/r1?status=UP&lastDirtyTimestamp=50", "json", "", 200, ""},
-	{"renew what is not held", "PUT apps/RECORDS/none", "json", "", 404, ""},
-	{"renew newer news", "PUT apps/RECORDS/r1?lastDirtyTimestamp=51", "json", "", 404, "register anew"},
-	{"apps JSON", "GET apps", "json", "", 200, `{"applications":{"versions__delta":"5","apps__hashcode":"UP_5_","application":[{"name":"RECORDS","instance":[{"instanceId":"r1",`},
-	{"apps XML", "GET apps", "xml", "", 200, `<applications><versions__delta>5</versions__delta><apps__hashcode>UP_5_</apps__hashcode><application><name>RECORDS</name><instance><instanceId>r1</instanceId>`},
-	{"delta", "GET apps/delta", "json", "", 200, `"actionType":"ADDED"`},
-	{"app JSON", "GET apps/RECORDS", "json", "", 200, `{"application":{"name":"RECORDS"`},
-	{"app XML", "GET apps/records", "xml", "", 200, `<application><name>RECORDS</name>`},
-	{"no such app", "GET apps/NONE", "json", "", 404, ""},
-	{"instance JSON", "GET apps/RECORDS/r1", "json", "", 200, `{"instance":{"instanceId":"r1","hostName":"h1","app":"RECORDS","ipAddr":"127.0.0.1","status":"UP","overriddenStatus":"UNKNOWN","port":{"$":1234,"@enabled":"true"},"securePort":{"$":443,"@enabled":"false"},"countryId":1,"dataCenterInfo":{"@class":"com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo","name":"MyOwn"},"leaseInfo":{"renewalIntervalInSecs":30,`},
-	{"instance XML", "GET apps/RECORDS/x%2F2", "xml", "", 200, `<instance><instanceId>x/2</instanceId><hostName>h2</hostName><app>RECORDS</app><ipAddr>127.0.0.2</ipAddr><status>UP</status><overriddenstatus>UNKNOWN</overriddenstatus><port enabled="true">1234</port>`},
-	{"instance of another app", "GET apps/OTHER/r1", "json", "", 404, ""},
-	{"instance by id", "GET instances/r1", "json", "", 200, `"metadata":{"@class":"java.util.Collections$EmptyMap"}`},
-	{"vip", "GET vips/records", "json", "", 200, `{"applications":{`},
-	{"secure vip", "GET svips/safe", "json", "", 200, `"secureVipAddress":"safe"`},
-	{"no such vip", "GET vips/none", "json", "", 404, ""},
-	{"out of service", "PUT apps/RECORDS/r1/status?value=OUT_OF_SERVICE", "json", "", 200, ""},
-	{"out of service", "GET apps/delta", "xml", "", 200, `<status>OUT_OF_SERVICE</status><overriddenstatus>OUT_OF_SERVICE</overriddenstatus>`},
-	{"out of service", "POST apps/RECORDS", "json", `{"instance":` + registrationJSON + `}`, 204, ""},
-	{"out of service", "GET instances/r1", "json", "", 200, `"status":"OUT_OF_SERVICE"`},
-	{"unknown status", "PUT apps/RECORDS/r1/status?value=FINE", "json", "", 500, "none of"},
-	{"back in service", "DELETE apps/RECORDS/r1/status?value=UP", "json", "", 200, ""},
-	{"back in service", "GET instances/r1", "json", "", 200, `"status":"UP","overriddenStatus":"UNKNOWN"`},
-	{"back in service", "DELETE apps/RECORDS/r1/status", "json", "", 200, ""},
-	{"back in service", "PUT apps/RECORDS/r1", "json", "", 404, ""},
-	{"metadata", "PUT apps/RECORDS/r1/metadata?weight=3", "json", "", 200, ""},
-	{"metadata", "GET instances/r1", "xml", "", 200, `<metadata><weight>3</weight></metadata>`},
-	{"metadata of nothing", "PUT apps/RECORDS/none/metadata?weight=3", "json", "", 404, ""},
-	{"cancel", "DELETE apps/RECORDS/r1", "json", "", 200, ""},
-	{"cancel", "GET apps", "json", "", 200, `-"r1"`},
-	{"cancel twice", "DELETE apps/RECORDS/r1", "json", "", 404, ""},
-	{"no such call", "PATCH apps/RECORDS/r3", "json", "", 405, "no such call"},
-	{"no such path", "GET people", "json", "", 404, ""},
-	{"base of Spring", "GET /eureka/apps", "json", "", 200, `{"applications"`},
+// TestEurekaAPI checks each call, and that the calls are those of docs/protocol/eureka.md.
+func TestEurekaAPI(t *testing.T) {
+	registry := startEureka(t)
+	tested := make(map[string]bool)
+	for _, test := range eurekaCalls {
+		tested[test.name] = true
+		method, path, _ := strings.Cut(test.call, " ")
+		status, body := callEureka(t, method, callURL(registry, path), test.format, test.body)
+		unwanted, inverted := strings.CutPrefix(test.want, "-")
+		matches := strings.Contains(body, unwanted) != inverted
+		if status != test.status || !matches {
+			t.Errorf("%s: %s: %d %.600s; want %d %s", test.name, test.call, status, body, test.status, test.want)
+		}
+	}
+	documented := documentedCalls(t)
+	for name := range documented {
+		if !tested[name] {
+			t.Errorf("the page's row %q has no test", name)
+		}
+	}
+	for name := range tested {
+		if !documented[name] {
+			t.Errorf("the page has no row %q", name)
+		}
+	}
 }
 
-const registrationJSON = `{"instanceId":"r1","hostName":"h1","app":"RECORDS","ipAddr":"127.0.0.1","vipAddress":"records,others","secureVipAddress":"safe","status":"UP",
-	"port":{"$":1234,"@enabled":"true"},"securePort":{"$":"443","@enabled":"false"},"countryId":1,"dataCenterInfo":{"@class":"x","name":"MyOwn"},
-	"leaseInfo":{"renewalIntervalInSecs":30,"durationInSecs":90},"metadata":{},"homePageUrl":"http://127.0.0.1/","lastDirtyTimestamp":"50","later":[1]}`
-
-func TestEurekaAPI(t *testing.T) {
-	e, err := StartEureka("")
+func startEureka(t *testing.T) *Eureka {
+	t.Helper()
+	registry, err := StartEureka("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer e.Close()
-	named := make(map[string]bool)
-	for _, c := range eurekaCalls {
-		named[c.name] = true
-		method, path, _ := strings.Cut(c.call, " ")
-		url := e.URL() + "/" + path
-		if path[0] == '/' {
-			url = strings.TrimSuffix(e.URL(), "/eureka/v2") + path
-		}
-		status, body := callEureka(t, method, url, c.kind, c.body)
-		unwanted, not := strings.CutPrefix(c.want, "-")
-		if status != c.status || not == strings.Contains(body, unwanted) {
-			t.Errorf("%s: %s: %d %.600s; want %d %s", c.name, c.call, status, body, c.status, c.want)
-		}
+	t.Cleanup(registry.Close)
+	return registry
+}
+
+// callURL resolves a path: one that begins with / has its own base.
+func callURL(registry *Eureka, path string) string {
+	if strings.HasPrefix(path, "/") {
+		return strings.TrimSuffix(registry.URL(), eurekaV2Path) + path
 	}
+	return registry.URL() + "/" + path
+}
+
+// documentedCalls returns the names in the first column of the page's table of calls.
+func documentedCalls(t *testing.T) map[string]bool {
+	t.Helper()
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "protocol", "eureka.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	calls, _, _ := strings.Cut(string(page), "## What is read")
-	for _, row := range regexp.MustCompile(`(?m)^\| ([^|`+"`"+`]+) \|`).FindAllStringSubmatch(calls, -1) {
-		if name := row[1]; name != "test" && name != "---" && !named[name] {
-			t.Errorf("the page's row %q has no test", name)
+	firstColumn := regexp.MustCompile("(?m)^\\| ([^|`]+) \\|")
+	names := make(map[string]bool)
+	for _, row := range firstColumn.FindAllStringSubmatch(calls, -1) {
+		name := row[1]
+		if name == "test" || name == "---" {
+			continue
 		}
-		delete(named, row[1])
-	}
-	for name := range named {
-		t.Errorf("the page has no row %q", name)
+		if names[name] {
+			t.Errorf("the page has row %q twice", name)
+		}
+		names[name] = true
 	}
+	return names
 }
 
-func callEureka(t *testing.T, method, url, kind, body string) (status int, answer string) {
+func callEureka(t *testing.T, method, url, format, body string) (status int, response string) {
 	t.Helper()
-	r, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if kind != "" {
-		r.Header.Set("Content-Type", "application/"+kind+"; charset=utf-8")
-		r.Header.Set("Accept", "application/"+kind)
+	if format != "" {
+		request.Header.Set("Content-Type", "application/"+format+"; charset=utf-8")
+		request.Header.Set("Accept", "application/"+format)
 	}
-	resp, err := http.DefaultClient.Do(r)
+	result, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
+	defer result.Body.Close()
+	text, err := io.ReadAll(result.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return resp.StatusCode, string(text)
+	return result.StatusCode, string(text)
 }
 
-// A client that renews what was evicted is told to register anew. Two clients
-// under one id share one entry, and the newer news of the two stand.
-func TestEurekaEvictionAndTwoUnderOneID(t *testing.T) {
-	e, err := StartEureka("")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer e.Close()
-	register := func(port, dirty string) {
-		t.Helper()
-		body := strings.NewReplacer(":1234", ":"+port, `"50"`, `"`+dirty+`"`).Replace(`{"instance":` + registrationJSON + `}`)
-		if status, text := callEureka(t, "POST", e.URL()+"/apps/RECORDS", "json", body); status != 204 {
-			t.Fatal(status, text)
-		}
+// registerPort registers r1 with a port and a lastDirtyTimestamp.
+func registerPort(t *testing.T, registry *Eureka, port, lastDirtyMs string) {
+	t.Helper()
+	replacer := strings.NewReplacer(":1234", ":"+port, `"50"`, `"`+lastDirtyMs+`"`)
+	body := replacer.Replace(registration)
+	status, response := callEureka(t, http.MethodPost, registry.URL()+"/apps/RECORDS", "json", body)
+	if status != http.StatusNoContent {
+		t.Fatal(status, response)
 	}
-	register("1111", "60")
-	register("2222", "50")
-	register("1111", "61")
-	if i, _ := e.Instance("r1"); i.Port != 1111 || i.LastDirtyMs != 61 || e.Calls("register") != 3 {
-		t.Errorf("two under one id: %+v", i)
+}
+
+func renewR1(t *testing.T, registry *Eureka) (status int) {
+	t.Helper()
+	status, _ = callEureka(t, http.MethodPut, registry.URL()+"/apps/RECORDS/r1", "json", "")
+	return status
+}
+
+// Two clients under one id share one entry, which the later registration of the two sets.
+func TestEurekaTwoClientsUnderOneID(t *testing.T) {
+	registry := startEureka(t)
+	registerPort(t, registry, "1111", "60")
+	registerPort(t, registry, "2222", "50")
+	registerPort(t, registry, "1111", "61")
+	instance, _ := registry.Instance("r1")
+	if instance.Port != 1111 || instance.LastDirtyMs != 61 || registry.Calls("register") != 3 {
+		t.Errorf("two under one id: %+v", instance)
 	}
-	e.SetLeaseDuration(time.Nanosecond)
-	if status, _ := callEureka(t, "PUT", e.URL()+"/apps/RECORDS/r1", "json", ""); status != 404 {
+}
+
+// The renewal of an evicted instance fails until the instance has registered again.
+func TestEurekaRenewalAfterEviction(t *testing.T) {
+	registry := startEureka(t)
+	registerPort(t, registry, "1111", "61")
+	registry.SetLeaseDuration(time.Nanosecond)
+	if status := renewR1(t, registry); status != http.StatusNotFound {
 		t.Errorf("renewed after its eviction: %d", status)
 	}
-	e.SetLeaseDuration(time.Hour)
-	register("1111", "61")
-	if status, _ := callEureka(t, "PUT", e.URL()+"/apps/RECORDS/r1", "json", ""); status != 200 {
+	registry.SetLeaseDuration(time.Hour)
+	registerPort(t, registry, "1111", "61")
+	if status := renewR1(t, registry); status != http.StatusOK {
 		t.Errorf("renewed after registering anew: %d", status)
 	}
 }
