--- a/internal/peers/eureka.go
+++ b/internal/peers/eureka.go
@@ -129,7 +129,7 @@
 	e.dialect = dialect
 }
 
-// SetClockSkew sets how far the registry's clock is ahead of the real one; negative: behind it.
+// SetClockSkew sets how far the registry's clock differs from the real one; positive: ahead of it.
 func (e *Eureka) SetClockSkew(skew time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/peers/eureka_change.go
+++ b/internal/peers/eureka_change.go
@@ -74,7 +74,7 @@
 	instance.renewedAt = time.Now()
 }
 
-// overrideStatus sets an operator's status, which renews the lease as well.
+// overrideStatus sets an operator's status, which also renews the lease.
 func (e *Eureka) overrideStatus(w http.ResponseWriter, instance *EurekaInstance, status string) {
 	e.calls["status"]++
 	if !slices.Contains(eurekaStatuses, status) {
--- a/internal/peers/eureka_instance.go
+++ b/internal/peers/eureka_instance.go
@@ -54,7 +54,7 @@
 	defaultLeaseDurationSeconds   = 90
 )
 
-// effectiveStatus is the status in responses. An operator's override has precedence over the
+// effectiveStatus is the status in responses. An operator's override replaces the
 // instance's own status, unless the instance reports that it cannot serve.
 func (i *EurekaInstance) effectiveStatus() string {
 	overridden := i.Override != "" && i.Override != statusUnknown
--- a/internal/peers/peertest/call.go
+++ b/internal/peers/peertest/call.go
@@ -14,7 +14,7 @@
 	Timeout string // seconds; default 4.5
 	ID      string // default: the test's name
 	Body    string
-	Header  http.Header // set over the other fields; a nil value removes a field
+	Header  http.Header // replaces the other fields; a nil value removes a field
 }
 
 // methodOfClass is the HTTP method of a request by its class.
--- a/internal/peers/peertest/peertest.go
+++ b/internal/peers/peertest/peertest.go
@@ -1,4 +1,4 @@
-// Package peertest has helpers for tests over real sockets: an upstream and a discovery whose
+// Package peertest has helpers for tests on real sockets: an upstream and a discovery whose
 // responses the test writes byte by byte, a listener that accepts no connection, and a client's
 // requests. Package peers has stand-ins that respond by themselves.
 //
--- a/internal/peers/peertest/upstream.go
+++ b/internal/peers/peertest/upstream.go
@@ -25,7 +25,7 @@
 	Addr     string
 	Requests chan Received
 	Accepted chan net.Conn
-	Closed   chan net.Conn // connections that the other side has closed, or that sent no HTTP
+	Closed   chan net.Conn // connections that the other side has closed, or that carried no HTTP
 }
 
 // Respond returns the bytes to write for a request, and whether to close the connection afterwards.
--- a/internal/peers/script.go
+++ b/internal/peers/script.go
@@ -17,7 +17,7 @@
 	Class          string
 	Tenant         string
 	IdempotencyKey string
-	NotIdempotent  bool          // over HTTP: POST without a key
+	NotIdempotent  bool          // in HTTP: POST without a key
 	Timeout        time.Duration // time left until the client's deadline
 	Body           []byte
 	Fields         map[string]string // a client's further header fields
@@ -25,8 +25,8 @@
 
 	// Attempt is set at an upstream with a ledger: how often the request has reached one, from 1.
 	Attempt int
-	// Field is set at an upstream. It returns a header field's value: the first one over HTTP,
-	// all of them joined by commas over MessagePack-RPC, "" where there is none.
+	// Field is set at an upstream. It returns a header field's value: the first one in HTTP,
+	// all of them joined by commas in MessagePack-RPC, "" where there is none.
 	Field func(name string) string
 }
 
@@ -43,7 +43,7 @@
 	Truncate                          // end the connection after TruncateAt bytes of the response
 	Duplicate                         // respond twice
 	Malformed                         // respond with bytes that are no message of the protocol
-	Unsolicited                       // respond, and also to a request that was never sent
+	Unsolicited                       // respond, and also to a request that does not exist
 )
 
 // Response is what a script decides for a request. The zero value serves it at once.
@@ -53,9 +53,9 @@
 	Body       []byte        // nil: the request's id
 	TruncateAt int           // Truncate: bytes of the response that are written
 
-	// Wait, if set, blocks and returns the action: after Delay over HTTP, instead of it over
-	// MessagePack-RPC. It must return once cancelled is closed. Over HTTP that is when the upstream
-	// closes; over MessagePack-RPC when the request is cancelled, and not when its connection ends.
+	// Wait, if set, blocks and returns the action: after Delay in HTTP, instead of it in
+	// MessagePack-RPC. It must return once cancelled is closed. In HTTP that is when the upstream
+	// closes; in MessagePack-RPC when the request is cancelled, and not when its connection ends.
 	Wait func(cancelled <-chan struct{}) ResponseAction
 }
 
--- a/internal/peers/upstream.go
+++ b/internal/peers/upstream.go
@@ -10,7 +10,7 @@
 
 // Upstream is a stand-in for an upstream that responds by a script. It is safe for concurrent use.
 //
-// One goroutine accepts connections and starts one for each of them; over MessagePack-RPC a
+// One goroutine accepts connections and starts one for each of them; with MessagePack-RPC a
 // connection starts one for each request that is not responded to at once. Close ends all of them
 // and waits for them.
 type Upstream struct {
--- a/internal/peers/upstream_rpc.go
+++ b/internal/peers/upstream_rpc.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	rpcReadTimeout = 10 * time.Second // for the rest of a frame that has begun
+	rpcReadTimeout = 10 * time.Second // for the rest of a frame after its first byte
 	rpcHangTime    = time.Hour        // after which Hang responds after all
 	// unsolicitedIDOffset is added to a request's id for a response that belongs to no request.
 	unsolicitedIDOffset = 1000
