--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -53,7 +53,7 @@
 // NewClient makes a client of a protocol. It connects with its first request.
 func NewClient(protocol Protocol, addr string) Client {
 	if protocol == RPC {
-		return &RPCClient{Addr: addr}
+		return &rpcClient{addr: addr}
 	}
 	return &httpClient{addr: addr}
 }
--- a/internal/peers/client_rpc.go
+++ b/internal/peers/client_rpc.go
@@ -5,34 +5,28 @@
 	"errors"
 	"net"
 	"sync"
-	"sync/atomic"
 
 	"mothridge/internal/msgrpc"
 )
 
-// Errors that end a connection of an RPCClient.
+// Errors that end a connection of an rpcClient.
 var (
 	errRequestFromServer = errors.New("the sidecar sent a request")
 	errDrained           = errors.New("drained")
 )
 
-// RPCClient sends its requests on one MessagePack-RPC connection at a time. It opens another one
+// rpcClient sends its requests on one MessagePack-RPC connection at a time. It opens another one
 // when that one has ended or drains. It is safe for concurrent use.
-type RPCClient struct {
-	Addr string // of the sidecar; not to be changed after the first request
+type rpcClient struct {
+	addr string
 
 	mu   sync.Mutex
 	conn *rpcClientConn
-
-	// UnexpectedMessages counts responses to ids that are not in flight, and notifications other
-	// than drain, by which the sidecar reports messages that it skipped.
-	UnexpectedMessages atomic.Int64
 }
 
 // rpcClientConn is one connection. Its goroutine reads responses until the connection fails or has
 // drained; closing the connection ends it; it is not waited for.
 type rpcClientConn struct {
-	client  *RPCClient
 	conn    net.Conn
 	writing sync.Mutex // held for each write
 
@@ -44,7 +38,7 @@
 }
 
 // Close closes the connection; requests in flight are lost.
-func (r *RPCClient) Close() {
+func (r *rpcClient) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.conn != nil {
@@ -54,17 +48,17 @@
 }
 
 // connect returns the connection, or opens one where there is none that takes requests.
-func (r *RPCClient) connect(ctx context.Context) (*rpcClientConn, error) {
+func (r *rpcClient) connect(ctx context.Context) (*rpcClientConn, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.conn != nil && r.conn.usable() {
 		return r.conn, nil
 	}
-	netConn, err := new(net.Dialer).DialContext(ctx, "tcp", r.Addr)
+	netConn, err := new(net.Dialer).DialContext(ctx, "tcp", r.addr)
 	if err != nil {
 		return nil, err
 	}
-	r.conn = &rpcClientConn{client: r, conn: netConn, inFlight: make(map[uint32]chan Result)}
+	r.conn = &rpcClientConn{conn: netConn, inFlight: make(map[uint32]chan Result)}
 	go r.conn.readResponses()
 	return r.conn, nil
 }
@@ -76,7 +70,7 @@
 }
 
 // Do sends a request and blocks until its response. The end of ctx cancels the request.
-func (r *RPCClient) Do(ctx context.Context, call Call) Result {
+func (r *rpcClient) Do(ctx context.Context, call Call) Result {
 	conn, err := r.connect(ctx)
 	if err != nil {
 		return lost(err)
@@ -188,9 +182,10 @@
 	}
 }
 
+// handleNotification ignores notifications other than drain, by which the sidecar reports messages
+// that it skipped.
 func (c *rpcClientConn) handleNotification(message msgrpc.Message) {
 	if string(message.Method) != msgrpc.MethodDrain {
-		c.client.UnexpectedMessages.Add(1)
 		return
 	}
 	c.mu.Lock()
@@ -198,7 +193,8 @@
 	c.draining = true
 }
 
-// handleResponse completes a request; errDrained after the last one of a draining connection.
+// handleResponse completes a request. It ignores a response to an id that is not in flight and
+// returns errDrained after the last request of a draining connection.
 func (c *rpcClientConn) handleResponse(message msgrpc.Message) error {
 	c.mu.Lock()
 	done := c.inFlight[message.ID]
@@ -206,7 +202,6 @@
 	drained := c.draining && len(c.inFlight) == 0
 	c.mu.Unlock()
 	if done == nil {
-		c.client.UnexpectedMessages.Add(1)
 		return nil
 	}
 	done <- rpcResult(message)
--- a/internal/peers/eureka.go
+++ b/internal/peers/eureka.go
@@ -59,7 +59,6 @@
 	calls         map[string]int
 	fetchedBytes  int64
 	fetchTimes    []time.Time
-	preserving    bool
 	dialect       EurekaDialect
 }
 
@@ -158,14 +157,6 @@
 	return e.fetchedBytes
 }
 
-// SelfPreservation reports whether it keeps instances whose lease has expired, as too many have.
-func (e *Eureka) SelfPreservation() bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.evict()
-	return e.preserving
-}
-
 // ClearDelta removes the changes that a delta would repeat, as time does.
 func (e *Eureka) ClearDelta() {
 	e.mu.Lock()
--- a/internal/peers/eureka_leases.go
+++ b/internal/peers/eureka_leases.go
@@ -125,14 +125,12 @@
 // instance while more than maxExpiredPercent of them have expired (self-preservation).
 func (e *Eureka) evict() {
 	e.pruneDelta()
-	e.preserving = false
 	if e.leaseDuration == 0 {
 		return
 	}
 	expired := e.expiredIDs()
 	tooMany := len(expired)*100 > len(e.instances)*maxExpiredPercent
 	if tooMany && len(e.instances) > 1 {
-		e.preserving = true
 		return
 	}
 	for _, id := range expired {
--- a/internal/peers/peertest/discovery.go
+++ b/internal/peers/peertest/discovery.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// ListPath is the path of the platform's endpoint list.
-const ListPath = "/registry/instances"
+// listPath is the path of the platform's endpoint list.
+const listPath = "/registry/instances"
 
 // discoveryChannelSize is the buffer of a Discovery's channels.
 const discoveryChannelSize = 10
@@ -48,7 +48,7 @@
 }
 
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != ListPath {
+	if r.URL.Path != listPath {
 		http.NotFound(w, r)
 		return
 	}
