--- /dev/null
+++ b/internal/hook/tree_walker_test.go
@@ -0,0 +1,314 @@
+package hook
+
+import (
+	"fmt"
+	"math"
+	"math/big"
+	"strconv"
+	"strings"
+)
+
+// walker runs a checked program by walking its tree, with Go's own values: what
+// the machine is held against. It counts nothing.
+type walker struct {
+	p       *checked
+	e       *Event
+	state   map[string]int64
+	effects []Effect
+}
+
+type wlist struct{ items []any }
+
+type wmap struct {
+	keys []string
+	vals map[string]any
+}
+
+// The ways out of a block.
+type way int
+
+const (
+	onward way = iota
+	breaks
+	continues
+	gives
+)
+
+type badValue struct{}
+
+func (w *walker) call(number int, args []any) (result any) {
+	f := w.p.functions[number]
+	vars := make([]any, f.slots)
+	copy(vars, args)
+	w.block(f.body, vars, &result)
+	return result
+}
+
+func (w *walker) block(body []*stmt, vars []any, result *any) way {
+	for _, s := range body {
+		if at := w.stmt(s, vars, result); at != onward {
+			return at
+		}
+	}
+	return onward
+}
+
+func (w *walker) stmt(s *stmt, vars []any, result *any) way {
+	switch s.op {
+	case stSet:
+		vars[s.n] = w.eval(s.a, vars)
+	case stIndex:
+		on, at, v := w.eval(s.a, vars), w.eval(s.b, vars), w.eval(s.c, vars)
+		if m, ok := on.(*wmap); ok {
+			m.set(at.(string), v)
+		} else {
+			*place(on, at) = v
+		}
+	case stIf:
+		if w.eval(s.a, vars).(bool) {
+			return w.block(s.body, vars, result)
+		}
+		return w.block(s.other, vars, result)
+	case stRange, stEach:
+		var items []any
+		each := func(i int) (any, bool) { return nil, false }
+		if s.op == stRange {
+			from, to := w.eval(s.a, vars).(int64), w.eval(s.b, vars).(int64)
+			for i := from; i < to; i++ {
+				items = append(items, i)
+			}
+			each = func(i int) (any, bool) {
+				if i < len(items) {
+					return items[i], true
+				}
+				return nil, false
+			}
+		} else {
+			l := w.eval(s.a, vars).(*wlist)
+			each = func(i int) (any, bool) {
+				if i < len(l.items) {
+					return l.items[i], true
+				}
+				return nil, false
+			}
+		}
+		for i := 0; ; i++ {
+			v, more := each(i)
+			if !more {
+				break
+			}
+			vars[s.n] = v
+			if at := w.block(s.body, vars, result); at == breaks {
+				break
+			} else if at == gives {
+				return gives
+			}
+		}
+	case stReturn:
+		if s.a != nil {
+			*result = w.eval(s.a, vars)
+		}
+		return gives
+	case stBreak:
+		return breaks
+	case stContinue:
+		return continues
+	case stDo:
+		w.eval(s.a, vars)
+	}
+	return onward
+}
+
+func place(on, at any) *any {
+	l, i := on.(*wlist), at.(int64)
+	if i < 0 || i >= int64(len(l.items)) {
+		panic(badValue{})
+	}
+	return &l.items[i]
+}
+
+func (m *wmap) set(k string, v any) {
+	if _, ok := m.vals[k]; !ok {
+		m.keys = append(m.keys, k)
+	}
+	m.vals[k] = v
+}
+
+func (w *walker) eval(e *expr, vars []any) any {
+	switch e.op {
+	case exConst:
+		return plainValue(e.t, e.v)
+	case exLocal:
+		return vars[e.n]
+	case exField:
+		if e.t == typeText {
+			return w.e.Text[e.n]
+		}
+		return plainValue(e.t, value{n: w.e.Int[e.n]})
+	case exAnd:
+		return w.eval(e.args[0], vars).(bool) && w.eval(e.args[1], vars).(bool)
+	case exOr:
+		return w.eval(e.args[0], vars).(bool) || w.eval(e.args[1], vars).(bool)
+	}
+	args := make([]any, len(e.args))
+	for i, a := range e.args {
+		args[i] = w.eval(a, vars)
+	}
+	switch e.op {
+	case exNot:
+		return !args[0].(bool)
+	case exNeg:
+		if f, ok := args[0].(float64); ok {
+			return -f
+		}
+		return whole("-", 0, args[0].(int64))
+	case exArith:
+		switch a := args[0].(type) {
+		case string:
+			if len(a) > 1<<16 {
+				panic(ErrMemory) // texts double in loops
+			}
+			return a + args[1].(string)
+		case float64:
+			b := args[1].(float64)
+			return map[string]float64{"+": a + b, "-": a - b, "*": a * b, "/": a / b}[e.sign]
+		}
+		return whole(e.sign, args[0].(int64), args[1].(int64))
+	case exCompare:
+		var less, same bool
+		switch a := args[0].(type) {
+		case string:
+			less, same = a < args[1].(string), a == args[1].(string)
+		case float64:
+			b := args[1].(float64)
+			return map[string]bool{"==": a == b, "!=": a != b, "<": a < b, "<=": a <= b, ">": a > b, ">=": a >= b}[e.sign]
+		default:
+			less, same = a.(int64) < args[1].(int64), a == args[1]
+		}
+		return map[string]bool{"==": same, "!=": !same, "<": less, "<=": less || same, ">": !less && !same, ">=": !less}[e.sign]
+	case exIn:
+		if m, ok := args[1].(*wmap); ok {
+			_, found := m.vals[args[0].(string)]
+			return found
+		}
+		for _, x := range args[1].(*wlist).items {
+			if x == args[0] {
+				return true
+			}
+		}
+		return false
+	case exIndex:
+		return *place(args[0], args[1])
+	case exCall:
+		return w.call(e.n, args)
+	case exList:
+		return &wlist{args}
+	case exMap:
+		return &wmap{vals: make(map[string]any)}
+	case exState:
+		if e.sign == "add" {
+			w.state[args[0].(string)] += args[1].(int64)
+		}
+		return w.state[args[0].(string)]
+	}
+	return w.builtin(e, args)
+}
+
+func plainValue(t *typ, v value) any {
+	switch t {
+	case typeBool:
+		return v.n != 0
+	case typeFloat:
+		return math.Float64frombits(uint64(v.n))
+	case typeText:
+		return v.s
+	}
+	return v.n
+}
+
+// whole does arithmetic in numbers of any size and looks whether it fits.
+func whole(sign string, a, b int64) int64 {
+	x, y, z := big.NewInt(a), big.NewInt(b), new(big.Int)
+	if b == 0 && (sign == "/" || sign == "%") {
+		panic(badValue{})
+	}
+	switch sign {
+	case "+":
+		z.Add(x, y)
+	case "-":
+		z.Sub(x, y)
+	case "*":
+		z.Mul(x, y)
+	case "/":
+		z.Quo(x, y)
+	case "%":
+		z.Rem(x, y)
+	}
+	if !z.IsInt64() {
+		panic(badValue{})
+	}
+	return z.Int64()
+}
+
+func (w *walker) builtin(e *expr, args []any) any {
+	text := func(i int) string { return args[i].(string) }
+	switch builtins[e.n].name {
+	case "tag":
+		w.effects = append(w.effects, Effect{Kind: Tag, Text: text(0)})
+		if len(w.effects) > maxEffects {
+			panic(ErrEffects)
+		}
+	case "text":
+		if f, ok := args[0].(float64); ok {
+			return strconv.FormatFloat(f, 'g', -1, 64)
+		}
+		return fmt.Sprint(args[0])
+	case "len":
+		return int64(len(text(0)))
+	case "min":
+		return min(args[0].(int64), args[1].(int64))
+	case "parse_int":
+		n, ok := new(big.Int).SetString(text(0), 10)
+		if !ok || !n.IsInt64() || strings.Contains(text(0), "_") {
+			return args[1]
+		}
+		return n.Int64()
+	case "upper":
+		return strings.ToUpper(text(0))
+	case "split":
+		l := &wlist{}
+		for _, s := range strings.Split(text(0), text(1)) {
+			l.items = append(l.items, s)
+		}
+		return l
+	case "join":
+		var parts []string
+		for _, x := range args[0].(*wlist).items {
+			parts = append(parts, x.(string))
+		}
+		return strings.Join(parts, text(1))
+	case "get":
+		if v, ok := args[0].(*wmap).vals[text(1)]; ok {
+			return v
+		}
+		return args[2]
+	case "slice":
+		from, to := args[1].(int64), args[2].(int64)
+		if from < 0 || to < from || to > int64(len(text(0))) {
+			panic(badValue{})
+		}
+		return text(0)[from:to]
+	case "has_prefix":
+		return strings.HasPrefix(text(0), text(1))
+	case "push":
+		l := args[0].(*wlist)
+		l.items = append(l.items, args[1])
+	case "float":
+		return float64(args[0].(int64))
+	case "header":
+		return w.e.Heads.Header(text(0))
+	default:
+		panic("the walker has no " + builtins[e.n].name)
+	}
+	return nil
+}
