--- a/internal/hook/check.go
+++ b/internal/hook/check.go
@@ -124,10 +124,8 @@
 	loops  int
 }
 
-const mostErrors = 20
-
 func (c *checker) fail(at lexer.Position, format string, args ...any) {
-	if len(c.errors) < mostErrors {
+	if len(c.errors) < maxDiagnostics {
 		c.errors = append(c.errors, newError(c.file, c.source, at, format, args...))
 	}
 }
--- a/internal/hook/compile.go
+++ b/internal/hook/compile.go
@@ -10,6 +10,9 @@
 func floatBits(f float64) int64 { return int64(math.Float64bits(f)) }
 func bitsFloat(n int64) float64 { return math.Float64frombits(uint64(n)) }
 
+// maxCode is how many instructions a program may have.
+const maxCode = 16 << 10
+
 // opcode is an instruction of the machine. The stack holds a frame's variables
 // and, above them, what expressions have so far.
 type opcode uint8
