--- a/internal/hook/bench_test.go
+++ b/internal/hook/bench_test.go
@@ -23,9 +23,10 @@
 			event := &Event{Kind: "request", Now: time.Unix(1_800_000_000, 0), Heads: headers{"Apiary": "ridge-7"}}
 			event.Text[RequestClass] = "weight-reading"
 			var machine Machine
+			store := memory{}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := machine.Run(compiled, event, memory{}, generous); err != nil {
+				if _, err := machine.Run(compiled, event, store, generous); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/hook/builtins.go
+++ b/internal/hook/builtins.go
@@ -1,163 +1,102 @@
 package hook
 
-import (
-	"slices"
-	"strings"
-)
+import "slices"
 
-// builtin is a function that the language has.
+// builtin is a function that the language defines, except for those of the state (check_calls.go).
 type builtin struct {
-	name string
-	// types gives the result for arguments of these types; the error says what is meant.
-	types func(args []*typ) (*typ, string)
-	takes string // for people
-	hooks []string
-	place bool // its last argument is a time zone's name, known beforehand
-}
+	name      string
+	signature signature
+	hooks     hookSet // that may call it; 0: all
+	takesZone bool    // its last argument is a time zone's name; a run gets the zone's number
+
+	// What a call costs beside its instruction; some functions spend their fuel themselves.
+	fuel int64
+	cost costFunction // nil: nothing that depends on the arguments
 
-func is(ts []*typ, want ...*typ) bool {
-	return slices.EqualFunc(ts, want, func(a, b *typ) bool { return a.same(b) })
+	run builtinFunction
 }
 
-func fixed(result *typ, takes ...*typ) func([]*typ) (*typ, string) {
-	return func(args []*typ) (*typ, string) {
-		if is(args, takes...) {
-			return result, ""
-		}
-		names := make([]string, len(takes))
-		for i, t := range takes {
-			names[i] = t.String()
-		}
-		return nil, "(" + strings.Join(names, ", ") + ")"
-	}
+// costFunction returns fuel by the arguments.
+type costFunction func(arguments []value) int64
+
+// builtinFunction carries out a call. It replaces the first of the operands, which are the
+// arguments, by its result; without arguments there is one operand that is not set. It takes
+// memory before it makes what the memory is for. The kind is that of the first argument.
+type builtinFunction func(m *Machine, operands []value, kind kind) error
+
+// builtins are the built-in functions; an instruction refers to one by its index.
+var builtins = [...]builtin{
+	// Texts.
+	{name: "len", signature: signatureLen, run: runLen},
+	{name: "lower", signature: fixed(typeText, typeText), cost: sizeOfFirst, run: runLower},
+	{name: "upper", signature: fixed(typeText, typeText), cost: sizeOfFirst, run: runUpper},
+	{name: "trim", signature: fixed(typeText, typeText), cost: sizeOfFirst, run: runTrim},
+	{name: "has_prefix", signature: fixed(typeBool, typeText, typeText), cost: sizeOfSecond, run: runHasPrefix},
+	{name: "has_suffix", signature: fixed(typeBool, typeText, typeText), cost: sizeOfSecond, run: runHasSuffix},
+	{name: "find", signature: fixed(typeInt, typeText, typeText), cost: sizeOfFirst, run: runFind},
+	{name: "slice", signature: fixed(typeText, typeText, typeInt, typeInt), run: runSlice},
+	{name: "split", signature: fixed(typeTextList, typeText, typeText), run: runSplit},
+	{name: "join", signature: fixed(typeText, typeTextList, typeText), run: runJoin},
+
+	// Conversions.
+	{name: "text", signature: signatureText, run: runText},
+	{name: "parse_int", signature: fixed(typeInt, typeText, typeInt), cost: parseIntCost, run: runParseInt},
+	{name: "int", signature: fixed(typeInt, typeFloat), run: runInt},
+	{name: "float", signature: fixed(typeFloat, typeInt), run: runFloat},
+	{name: "seconds", signature: fixed(typeFloat, typeDuration), run: runSeconds},
+	{name: "min", signature: signatureMinMax, run: runMin},
+	{name: "max", signature: signatureMinMax, run: runMax},
+
+	// Lists and maps.
+	{name: "push", signature: signaturePush, run: runPush},
+	{name: "keys", signature: signatureKeys, run: runKeys},
+	{name: "get", signature: signatureGet, cost: sizeOfSecond, run: runGet},
+	{name: "delete", signature: signatureDelete, run: runDelete},
+
+	// The event.
+	{name: "now", signature: fixed(typeTime), run: runNow},
+	{name: "header", signature: fixed(typeText, typeText), hooks: hookSetOf(KindRequest), fuel: headerFuel, run: runHeader},
+
+	// The calendar.
+	{name: "year", signature: signatureCalendar, takesZone: true, fuel: calendarFuel, run: runYear},
+	{name: "month", signature: signatureCalendar, takesZone: true, fuel: calendarFuel, run: runMonth},
+	{name: "day", signature: signatureCalendar, takesZone: true, fuel: calendarFuel, run: runDay},
+	{name: "hour", signature: signatureCalendar, takesZone: true, fuel: calendarFuel, run: runHour},
+	{name: "minute", signature: signatureCalendar, takesZone: true, fuel: calendarFuel, run: runMinute},
+	{name: "weekday", signature: signatureCalendar, takesZone: true, fuel: calendarFuel, run: runWeekday},
+	{name: "date", signature: signatureDate, takesZone: true, fuel: calendarFuel, run: runDate},
+
+	// Effects.
+	{name: "set_header", signature: fixed(typeNone, typeText, typeText), hooks: effectHooks[SetHeader], run: runSetHeader},
+	{name: "remove_header", signature: fixed(typeNone, typeText), hooks: effectHooks[RemoveHeader], run: runRemoveHeader},
+	{name: "tag", signature: fixed(typeNone, typeText), hooks: effectHooks[Tag], run: runTag},
+	{name: "set_tenant", signature: fixed(typeNone, typeText), hooks: effectHooks[SetTenant], run: runSetTenant},
+	{name: "refuse", signature: fixed(typeNone, typeText, typeDuration), hooks: effectHooks[Refuse], run: runRefuse},
+	{name: "count", signature: fixed(typeNone, typeText), hooks: effectHooks[Count], run: runCount},
+	{name: "label", signature: fixed(typeNone, typeText, typeText), hooks: effectHooks[Label], run: runLabel},
 }
 
-// texts made by each: text of any plain value.
-func ofPlain(result *typ) func([]*typ) (*typ, string) {
-	return func(args []*typ) (*typ, string) {
-		if len(args) == 1 && args[0].plain() {
-			return result, ""
-		}
-		return nil, "(a bool, number, text, duration or time)"
-	}
+// builtinNumber returns a built-in function's index in builtins by its name.
+func builtinNumber(name string) (number int, ok bool) {
+	number = slices.IndexFunc(builtins[:], func(b builtin) bool { return b.name == name })
+	return number, number >= 0
 }
 
-func extreme(args []*typ) (*typ, string) {
-	if len(args) == 2 && args[0].same(args[1]) && args[0].ordered() {
-		return args[0], ""
+// callBuiltin replaces the arguments on top of the stack by the result, if there is one.
+func (m *Machine) callBuiltin(number int, kind kind) error {
+	called := &builtins[number]
+	base := len(m.stack) - len(called.signature.parameters)
+	operands := m.stack[base : base+called.signature.operands()]
+	if !m.spend(called.fuel) {
+		return ErrFuel
 	}
-	return nil, "(two values of one type that has an order)"
+	if called.cost != nil && !m.spend(called.cost(operands)) {
+		return ErrFuel
+	}
+	m.stack = m.stack[:base+called.signature.results()]
+	return called.run(m, operands, kind)
 }
 
-var (
-	texts     = &typ{kind: kindList, of: typeText}
-	inRequest = []string{"request"}
-)
-
-// The builtins, by number.
-const (
-	bLen = iota
-	bLower
-	bUpper
-	bTrim
-	bHasPrefix
-	bHasSuffix
-	bFind
-	bSlice
-	bSplit
-	bJoin
-	bText
-	bParseInt
-	bInt
-	bFloat
-	bSeconds
-	bMin
-	bMax
-	bPush
-	bKeys
-	bGet
-	bDelete
-	bNow
-	bHeader
-	bYear
-	bMonth
-	bDay
-	bHour
-	bMinute
-	bWeekday
-	bDate
-	bSetHeader
-	bRemoveHeader
-	bTag
-	bSetTenant
-	bRefuse
-	bCount
-	bLabel
-)
-
-var calendar = []*typ{typeTime, typeText}
+func sizeOfFirst(arguments []value) int64 { return sizeCost(len(arguments[0].text)) }
 
-var builtins = [...]builtin{
-	bLen: {name: "len", types: func(a []*typ) (*typ, string) {
-		if len(a) == 1 && (a[0].kind == kindText || a[0].kind == kindList || a[0].kind == kindMap) {
-			return typeInt, ""
-		}
-		return nil, "(a text, list or map)"
-	}},
-	bLower:     {name: "lower", types: fixed(typeText, typeText)},
-	bUpper:     {name: "upper", types: fixed(typeText, typeText)},
-	bTrim:      {name: "trim", types: fixed(typeText, typeText)},
-	bHasPrefix: {name: "has_prefix", types: fixed(typeBool, typeText, typeText)},
-	bHasSuffix: {name: "has_suffix", types: fixed(typeBool, typeText, typeText)},
-	bFind:      {name: "find", types: fixed(typeInt, typeText, typeText)},
-	bSlice:     {name: "slice", types: fixed(typeText, typeText, typeInt, typeInt)},
-	bSplit:     {name: "split", types: fixed(texts, typeText, typeText)},
-	bJoin:      {name: "join", types: fixed(typeText, texts, typeText)},
-	bText:      {name: "text", types: ofPlain(typeText)},
-	bParseInt:  {name: "parse_int", types: fixed(typeInt, typeText, typeInt)},
-	bInt:       {name: "int", types: fixed(typeInt, typeFloat)},
-	bFloat:     {name: "float", types: fixed(typeFloat, typeInt)},
-	bSeconds:   {name: "seconds", types: fixed(typeFloat, typeDuration)},
-	bMin:       {name: "min", types: extreme},
-	bMax:       {name: "max", types: extreme},
-	bPush: {name: "push", types: func(a []*typ) (*typ, string) {
-		if len(a) == 2 && a[0].kind == kindList && a[0].of.same(a[1]) {
-			return typeNone, ""
-		}
-		return nil, "(a list, a value of its type)"
-	}},
-	bKeys: {name: "keys", types: func(a []*typ) (*typ, string) {
-		if len(a) == 1 && a[0].kind == kindMap {
-			return texts, ""
-		}
-		return nil, "(a map)"
-	}},
-	bGet: {name: "get", types: func(a []*typ) (*typ, string) {
-		if len(a) == 3 && a[0].kind == kindMap && a[1] == typeText && a[0].of.same(a[2]) {
-			return a[2], ""
-		}
-		return nil, "(a map, a text, a value of the map's type for where there is none)"
-	}},
-	bDelete: {name: "delete", types: func(a []*typ) (*typ, string) {
-		if len(a) == 2 && a[0].kind == kindMap && a[1] == typeText {
-			return typeNone, ""
-		}
-		return nil, "(a map, a text)"
-	}},
-	bNow:          {name: "now", types: fixed(typeTime)},
-	bHeader:       {name: "header", types: fixed(typeText, typeText), hooks: inRequest},
-	bYear:         {name: "year", types: fixed(typeInt, calendar...), place: true},
-	bMonth:        {name: "month", types: fixed(typeInt, calendar...), place: true},
-	bDay:          {name: "day", types: fixed(typeInt, calendar...), place: true},
-	bHour:         {name: "hour", types: fixed(typeInt, calendar...), place: true},
-	bMinute:       {name: "minute", types: fixed(typeInt, calendar...), place: true},
-	bWeekday:      {name: "weekday", types: fixed(typeInt, calendar...), place: true},
-	bDate:         {name: "date", types: fixed(typeTime, typeInt, typeInt, typeInt, typeText), place: true},
-	bSetHeader:    {name: "set_header", types: fixed(typeNone, typeText, typeText), hooks: allowed[SetHeader]},
-	bRemoveHeader: {name: "remove_header", types: fixed(typeNone, typeText), hooks: allowed[RemoveHeader]},
-	bTag:          {name: "tag", types: fixed(typeNone, typeText), hooks: allowed[Tag]},
-	bSetTenant:    {name: "set_tenant", types: fixed(typeNone, typeText), hooks: allowed[SetTenant]},
-	bRefuse:       {name: "refuse", types: fixed(typeNone, typeText, typeDuration), hooks: allowed[Refuse]},
-	bCount:        {name: "count", types: fixed(typeNone, typeText), hooks: allowed[Count]},
-	bLabel:        {name: "label", types: fixed(typeNone, typeText, typeText), hooks: allowed[Label]},
-}
+func sizeOfSecond(arguments []value) int64 { return sizeCost(len(arguments[1].text)) }
--- /dev/null
+++ b/internal/hook/builtins_event.go
@@ -0,0 +1,83 @@
+package hook
+
+import "time"
+
+func runNow(m *Machine, operands []value, _ kind) error {
+	operands[0] = intValue(m.event.Now.UnixNano())
+	return nil
+}
+
+func runHeader(m *Machine, operands []value, _ kind) error {
+	content := ""
+	if m.event.Heads != nil {
+		content = m.event.Heads.Header(operands[0].text)
+	}
+	operands[0] = textValue(content)
+	return nil
+}
+
+// The signatures of the calendar's functions. Their last argument is a time zone's name, of which
+// a run gets the number in the program's zones.
+var (
+	signatureCalendar = fixed(typeInt, typeTime, typeText)
+	signatureDate     = fixed(typeTime, typeInt, typeInt, typeInt, typeText)
+)
+
+func (m *Machine) zone(number int64) *time.Location { return m.program.zones[number] }
+
+// localTime returns the time and zone that are the arguments of a calendar function.
+func (m *Machine) localTime(arguments []value) time.Time {
+	return time.Unix(0, arguments[0].number).In(m.zone(arguments[1].number))
+}
+
+func runYear(m *Machine, operands []value, _ kind) error {
+	operands[0] = intValue(int64(m.localTime(operands).Year()))
+	return nil
+}
+
+func runMonth(m *Machine, operands []value, _ kind) error {
+	operands[0] = intValue(int64(m.localTime(operands).Month()))
+	return nil
+}
+
+func runDay(m *Machine, operands []value, _ kind) error {
+	operands[0] = intValue(int64(m.localTime(operands).Day()))
+	return nil
+}
+
+func runHour(m *Machine, operands []value, _ kind) error {
+	operands[0] = intValue(int64(m.localTime(operands).Hour()))
+	return nil
+}
+
+func runMinute(m *Machine, operands []value, _ kind) error {
+	operands[0] = intValue(int64(m.localTime(operands).Minute()))
+	return nil
+}
+
+// runWeekday returns 0 for Monday to 6 for Sunday.
+func runWeekday(m *Machine, operands []value, _ kind) error {
+	const daysFromMondayToSunday = 6
+	weekday := (int(m.localTime(operands).Weekday()) + daysFromMondayToSunday) % 7
+	operands[0] = intValue(int64(weekday))
+	return nil
+}
+
+// runDate returns the beginning of a day. A time as Unix nanoseconds holds the years in bounds.
+func runDate(m *Machine, operands []value, _ kind) error {
+	year, month, day := operands[0].number, operands[1].number, operands[2].number
+	if !isDate(year, month, day) {
+		return valueError("the date %d-%d-%d", year, month, day)
+	}
+	midnight := time.Date(int(year), time.Month(month), int(day), 0, 0, 0, 0, m.zone(operands[3].number))
+	operands[0] = intValue(midnight.UnixNano())
+	return nil
+}
+
+// isDate reports whether a date is within the calendar's bounds. Days that a month does not have
+// are of the next one, as in time.Date.
+func isDate(year, month, day int64) bool {
+	const minYear, maxYear = 1700, 2200
+	inYears := year >= minYear && year <= maxYear
+	return inYears && month >= 1 && month <= 12 && day >= 1 && day <= 31
+}
--- /dev/null
+++ b/internal/hook/check_declarations.go
@@ -0,0 +1,163 @@
+package hook
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/alecthomas/participle/v2/lexer"
+)
+
+// day is a unit that time.ParseDuration does not know.
+const day = 24 * time.Hour
+
+// functionBody is the part of a function or hook that is checked after all declarations.
+type functionBody struct {
+	parameters []*paramNode
+	block      *blockNode
+}
+
+// declareAll checks the declarations and returns the bodies by the number of their function.
+func (c *checker) declareAll(declarations []*declNode) []functionBody {
+	var bodies []functionBody
+	for _, declaration := range declarations {
+		switch {
+		case declaration.Const != nil:
+			c.declareConstant(declaration.Pos, declaration.Const)
+		case declaration.State != nil:
+			c.declareState(declaration.Pos, declaration.State)
+		case declaration.Func != nil:
+			c.declareFunction(declaration.Pos, declaration.Func)
+			bodies = append(bodies, functionBody{declaration.Func.Params, declaration.Func.Body})
+		case declaration.Hook != nil:
+			c.declareHook(declaration.Pos, declaration.Hook)
+			bodies = append(bodies, functionBody{nil, declaration.Hook.Body})
+		}
+	}
+	return bodies
+}
+
+func (c *checker) declareConstant(at lexer.Position, node *constNode) {
+	c.checkNameFree(at, node.Name)
+	c.function = &function{uses: make(featureUses)}
+	c.scopes = nil
+	e := c.expression(node.Value)
+	if e.kind != expressionConstant && !e.isInvalid() {
+		c.fail(node.Value.Pos, "a constant is a plain value that is known beforehand")
+	}
+	c.constants[node.Name] = e
+}
+
+func (c *checker) declareState(at lexer.Position, node *stateNode) {
+	c.checkNameFree(at, node.Name)
+	state := State{Name: node.Name}
+	if !node.Counter {
+		state.Most, _ = strconv.Atoi(*node.Most) // a number too large is over the bound as well
+		state.Age, _ = parseDuration(*node.Age)
+		if !isWithinBounds(state) {
+			c.fail(at, "a map of %s entries for %s: 1 to %d entries, and an age of up to 30d, are meant",
+				*node.Most, *node.Age, MostEntries)
+		}
+	}
+	if len(c.program.states) == MostStates {
+		c.fail(at, "more than %d states", MostStates)
+	}
+	c.stateNumbers[state.Name] = len(c.program.states)
+	c.program.states = append(c.program.states, state)
+}
+
+// isWithinBounds reports whether a map of the state may be as large and as old as it is declared.
+func isWithinBounds(state State) bool {
+	sizeAllowed := state.Most >= 1 && state.Most <= MostEntries
+	ageAllowed := state.Age > 0 && state.Age <= MostAge
+	return sizeAllowed && ageAllowed
+}
+
+func (c *checker) declareFunction(at lexer.Position, node *funcNode) {
+	c.checkNameFree(at, node.Name)
+	f := &function{name: node.Name, result: typeNone, uses: make(featureUses)}
+	for _, parameter := range node.Params {
+		f.parameters = append(f.parameters, c.resolveType(parameter.Type))
+	}
+	if node.Result != nil {
+		f.result = c.resolveType(node.Result)
+	}
+	c.functionNumbers[f.name] = len(c.program.functions)
+	c.program.functions = append(c.program.functions, f)
+}
+
+func (c *checker) declareHook(at lexer.Position, node *hookNode) {
+	if _, known := eventFields[node.Name]; !known {
+		c.fail(at, "there is no hook %q: request, outcome or member is meant", node.Name)
+	}
+	if _, exists := c.program.hooks[node.Name]; exists {
+		c.fail(at, "there are two hooks %q", node.Name)
+	}
+	c.program.hooks[node.Name] = len(c.program.functions)
+	c.program.functions = append(c.program.functions, &function{
+		name:   "on " + node.Name,
+		hook:   node.Name,
+		result: typeNone,
+		uses:   make(featureUses),
+	})
+}
+
+// resolveType returns the type that a node names; for an unknown one it reports a diagnostic and
+// returns int, so that the check can continue.
+func (c *checker) resolveType(node *typeNode) *valueType {
+	switch {
+	case node.List != nil:
+		return listOf(c.resolveType(node.List))
+	case node.Map != nil:
+		return mapOf(c.resolveType(node.Map))
+	}
+	if t := namedTypes[node.Name]; t != nil {
+		return t
+	}
+	c.fail(node.Pos, "there is no type %q: bool, int, float, text, duration, time, list[...] or map[...] is meant", node.Name)
+	return typeInt
+}
+
+// checkBody checks the body of a function or hook.
+func (c *checker) checkBody(f *function, body functionBody) {
+	c.function = f
+	c.loopDepth = 0
+	c.scopes = nil
+	c.openScope()
+	for i, parameter := range body.parameters {
+		c.declareVariable(parameter.Pos, parameter.Name, f.parameters[i], false)
+	}
+	f.body = c.block(body.block)
+	if f.result != typeNone && !alwaysReturns(f.body) {
+		c.fail(body.block.EndPos, "%s may end without a value: a return of %s is needed on every way", f.name, f.result)
+	}
+}
+
+// alwaysReturns reports whether every path through the statements ends in a return.
+func alwaysReturns(body []*statement) bool {
+	for _, s := range body {
+		if s.kind == statementReturn {
+			return true
+		}
+		hasElse := s.kind == statementIf && s.orElse != nil
+		if hasElse && alwaysReturns(s.body) && alwaysReturns(s.orElse) {
+			return true
+		}
+	}
+	return false
+}
+
+// parseDuration reads a duration literal: those of Go, and whole days as "7d".
+func parseDuration(text string) (time.Duration, error) {
+	days, isDays := strings.CutSuffix(text, "d")
+	if !isDays {
+		return time.ParseDuration(text)
+	}
+	n, err := strconv.ParseInt(days, 10, 64)
+	if err != nil || n > math.MaxInt64/int64(day) {
+		return 0, fmt.Errorf("%s is too long", text)
+	}
+	return time.Duration(n) * day, nil
+}
--- /dev/null
+++ b/internal/hook/check_primary.go
@@ -0,0 +1,196 @@
+package hook
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// postfix checks a value with what follows it: an index, or a field of the event.
+func (c *checker) postfix(node *postfixNode) *expression {
+	if node.Value.Name == eventName {
+		if len(node.Rest) != 1 || node.Rest[0].Field == "" {
+			c.fail(node.Pos, "event has fields alone, such as event.class")
+			return invalidExpression(node.Pos)
+		}
+		return c.field(node.Rest[0])
+	}
+	e := c.primary(node.Value)
+	for _, next := range node.Rest {
+		if e.isInvalid() {
+			return e
+		}
+		e = c.index(e, next)
+	}
+	return e
+}
+
+// index checks an entry of a list or map.
+func (c *checker) index(container *expression, node *suffix) *expression {
+	if node.Field != "" {
+		c.fail(node.Pos, "%s has no fields: event alone has", container.valueType)
+		return invalidExpression(node.Pos)
+	}
+	index := c.expression(node.Index)
+	switch container.valueType.kind {
+	case kindList:
+		c.expectType(index, typeInt, "a list's place")
+	case kindMap:
+		c.expectType(index, typeText, "a map's key")
+	default:
+		c.fail(node.Pos, "%s has no places: a list or a map is meant", container.valueType)
+		return invalidExpression(node.Pos)
+	}
+	return &expression{
+		kind:      expressionIndex,
+		valueType: container.valueType.element,
+		operands:  []*expression{container, index},
+		position:  node.Pos,
+	}
+}
+
+// field checks event.NAME. In a function, every hook that calls it must have the field, with the
+// same type and number.
+func (c *checker) field(node *suffix) *expression {
+	var e *expression
+	var hooks hookSet
+	for _, kind := range hookKinds {
+		if !c.mayRunFor(kind) {
+			continue
+		}
+		for number, field := range eventFields[kind] {
+			if field.name != node.Field {
+				continue
+			}
+			if e == nil {
+				e = &expression{kind: expressionField, valueType: field.valueType, number: number, position: node.Pos}
+			}
+			if e.number == number && e.valueType == field.valueType {
+				hooks |= hookSetOf(kind)
+			}
+		}
+	}
+	if e == nil {
+		c.fail(node.Pos, "an event has no %q here; there are %s", node.Field, strings.Join(c.fieldNames(), ", "))
+		return invalidExpression(node.Pos)
+	}
+	c.function.uses[feature{name: eventName + "." + node.Field, hooks: hooks}] = node.Pos
+	return e
+}
+
+// mayRunFor reports whether the function that is being checked may run for a kind of event.
+func (c *checker) mayRunFor(kind string) bool {
+	return c.function.hook == "" || c.function.hook == kind
+}
+
+// fieldNames returns the names of the fields that the function may use, sorted.
+func (c *checker) fieldNames() []string {
+	var names []string
+	for kind, fields := range eventFields {
+		for _, field := range fields {
+			if c.mayRunFor(kind) && !slices.Contains(names, field.name) {
+				names = append(names, field.name)
+			}
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// primary checks an operand.
+func (c *checker) primary(node *primaryNode) *expression {
+	switch {
+	case node.List != nil:
+		return c.list(node.List)
+	case node.Map != nil:
+		t := mapOf(c.resolveType(node.Map.Type))
+		return &expression{kind: expressionMap, valueType: t, position: node.Pos}
+	case node.Call != nil:
+		return c.call(node.Call)
+	case node.Paren != nil:
+		return c.expression(node.Paren)
+	case node.Name != "":
+		return c.name(node)
+	}
+	t, constant, err := literal(node)
+	if err != nil {
+		c.fail(node.Pos, "this cannot be held: %v", err)
+		return invalidExpression(node.Pos)
+	}
+	return &expression{kind: expressionConstant, valueType: t, constant: constant, position: node.Pos}
+}
+
+// literal returns the value of a literal, or an error if its type cannot hold it.
+func literal(node *primaryNode) (*valueType, value, error) {
+	switch {
+	case node.Duration != nil:
+		d, err := parseDuration(*node.Duration)
+		return typeDuration, intValue(int64(d)), err
+	case node.Float != nil:
+		f, err := strconv.ParseFloat(*node.Float, 64)
+		return typeFloat, floatValue(f), err
+	case node.Int != nil:
+		n, err := strconv.ParseInt(*node.Int, 10, 64)
+		return typeInt, intValue(n), err
+	case node.Text != nil:
+		text, err := strconv.Unquote(*node.Text)
+		return typeText, textValue(text), err
+	default:
+		return typeBool, boolValue(node.True), nil
+	}
+}
+
+// name checks a name that stands for a value: a variable or a constant.
+func (c *checker) name(node *primaryNode) *expression {
+	if found, ok := c.lookUp(node.Name); ok {
+		return &expression{
+			kind:      expressionVariable,
+			valueType: found.valueType,
+			number:    found.slot,
+			position:  node.Pos,
+		}
+	}
+	if constant, ok := c.constants[node.Name]; ok {
+		copied := *constant
+		copied.position = node.Pos
+		return &copied
+	}
+	_, isState := c.stateNumbers[node.Name]
+	switch {
+	case isState:
+		c.fail(node.Pos, "%q is a state: value(%s), or value(%s, key) of a map, is meant", node.Name, node.Name, node.Name)
+	case keywords[node.Name]:
+		c.fail(node.Pos, "%q is a word of the language and no value", node.Name)
+	default:
+		c.fail(node.Pos, "there is no %q here", node.Name)
+	}
+	return invalidExpression(node.Pos)
+}
+
+// list checks a list's literal. Its first entry gives the type.
+func (c *checker) list(node *listNode) *expression {
+	if node.Type != nil {
+		return &expression{kind: expressionList, valueType: listOf(c.resolveType(node.Type)), position: node.Pos}
+	}
+	e := &expression{kind: expressionList, position: node.Pos}
+	var element *valueType
+	for i, item := range node.Items {
+		entry := c.expression(item)
+		if i == 0 {
+			element = entry.valueType
+		} else if element != nil {
+			c.expectType(entry, element, "a list's entry")
+		}
+		e.operands = append(e.operands, entry)
+	}
+	switch element {
+	case nil:
+		return invalidExpression(node.Pos)
+	case typeNone:
+		c.fail(node.Pos, "this has no value")
+		return invalidExpression(node.Pos)
+	default:
+		e.valueType = listOf(element)
+		return e
+	}
+}
--- a/internal/hook/differential_test.go
+++ b/internal/hook/differential_test.go
@@ -39,7 +39,7 @@
 			}()
 			w.call(c.hooks["request"], nil)
 		}()
-		p, err := assemble("x", c)
+		p, err := compile("x", c)
 		if err != nil {
 			t.Fatal(err)
 		}
--- /dev/null
+++ b/internal/hook/effect.go
@@ -0,0 +1,36 @@
+package hook
+
+import "time"
+
+// Effect is an action that a run requests. The caller of Machine.Run carries it out.
+type Effect struct {
+	Kind  EffectKind
+	Name  string
+	Text  string
+	Pause time.Duration
+}
+
+// EffectKind is a kind of Effect.
+type EffectKind uint8
+
+// The kinds of effects, each with the fields of Effect that it uses.
+const (
+	SetHeader    EffectKind = iota // Name and Text
+	RemoveHeader                   // Name
+	Tag                            // Text
+	SetTenant                      // Text
+	Refuse                         // Text is the reason, Pause the Retry-After
+	Count                          // Name, of the plug-in's own metric
+	Label                          // Name and Text, of an outcome or a member
+)
+
+// effectHooks are the kinds of events for which a run may request an effect.
+var effectHooks = [...]hookSet{
+	SetHeader:    hookSetOf(KindRequest),
+	RemoveHeader: hookSetOf(KindRequest),
+	Tag:          hookSetOf(KindRequest),
+	SetTenant:    hookSetOf(KindRequest),
+	Refuse:       hookSetOf(KindRequest),
+	Count:        hookSetOf(KindRequest, KindOutcome, KindMember),
+	Label:        hookSetOf(KindOutcome, KindMember),
+}
--- a/internal/hook/fuzz_test.go
+++ b/internal/hook/fuzz_test.go
@@ -15,7 +15,7 @@
 			_ = err.Error()
 			return
 		}
-		for kind := range fields {
+		for kind := range eventFields {
 			l := Limits{Fuel: 2000, Memory: 4096}
 			var m Machine
 			r, err := m.Run(p, &Event{Kind: kind}, memory{}, l)
--- /dev/null
+++ b/internal/hook/machine_loop.go
@@ -0,0 +1,57 @@
+package hook
+
+// loop executes instructions until the hook returns. Each case is an instruction, or a group of
+// them that a method carries out. enter has made room on the stack for all operands of a call, so
+// that append does not allocate.
+func (m *Machine) loop() error {
+	current := &m.frames[len(m.frames)-1]
+	for {
+		if m.fuel--; m.fuel < 0 {
+			return ErrFuel
+		}
+		i := &current.code.instructions[current.next]
+		current.next++
+		var err error
+		switch i.op {
+		case opConst:
+			m.stack = append(m.stack, m.program.constants[i.a])
+		case opLoad:
+			m.stack = append(m.stack, m.stack[current.base+int(i.a)])
+		case opStore:
+			m.stack[current.base+int(i.a)] = m.pop()
+		case opField, opFieldNumber:
+			m.pushField(i.op, i.a)
+		case opPop:
+			m.drop(1)
+		case opJump:
+			current.next = int(i.a)
+		case opJumpIfFalse, opJumpKeepFalse, opJumpKeepTrue:
+			if m.decideJump(i.op) {
+				current.next = int(i.a)
+			}
+		case opCall:
+			err = m.enter(int(i.a))
+			current = &m.frames[len(m.frames)-1]
+		case opReturn, opReturnValue:
+			if m.leave(i.op == opReturnValue) {
+				return nil
+			}
+			current = &m.frames[len(m.frames)-1]
+		case opBuiltin:
+			err = m.callBuiltin(int(i.a), kind(i.b))
+		case opCompareInt, opCompareFloat, opCompareText:
+			err = m.compare(i.op, comparison(i.a))
+		case opRangeTest, opIncrement, opEachNext:
+			m.iterate(i.op, m.stack[current.base+int(i.a):])
+		case opValue, opValueAt, opAdd, opAddAt, opForget:
+			err = m.accessState(i.op, int(i.a))
+		case opInText, opInMap, opInList, opListAt, opMapAt, opListSet, opMapSet, opNewList, opNewMap:
+			err = m.collection(i)
+		default:
+			err = m.arithmetic(i.op)
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
--- /dev/null
+++ b/internal/hook/machine_stack.go
@@ -0,0 +1,111 @@
+package hook
+
+func (m *Machine) push(v value) { m.stack = append(m.stack, v) }
+
+// pop removes the top of the stack and returns it.
+func (m *Machine) pop() value {
+	last := len(m.stack) - 1
+	popped := m.stack[last]
+	m.stack = m.stack[:last]
+	return popped
+}
+
+// drop removes values from the stack.
+func (m *Machine) drop(count int) { m.stack = m.stack[:len(m.stack)-count] }
+
+// top returns the value on top of the stack; it is valid until the stack changes.
+func (m *Machine) top() *value { return &m.stack[len(m.stack)-1] }
+
+// topTwo returns the two values on top of the stack, the last one second.
+func (m *Machine) topTwo() (left, right *value) {
+	last := len(m.stack) - 1
+	return &m.stack[last-1], &m.stack[last]
+}
+
+// replaceTwo replaces the two values on top of the stack by one.
+func (m *Machine) replaceTwo(result value) {
+	last := len(m.stack) - 1
+	m.stack[last-1] = result
+	m.stack = m.stack[:last]
+}
+
+// pushField pushes a field of the event.
+func (m *Machine) pushField(op opcode, number int32) {
+	if op == opField {
+		m.push(value{text: m.event.Text[number]})
+	} else {
+		m.push(value{number: m.event.Int[number]})
+	}
+}
+
+// decideJump reports whether a conditional jump is taken, and removes the condition from the stack
+// where the instruction does.
+func (m *Machine) decideJump(op opcode) bool {
+	isFalse := m.top().number == 0
+	if op == opJumpIfFalse {
+		m.drop(1)
+		return isFalse
+	}
+	jumps := isFalse == (op == opJumpKeepFalse)
+	if !jumps {
+		m.drop(1)
+	}
+	return jumps
+}
+
+// iterate carries out an instruction of a loop, whose variables are given.
+func (m *Machine) iterate(op opcode, variables []value) {
+	switch op {
+	case opRangeTest:
+		m.push(boolValue(variables[0].number < variables[1].number))
+	case opIncrement:
+		variables[0].number++
+	default:
+		items, position := variables[1].list.items, &variables[2].number
+		hasNext := *position < int64(len(items))
+		if hasNext {
+			variables[0] = items[*position]
+			*position++
+		}
+		m.push(boolValue(hasNext))
+	}
+}
+
+// accessState carries out an instruction of the declared state. The stack holds the key, if the
+// state is a map, and above it the number to add.
+func (m *Machine) accessState(op opcode, state int) error {
+	hasKey := op == opValueAt || op == opAddAt || op == opForget
+	hasNumber := op == opAdd || op == opAddAt
+	var number int64
+	var key string
+	base := len(m.stack)
+	if hasNumber {
+		base--
+		number = m.stack[base].number
+	}
+	if hasKey {
+		base--
+		key = m.stack[base].text
+	}
+	if len(key) > MaxKey {
+		return valueError("a key of %d bytes: %d at the most", len(key), MaxKey)
+	}
+	if !m.spend(sizeCost(stateSize + len(key))) {
+		return ErrFuel
+	}
+	if hasNumber { // the change is kept until the end of the run
+		if err := m.allocate(entrySize + len(key)); err != nil {
+			return err
+		}
+	}
+	m.stack = m.stack[:base]
+	switch {
+	case hasNumber:
+		m.push(intValue(m.store.Add(state, key, number)))
+	case op == opForget:
+		m.store.Forget(state, key)
+	default:
+		m.push(intValue(m.store.Value(state, key)))
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/hook/scope.go
@@ -0,0 +1,78 @@
+package hook
+
+import "github.com/alecthomas/participle/v2/lexer"
+
+// eventName is the name of the event in a program.
+const eventName = "event"
+
+// variable is a symbol of a scope.
+type variable struct {
+	slot      int
+	valueType *valueType
+	readOnly  bool
+}
+
+// scope holds the variables of a block by name.
+type scope map[string]variable
+
+func (c *checker) openScope() { c.scopes = append(c.scopes, make(scope)) }
+
+func (c *checker) closeScope() { c.scopes = c.scopes[:len(c.scopes)-1] }
+
+// declareVariable adds a variable to the innermost scope and returns its slot.
+func (c *checker) declareVariable(at lexer.Position, name string, t *valueType, readOnly bool) int {
+	c.checkNameFree(at, name)
+	innermost := c.scopes[len(c.scopes)-1]
+	if _, exists := innermost[name]; exists {
+		c.fail(at, "%q is declared already", name)
+	}
+	slot := c.reserveSlots(1)
+	innermost[name] = variable{slot: slot, valueType: t, readOnly: readOnly}
+	return slot
+}
+
+// reserveSlots reserves slots of the function's frame and returns the first.
+func (c *checker) reserveSlots(count int) int {
+	first := c.function.slots
+	c.function.slots += count
+	return first
+}
+
+// lookUp finds a variable by name, in the innermost scope first.
+func (c *checker) lookUp(name string) (variable, bool) {
+	for i := len(c.scopes) - 1; i >= 0; i-- {
+		if found, ok := c.scopes[i][name]; ok {
+			return found, true
+		}
+	}
+	return variable{}, false
+}
+
+// checkNameFree reports a diagnostic if a name that is to be declared has a meaning already.
+func (c *checker) checkNameFree(at lexer.Position, name string) {
+	switch {
+	case keywords[name]:
+		c.fail(at, "%q is a word of the language and no name", name)
+	case isPredeclared(name):
+		c.fail(at, "%q is the language's own", name)
+	case c.isDeclared(name):
+		c.fail(at, "%q is declared already", name)
+	}
+}
+
+// isPredeclared reports whether the language itself defines a name.
+func isPredeclared(name string) bool {
+	if name == eventName || isStateFunction(name) || namedTypes[name] != nil {
+		return true
+	}
+	_, isBuiltin := builtinNumber(name)
+	return isBuiltin
+}
+
+// isDeclared reports whether a declaration of the program defines a name.
+func (c *checker) isDeclared(name string) bool {
+	_, isConstant := c.constants[name]
+	_, isFunction := c.functionNumbers[name]
+	_, isState := c.stateNumbers[name]
+	return isConstant || isFunction || isState
+}
--- /dev/null
+++ b/internal/hook/signature.go
@@ -0,0 +1,130 @@
+package hook
+
+import "strings"
+
+// signature is the type of a built-in function.
+type signature struct {
+	parameters []*valueType // nil for each of a generic function
+	result     *valueType   // of a function that is not generic, or typeNone
+	// infer returns the result type of a generic function, nil if it does not take these arguments.
+	// The number of arguments is right when it is called.
+	infer func(arguments []*valueType) *valueType
+	takes string // the parameters of a generic function, for diagnostics
+}
+
+// fixed is the signature of a function that is not generic.
+func fixed(result *valueType, parameters ...*valueType) signature {
+	return signature{parameters: parameters, result: result}
+}
+
+// generic is the signature of a function whose parameters have no single type.
+func generic(count int, takes string, infer func(arguments []*valueType) *valueType) signature {
+	return signature{parameters: make([]*valueType, count), takes: takes, infer: infer}
+}
+
+// genericProcedure is generic for a function that returns nothing.
+func genericProcedure(count int, takes string, infer func(arguments []*valueType) *valueType) signature {
+	s := generic(count, takes, infer)
+	s.result = typeNone
+	return s
+}
+
+// results returns how many values a call leaves on the stack.
+func (s *signature) results() int {
+	if s.result == typeNone {
+		return 0
+	}
+	return 1
+}
+
+// operands returns how many places on the stack a call uses: the arguments, or that of the result.
+func (s *signature) operands() int { return max(1, len(s.parameters)) }
+
+// resultFor returns the result type for arguments of these types, nil if the function does not take them.
+func (s *signature) resultFor(arguments []*valueType) *valueType {
+	if len(arguments) != len(s.parameters) {
+		return nil
+	}
+	if s.infer != nil {
+		return s.infer(arguments)
+	}
+	if !areSameTypes(arguments, s.parameters) {
+		return nil
+	}
+	return s.result
+}
+
+// description returns the parameters for diagnostics.
+func (s *signature) description() string {
+	if s.infer != nil {
+		return s.takes
+	}
+	names := make([]string, len(s.parameters))
+	for i, parameter := range s.parameters {
+		names[i] = parameter.String()
+	}
+	return "(" + strings.Join(names, ", ") + ")"
+}
+
+// The signatures of the generic functions.
+var (
+	signatureLen    = generic(1, "(a text, list or map)", inferLen)
+	signatureText   = generic(1, "(a bool, number, text, duration or time)", inferText)
+	signatureMinMax = generic(2, "(two values of one type that has an order)", inferMinMax)
+	signaturePush   = genericProcedure(2, "(a list, a value of its type)", inferPush)
+	signatureKeys   = generic(1, "(a map)", inferKeys)
+	signatureGet    = generic(3, "(a map, a text, a value of the map's type for where there is none)", inferGet)
+	signatureDelete = genericProcedure(2, "(a map, a text)", inferDelete)
+)
+
+func inferLen(arguments []*valueType) *valueType {
+	switch arguments[0].kind {
+	case kindText, kindList, kindMap:
+		return typeInt
+	default:
+		return nil
+	}
+}
+
+func inferText(arguments []*valueType) *valueType {
+	if !arguments[0].isPlain() {
+		return nil
+	}
+	return typeText
+}
+
+func inferMinMax(arguments []*valueType) *valueType {
+	if !arguments[0].isSame(arguments[1]) || !arguments[0].isOrdered() {
+		return nil
+	}
+	return arguments[0]
+}
+
+func inferPush(arguments []*valueType) *valueType {
+	list, item := arguments[0], arguments[1]
+	if list.kind != kindList || !list.element.isSame(item) {
+		return nil
+	}
+	return typeNone
+}
+
+func inferKeys(arguments []*valueType) *valueType {
+	if arguments[0].kind != kindMap {
+		return nil
+	}
+	return typeTextList
+}
+
+func inferGet(arguments []*valueType) *valueType {
+	if inferDelete(arguments[:2]) == nil || !arguments[0].element.isSame(arguments[2]) {
+		return nil
+	}
+	return arguments[2]
+}
+
+func inferDelete(arguments []*valueType) *valueType {
+	if arguments[0].kind != kindMap || arguments[1] != typeText {
+		return nil
+	}
+	return typeNone
+}
--- a/internal/hook/tree_walker_test.go
+++ b/internal/hook/tree_walker_test.go
@@ -11,7 +11,7 @@
 // walker runs a checked program by walking its tree, with Go's own values: what
 // the machine is held against. It counts nothing.
 type walker struct {
-	p       *checked
+	p       *checkedProgram
 	e       *Event
 	state   map[string]int64
 	effects []Effect
@@ -44,7 +44,7 @@
 	return result
 }
 
-func (w *walker) block(body []*stmt, vars []any, result *any) way {
+func (w *walker) block(body []*statement, vars []any, result *any) way {
 	for _, s := range body {
 		if at := w.stmt(s, vars, result); at != onward {
 			return at
@@ -53,27 +53,27 @@
 	return onward
 }
 
-func (w *walker) stmt(s *stmt, vars []any, result *any) way {
-	switch s.op {
-	case stSet:
-		vars[s.n] = w.eval(s.a, vars)
-	case stIndex:
-		on, at, v := w.eval(s.a, vars), w.eval(s.b, vars), w.eval(s.c, vars)
+func (w *walker) stmt(s *statement, vars []any, result *any) way {
+	switch s.kind {
+	case statementAssign:
+		vars[s.slot] = w.eval(s.value, vars)
+	case statementAssignIndex:
+		on, at, v := w.eval(s.container, vars), w.eval(s.index, vars), w.eval(s.value, vars)
 		if m, ok := on.(*wmap); ok {
 			m.set(at.(string), v)
 		} else {
 			*place(on, at) = v
 		}
-	case stIf:
-		if w.eval(s.a, vars).(bool) {
+	case statementIf:
+		if w.eval(s.condition, vars).(bool) {
 			return w.block(s.body, vars, result)
 		}
-		return w.block(s.other, vars, result)
-	case stRange, stEach:
+		return w.block(s.orElse, vars, result)
+	case statementForRange, statementForEach:
 		var items []any
 		each := func(i int) (any, bool) { return nil, false }
-		if s.op == stRange {
-			from, to := w.eval(s.a, vars).(int64), w.eval(s.b, vars).(int64)
+		if s.kind == statementForRange {
+			from, to := w.eval(s.from, vars).(int64), w.eval(s.to, vars).(int64)
 			for i := from; i < to; i++ {
 				items = append(items, i)
 			}
@@ -84,7 +84,7 @@
 				return nil, false
 			}
 		} else {
-			l := w.eval(s.a, vars).(*wlist)
+			l := w.eval(s.value, vars).(*wlist)
 			each = func(i int) (any, bool) {
 				if i < len(l.items) {
 					return l.items[i], true
@@ -97,24 +97,24 @@
 			if !more {
 				break
 			}
-			vars[s.n] = v
+			vars[s.slot] = v
 			if at := w.block(s.body, vars, result); at == breaks {
 				break
 			} else if at == gives {
 				return gives
 			}
 		}
-	case stReturn:
-		if s.a != nil {
-			*result = w.eval(s.a, vars)
+	case statementReturn:
+		if s.value != nil {
+			*result = w.eval(s.value, vars)
 		}
 		return gives
-	case stBreak:
+	case statementBreak:
 		return breaks
-	case stContinue:
+	case statementContinue:
 		return continues
-	case stDo:
-		w.eval(s.a, vars)
+	case statementExpression:
+		w.eval(s.value, vars)
 	}
 	return onward
 }
@@ -134,35 +134,35 @@
 	m.vals[k] = v
 }
 
-func (w *walker) eval(e *expr, vars []any) any {
-	switch e.op {
-	case exConst:
-		return plainValue(e.t, e.v)
-	case exLocal:
-		return vars[e.n]
-	case exField:
-		if e.t == typeText {
-			return w.e.Text[e.n]
+func (w *walker) eval(e *expression, vars []any) any {
+	switch e.kind {
+	case expressionConstant:
+		return plainValue(e.valueType, e.constant)
+	case expressionVariable:
+		return vars[e.number]
+	case expressionField:
+		if e.valueType == typeText {
+			return w.e.Text[e.number]
 		}
-		return plainValue(e.t, value{n: w.e.Int[e.n]})
-	case exAnd:
-		return w.eval(e.args[0], vars).(bool) && w.eval(e.args[1], vars).(bool)
-	case exOr:
-		return w.eval(e.args[0], vars).(bool) || w.eval(e.args[1], vars).(bool)
+		return plainValue(e.valueType, value{number: w.e.Int[e.number]})
+	case expressionAnd:
+		return w.eval(e.operands[0], vars).(bool) && w.eval(e.operands[1], vars).(bool)
+	case expressionOr:
+		return w.eval(e.operands[0], vars).(bool) || w.eval(e.operands[1], vars).(bool)
 	}
-	args := make([]any, len(e.args))
-	for i, a := range e.args {
+	args := make([]any, len(e.operands))
+	for i, a := range e.operands {
 		args[i] = w.eval(a, vars)
 	}
-	switch e.op {
-	case exNot:
+	switch e.kind {
+	case expressionNot:
 		return !args[0].(bool)
-	case exNeg:
+	case expressionNegate:
 		if f, ok := args[0].(float64); ok {
 			return -f
 		}
 		return whole("-", 0, args[0].(int64))
-	case exArith:
+	case expressionArithmetic:
 		switch a := args[0].(type) {
 		case string:
 			if len(a) > 1<<16 {
@@ -171,22 +171,22 @@
 			return a + args[1].(string)
 		case float64:
 			b := args[1].(float64)
-			return map[string]float64{"+": a + b, "-": a - b, "*": a * b, "/": a / b}[e.sign]
+			return map[string]float64{"+": a + b, "-": a - b, "*": a * b, "/": a / b}[e.operator]
 		}
-		return whole(e.sign, args[0].(int64), args[1].(int64))
-	case exCompare:
+		return whole(e.operator, args[0].(int64), args[1].(int64))
+	case expressionCompare:
 		var less, same bool
 		switch a := args[0].(type) {
 		case string:
 			less, same = a < args[1].(string), a == args[1].(string)
 		case float64:
 			b := args[1].(float64)
-			return map[string]bool{"==": a == b, "!=": a != b, "<": a < b, "<=": a <= b, ">": a > b, ">=": a >= b}[e.sign]
+			return map[string]bool{"==": a == b, "!=": a != b, "<": a < b, "<=": a <= b, ">": a > b, ">=": a >= b}[e.operator]
 		default:
 			less, same = a.(int64) < args[1].(int64), a == args[1]
 		}
-		return map[string]bool{"==": same, "!=": !same, "<": less, "<=": less || same, ">": !less && !same, ">=": !less}[e.sign]
-	case exIn:
+		return map[string]bool{"==": same, "!=": !same, "<": less, "<=": less || same, ">": !less && !same, ">=": !less}[e.operator]
+	case expressionIn:
 		if m, ok := args[1].(*wmap); ok {
 			_, found := m.vals[args[0].(string)]
 			return found
@@ -197,16 +197,16 @@
 			}
 		}
 		return false
-	case exIndex:
+	case expressionIndex:
 		return *place(args[0], args[1])
-	case exCall:
-		return w.call(e.n, args)
-	case exList:
+	case expressionCall:
+		return w.call(e.number, args)
+	case expressionList:
 		return &wlist{args}
-	case exMap:
+	case expressionMap:
 		return &wmap{vals: make(map[string]any)}
-	case exState:
-		if e.sign == "add" {
+	case expressionState:
+		if e.operator == "add" {
 			w.state[args[0].(string)] += args[1].(int64)
 		}
 		return w.state[args[0].(string)]
@@ -214,16 +214,16 @@
 	return w.builtin(e, args)
 }
 
-func plainValue(t *typ, v value) any {
+func plainValue(t *valueType, v value) any {
 	switch t {
 	case typeBool:
-		return v.n != 0
+		return v.number != 0
 	case typeFloat:
-		return math.Float64frombits(uint64(v.n))
+		return math.Float64frombits(uint64(v.number))
 	case typeText:
-		return v.s
+		return v.text
 	}
-	return v.n
+	return v.number
 }
 
 // whole does arithmetic in numbers of any size and looks whether it fits.
@@ -250,9 +250,9 @@
 	return z.Int64()
 }
 
-func (w *walker) builtin(e *expr, args []any) any {
+func (w *walker) builtin(e *expression, args []any) any {
 	text := func(i int) string { return args[i].(string) }
-	switch builtins[e.n].name {
+	switch builtins[e.number].name {
 	case "tag":
 		w.effects = append(w.effects, Effect{Kind: Tag, Text: text(0)})
 		if len(w.effects) > maxEffects {
@@ -308,7 +308,7 @@
 	case "header":
 		return w.e.Heads.Header(text(0))
 	default:
-		panic("the walker has no " + builtins[e.n].name)
+		panic("the walker has no " + builtins[e.number].name)
 	}
 	return nil
 }
--- a/internal/hook/types.go
+++ b/internal/hook/types.go
@@ -1,8 +1,6 @@
 package hook
 
-import "time"
-
-// kind is what a value is.
+// kind says what a value is.
 type kind uint8
 
 const (
@@ -14,157 +12,80 @@
 	kindDuration // in ns
 	kindTime     // Unix time in ns
 	kindList
-	kindMap // from texts
+	kindMap // keys are texts
 )
 
-// typ is a value's type. Types are compared by their identity: each is made once.
-type typ struct {
-	kind kind
-	of   *typ // of a list's entries, of a map's values
+// valueType is the static type of an expression. There is one valueType for each kind without
+// elements, so that these are compared by their pointers; lists and maps are compared by isSame.
+type valueType struct {
+	kind    kind
+	element *valueType // of a list's entries, or of a map's values
 }
 
 var (
-	typeNone     = &typ{kind: kindNone}
-	typeBool     = &typ{kind: kindBool}
-	typeInt      = &typ{kind: kindInt}
-	typeFloat    = &typ{kind: kindFloat}
-	typeText     = &typ{kind: kindText}
-	typeDuration = &typ{kind: kindDuration}
-	typeTime     = &typ{kind: kindTime}
-
-	named = map[string]*typ{"bool": typeBool, "int": typeInt, "float": typeFloat, "text": typeText, "duration": typeDuration, "time": typeTime}
+	typeNone     = &valueType{kind: kindNone}
+	typeBool     = &valueType{kind: kindBool}
+	typeInt      = &valueType{kind: kindInt}
+	typeFloat    = &valueType{kind: kindFloat}
+	typeText     = &valueType{kind: kindText}
+	typeDuration = &valueType{kind: kindDuration}
+	typeTime     = &valueType{kind: kindTime}
+
+	typeTextList = listOf(typeText)
 )
 
-func (t *typ) same(o *typ) bool {
-	return t == o || t.kind == o.kind && t.of != nil && o.of != nil && t.of.same(o.of)
+// namedTypes are the types that a program names by one word.
+var namedTypes = map[string]*valueType{
+	"bool":     typeBool,
+	"int":      typeInt,
+	"float":    typeFloat,
+	"text":     typeText,
+	"duration": typeDuration,
+	"time":     typeTime,
+}
+
+func listOf(element *valueType) *valueType { return &valueType{kind: kindList, element: element} }
+
+func mapOf(element *valueType) *valueType { return &valueType{kind: kindMap, element: element} }
+
+// isSame reports whether two types are identical.
+func (t *valueType) isSame(other *valueType) bool {
+	if t == other {
+		return true
+	}
+	hasElements := t.element != nil && other.element != nil
+	return t.kind == other.kind && hasElements && t.element.isSame(other.element)
 }
 
-func (t *typ) String() string {
+// String returns the type as a program writes it.
+func (t *valueType) String() string {
 	switch t.kind {
 	case kindList:
-		return "list[" + t.of.String() + "]"
+		return "list[" + t.element.String() + "]"
 	case kindMap:
-		return "map[" + t.of.String() + "]"
-	}
-	for name, x := range named {
-		if x == t {
-			return name
+		return "map[" + t.element.String() + "]"
+	default:
+		for name, named := range namedTypes {
+			if named == t {
+				return name
+			}
 		}
+		return "nothing"
 	}
-	return "nothing"
-}
-
-// ordered says whether < and > are of use.
-func (t *typ) ordered() bool {
-	return t.kind == kindInt || t.kind == kindFloat || t.kind == kindText || t.kind == kindDuration || t.kind == kindTime
 }
 
-// plain says whether a value is held in its number or text alone.
-func (t *typ) plain() bool { return t.kind != kindList && t.kind != kindMap && t.kind != kindNone }
-
-// value is a value of the machine: which of its parts counts follows from its
-// type, which the compiler knows.
-type value struct {
-	n    int64 // bool, int, float's bits, duration and time
-	s    string
-	list *list
-	m    *dict
-}
-
-// list and dict are values that can be changed in place; all who hold one see it.
-type list struct{ items []value }
-
-// dict keeps its keys in the order in which they came, so that a walk over it is
-// the same every time.
-type dict struct {
-	at   map[string]int
-	keys []string
-	vals []value
-}
-
-// Event is what a hook is run for.
-type Event struct {
-	Kind string // request, outcome or member
-	Now  time.Time
-	// Fields are those of the kind, by the numbers of Fields.
-	Text  [maxFields]string
-	Int   [maxFields]int64
-	Heads Headers // of a request; may be nil
-}
-
-// Headers finds a request's header; absent is "".
-type Headers interface{ Header(name string) string }
-
-const maxFields = 8
-
-// field is something that an event tells.
-type field struct {
-	name string
-	t    *typ
-}
-
-// fields are those of each kind of event, in the order of Event.Text and Event.Int.
-var fields = map[string][]field{
-	"request": {{"class", typeText}, {"tenant", typeText}, {"id", typeText}, {"key", typeText}, {"target", typeText}, {"size", typeInt}, {"left", typeDuration}, {"retry", typeBool}},
-	"outcome": {{"class", typeText}, {"tenant", typeText}, {"id", typeText}, {"ending", typeText}, {"took", typeDuration}},
-	"member":  {{"name", typeText}, {"address", typeText}, {"site", typeText}, {"kind", typeText}, {"state", typeText}},
-}
-
-// The numbers of the fields, in Event.Text or Event.Int as their types are.
-const (
-	RequestClass = iota
-	RequestTenant
-	RequestID
-	RequestKey
-	RequestTarget
-	RequestSize
-	RequestLeft
-	RequestRetry
-)
-
-// Those of an outcome.
-const (
-	OutcomeClass = iota
-	OutcomeTenant
-	OutcomeID
-	OutcomeEnding
-	OutcomeTook
-)
-
-// Those of a member.
-const (
-	MemberName = iota
-	MemberAddress
-	MemberSite
-	MemberKind
-	MemberState
-)
-
-// Effect is something that a program asks for. Nothing of it is done before the
-// run has ended well.
-type Effect struct {
-	Kind  EffectKind
-	Name  string
-	Text  string
-	Pause time.Duration
+// isOrdered reports whether < and > compare values of the type.
+func (t *valueType) isOrdered() bool {
+	switch t.kind {
+	case kindInt, kindFloat, kindText, kindDuration, kindTime:
+		return true
+	default:
+		return false
+	}
 }
 
-// EffectKind is a kind of Effect.
-type EffectKind uint8
+// isPlain reports whether values of the type are compared by content: all but lists and maps.
+func (t *valueType) isPlain() bool { return t.isOrdered() || t.kind == kindBool }
 
-// The effects.
-const (
-	SetHeader    EffectKind = iota // Name and Text
-	RemoveHeader                   // Name
-	Tag                            // Text
-	SetTenant                      // Text
-	Refuse                         // Text is why, Pause when to come back
-	Count                          // Name, of the daemon's metrics
-	Label                          // Name and Text, of an outcome or an instance
-)
-
-// allowed are the hooks in which an effect may be asked for.
-var allowed = map[EffectKind][]string{
-	SetHeader: {"request"}, RemoveHeader: {"request"}, Tag: {"request"}, SetTenant: {"request"}, Refuse: {"request"},
-	Count: {"request", "outcome", "member"}, Label: {"outcome", "member"},
-}
+// isSigned reports whether values of the type can be negated.
+func (t *valueType) isSigned() bool { return t == typeInt || t == typeFloat || t == typeDuration }
