--- a/internal/hook/builtins.go
+++ b/internal/hook/builtins.go
@@ -24,6 +24,8 @@
 // memory before it makes what the memory is for. The kind is that of the first argument.
 type builtinFunction func(m *Machine, operands []value, kind kind) error
 
+var requestHook = hookSetOf(KindRequest)
+
 // builtins are the built-in functions; an instruction refers to one by its index.
 var builtins = [...]builtin{
 	// Texts.
@@ -55,7 +57,7 @@
 
 	// The event.
 	{name: "now", signature: fixed(typeTime), run: runNow},
-	{name: "header", signature: fixed(typeText, typeText), hooks: hookSetOf(KindRequest), fuel: headerFuel, run: runHeader},
+	{name: "header", signature: fixed(typeText, typeText), hooks: requestHook, fuel: headerFuel, run: runHeader},
 
 	// The calendar.
 	{name: "year", signature: signatureCalendar, takesZone: true, fuel: calendarFuel, run: runYear},
--- a/internal/hook/check_declarations.go
+++ b/internal/hook/check_declarations.go
@@ -54,7 +54,7 @@
 	c.checkNameFree(at, node.Name)
 	state := State{Name: node.Name}
 	if !node.Counter {
-		state.Most, _ = strconv.Atoi(*node.Most) // a number too large is over the bound as well
+		state.Most, _ = strconv.Atoi(*node.Most) // too large a number is not within bounds either
 		state.Age, _ = parseDuration(*node.Age)
 		if !isWithinBounds(state) {
 			c.fail(at, "a map of %s entries for %s: 1 to %d entries, and an age of up to 30d, are meant",
@@ -116,7 +116,8 @@
 	if t := namedTypes[node.Name]; t != nil {
 		return t
 	}
-	c.fail(node.Pos, "there is no type %q: bool, int, float, text, duration, time, list[...] or map[...] is meant", node.Name)
+	c.fail(node.Pos, "there is no type %q: bool, int, float, text, duration, time, list[...] or map[...] is meant",
+		node.Name)
 	return typeInt
 }
 
@@ -149,7 +150,7 @@
 	return false
 }
 
-// parseDuration reads a duration literal: those of Go, and whole days as "7d".
+// parseDuration reads a duration literal: those of Go, and days as "7d".
 func parseDuration(text string) (time.Duration, error) {
 	days, isDays := strings.CutSuffix(text, "d")
 	if !isDays {
--- a/internal/hook/machine.go
+++ b/internal/hook/machine.go
@@ -5,7 +5,7 @@
 // maxDepth is how deep calls may nest, the hook included.
 const maxDepth = 64
 
-// initialStack is the least number of values for which the stack has room.
+// initialStack is the least capacity of the stack, in values.
 const initialStack = 32
 
 // frame is a call in progress.
@@ -73,7 +73,8 @@
 	return &Failure{File: m.program.File, Line: int(failed.line), In: current.code.name, Err: err}
 }
 
-// release drops all references to the program and its values.
+// release ends the references to the program, the event and the store. What is left above the
+// stack's end is overwritten by the next run.
 func (m *Machine) release() {
 	clear(m.stack)
 	m.stack = m.stack[:0]
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// growStack makes room for a number of values.
+// growStack makes the stack's capacity at least need values.
 func (m *Machine) growStack(need int) {
 	if need <= cap(m.stack) {
 		return
@@ -125,10 +126,9 @@
 	base := m.frames[innermost].base
 	m.frames = m.frames[:innermost]
 	if hasResult {
-		result := m.stack[len(m.stack)-1]
-		m.stack = append(m.stack[:base], result)
-	} else {
-		m.stack = m.stack[:base]
+		m.stack[base] = m.stack[len(m.stack)-1]
+		base++
 	}
+	m.stack = m.stack[:base]
 	return innermost == 0
 }
--- a/internal/hook/machine_arithmetic.go
+++ b/internal/hook/machine_arithmetic.go
@@ -5,15 +5,9 @@
 	"strings"
 )
 
-// arithmetic carries out an operation on the values on top of the stack.
+// arithmetic carries out an operation that integerArithmetic does not.
 func (m *Machine) arithmetic(op opcode) error {
 	switch op {
-	case opAddInt, opSubInt, opMulInt, opDivInt, opModInt:
-		left, right := m.topTwo()
-		result, err := integerResult(op, left.number, right.number)
-		left.number = result
-		m.drop(1)
-		return err
 	case opAddFloat, opSubFloat, opMulFloat, opDivFloat:
 		left, right := m.topTwo()
 		left.number = floatBits(floatResult(op, left.float(), right.float()))
@@ -36,6 +30,15 @@
 	return nil
 }
 
+// integerArithmetic carries out an operation on two ints, durations or times.
+func (m *Machine) integerArithmetic(op opcode) error {
+	left, right := m.topTwo()
+	result, err := integerResult(op, left.number, right.number)
+	left.number = result
+	m.drop(1)
+	return err
+}
+
 // integerResult returns the result of an operation on ints, durations or times, or an error if it
 // overflows or divides by zero.
 func integerResult(op opcode, left, right int64) (int64, error) {
@@ -143,8 +146,7 @@
 		}
 		result = compareOrdered(which, strings.Compare(left.text, right.text), 0)
 	}
-	left.number = boolNumber(result)
-	m.drop(1)
+	m.replaceTwoByBool(result)
 	return nil
 }
 
--- a/internal/hook/machine_collection.go
+++ b/internal/hook/machine_collection.go
@@ -31,7 +31,7 @@
 	if !m.spend(sizeCost(len(text.text))) {
 		return ErrFuel
 	}
-	m.replaceTwo(boolValue(strings.Contains(text.text, part.text)))
+	m.replaceTwoByBool(strings.Contains(text.text, part.text))
 	return nil
 }
 
@@ -41,7 +41,7 @@
 		return ErrFuel
 	}
 	_, found := dict.dict.indexes[key.text]
-	m.replaceTwo(boolValue(found))
+	m.replaceTwoByBool(found)
 	return nil
 }
 
@@ -59,7 +59,7 @@
 			break
 		}
 	}
-	m.replaceTwo(boolValue(found))
+	m.replaceTwoByBool(found)
 	return nil
 }
 
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	m.replaceTwo(*entry)
+	m.replaceTwo(entry)
 	return nil
 }
 
@@ -102,7 +102,7 @@
 	if !ok {
 		return valueError("a map has no %.40q: get(map, key, other) gives another value then", key.text)
 	}
-	m.replaceTwo(dict.dict.values[i])
+	m.replaceTwo(&dict.dict.values[i])
 	return nil
 }
 
--- a/internal/hook/machine_loop.go
+++ b/internal/hook/machine_loop.go
@@ -1,8 +1,7 @@
 package hook
 
 // loop executes instructions until the hook returns. Each case is an instruction, or a group of
-// them that a method carries out. enter has made room on the stack for all operands of a call, so
-// that append does not allocate.
+// them that a method carries out.
 func (m *Machine) loop() error {
 	current := &m.frames[len(m.frames)-1]
 	for {
@@ -14,11 +13,11 @@
 		var err error
 		switch i.op {
 		case opConst:
-			m.stack = append(m.stack, m.program.constants[i.a])
+			*m.pushSlot() = m.program.constants[i.a]
 		case opLoad:
-			m.stack = append(m.stack, m.stack[current.base+int(i.a)])
+			*m.pushSlot() = m.stack[current.base+int(i.a)]
 		case opStore:
-			m.stack[current.base+int(i.a)] = m.pop()
+			m.popInto(current.base + int(i.a))
 		case opField, opFieldNumber:
 			m.pushField(i.op, i.a)
 		case opPop:
@@ -39,6 +38,8 @@
 			current = &m.frames[len(m.frames)-1]
 		case opBuiltin:
 			err = m.callBuiltin(int(i.a), kind(i.b))
+		case opAddInt, opSubInt, opMulInt, opDivInt, opModInt:
+			err = m.integerArithmetic(i.op)
 		case opCompareInt, opCompareFloat, opCompareText:
 			err = m.compare(i.op, comparison(i.a))
 		case opRangeTest, opIncrement, opEachNext:
--- a/internal/hook/machine_stack.go
+++ b/internal/hook/machine_stack.go
@@ -1,13 +1,23 @@
 package hook
 
-func (m *Machine) push(v value) { m.stack = append(m.stack, v) }
+// pushSlot adds a value to the stack and returns its place, which holds any value. The stack's
+// capacity suffices: enter reserves it for all operands of a call.
+func (m *Machine) pushSlot() *value {
+	top := len(m.stack)
+	m.stack = m.stack[:top+1]
+	return &m.stack[top]
+}
 
-// pop removes the top of the stack and returns it.
-func (m *Machine) pop() value {
-	last := len(m.stack) - 1
-	popped := m.stack[last]
-	m.stack = m.stack[:last]
-	return popped
+func (m *Machine) push(v value) { *m.pushSlot() = v }
+
+// pushBool pushes a bool.
+func (m *Machine) pushBool(b bool) { m.pushSlot().number = boolNumber(b) }
+
+// popInto moves the top of the stack to another place on it.
+func (m *Machine) popInto(slot int) {
+	top := len(m.stack) - 1
+	m.stack[slot] = m.stack[top]
+	m.stack = m.stack[:top]
 }
 
 // drop removes values from the stack.
@@ -23,18 +33,25 @@
 }
 
 // replaceTwo replaces the two values on top of the stack by one.
-func (m *Machine) replaceTwo(result value) {
+func (m *Machine) replaceTwo(result *value) {
+	last := len(m.stack) - 1
+	m.stack[last-1] = *result
+	m.stack = m.stack[:last]
+}
+
+// replaceTwoByBool replaces the two values on top of the stack by a bool.
+func (m *Machine) replaceTwoByBool(result bool) {
 	last := len(m.stack) - 1
-	m.stack[last-1] = result
+	m.stack[last-1].number = boolNumber(result)
 	m.stack = m.stack[:last]
 }
 
 // pushField pushes a field of the event.
 func (m *Machine) pushField(op opcode, number int32) {
 	if op == opField {
-		m.push(value{text: m.event.Text[number]})
+		m.pushSlot().text = m.event.Text[number]
 	} else {
-		m.push(value{number: m.event.Int[number]})
+		m.pushSlot().number = m.event.Int[number]
 	}
 }
 
@@ -57,7 +74,7 @@
 func (m *Machine) iterate(op opcode, variables []value) {
 	switch op {
 	case opRangeTest:
-		m.push(boolValue(variables[0].number < variables[1].number))
+		m.pushBool(variables[0].number < variables[1].number)
 	case opIncrement:
 		variables[0].number++
 	default:
@@ -67,7 +84,7 @@
 			variables[0] = items[*position]
 			*position++
 		}
-		m.push(boolValue(hasNext))
+		m.pushBool(hasNext)
 	}
 }
 
--- a/internal/hook/opcode.go
+++ b/internal/hook/opcode.go
@@ -66,7 +66,7 @@
 	opAddAt   // key n -> sum
 	opForget  // key ->
 
-	// Loops. A range has its position in variable a and its bound in a+1; a loop over a list has
+	// Loops. A range has its position in variable a and its bound in a+1; a loop through a list has
 	// its entry in variable a, the list in a+1 and the position in a+2.
 	opRangeTest // -> whether the position is below the bound
 	opIncrement // -> ; variable a = a + 1
