--- a/internal/hook/differential_test.go
+++ b/internal/hook/differential_test.go
@@ -10,7 +10,7 @@
 
 // The machine does what the tree says, on random programs.
 func TestMachineAgainstTree(t *testing.T) {
-	failed, well := 0, 0
+	failed, withEffects := 0, 0
 	for seed := range uint64(400) {
 		source := generate(rand.New(rand.NewPCG(seed, 2)))
 		tree, err := parse("x", source)
@@ -54,10 +54,10 @@
 		if err != nil {
 			failed++
 		} else if len(r.Effects) > 0 {
-			well++
+			withEffects++
 		}
 	}
-	if failed < 20 || well < 60 {
-		t.Errorf("%d runs failed and %d had effects: that shows little", failed, well)
+	if failed < 20 || withEffects < 60 {
+		t.Errorf("%d runs failed and %d had effects: that shows little", failed, withEffects)
 	}
 }
--- a/internal/hook/generator_test.go
+++ b/internal/hook/generator_test.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// writer writes random programs that end: loops are over ranges and lists.
+// writer writes random programs that end: all loops are for loops.
 type writer struct {
 	*rand.Rand
 	b     strings.Builder
--- a/internal/hook/machine_loop.go
+++ b/internal/hook/machine_loop.go
@@ -44,15 +44,23 @@
 			err = m.compare(i.op, comparison(i.a))
 		case opRangeTest, opIncrement, opEachNext:
 			m.iterate(i.op, m.stack[current.base+int(i.a):])
-		case opValue, opValueAt, opAdd, opAddAt, opForget:
-			err = m.accessState(i.op, int(i.a))
-		case opInText, opInMap, opInList, opListAt, opMapAt, opListSet, opMapSet, opNewList, opNewMap:
-			err = m.collection(i)
 		default:
-			err = m.arithmetic(i.op)
+			err = m.executeRare(i)
 		}
 		if err != nil {
 			return err
 		}
 	}
 }
+
+// executeRare executes an instruction that is rare, or costly beside a further switch.
+func (m *Machine) executeRare(i *instruction) error {
+	switch i.op {
+	case opValue, opValueAt, opAdd, opAddAt, opForget:
+		return m.accessState(i.op, int(i.a))
+	case opInText, opInMap, opInList, opListAt, opMapAt, opListSet, opMapSet, opNewList, opNewMap:
+		return m.collection(i)
+	default:
+		return m.arithmetic(i.op)
+	}
+}
--- a/internal/hook/signature.go
+++ b/internal/hook/signature.go
@@ -37,7 +37,7 @@
 	return 1
 }
 
-// operands returns how many places on the stack a call uses: the arguments, or that of the result.
+// operands returns how many values of the stack a call uses: the arguments, or the result.
 func (s *signature) operands() int { return max(1, len(s.parameters)) }
 
 // resultFor returns the result type for arguments of these types, nil if the function does not take them.
--- a/internal/hook/tree_walker_test.go
+++ b/internal/hook/tree_walker_test.go
@@ -161,7 +161,7 @@
 		if f, ok := args[0].(float64); ok {
 			return -f
 		}
-		return whole("-", 0, args[0].(int64))
+		return checkedArithmetic("-", 0, args[0].(int64))
 	case expressionArithmetic:
 		switch a := args[0].(type) {
 		case string:
@@ -173,7 +173,7 @@
 			b := args[1].(float64)
 			return map[string]float64{"+": a + b, "-": a - b, "*": a * b, "/": a / b}[e.operator]
 		}
-		return whole(e.operator, args[0].(int64), args[1].(int64))
+		return checkedArithmetic(e.operator, args[0].(int64), args[1].(int64))
 	case expressionCompare:
 		var less, same bool
 		switch a := args[0].(type) {
@@ -226,8 +226,8 @@
 	return v.number
 }
 
-// whole does arithmetic in numbers of any size and looks whether it fits.
-func whole(sign string, a, b int64) int64 {
+// checkedArithmetic computes with big integers and fails if the result is no int64.
+func checkedArithmetic(sign string, a, b int64) int64 {
 	x, y, z := big.NewInt(a), big.NewInt(b), new(big.Int)
 	if b == 0 && (sign == "/" || sign == "%") {
 		panic(badValue{})
