--- a/internal/hook/limits.go
+++ b/internal/hook/limits.go
@@ -49,8 +49,8 @@
 	ErrValue   = errors.New("a value that cannot be") // such as a division by zero, or an index out of range
 )
 
-// Failure is the error of a run: errors.Is finds its reason, one of the errors above.
-type Failure struct {
+// RuntimeError is the error of a run: errors.Is finds its reason, one of the errors above.
+type RuntimeError struct {
 	File string
 	Line int
 	In   string // the function
@@ -58,10 +58,12 @@
 }
 
 // Error returns position, function and reason.
-func (f *Failure) Error() string { return fmt.Sprintf("%s:%d: in %s: %v", f.File, f.Line, f.In, f.Err) }
+func (f *RuntimeError) Error() string {
+	return fmt.Sprintf("%s:%d: in %s: %v", f.File, f.Line, f.In, f.Err)
+}
 
 // Unwrap returns the reason.
-func (f *Failure) Unwrap() error { return f.Err }
+func (f *RuntimeError) Unwrap() error { return f.Err }
 
 // valueError returns an error that is ErrValue.
 func valueError(format string, args ...any) error {
--- a/internal/hook/limits_test.go
+++ b/internal/hook/limits_test.go
@@ -36,7 +36,7 @@
 func TestLimits(t *testing.T) {
 	for _, x := range limitCases {
 		first, err := run(t, x.source, x.limits)
-		var f *Failure
+		var f *RuntimeError
 		if !errors.Is(err, x.want) || !errors.As(err, &f) || f.Line != 1 || len(first.Effects) > 0 {
 			t.Errorf("%s: %v, %+v", x.name, err, first)
 		}
