--- a/internal/hook/limits.go
+++ b/internal/hook/limits.go
@@ -51,15 +51,15 @@
 
 // RuntimeError is the error of a run: errors.Is finds its reason, one of the errors above.
 type RuntimeError struct {
-	File string
-	Line int
-	In   string // the function
-	Err  error
+	File     string
+	Line     int
+	Function string // the function
+	Err      error
 }
 
 // Error returns position, function and reason.
 func (f *RuntimeError) Error() string {
-	return fmt.Sprintf("%s:%d: in %s: %v", f.File, f.Line, f.In, f.Err)
+	return fmt.Sprintf("%s:%d: in %s: %v", f.File, f.Line, f.Function, f.Err)
 }
 
 // Unwrap returns the reason.
--- a/internal/hook/machine.go
+++ b/internal/hook/machine.go
@@ -70,7 +70,7 @@
 func (m *Machine) failure(err error) *RuntimeError {
 	current := &m.frames[len(m.frames)-1]
 	failed := current.code.instructions[max(0, current.next-1)]
-	return &RuntimeError{File: m.program.File, Line: int(failed.line), In: current.code.name, Err: err}
+	return &RuntimeError{File: m.program.File, Line: int(failed.line), Function: current.code.name, Err: err}
 }
 
 // release ends the references to the program, the event and the store. What is left above the
