--- a/internal/hook/check_declarations.go
+++ b/internal/hook/check_declarations.go
@@ -54,15 +54,15 @@
 	c.checkNameFree(at, node.Name)
 	state := State{Name: node.Name}
 	if !node.Counter {
-		state.Most, _ = strconv.Atoi(*node.Most) // too large a number is not within bounds either
-		state.Age, _ = parseDuration(*node.Age)
+		state.MaxEntries, _ = strconv.Atoi(*node.Most) // too large a number is not within bounds either
+		state.MaxAge, _ = parseDuration(*node.Age)
 		if !isWithinBounds(state) {
 			c.fail(at, "a map of %s entries for %s: 1 to %d entries, and an age of up to 30d, are meant",
-				*node.Most, *node.Age, MostEntries)
+				*node.Most, *node.Age, MaxEntries)
 		}
 	}
-	if len(c.program.states) == MostStates {
-		c.fail(at, "more than %d states", MostStates)
+	if len(c.program.states) == MaxStates {
+		c.fail(at, "more than %d states", MaxStates)
 	}
 	c.stateNumbers[state.Name] = len(c.program.states)
 	c.program.states = append(c.program.states, state)
@@ -70,8 +70,8 @@
 
 // isWithinBounds reports whether a map of the state may be as large and as old as it is declared.
 func isWithinBounds(state State) bool {
-	sizeAllowed := state.Most >= 1 && state.Most <= MostEntries
-	ageAllowed := state.Age > 0 && state.Age <= MostAge
+	sizeAllowed := state.MaxEntries >= 1 && state.MaxEntries <= MaxEntries
+	ageAllowed := state.MaxAge > 0 && state.MaxAge <= MaxEntryAge
 	return sizeAllowed && ageAllowed
 }
 
--- a/internal/hook/diagnostic_test.go
+++ b/internal/hook/diagnostic_test.go
@@ -31,7 +31,7 @@
 	{`on request { for x in 5 { } }`, `a list, or FROM..TO, is meant`}, {`on request { tag("a` + "\n" + `") }`, `test.hook:1`}, {`on request { ` + strings.Repeat("(", 100), `nested more than 64 deep`},
 	{`on request { let x = ` + strings.Repeat("not ", 100) + `true }`, `nested more than 64 deep`}, {strings.Repeat("#", MaxSource+1), `a program has 65536 at the most`},
 	{"state s0: counter " + func() (s string) {
-		for i := range MostStates {
+		for i := range MaxStates {
 			s += fmt.Sprintf("state t%d: counter ", i)
 		}
 		return s
--- a/internal/hook/machine_stack.go
+++ b/internal/hook/machine_stack.go
@@ -104,8 +104,8 @@
 		base--
 		key = m.stack[base].text
 	}
-	if len(key) > MaxKey {
-		return valueError("a key of %d bytes: %d at the most", len(key), MaxKey)
+	if len(key) > MaxKeyBytes {
+		return valueError("a key of %d bytes: %d at the most", len(key), MaxKeyBytes)
 	}
 	if !m.spend(sizeCost(stateSize + len(key))) {
 		return ErrFuel
--- a/internal/hook/state.go
+++ b/internal/hook/state.go
@@ -4,20 +4,20 @@
 
 // State is a declared state: numbers that are kept from one run to the next.
 type State struct {
-	Name string
-	Most int           // entries of a map; 0: it is a counter
-	Age  time.Duration // after which an entry is dropped that nothing was added to
+	Name       string
+	MaxEntries int           // entries of a map; 0: it is a counter
+	MaxAge     time.Duration // after which an entry is dropped that nothing was added to
 }
 
 // isMap reports whether a state is a map, and not a counter.
-func (s *State) isMap() bool { return s.Most > 0 }
+func (s *State) isMap() bool { return s.MaxEntries > 0 }
 
 // Bounds of a program's state. Together they keep a map to some 3 MB.
 const (
-	MostStates  = 16
-	MostEntries = 10_000
-	MostAge     = 30 * 24 * time.Hour
-	MaxKey      = 128 // bytes
+	MaxStates   = 16
+	MaxEntries  = 10_000
+	MaxEntryAge = 30 * 24 * time.Hour
+	MaxKeyBytes = 128 // bytes
 )
 
 // Store gives a run access to the program's declared state, by the number of the State in
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -244,7 +244,7 @@
 func TestState(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		decl := hook.State{Name: "m", Most: 1 + rng.IntN(6), Age: time.Minute}
+		decl := hook.State{Name: "m", MaxEntries: 1 + rng.IntN(6), MaxAge: time.Minute}
 		k := keep([]hook.State{decl}, nil)
 		type row struct {
 			key string
@@ -277,12 +277,12 @@
 					v.Add(0, key, n)
 					r := row{key, n, now}
 					if i >= 0 {
-						if now.Sub(model[i].at) <= decl.Age {
+						if now.Sub(model[i].at) <= decl.MaxAge {
 							r.n += model[i].n
 						}
 						model = append(model[:i:i], model[i+1:]...)
 					}
-					if model = append(model, r); len(model) > decl.Most {
+					if model = append(model, r); len(model) > decl.MaxEntries {
 						model = model[1:]
 					}
 				}
@@ -298,7 +298,7 @@
 			look := &view{kept: k, decls: []hook.State{decl}, now: now}
 			for c := 'a'; c < 'i'; c++ {
 				want := int64(0)
-				if i := find(string(c)); i >= 0 && now.Sub(model[i].at) <= decl.Age {
+				if i := find(string(c)); i >= 0 && now.Sub(model[i].at) <= decl.MaxAge {
 					want = model[i].n
 				}
 				if got := look.Value(0, string(c)); got != want {
--- a/internal/plugin/state.go
+++ b/internal/plugin/state.go
@@ -41,7 +41,7 @@
 	for _, d := range decls {
 		t := &table{decl: d, byKey: make(map[string]*list.Element), order: list.New()}
 		if old != nil {
-			if was := old.states[d.Name]; was != nil && (was.decl.Most > 0) == (d.Most > 0) {
+			if was := old.states[d.Name]; was != nil && (was.decl.MaxEntries > 0) == (d.MaxEntries > 0) {
 				for e := was.order.Front(); e != nil; e = e.Next() {
 					x := *e.Value.(*entry) // its own: calls of the old program may still be under way
 					t.byKey[x.key] = t.order.PushBack(&x)
@@ -56,7 +56,7 @@
 
 // fit lets entries go that are over the bound.
 func (t *table) fit() {
-	for t.order.Len() > max(1, t.decl.Most) {
+	for t.order.Len() > max(1, t.decl.MaxEntries) {
 		e := t.order.Front()
 		delete(t.byKey, e.Value.(*entry).key)
 		t.order.Remove(e)
@@ -69,7 +69,7 @@
 		return 0
 	}
 	x := e.Value.(*entry)
-	if t.decl.Age > 0 && now.Sub(x.at) > t.decl.Age {
+	if t.decl.MaxAge > 0 && now.Sub(x.at) > t.decl.MaxAge {
 		return 0
 	}
 	return x.n
@@ -84,7 +84,7 @@
 		return
 	}
 	x := e.Value.(*entry)
-	if t.decl.Age > 0 && now.Sub(x.at) > t.decl.Age {
+	if t.decl.MaxAge > 0 && now.Sub(x.at) > t.decl.MaxAge {
 		x.n = 0
 	}
 	x.n, x.at = sum(x.n, n), now
