--- a/internal/hook/diagnostic_test.go
+++ b/internal/hook/diagnostic_test.go
@@ -29,7 +29,7 @@
 	{`on request { let x = 99999999999999999999 }`, `this cannot be held`}, {`on request { return tag("x") tag("y") }`, ``}, {"on request {\n\treturn\n}\non request", `test.hook:4:11`},
 	{`on request { while true { break tag("x") } }`, `this is never reached`}, {`on request { let x = true < false }`, `bool < bool`}, {`on request { let x = -"a" }`, `-text has no meaning`},
 	{`on request { for x in 5 { } }`, `a list, or FROM..TO, is meant`}, {`on request { tag("a` + "\n" + `") }`, `test.hook:1`}, {`on request { ` + strings.Repeat("(", 100), `nested more than 64 deep`},
-	{`on request { let x = ` + strings.Repeat("not ", 100) + `true }`, `nested more than 64 deep`}, {strings.Repeat("#", MaxSource+1), `a program has 65536 at the most`},
+	{`on request { let x = ` + strings.Repeat("not ", 100) + `true }`, `nested more than 64 deep`}, {strings.Repeat("#", MaxSourceBytes+1), `a program has 65536 at the most`},
 	{"state s0: counter " + func() (s string) {
 		for i := range MaxStates {
 			s += fmt.Sprintf("state t%d: counter ", i)
--- a/internal/hook/parser.go
+++ b/internal/hook/parser.go
@@ -8,8 +8,8 @@
 	"github.com/alecthomas/participle/v2"
 )
 
-// MaxSource is the size of the largest program, in bytes.
-const MaxSource = 64 << 10
+// MaxSourceBytes is the size of the largest program, in bytes.
+const MaxSourceBytes = 64 << 10
 
 // parserLookahead is how many tokens the grammar needs to choose an alternative.
 const parserLookahead = 3
@@ -25,8 +25,8 @@
 
 // parse makes the syntax tree of a source. An error is an *Error: the first one in the source.
 func parse(file, source string) (*fileNode, error) {
-	if len(source) > MaxSource {
-		text := fmt.Sprintf("%d bytes: a program has %d at the most", len(source), MaxSource)
+	if len(source) > MaxSourceBytes {
+		text := fmt.Sprintf("%d bytes: a program has %d at the most", len(source), MaxSourceBytes)
 		return nil, &Error{File: file, Text: text}
 	}
 	if err := checkNesting(file, source); err != nil {
