--- a/internal/hook/builtins_event.go
+++ b/internal/hook/builtins_event.go
@@ -9,8 +9,8 @@
 
 func runHeader(m *Machine, operands []value, _ kind) error {
 	content := ""
-	if m.event.Heads != nil {
-		content = m.event.Heads.Header(operands[0].text)
+	if m.event.Headers != nil {
+		content = m.event.Headers.Header(operands[0].text)
 	}
 	operands[0] = textValue(content)
 	return nil
--- a/internal/hook/differential_test.go
+++ b/internal/hook/differential_test.go
@@ -21,7 +21,7 @@
 		if err != nil {
 			t.Fatalf("seed %d: %v\n%s", seed, err, source)
 		}
-		e := &Event{Kind: "request", Now: time.Unix(0, 0), Heads: headers{"Apiary": "ridge-7"}}
+		e := &Event{Kind: "request", Now: time.Unix(0, 0), Headers: headers{"Apiary": "ridge-7"}}
 		e.Text[RequestClass], e.Int[RequestSize], e.Int[RequestRetry] = "weight-reading", 42, 1
 		w := &walker{p: c, e: e, state: make(map[string]int64)}
 		var want error
--- a/internal/hook/event.go
+++ b/internal/hook/event.go
@@ -18,11 +18,11 @@
 // Event is the input of a run. The fields of its kind are in Text or Int, as their types are, by
 // the numbers below.
 type Event struct {
-	Kind  string // KindRequest, KindOutcome or KindMember
-	Now   time.Time
-	Text  [maxFields]string
-	Int   [maxFields]int64 // durations in ns; bools 0 or 1
-	Heads Headers          // of a request; may be nil
+	Kind    string // KindRequest, KindOutcome or KindMember
+	Now     time.Time
+	Text    [maxFields]string
+	Int     [maxFields]int64 // durations in ns; bools 0 or 1
+	Headers Headers          // of a request; may be nil
 }
 
 // Headers returns a request's header by name, "" if there is none.
--- a/internal/hook/golden_test.go
+++ b/internal/hook/golden_test.go
@@ -73,7 +73,7 @@
 
 // goldenEvent returns an event with all fields of its kind set.
 func goldenEvent(kind string) *Event {
-	e := &Event{Kind: kind, Now: time.Date(2026, 9, 1, 5, 30, 0, 0, time.UTC), Heads: headers{"Apiary": "ridge-7", "Tags": "a,b"}}
+	e := &Event{Kind: kind, Now: time.Date(2026, 9, 1, 5, 30, 0, 0, time.UTC), Headers: headers{"Apiary": "ridge-7", "Tags": "a,b"}}
 	for i := range e.Text {
 		e.Text[i] = fmt.Sprintf("text-%d", i)
 	}
--- a/internal/hook/helpers_test.go
+++ b/internal/hook/helpers_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, source)
 	}
-	e := &Event{Kind: "request", Now: time.Date(2026, 6, 1, 0, 30, 0, 0, time.UTC), Heads: headers{"Apiary": "ridge-7"}}
+	e := &Event{Kind: "request", Now: time.Date(2026, 6, 1, 0, 30, 0, 0, time.UTC), Headers: headers{"Apiary": "ridge-7"}}
 	e.Text[RequestClass], e.Text[RequestTenant], e.Int[RequestSize], e.Int[RequestLeft], e.Int[RequestRetry] = "weight-reading", "downs", 42, int64(time.Second), 1
 	var m Machine
 	return m.Run(p, e, memory{}, l)
--- a/internal/hook/limits_test.go
+++ b/internal/hook/limits_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &Event{Kind: "request", Heads: headers{"Apiary": "ridge-7"}}
+	e := &Event{Kind: "request", Headers: headers{"Apiary": "ridge-7"}}
 	e.Text[RequestClass] = "weight-reading"
 	var m Machine
 	if n := testing.AllocsPerRun(100, func() {
--- a/internal/hook/tree_walker_test.go
+++ b/internal/hook/tree_walker_test.go
@@ -306,7 +306,7 @@
 	case "float":
 		return float64(args[0].(int64))
 	case "header":
-		return w.e.Heads.Header(text(0))
+		return w.e.Headers.Header(text(0))
 	default:
 		panic("the walker has no " + builtins[e.number].name)
 	}
--- a/internal/plugin/cases.go
+++ b/internal/plugin/cases.go
@@ -63,7 +63,7 @@
 		for k, v := range e.Headers {
 			h.fields[k] = []string{v}
 		}
-		x.Heads = h
+		x.Headers = h
 		x.Text = [len(x.Text)]string{hook.RequestClass: e.Class, hook.RequestTenant: e.Tenant, hook.RequestID: e.ID, hook.RequestKey: e.Key, hook.RequestTarget: e.Target}
 		x.Int[hook.RequestSize], x.Int[hook.RequestLeft] = e.Size, ns(e.LeftMS)
 		if e.Retry {
--- a/internal/plugin/gate.go
+++ b/internal/plugin/gate.go
@@ -182,7 +182,7 @@
 	now := g.cfg.Now()
 	w.heads.fields = r.Fields
 	e := &w.event
-	e.Kind, e.Now, e.Heads = "request", now, &w.heads
+	e.Kind, e.Now, e.Headers = "request", now, &w.heads
 	e.Text = [len(e.Text)]string{
 		hook.RequestClass: g.cfg.Classes[r.Class], hook.RequestTenant: g.tenant(r.Tenant), hook.RequestID: r.ID,
 		hook.RequestKey: first(r.Fields, "Idempotency-Key"), hook.RequestTarget: r.Target,
@@ -371,7 +371,7 @@
 
 func (g *Gate) member(w *workspace, p *Plugin, in *core.Endpoint) {
 	e := &w.event
-	e.Kind, e.Now, e.Heads = "member", g.cfg.Now(), nil
+	e.Kind, e.Now, e.Headers = "member", g.cfg.Now(), nil
 	e.Text = [len(e.Text)]string{
 		hook.MemberName: in.Name, hook.MemberAddress: in.Addr, hook.MemberSite: in.Zone, hook.MemberKind: in.MachineType,
 		hook.MemberState: [...]string{core.Draining: "draining", core.Up: "up", core.Removed: "removed"}[in.Health],
