--- a/cmd/sidecar/plugin.go
+++ b/cmd/sidecar/plugin.go
@@ -35,7 +35,7 @@
 		}
 		var hooks []string
 		for _, kind := range []string{"request", "outcome", "member"} {
-			if p.Hooks(kind) {
+			if p.HasHook(kind) {
 				hooks = append(hooks, "on "+kind)
 			}
 		}
--- a/internal/hook/golden_test.go
+++ b/internal/hook/golden_test.go
@@ -137,7 +137,7 @@
 			continue
 		}
 		for _, kind := range []string{"request", "outcome", "member"} {
-			if compiled.Hooks(kind) {
+			if compiled.HasHook(kind) {
 				out.WriteString(goldenLine(program.name, compiled, kind))
 			}
 		}
--- a/internal/hook/program.go
+++ b/internal/hook/program.go
@@ -27,8 +27,8 @@
 	instructions []instruction
 }
 
-// Hooks reports whether a program has a hook for a kind of event.
-func (p *Program) Hooks(kind string) bool {
+// HasHook reports whether a program has a hook for a kind of event.
+func (p *Program) HasHook(kind string) bool {
 	_, ok := p.hooks[kind]
 	return ok
 }
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -84,7 +84,7 @@
 		return nil, fmt.Errorf("plug-in %q: %w", s.Name, err)
 	}
 	for _, h := range s.Hooks {
-		if !program.Hooks(h) {
+		if !program.HasHook(h) {
 			return nil, fmt.Errorf("plug-in %q: %s has no \"on %s\"", s.Name, s.File, h)
 		}
 	}
@@ -105,7 +105,7 @@
 
 // runs says whether it is run for a kind of event.
 func (p *Plugin) has(kind string) bool {
-	return p.program.Hooks(kind) && (len(p.spec.Hooks) == 0 || slices.Contains(p.spec.Hooks, kind))
+	return p.program.HasHook(kind) && (len(p.spec.Hooks) == 0 || slices.Contains(p.spec.Hooks, kind))
 }
 
 // Counts returns what was counted so far.
