--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -115,7 +115,7 @@
 		if x.want == nil && (answers[0].Result != core.Rejected || answers[0].RetryAfter < time.Second || strings.ContainsAny(answers[0].Detail, "\r\n")) {
 			t.Errorf("%s: %+v", x.name, answers[0])
 		}
-		if c := g.set.Load().all[0].Counts(); c.Failed != x.failed || c.Runs != 1 {
+		if c := g.plugins.Load().all[0].Counts(); c.Failed != x.failed || c.Runs != 1 {
 			t.Errorf("%s: %+v", x.name, c)
 		}
 	}
@@ -147,7 +147,7 @@
 			t.Fatalf("%+v", answers)
 		}
 	}
-	p := g.set.Load().all[0]
+	p := g.plugins.Load().all[0]
 	if c := p.Counts(); c.Exhausted != breaker.DefaultMaxFailures || c.Skipped != 50-breaker.DefaultMaxFailures || p.breaker.State() != breaker.Open {
 		t.Errorf("%+v, %v", c, p.breaker.State())
 	}
@@ -155,7 +155,7 @@
 	if _, answers := send(g, 0, nil); len(answers) != 1 || answers[0].Result != core.Rejected {
 		t.Errorf("left out, with a rule that refuses: %+v", answers)
 	}
-	if n := (&view{kept: p.kept, decls: p.program.States}).Value(0, ""); n != 0 {
+	if n := (&stateView{shared: p.state, declarations: p.program.States}).Value(0, ""); n != 0 {
 		t.Errorf("failed runs left a count of %d", n)
 	}
 }
@@ -163,7 +163,7 @@
 // A panic inside of the machine is the plug-in's failure alone.
 func TestPanic(t *testing.T) {
 	g, _ := gate(t, Spec{Name: "p", File: write(t, `on request { tag("x") }`)[0]})
-	p := g.set.Load().all[0]
+	p := g.plugins.Load().all[0]
 	var w workspace
 	w.event.Kind = "request"
 	if _, err := p.run(&w, func([]hook.Effect) error { panic("broken") }); err == nil || !strings.Contains(err.Error(), "the machine failed: broken") {
@@ -218,21 +218,21 @@
 on outcome { count(event.ending + "-" + event.class)  label("club", event.tenant) }
 on member { if has_prefix(event.name, "old-") { label("kind", "slow")  count("old") } else if event.name == "bad" { label("colour", "red") } }`)[0]})
 	done, ended := make(chan struct{}), make(chan struct{})
-	for range outcomesHeld + 10 {
+	for range outcomeQueueLength + 10 {
 		send(g, 1, nil)
 	}
 	if g.Dropped() != 10 {
 		t.Errorf("%d outcomes dropped", g.Dropped())
 	}
 	go func() { g.Run(done); close(ended) }()
-	p := g.set.Load().all[0]
-	for end := time.Now().Add(10 * time.Second); p.Named()["served-harvest-entry"] < outcomesHeld && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	p := g.plugins.Load().all[0]
+	for end := time.Now().Add(10 * time.Second); p.Named()["served-harvest-entry"] < outcomeQueueLength && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	close(done)
 	<-ended
 	n := core.EndpointUpdate{Endpoints: []core.Endpoint{{Name: "old-1", MachineType: "m"}, {Name: "new-1", MachineType: "m"}, {Name: "bad", MachineType: "m"}}}
 	got := g.Members(n)
-	if named := p.Named(); named["served-harvest-entry"] != outcomesHeld || named["club=downs"] != outcomesHeld || named["old"] != 1 {
+	if named := p.Named(); named["served-harvest-entry"] != outcomeQueueLength || named["club=downs"] != outcomeQueueLength || named["old"] != 1 {
 		t.Errorf("counted %v", named)
 	}
 	if got.Endpoints[0].MachineType != "slow" || got.Endpoints[1].MachineType != "m" || got.Endpoints[2].MachineType != "m" || n.Endpoints[0].MachineType != "m" {
@@ -245,7 +245,7 @@
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		decl := hook.State{Name: "m", MaxEntries: 1 + rng.IntN(6), MaxAge: time.Minute}
-		k := keep([]hook.State{decl}, nil)
+		k := newSharedState([]hook.State{decl}, nil)
 		type row struct {
 			key string
 			n   int64
@@ -263,7 +263,7 @@
 		}
 		for step := range 300 {
 			now = now.Add(time.Duration(rng.IntN(20)) * time.Second)
-			v := &view{kept: k, decls: []hook.State{decl}, now: now}
+			v := &stateView{shared: k, declarations: []hook.State{decl}, now: now}
 			before := append([]row(nil), model...)
 			for range 1 + rng.IntN(4) {
 				key := string(rune('a' + rng.IntN(8)))
@@ -293,9 +293,9 @@
 				v.commit()
 			}
 			if rng.IntN(10) == 0 { // a reload
-				k = keep([]hook.State{decl}, k)
+				k = newSharedState([]hook.State{decl}, k)
 			}
-			look := &view{kept: k, decls: []hook.State{decl}, now: now}
+			look := &stateView{shared: k, declarations: []hook.State{decl}, now: now}
 			for c := 'a'; c < 'i'; c++ {
 				want := int64(0)
 				if i := find(string(c)); i >= 0 && now.Sub(model[i].at) <= decl.MaxAge {
--- a/internal/plugin/state.go
+++ b/internal/plugin/state.go
@@ -9,161 +9,126 @@
 	"mothridge/internal/hook"
 )
 
-// kept is a plug-in's declared state: what all runs of it share. A reload hands it
-// to the plug-in of the same name.
-type kept struct {
+// sharedState is the declared state of a plug-in, which all its runs share. After a reload the
+// plug-in of the same name continues with a copy.
+type sharedState struct {
 	mu     sync.Mutex
-	states map[string]*table // by name
+	tables map[string]*table // by the state's name
 }
 
-// table is one state: a counter, whose entry has no key, or a map with a bound
-// and an age, of which the entry that was added to least lately goes first.
+// table holds a declared state: a counter, which has one entry without a key, or a map. A map that
+// is full evicts the entry that was added to least recently.
 type table struct {
-	decl  hook.State
-	byKey map[string]*list.Element
-	order *list.List // of *entry, the least lately added to first
+	declaration hook.State
+	byKey       map[string]*list.Element
+	order       *list.List // of *entry; the least recently added to is first
 }
 
 type entry struct {
-	key string
-	n   int64
-	at  time.Time
+	key     string
+	sum     int64
+	addedAt time.Time // last
 }
 
-// keep gives the state for a program, with what an earlier one had under the
-// same declaration's name and kind.
-func keep(decls []hook.State, old *kept) *kept {
-	k := &kept{states: make(map[string]*table)}
+// newSharedState returns the state of a program. A table that the old state has under the same name,
+// and which is of the same kind, is copied.
+func newSharedState(declarations []hook.State, old *sharedState) *sharedState {
+	s := &sharedState{tables: make(map[string]*table)}
 	if old != nil {
 		old.mu.Lock()
 		defer old.mu.Unlock()
 	}
-	for _, d := range decls {
-		t := &table{decl: d, byKey: make(map[string]*list.Element), order: list.New()}
+	for _, declaration := range declarations {
+		t := newTable(declaration)
 		if old != nil {
-			if was := old.states[d.Name]; was != nil && (was.decl.MaxEntries > 0) == (d.MaxEntries > 0) {
-				for e := was.order.Front(); e != nil; e = e.Next() {
-					x := *e.Value.(*entry) // its own: calls of the old program may still be under way
-					t.byKey[x.key] = t.order.PushBack(&x)
-				}
-				t.fit()
-			}
+			t.copyFrom(old.tables[declaration.Name])
 		}
-		k.states[d.Name] = t
+		s.tables[declaration.Name] = t
 	}
-	return k
+	return s
 }
 
-// fit lets entries go that are over the bound.
-func (t *table) fit() {
-	for t.order.Len() > max(1, t.decl.MaxEntries) {
-		e := t.order.Front()
-		delete(t.byKey, e.Value.(*entry).key)
-		t.order.Remove(e)
-	}
+func newTable(declaration hook.State) *table {
+	return &table{declaration: declaration, byKey: make(map[string]*list.Element), order: list.New()}
 }
 
-func (t *table) get(key string, now time.Time) int64 {
-	e := t.byKey[key]
-	if e == nil {
-		return 0
-	}
-	x := e.Value.(*entry)
-	if t.decl.MaxAge > 0 && now.Sub(x.at) > t.decl.MaxAge {
-		return 0
-	}
-	return x.n
-}
+func (t *table) isMap() bool { return t.declaration.MaxEntries > 0 }
 
-// add changes an entry by n, where there is none by beginning with 0.
-func (t *table) add(key string, n int64, now time.Time) {
-	e := t.byKey[key]
-	if e == nil {
-		t.byKey[key] = t.order.PushBack(&entry{key, n, now})
-		t.fit()
+// copyFrom copies the entries of a table of the same kind. Runs of the old program may still change
+// that table.
+func (t *table) copyFrom(old *table) {
+	if old == nil || old.isMap() != t.isMap() {
 		return
 	}
-	x := e.Value.(*entry)
-	if t.decl.MaxAge > 0 && now.Sub(x.at) > t.decl.MaxAge {
-		x.n = 0
+	for element := old.order.Front(); element != nil; element = element.Next() {
+		copied := *element.Value.(*entry)
+		t.byKey[copied.key] = t.order.PushBack(&copied)
 	}
-	x.n, x.at = sum(x.n, n), now
-	t.order.MoveToBack(e)
+	t.evict()
 }
 
-// sum stays at the ends instead of going over them.
-func sum(a, b int64) int64 {
-	switch c := a + b; {
-	case b > 0 && c < a:
-		return math.MaxInt64
-	case b < 0 && c > a:
-		return math.MinInt64
-	default:
-		return c
+// evict removes the first entries until the bound is kept.
+func (t *table) evict() {
+	for t.order.Len() > max(1, t.declaration.MaxEntries) {
+		t.remove(t.order.Front())
 	}
 }
 
-// change is what a run wants to do to the state.
-type change struct {
-	state  int
-	key    string
-	n      int64
-	forget bool
+func (t *table) remove(element *list.Element) {
+	delete(t.byKey, element.Value.(*entry).key)
+	t.order.Remove(element)
 }
 
-// view is the state as one run sees it: with its own changes, which nobody else
-// sees before it has ended well. It is a hook.Store.
-type view struct {
-	kept    *kept
-	decls   []hook.State
-	now     time.Time
-	changes []change
+// isExpired reports whether nothing was added to an entry for longer than the declared age.
+func (t *table) isExpired(e *entry, now time.Time) bool {
+	return t.declaration.MaxAge > 0 && now.Sub(e.addedAt) > t.declaration.MaxAge
 }
 
-func (v *view) table(state int) *table { return v.kept.states[v.decls[state].Name] }
-
-// Value is an entry's with what this run has done to it.
-func (v *view) Value(state int, key string) int64 {
-	v.kept.mu.Lock()
-	n := v.table(state).get(key, v.now)
-	v.kept.mu.Unlock()
-	for _, c := range v.changes {
-		switch {
-		case c.state != state || c.key != key:
-		case c.forget:
-			n = 0
-		default:
-			n = sum(n, c.n)
-		}
+// value returns an entry's sum, 0 if there is none or it is expired.
+func (t *table) value(key string, now time.Time) int64 {
+	element := t.byKey[key]
+	if element == nil {
+		return 0
 	}
-	return n
+	e := element.Value.(*entry)
+	if t.isExpired(e, now) {
+		return 0
+	}
+	return e.sum
 }
 
-// Add notes an addition and gives what there would be.
-func (v *view) Add(state int, key string, n int64) int64 {
-	v.changes = append(v.changes, change{state: state, key: key, n: n})
-	return v.Value(state, key)
+// add adds to an entry; one that does not exist or is expired begins with 0.
+func (t *table) add(key string, n int64, now time.Time) {
+	element := t.byKey[key]
+	if element == nil {
+		t.byKey[key] = t.order.PushBack(&entry{key: key, sum: n, addedAt: now})
+		t.evict()
+		return
+	}
+	e := element.Value.(*entry)
+	if t.isExpired(e, now) {
+		e.sum = 0
+	}
+	e.sum = saturatingAdd(e.sum, n)
+	e.addedAt = now
+	t.order.MoveToBack(element)
 }
 
-// Forget notes that an entry is to go.
-func (v *view) Forget(state int, key string) {
-	v.changes = append(v.changes, change{state: state, key: key, forget: true})
+// forget removes an entry, if there is one.
+func (t *table) forget(key string) {
+	if element := t.byKey[key]; element != nil {
+		t.remove(element)
+	}
 }
 
-// commit carries the changes out, all at one instant.
-func (v *view) commit() {
-	if len(v.changes) == 0 {
-		return
-	}
-	v.kept.mu.Lock()
-	defer v.kept.mu.Unlock()
-	for _, c := range v.changes {
-		t := v.table(c.state)
-		if !c.forget {
-			t.add(c.key, c.n, v.now)
-		} else if e := t.byKey[c.key]; e != nil {
-			delete(t.byKey, c.key)
-			t.order.Remove(e)
-		}
+// saturatingAdd returns the sum, or the nearest int64 if it overflows.
+func saturatingAdd(a, b int64) int64 {
+	switch sum := a + b; {
+	case b > 0 && sum < a:
+		return math.MaxInt64
+	case b < 0 && sum > a:
+		return math.MinInt64
+	default:
+		return sum
 	}
 }
--- /dev/null
+++ b/internal/plugin/trial.go
@@ -0,0 +1,80 @@
+package plugin
+
+import (
+	"strconv"
+	"time"
+
+	"mothridge/internal/hook"
+)
+
+// Trial runs a program by itself, with a state that it keeps from one run to the next.
+type Trial struct {
+	program   *hook.Program
+	state     *sharedState
+	limits    hook.Limits
+	workspace workspace
+}
+
+// NewTrial returns a Trial with empty state. Zero limits are the defaults.
+func NewTrial(program *hook.Program, limits hook.Limits) *Trial {
+	return &Trial{
+		program: program,
+		state:   newSharedState(program.States, nil),
+		limits:  limitsOrDefaults(limits),
+	}
+}
+
+// Run runs the program for an event. The changes of the state are kept if the run succeeds.
+func (t *Trial) Run(e *EventJSON) (hook.Result, error) {
+	event, err := e.event()
+	if err != nil {
+		return hook.Result{}, err
+	}
+	return t.run(event)
+}
+
+func (t *Trial) run(event *hook.Event) (hook.Result, error) {
+	view := &t.workspace.view
+	view.reset(t.state, t.program.States, event.Now)
+	result, err := t.workspace.machine.Run(t.program, event, view, t.limits)
+	if err == nil {
+		view.commit()
+	}
+	return result, err
+}
+
+// Bench runs the program n times for an event and returns the mean time of a run.
+func (t *Trial) Bench(e *EventJSON, n int) (time.Duration, error) {
+	event, err := e.event()
+	if err != nil {
+		return 0, err
+	}
+	start := time.Now()
+	for range n {
+		if _, err := t.run(event); err != nil {
+			return 0, err
+		}
+	}
+	return time.Since(start) / time.Duration(n), nil
+}
+
+// Describe returns an effect as text: the function's name and its arguments.
+func Describe(e hook.Effect) string {
+	name, text := strconv.Quote(e.Name), strconv.Quote(e.Text)
+	switch e.Kind {
+	case hook.SetHeader:
+		return "set_header " + name + " " + text
+	case hook.RemoveHeader:
+		return "remove_header " + name
+	case hook.Tag:
+		return "tag " + text
+	case hook.SetTenant:
+		return "set_tenant " + text
+	case hook.Refuse:
+		return "refuse " + text + " " + e.Pause.String()
+	case hook.Count:
+		return "count " + name
+	default:
+		return "label " + name + " " + text
+	}
+}
