--- a/internal/hook/bench_test.go
+++ b/internal/hook/bench_test.go
@@ -25,10 +25,10 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			event := &Event{Kind: "request", Now: time.Unix(1_800_000_000, 0), Headers: headers{"Apiary": "ridge-7"}}
+			event := &Event{Kind: "request", Now: time.Unix(1_800_000_000, 0), Headers: headerMap{"Apiary": "ridge-7"}}
 			event.Text[RequestClass] = "weight-reading"
 			var machine Machine
-			store := memory{}
+			store := memoryStore{}
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := machine.Run(compiled, event, store, generous); err != nil {
--- a/internal/hook/differential_test.go
+++ b/internal/hook/differential_test.go
@@ -27,7 +27,7 @@
 
 // differentialEvent returns the event for which the random programs run.
 func differentialEvent() *Event {
-	event := &Event{Kind: KindRequest, Now: time.Unix(0, 0), Headers: headers{"Apiary": "ridge-7"}}
+	event := &Event{Kind: KindRequest, Now: time.Unix(0, 0), Headers: headerMap{"Apiary": "ridge-7"}}
 	event.Text[RequestClass] = "weight-reading"
 	event.Int[RequestSize] = 42
 	event.Int[RequestRetry] = 1
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 		var machine Machine
-		result, err := machine.Run(program, event, memory{}, differentialLimits)
+		result, err := machine.Run(program, event, memoryStore{}, differentialLimits)
 		if errors.Is(wantErr, ErrMemory) || errors.Is(err, ErrMemory) {
 			continue
 		}
--- a/internal/hook/format_test.go
+++ b/internal/hook/format_test.go
@@ -37,8 +37,8 @@
 		if strings.HasSuffix(f, ".hook") && once != source {
 			t.Errorf("%s is not formatted:\n%s", f, once)
 		}
-		r1, err1 := run(t, source, generous)
-		r2, err2 := run(t, once, generous)
+		r1, err1 := runProgram(t, source, generous)
+		r2, err2 := runProgram(t, once, generous)
 		if fmt.Sprint(r1) != fmt.Sprint(r2) || (err1 == nil) != (err2 == nil) {
 			t.Errorf("%s: %v %v, formatted %v %v", source, r1, err1, r2, err2)
 		}
--- a/internal/hook/fuzz_test.go
+++ b/internal/hook/fuzz_test.go
@@ -18,7 +18,7 @@
 		for kind := range eventFields {
 			l := Limits{Fuel: 2000, Memory: 4096}
 			var m Machine
-			r, err := m.Run(p, &Event{Kind: kind}, memory{}, l)
+			r, err := m.Run(p, &Event{Kind: kind}, memoryStore{}, l)
 			if r.Fuel > l.Fuel || r.Memory > l.Memory || err != nil && len(r.Effects) > 0 {
 				t.Fatalf("%+v %v", r, err)
 			}
--- a/internal/hook/golden_test.go
+++ b/internal/hook/golden_test.go
@@ -73,7 +73,7 @@
 
 // goldenEvent returns an event with all fields of its kind set.
 func goldenEvent(kind string) *Event {
-	e := &Event{Kind: kind, Now: time.Date(2026, 9, 1, 5, 30, 0, 0, time.UTC), Headers: headers{"Apiary": "ridge-7", "Tags": "a,b"}}
+	e := &Event{Kind: kind, Now: time.Date(2026, 9, 1, 5, 30, 0, 0, time.UTC), Headers: headerMap{"Apiary": "ridge-7", "Tags": "a,b"}}
 	for i := range e.Text {
 		e.Text[i] = fmt.Sprintf("text-%d", i)
 	}
@@ -88,7 +88,7 @@
 // goldenRuns runs a program within limits, three times with one store, and adds what came of it.
 func goldenRuns(digest golden.Digest, p *Program, kind string, limits Limits) (first Result, firstErr error) {
 	var machine Machine
-	store := memory{}
+	store := memoryStore{}
 	for run := range 3 {
 		result, err := machine.Run(p, goldenEvent(kind), store, limits)
 		digest.Numbers('r', result.Fuel, result.Memory, int64(len(result.Effects)))
--- a/internal/hook/helpers_test.go
+++ b/internal/hook/helpers_test.go
@@ -6,30 +6,43 @@
 	"time"
 )
 
-// memory is a Store without bounds.
-type memory map[string]int64
+// memoryStore is a Store without bounds.
+type memoryStore map[string]int64
 
-func (m memory) Value(s int, key string) int64 { return m[fmt.Sprint(s, key)] }
-func (m memory) Add(s int, key string, n int64) int64 {
-	m[fmt.Sprint(s, key)] += n
-	return m[fmt.Sprint(s, key)]
+func (s memoryStore) Value(state int, key string) int64 { return s[fmt.Sprint(state, key)] }
+
+func (s memoryStore) Add(state int, key string, n int64) int64 {
+	s[fmt.Sprint(state, key)] += n
+	return s[fmt.Sprint(state, key)]
 }
-func (m memory) Forget(s int, key string) { delete(m, fmt.Sprint(s, key)) }
 
-type headers map[string]string
+func (s memoryStore) Forget(state int, key string) { delete(s, fmt.Sprint(state, key)) }
+
+// headerMap is a request's header.
+type headerMap map[string]string
 
-func (h headers) Header(name string) string { return h[name] }
+func (h headerMap) Header(name string) string { return h[name] }
 
+// generous are limits that no program reaches that ends by itself.
 var generous = Limits{Fuel: 1 << 20, Memory: 1 << 20}
 
-func run(t testing.TB, source string, l Limits) (Result, error) {
+// runProgram compiles a program and runs its request hook.
+func runProgram(t testing.TB, source string, limits Limits) (Result, error) {
 	t.Helper()
-	p, err := Compile("test.hook", source)
+	program, err := Compile("test.hook", source)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, source)
 	}
-	e := &Event{Kind: "request", Now: time.Date(2026, 6, 1, 0, 30, 0, 0, time.UTC), Headers: headers{"Apiary": "ridge-7"}}
-	e.Text[RequestClass], e.Text[RequestTenant], e.Int[RequestSize], e.Int[RequestLeft], e.Int[RequestRetry] = "weight-reading", "downs", 42, int64(time.Second), 1
-	var m Machine
-	return m.Run(p, e, memory{}, l)
+	event := &Event{
+		Kind:    KindRequest,
+		Now:     time.Date(2026, 6, 1, 0, 30, 0, 0, time.UTC),
+		Headers: headerMap{"Apiary": "ridge-7"},
+	}
+	event.Text[RequestClass] = "weight-reading"
+	event.Text[RequestTenant] = "downs"
+	event.Int[RequestSize] = 42
+	event.Int[RequestLeft] = int64(time.Second)
+	event.Int[RequestRetry] = 1
+	var machine Machine
+	return machine.Run(program, event, memoryStore{}, limits)
 }
--- a/internal/hook/limits_test.go
+++ b/internal/hook/limits_test.go
@@ -35,7 +35,7 @@
 // What ends a run, where, and that it costs the same each time.
 func TestLimits(t *testing.T) {
 	for _, x := range limitCases {
-		first, err := run(t, x.source, x.limits)
+		first, err := runProgram(t, x.source, x.limits)
 		var f *RuntimeError
 		if !errors.Is(err, x.want) || !errors.As(err, &f) || f.Line != 1 || len(first.Effects) > 0 {
 			t.Errorf("%s: %v, %+v", x.name, err, first)
@@ -43,15 +43,15 @@
 		if x.want == ErrFuel && first.Fuel != x.limits.Fuel {
 			t.Errorf("%s: stopped at %d of %d", x.name, first.Fuel, x.limits.Fuel)
 		}
-		if again, _ := run(t, x.source, x.limits); again.Fuel != first.Fuel || again.Memory != first.Memory {
+		if again, _ := runProgram(t, x.source, x.limits); again.Fuel != first.Fuel || again.Memory != first.Memory {
 			t.Errorf("%s: %+v and then %+v", x.name, first, again)
 		}
 		// One unit less than a run takes ends it, and what it takes does not.
 		if x.want == ErrValue {
-			if _, err := run(t, x.source, Limits{first.Fuel, first.Memory}); !errors.Is(err, ErrValue) {
+			if _, err := runProgram(t, x.source, Limits{first.Fuel, first.Memory}); !errors.Is(err, ErrValue) {
 				t.Errorf("%s: with just what it takes: %v", x.name, err)
 			}
-			if _, err := run(t, x.source, Limits{first.Fuel - 1, first.Memory}); !errors.Is(err, ErrFuel) {
+			if _, err := runProgram(t, x.source, Limits{first.Fuel - 1, first.Memory}); !errors.Is(err, ErrFuel) {
 				t.Errorf("%s: with one less: %v", x.name, err)
 			}
 		}
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &Event{Kind: "request", Headers: headers{"Apiary": "ridge-7"}}
+	e := &Event{Kind: "request", Headers: headerMap{"Apiary": "ridge-7"}}
 	e.Text[RequestClass] = "weight-reading"
 	var m Machine
 	if n := testing.AllocsPerRun(100, func() {
--- a/internal/hook/run_test.go
+++ b/internal/hook/run_test.go
@@ -75,7 +75,7 @@
 		if want == "" {
 			continue // two types: an error, see TestMistakes
 		}
-		r, err := run(t, "on request {\n\ttag(text("+expr+"))\n}", generous)
+		r, err := runProgram(t, "on request {\n\ttag(text("+expr+"))\n}", generous)
 		if err != nil || len(r.Effects) != 1 || r.Effects[0].Text != want {
 			t.Errorf("%s: %+v, %v; want %s", expr, r.Effects, err, want)
 		}
@@ -105,12 +105,12 @@
 // Statements, functions, lists, maps and state.
 func TestPrograms(t *testing.T) {
 	for _, x := range programCases {
-		r, err := run(t, x.source, generous)
+		r, err := runProgram(t, x.source, generous)
 		if err != nil || len(r.Effects) == 0 || r.Effects[0].Text != x.want {
 			t.Errorf("%s: %+v, %v; want %s", x.source, r.Effects, err, x.want)
 		}
 	}
-	if r, _ := run(t, `on request { refuse("go away", 2s) tag("never") }`, generous); len(r.Effects) != 1 || r.Effects[0] != (Effect{Kind: Refuse, Text: "go away", Pause: 2 * time.Second}) {
+	if r, _ := runProgram(t, `on request { refuse("go away", 2s) tag("never") }`, generous); len(r.Effects) != 1 || r.Effects[0] != (Effect{Kind: Refuse, Text: "go away", Pause: 2 * time.Second}) {
 		t.Errorf("a refusal gives %+v", r.Effects)
 	}
 }
--- a/internal/plugin/doc.go
+++ b/internal/plugin/doc.go
@@ -1,7 +1,7 @@
 // Package plugin runs the operators' plug-ins, programs of the language in internal/hook, between
 // the listener front ends and the core. A request's hooks run before the core gets it, an outcome's
 // after the final response, a member's for each instance of the endpoint list. The effects of a run
-// are a transaction: they are checked against the plug-in's manifest and carried out as a whole or
+// are a transaction: they are checked against the plug-in's manifest and carried out together or
 // not at all. Plug-ins choose no endpoint and no retry, and none runs on the core's goroutine.
 //
 //	spec.go         Spec, a plug-in's manifest
@@ -11,7 +11,7 @@
 //	gate.go         Gate: a handler of requests before the core; loading all plug-ins
 //	request.go      request hooks
 //	effects.go      the effects of a request's hook, as a transaction
-//	outcome.go      outcome hooks, behind a bounded queue
+//	outcome.go      outcome hooks and their bounded queue
 //	member.go       member hooks
 //	state.go        declared state
 //	state_view.go   the state as one run sees it, with its changes
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -43,7 +43,7 @@
 	runs, refused, failed, exhausted, denied, skipped atomic.Uint64
 }
 
-// load reads and compiles a plug-in. It takes over the state of the one that it replaces, if any.
+// load reads and compiles a plug-in. It continues with the state of the plug-in that it replaces, if any.
 func load(spec Spec, replaced *Plugin) (*Plugin, error) {
 	program, err := hook.Load(spec.File)
 	if err != nil {
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -16,24 +16,24 @@
 	"mothridge/internal/plugin/breaker"
 )
 
-// last is a core that takes requests and answers them as served.
-type last struct {
+// servingHandler is a core.Handler that responds to all requests as served.
+type servingHandler struct {
 	mu    sync.Mutex
 	taken []*core.Request
 }
 
-func (l *last) Submit(r *core.Request) {
+func (l *servingHandler) Submit(r *core.Request) {
 	l.mu.Lock()
 	l.taken = append(l.taken, r)
 	l.mu.Unlock()
 	r.Respond(core.Response{Result: core.Served})
 }
-func (l *last) Abandon(*core.Request)  {}
-func (l *last) HasRequest(string) bool { return false }
-func (l *last) Ready() bool            { return true }
+func (l *servingHandler) Abandon(*core.Request)  {}
+func (l *servingHandler) HasRequest(string) bool { return false }
+func (l *servingHandler) Ready() bool            { return true }
 
-// write puts programs into files of the test's own.
-func write(t testing.TB, programs ...string) []string {
+// writePrograms writes programs to files of the test.
+func writePrograms(t testing.TB, programs ...string) []string {
 	t.Helper()
 	var paths []string
 	for i, p := range programs {
@@ -46,27 +46,27 @@
 	return paths
 }
 
-func gate(t testing.TB, specs ...Spec) (*Gate, *last) {
+func newTestGate(t testing.TB, specs ...Spec) (*Gate, *servingHandler) {
 	t.Helper()
 	g, err := NewGate(Config{Classes: []string{"weight-reading", "harvest-entry"}, Tenants: []string{"downs", "lockyer"}, Specs: specs})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := new(last)
+	l := new(servingHandler)
 	g.SetNext(l)
 	return g, l
 }
 
-// send sends a request and gives its answers, as many as there are.
-func send(g *Gate, class int, fields map[string][]string) (*core.Request, []core.Response) {
-	var answers []core.Response
+// submit submits a request and returns all responses to it.
+func submit(g *Gate, class int, fields map[string][]string) (*core.Request, []core.Response) {
+	var responses []core.Response
 	if fields == nil {
 		fields = make(map[string][]string)
 	}
 	r := &core.Request{ID: "r1", Class: class, Deadline: time.Now().Add(time.Second), Message: core.Message{Fields: fields}}
-	r.Respond = func(a core.Response) { answers = append(answers, a) }
+	r.Respond = func(a core.Response) { responses = append(responses, a) }
 	g.Submit(r)
-	return r, answers
+	return r, responses
 }
 
 // What a request goes on with, or how it is refused, and that each has one answer.
@@ -98,22 +98,22 @@
 		{"a failure that refuses another class", `on request { let z = 0  tag(text(1 / z)) }`, func(s *Spec) { s.Refused = []string{"harvest-entry"} }, nil, map[string][]string{}, 0, 1},
 	} {
 		s := all
-		s.File = write(t, x.program)[0]
+		s.File = writePrograms(t, x.program)[0]
 		s.Limits = hook.Limits{Memory: 1 << 20}
 		if x.change != nil {
 			x.change(&s)
 		}
-		g, l := gate(t, s)
-		r, answers := send(g, 0, x.fields)
-		if len(answers) != 1 || (answers[0].Result == core.Served) != (x.want != nil) || (len(l.taken) == 1) != (x.want != nil) {
-			t.Errorf("%s: answers %+v, %d went on", x.name, answers, len(l.taken))
+		g, l := newTestGate(t, s)
+		r, responses := submit(g, 0, x.fields)
+		if len(responses) != 1 || (responses[0].Result == core.Served) != (x.want != nil) || (len(l.taken) == 1) != (x.want != nil) {
+			t.Errorf("%s: responses %+v, %d went on", x.name, responses, len(l.taken))
 			continue
 		}
 		if x.want != nil && (!reflect.DeepEqual(r.Fields, x.want) || r.Tenant != x.tenant) {
 			t.Errorf("%s: goes on with %q to tenant %d, want %q and %d", x.name, r.Fields, r.Tenant, x.want, x.tenant)
 		}
-		if x.want == nil && (answers[0].Result != core.Rejected || answers[0].RetryAfter < time.Second || strings.ContainsAny(answers[0].Detail, "\r\n")) {
-			t.Errorf("%s: %+v", x.name, answers[0])
+		if x.want == nil && (responses[0].Result != core.Rejected || responses[0].RetryAfter < time.Second || strings.ContainsAny(responses[0].Detail, "\r\n")) {
+			t.Errorf("%s: %+v", x.name, responses[0])
 		}
 		if c := g.plugins.Load().all[0].Counts(); c.Failed != x.failed || c.Runs != 1 {
 			t.Errorf("%s: %+v", x.name, c)
@@ -130,10 +130,10 @@
 		`on request { set_header("X-A", "1")  let z = 0  set_header("X-B", text(1/z)) }`: "bare",
 		`on request { set_header("X-A", "1")  while true { } }`:                          "bare",
 	} {
-		files := write(t, first, second)
-		g, _ := gate(t, Spec{Name: "a", File: files[0], Headers: []string{"X-*"}}, Spec{Name: "b", File: files[1]})
-		if r, answers := send(g, 0, nil); len(answers) != 1 || r.Fields[TagField][0] != want {
-			t.Errorf("%s: %q, %+v", first, r.Fields, answers)
+		files := writePrograms(t, first, second)
+		g, _ := newTestGate(t, Spec{Name: "a", File: files[0], Headers: []string{"X-*"}}, Spec{Name: "b", File: files[1]})
+		if r, responses := submit(g, 0, nil); len(responses) != 1 || r.Fields[TagField][0] != want {
+			t.Errorf("%s: %q, %+v", first, r.Fields, responses)
 		}
 	}
 }
@@ -141,10 +141,10 @@
 // One that keeps using up its budget is left out and costs nothing more; the
 // state of a failed run is not kept.
 func TestSuspension(t *testing.T) {
-	g, _ := gate(t, Spec{Name: "p", File: write(t, `state n: counter on request { add(n, 1)  while true { } }`)[0]})
+	g, _ := newTestGate(t, Spec{Name: "p", File: writePrograms(t, `state n: counter on request { add(n, 1)  while true { } }`)[0]})
 	for range 50 {
-		if _, answers := send(g, 0, nil); len(answers) != 1 || answers[0].Result != core.Served {
-			t.Fatalf("%+v", answers)
+		if _, responses := submit(g, 0, nil); len(responses) != 1 || responses[0].Result != core.Served {
+			t.Fatalf("%+v", responses)
 		}
 	}
 	p := g.plugins.Load().all[0]
@@ -152,8 +152,8 @@
 		t.Errorf("%+v, %v", c, p.breaker.State())
 	}
 	p.spec.Refuse = true
-	if _, answers := send(g, 0, nil); len(answers) != 1 || answers[0].Result != core.Rejected {
-		t.Errorf("left out, with a rule that refuses: %+v", answers)
+	if _, responses := submit(g, 0, nil); len(responses) != 1 || responses[0].Result != core.Rejected {
+		t.Errorf("left out, with a rule that refuses: %+v", responses)
 	}
 	if n := (&stateView{shared: p.state, declarations: p.program.States}).Value(0, ""); n != 0 {
 		t.Errorf("failed runs left a count of %d", n)
@@ -162,25 +162,25 @@
 
 // A panic inside of the machine is the plug-in's failure alone.
 func TestPanic(t *testing.T) {
-	g, _ := gate(t, Spec{Name: "p", File: write(t, `on request { tag("x") }`)[0]})
+	g, _ := newTestGate(t, Spec{Name: "p", File: writePrograms(t, `on request { tag("x") }`)[0]})
 	p := g.plugins.Load().all[0]
 	var w workspace
 	w.event.Kind = "request"
 	if _, err := p.run(&w, func([]hook.Effect) error { panic("broken") }); err == nil || !strings.Contains(err.Error(), "the machine failed: broken") {
 		t.Errorf("%v", err)
 	}
-	if _, answers := send(g, 0, nil); len(answers) != 1 || answers[0].Result != core.Served {
-		t.Errorf("after it: %+v", answers)
+	if _, responses := submit(g, 0, nil); len(responses) != 1 || responses[0].Result != core.Served {
+		t.Errorf("after it: %+v", responses)
 	}
 }
 
 // Other plug-ins at one instant, or none: state stays with the name, a broken
 // program leaves all as it was, and calls under way are not disturbed.
 func TestReload(t *testing.T) {
-	files := write(t, `state n: map 10 1h on request { tag("one-" + text(add(n, "x", 1))) }`, `state n: map 10 1h on request { tag("two-" + text(add(n, "x", 1))) }`, `on request { tag(1) }`)
-	g, _ := gate(t, Spec{Name: "p", File: files[0]})
+	files := writePrograms(t, `state n: map 10 1h on request { tag("one-" + text(add(n, "x", 1))) }`, `state n: map 10 1h on request { tag("two-" + text(add(n, "x", 1))) }`, `on request { tag(1) }`)
+	g, _ := newTestGate(t, Spec{Name: "p", File: files[0]})
 	tag := func() string {
-		r, _ := send(g, 0, nil)
+		r, _ := submit(g, 0, nil)
 		return r.Fields[TagField][0]
 	}
 	if got := tag() + " " + tag(); got != "one-1 one-2" {
@@ -214,12 +214,12 @@
 
 // Outcomes and instances have their hooks too, and what waits is bounded.
 func TestOutcomesAndMembers(t *testing.T) {
-	g, _ := gate(t, Spec{Name: "p", File: write(t, `
+	g, _ := newTestGate(t, Spec{Name: "p", File: writePrograms(t, `
 on outcome { count(event.ending + "-" + event.class)  label("club", event.tenant) }
 on member { if has_prefix(event.name, "old-") { label("kind", "slow")  count("old") } else if event.name == "bad" { label("colour", "red") } }`)[0]})
 	done, ended := make(chan struct{}), make(chan struct{})
 	for range outcomeQueueLength + 10 {
-		send(g, 1, nil)
+		submit(g, 1, nil)
 	}
 	if g.Dropped() != 10 {
 		t.Errorf("%d outcomes dropped", g.Dropped())
@@ -240,7 +240,7 @@
 	}
 }
 
-// The state against a plain model, on random runs that end well or not.
+// The state against a plain model, on random runs that succeed or fail.
 func TestState(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -251,7 +251,7 @@
 			n   int64
 			at  time.Time
 		}
-		var model []row // the least lately added to first
+		var model []row // the least recently added to is first
 		now := time.Unix(0, 0)
 		find := func(key string) int {
 			for i, r := range model {
@@ -325,7 +325,7 @@
 			t.Error(err)
 		}
 	}
-	path := write(t, `on request { tag("a")  tag("b") }`)[0]
+	path := writePrograms(t, `on request { tag("a")  tag("b") }`)[0]
 	if err := os.WriteFile(CasesFile(path), []byte(`[{"name": "x", "event": {"kind": "request"}, "effects": ["tag \"a\"", "tag \"c\""]}]`), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -346,7 +346,7 @@
 			for i := range n {
 				specs = append(specs, Spec{Name: fmt.Sprint(i), File: "../../deploy/plugins/apiary-tags.hook", Headers: []string{"X-Apiary-*"}})
 			}
-			g, _ := gate(b, specs...)
+			g, _ := newTestGate(b, specs...)
 			r := &core.Request{Deadline: time.Now().Add(time.Hour), Respond: func(core.Response) {}}
 			g.SetNext(nothing{})
 			b.ReportAllocs()
@@ -358,6 +358,6 @@
 	}
 }
 
-type nothing struct{ *last }
+type nothing struct{ *servingHandler }
 
 func (nothing) Submit(*core.Request) {}
