--- a/internal/hook/golden_test.go
+++ b/internal/hook/golden_test.go
@@ -6,8 +6,11 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
+	"runtime"
 	"slices"
 	"strings"
+	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -122,25 +125,40 @@
 	return fmt.Sprintf("%s on %s: fuel %d, memory %d, %v, %s\n", name, kind, first.Fuel, first.Memory, err, digest)
 }
 
+// goldenLines describes a program: whether it compiles, a digest of its formatted text and its
+// diagnostics, and its runs.
+func goldenLines(program goldenProgram) string {
+	digest := golden.NewDigest()
+	formatted, err := Format("golden.hook", program.source)
+	digest.Text('f', formatted)
+	digest.Text('e', fmt.Sprint(err))
+	compiled, err := Compile("golden.hook", program.source)
+	digest.Text('c', fmt.Sprint(err))
+	lines := fmt.Sprintf("%s: %v, %s\n", program.name, err == nil, digest)
+	if err != nil {
+		return lines
+	}
+	for _, kind := range hookKinds {
+		if compiled.HasHook(kind) {
+			lines += goldenLine(program.name, compiled, kind)
+		}
+	}
+	return lines
+}
+
 // Results, effects, costs, diagnostics and formatted sources are those that were recorded.
 func TestGolden(t *testing.T) {
-	var out strings.Builder
-	for _, program := range goldenCorpus(t) {
-		formatted := golden.NewDigest()
-		text, err := Format("golden.hook", program.source)
-		formatted.Text('f', text)
-		formatted.Text('e', fmt.Sprint(err))
-		compiled, err := Compile("golden.hook", program.source)
-		formatted.Text('c', fmt.Sprint(err))
-		fmt.Fprintf(&out, "%s: %v, %s\n", program.name, err == nil, formatted)
-		if err != nil {
-			continue
-		}
-		for _, kind := range []string{"request", "outcome", "member"} {
-			if compiled.HasHook(kind) {
-				out.WriteString(goldenLine(program.name, compiled, kind))
+	corpus := goldenCorpus(t)
+	lines := make([]string, len(corpus))
+	var next atomic.Int64
+	var workers sync.WaitGroup
+	for range runtime.GOMAXPROCS(0) {
+		workers.Go(func() {
+			for i := next.Add(1) - 1; i < int64(len(corpus)); i = next.Add(1) - 1 {
+				lines[i] = goldenLines(corpus[i])
 			}
-		}
+		})
 	}
-	golden.Check(t, "runs", out.String())
+	workers.Wait()
+	golden.Check(t, "runs", strings.Join(lines, ""))
 }
