--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -16,24 +16,24 @@
 	"mothridge/internal/plugin/breaker"
 )
 
-// last is a core that takes requests and answers them as served.
-type last struct {
+// servingHandler is a core.Handler that responds to all requests as served.
+type servingHandler struct {
 	mu    sync.Mutex
 	taken []*core.Request
 }
 
-func (l *last) Submit(r *core.Request) {
+func (l *servingHandler) Submit(r *core.Request) {
 	l.mu.Lock()
 	l.taken = append(l.taken, r)
 	l.mu.Unlock()
 	r.Respond(core.Response{Result: core.Served})
 }
-func (l *last) Abandon(*core.Request)  {}
-func (l *last) HasRequest(string) bool { return false }
-func (l *last) Ready() bool            { return true }
+func (l *servingHandler) Abandon(*core.Request)  {}
+func (l *servingHandler) HasRequest(string) bool { return false }
+func (l *servingHandler) Ready() bool            { return true }
 
-// write puts programs into files of the test's own.
-func write(t testing.TB, programs ...string) []string {
+// writePrograms writes programs to files of the test.
+func writePrograms(t testing.TB, programs ...string) []string {
 	t.Helper()
 	var paths []string
 	for i, p := range programs {
@@ -46,27 +46,27 @@
 	return paths
 }
 
-func gate(t testing.TB, specs ...Spec) (*Gate, *last) {
+func newTestGate(t testing.TB, specs ...Spec) (*Gate, *servingHandler) {
 	t.Helper()
 	g, err := NewGate(Config{Classes: []string{"weight-reading", "harvest-entry"}, Tenants: []string{"downs", "lockyer"}, Specs: specs})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := new(last)
+	l := new(servingHandler)
 	g.SetNext(l)
 	return g, l
 }
 
-// send sends a request and gives its answers, as many as there are.
-func send(g *Gate, class int, fields map[string][]string) (*core.Request, []core.Response) {
-	var answers []core.Response
+// submit submits a request and returns all responses to it.
+func submit(g *Gate, class int, fields map[string][]string) (*core.Request, []core.Response) {
+	var responses []core.Response
 	if fields == nil {
 		fields = make(map[string][]string)
 	}
 	r := &core.Request{ID: "r1", Class: class, Deadline: time.Now().Add(time.Second), Message: core.Message{Fields: fields}}
-	r.Respond = func(a core.Response) { answers = append(answers, a) }
+	r.Respond = func(a core.Response) { responses = append(responses, a) }
 	g.Submit(r)
-	return r, answers
+	return r, responses
 }
 
 // What a request goes on with, or how it is refused, and that each has one answer.
@@ -98,24 +98,24 @@
 		{"a failure that refuses another class", `on request { let z = 0  tag(text(1 / z)) }`, func(s *Spec) { s.Refused = []string{"harvest-entry"} }, nil, map[string][]string{}, 0, 1},
 	} {
 		s := all
-		s.File = write(t, x.program)[0]
+		s.File = writePrograms(t, x.program)[0]
 		s.Limits = hook.Limits{Memory: 1 << 20}
 		if x.change != nil {
 			x.change(&s)
 		}
-		g, l := gate(t, s)
-		r, answers := send(g, 0, x.fields)
-		if len(answers) != 1 || (answers[0].Result == core.Served) != (x.want != nil) || (len(l.taken) == 1) != (x.want != nil) {
-			t.Errorf("%s: answers %+v, %d went on", x.name, answers, len(l.taken))
+		g, l := newTestGate(t, s)
+		r, responses := submit(g, 0, x.fields)
+		if len(responses) != 1 || (responses[0].Result == core.Served) != (x.want != nil) || (len(l.taken) == 1) != (x.want != nil) {
+			t.Errorf("%s: responses %+v, %d went on", x.name, responses, len(l.taken))
 			continue
 		}
 		if x.want != nil && (!reflect.DeepEqual(r.Fields, x.want) || r.Tenant != x.tenant) {
 			t.Errorf("%s: goes on with %q to tenant %d, want %q and %d", x.name, r.Fields, r.Tenant, x.want, x.tenant)
 		}
-		if x.want == nil && (answers[0].Result != core.Rejected || answers[0].RetryAfter < time.Second || strings.ContainsAny(answers[0].Detail, "\r\n")) {
-			t.Errorf("%s: %+v", x.name, answers[0])
+		if x.want == nil && (responses[0].Result != core.Rejected || responses[0].RetryAfter < time.Second || strings.ContainsAny(responses[0].Detail, "\r\n")) {
+			t.Errorf("%s: %+v", x.name, responses[0])
 		}
-		if c := g.set.Load().all[0].Counts(); c.Failed != x.failed || c.Runs != 1 {
+		if c := g.plugins.Load().all[0].Counts(); c.Failed != x.failed || c.Runs != 1 {
 			t.Errorf("%s: %+v", x.name, c)
 		}
 	}
@@ -130,10 +130,10 @@
 		`on request { set_header("X-A", "1")  let z = 0  set_header("X-B", text(1/z)) }`: "bare",
 		`on request { set_header("X-A", "1")  while true { } }`:                          "bare",
 	} {
-		files := write(t, first, second)
-		g, _ := gate(t, Spec{Name: "a", File: files[0], Headers: []string{"X-*"}}, Spec{Name: "b", File: files[1]})
-		if r, answers := send(g, 0, nil); len(answers) != 1 || r.Fields[TagField][0] != want {
-			t.Errorf("%s: %q, %+v", first, r.Fields, answers)
+		files := writePrograms(t, first, second)
+		g, _ := newTestGate(t, Spec{Name: "a", File: files[0], Headers: []string{"X-*"}}, Spec{Name: "b", File: files[1]})
+		if r, responses := submit(g, 0, nil); len(responses) != 1 || r.Fields[TagField][0] != want {
+			t.Errorf("%s: %q, %+v", first, r.Fields, responses)
 		}
 	}
 }
@@ -141,46 +141,46 @@
 // One that keeps using up its budget is left out and costs nothing more; the
 // state of a failed run is not kept.
 func TestSuspension(t *testing.T) {
-	g, _ := gate(t, Spec{Name: "p", File: write(t, `state n: counter on request { add(n, 1)  while true { } }`)[0]})
+	g, _ := newTestGate(t, Spec{Name: "p", File: writePrograms(t, `state n: counter on request { add(n, 1)  while true { } }`)[0]})
 	for range 50 {
-		if _, answers := send(g, 0, nil); len(answers) != 1 || answers[0].Result != core.Served {
-			t.Fatalf("%+v", answers)
+		if _, responses := submit(g, 0, nil); len(responses) != 1 || responses[0].Result != core.Served {
+			t.Fatalf("%+v", responses)
 		}
 	}
-	p := g.set.Load().all[0]
+	p := g.plugins.Load().all[0]
 	if c := p.Counts(); c.Exhausted != breaker.DefaultMaxFailures || c.Skipped != 50-breaker.DefaultMaxFailures || p.breaker.State() != breaker.Open {
 		t.Errorf("%+v, %v", c, p.breaker.State())
 	}
 	p.spec.Refuse = true
-	if _, answers := send(g, 0, nil); len(answers) != 1 || answers[0].Result != core.Rejected {
-		t.Errorf("left out, with a rule that refuses: %+v", answers)
+	if _, responses := submit(g, 0, nil); len(responses) != 1 || responses[0].Result != core.Rejected {
+		t.Errorf("left out, with a rule that refuses: %+v", responses)
 	}
-	if n := (&view{kept: p.kept, decls: p.program.States}).Value(0, ""); n != 0 {
+	if n := (&stateView{shared: p.state, declarations: p.program.States}).Value(0, ""); n != 0 {
 		t.Errorf("failed runs left a count of %d", n)
 	}
 }
 
 // A panic inside of the machine is the plug-in's failure alone.
 func TestPanic(t *testing.T) {
-	g, _ := gate(t, Spec{Name: "p", File: write(t, `on request { tag("x") }`)[0]})
-	p := g.set.Load().all[0]
+	g, _ := newTestGate(t, Spec{Name: "p", File: writePrograms(t, `on request { tag("x") }`)[0]})
+	p := g.plugins.Load().all[0]
 	var w workspace
 	w.event.Kind = "request"
 	if _, err := p.run(&w, func([]hook.Effect) error { panic("broken") }); err == nil || !strings.Contains(err.Error(), "the machine failed: broken") {
 		t.Errorf("%v", err)
 	}
-	if _, answers := send(g, 0, nil); len(answers) != 1 || answers[0].Result != core.Served {
-		t.Errorf("after it: %+v", answers)
+	if _, responses := submit(g, 0, nil); len(responses) != 1 || responses[0].Result != core.Served {
+		t.Errorf("after it: %+v", responses)
 	}
 }
 
 // Other plug-ins at one instant, or none: state stays with the name, a broken
 // program leaves all as it was, and calls under way are not disturbed.
 func TestReload(t *testing.T) {
-	files := write(t, `state n: map 10 1h on request { tag("one-" + text(add(n, "x", 1))) }`, `state n: map 10 1h on request { tag("two-" + text(add(n, "x", 1))) }`, `on request { tag(1) }`)
-	g, _ := gate(t, Spec{Name: "p", File: files[0]})
+	files := writePrograms(t, `state n: map 10 1h on request { tag("one-" + text(add(n, "x", 1))) }`, `state n: map 10 1h on request { tag("two-" + text(add(n, "x", 1))) }`, `on request { tag(1) }`)
+	g, _ := newTestGate(t, Spec{Name: "p", File: files[0]})
 	tag := func() string {
-		r, _ := send(g, 0, nil)
+		r, _ := submit(g, 0, nil)
 		return r.Fields[TagField][0]
 	}
 	if got := tag() + " " + tag(); got != "one-1 one-2" {
@@ -214,25 +214,25 @@
 
 // Outcomes and instances have their hooks too, and what waits is bounded.
 func TestOutcomesAndMembers(t *testing.T) {
-	g, _ := gate(t, Spec{Name: "p", File: write(t, `
+	g, _ := newTestGate(t, Spec{Name: "p", File: writePrograms(t, `
 on outcome { count(event.ending + "-" + event.class)  label("club", event.tenant) }
 on member { if has_prefix(event.name, "old-") { label("kind", "slow")  count("old") } else if event.name == "bad" { label("colour", "red") } }`)[0]})
 	done, ended := make(chan struct{}), make(chan struct{})
-	for range outcomesHeld + 10 {
-		send(g, 1, nil)
+	for range outcomeQueueLength + 10 {
+		submit(g, 1, nil)
 	}
 	if g.Dropped() != 10 {
 		t.Errorf("%d outcomes dropped", g.Dropped())
 	}
 	go func() { g.Run(done); close(ended) }()
-	p := g.set.Load().all[0]
-	for end := time.Now().Add(10 * time.Second); p.Named()["served-harvest-entry"] < outcomesHeld && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	p := g.plugins.Load().all[0]
+	for end := time.Now().Add(10 * time.Second); p.Named()["served-harvest-entry"] < outcomeQueueLength && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	close(done)
 	<-ended
 	n := core.EndpointUpdate{Endpoints: []core.Endpoint{{Name: "old-1", MachineType: "m"}, {Name: "new-1", MachineType: "m"}, {Name: "bad", MachineType: "m"}}}
 	got := g.Members(n)
-	if named := p.Named(); named["served-harvest-entry"] != outcomesHeld || named["club=downs"] != outcomesHeld || named["old"] != 1 {
+	if named := p.Named(); named["served-harvest-entry"] != outcomeQueueLength || named["club=downs"] != outcomeQueueLength || named["old"] != 1 {
 		t.Errorf("counted %v", named)
 	}
 	if got.Endpoints[0].MachineType != "slow" || got.Endpoints[1].MachineType != "m" || got.Endpoints[2].MachineType != "m" || n.Endpoints[0].MachineType != "m" {
@@ -240,18 +240,18 @@
 	}
 }
 
-// The state against a plain model, on random runs that end well or not.
+// The state against a plain model, on random runs that succeed or fail.
 func TestState(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		decl := hook.State{Name: "m", Most: 1 + rng.IntN(6), Age: time.Minute}
-		k := keep([]hook.State{decl}, nil)
+		decl := hook.State{Name: "m", MaxEntries: 1 + rng.IntN(6), MaxAge: time.Minute}
+		k := newSharedState([]hook.State{decl}, nil)
 		type row struct {
 			key string
 			n   int64
 			at  time.Time
 		}
-		var model []row // the least lately added to first
+		var model []row // the least recently added to is first
 		now := time.Unix(0, 0)
 		find := func(key string) int {
 			for i, r := range model {
@@ -263,7 +263,7 @@
 		}
 		for step := range 300 {
 			now = now.Add(time.Duration(rng.IntN(20)) * time.Second)
-			v := &view{kept: k, decls: []hook.State{decl}, now: now}
+			v := &stateView{shared: k, declarations: []hook.State{decl}, now: now}
 			before := append([]row(nil), model...)
 			for range 1 + rng.IntN(4) {
 				key := string(rune('a' + rng.IntN(8)))
@@ -277,12 +277,12 @@
 					v.Add(0, key, n)
 					r := row{key, n, now}
 					if i >= 0 {
-						if now.Sub(model[i].at) <= decl.Age {
+						if now.Sub(model[i].at) <= decl.MaxAge {
 							r.n += model[i].n
 						}
 						model = append(model[:i:i], model[i+1:]...)
 					}
-					if model = append(model, r); len(model) > decl.Most {
+					if model = append(model, r); len(model) > decl.MaxEntries {
 						model = model[1:]
 					}
 				}
@@ -293,12 +293,12 @@
 				v.commit()
 			}
 			if rng.IntN(10) == 0 { // a reload
-				k = keep([]hook.State{decl}, k)
+				k = newSharedState([]hook.State{decl}, k)
 			}
-			look := &view{kept: k, decls: []hook.State{decl}, now: now}
+			look := &stateView{shared: k, declarations: []hook.State{decl}, now: now}
 			for c := 'a'; c < 'i'; c++ {
 				want := int64(0)
-				if i := find(string(c)); i >= 0 && now.Sub(model[i].at) <= decl.Age {
+				if i := find(string(c)); i >= 0 && now.Sub(model[i].at) <= decl.MaxAge {
 					want = model[i].n
 				}
 				if got := look.Value(0, string(c)); got != want {
@@ -325,7 +325,7 @@
 			t.Error(err)
 		}
 	}
-	path := write(t, `on request { tag("a")  tag("b") }`)[0]
+	path := writePrograms(t, `on request { tag("a")  tag("b") }`)[0]
 	if err := os.WriteFile(CasesFile(path), []byte(`[{"name": "x", "event": {"kind": "request"}, "effects": ["tag \"a\"", "tag \"c\""]}]`), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -346,7 +346,7 @@
 			for i := range n {
 				specs = append(specs, Spec{Name: fmt.Sprint(i), File: "../../deploy/plugins/apiary-tags.hook", Headers: []string{"X-Apiary-*"}})
 			}
-			g, _ := gate(b, specs...)
+			g, _ := newTestGate(b, specs...)
 			r := &core.Request{Deadline: time.Now().Add(time.Hour), Respond: func(core.Response) {}}
 			g.SetNext(nothing{})
 			b.ReportAllocs()
@@ -358,6 +358,6 @@
 	}
 }
 
-type nothing struct{ *last }
+type nothing struct{ *servingHandler }
 
 func (nothing) Submit(*core.Request) {}
