--- /dev/null
+++ b/internal/fleet/golden_test.go
@@ -0,0 +1,195 @@
+package fleet_test
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand/v2"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"mothridge/internal/fleet"
+	"mothridge/internal/golden"
+	"mothridge/internal/lab"
+)
+
+// laboratory is the folder of the scenario files.
+const laboratory = "../../lab"
+
+// addValue adds all exported fields of a value in their order, so that renaming a field leaves the digest as it is.
+func addValue(digest golden.Digest, value reflect.Value) {
+	if histogram, ok := value.Interface().(*hdrhistogram.Histogram); ok {
+		for i, count := range histogram.Export().Counts {
+			if count != 0 {
+				digest.Numbers('h', int64(i), count)
+			}
+		}
+		return
+	}
+	switch value.Kind() {
+	case reflect.Struct:
+		for i := range value.NumField() {
+			addValue(digest, value.Field(i))
+		}
+	case reflect.Slice:
+		digest.Numbers('l', int64(value.Len()))
+		for i := range value.Len() {
+			addValue(digest, value.Index(i))
+		}
+	case reflect.String:
+		digest.Text('s', value.String())
+	case reflect.Float64:
+		digest.Float('f', value.Float())
+	case reflect.Uint64:
+		digest.Numbers('u', int64(value.Uint()))
+	case reflect.Int, reflect.Int64:
+		digest.Numbers('i', value.Int())
+	case reflect.Bool:
+		digest.Text('b', fmt.Sprint(value.Bool()))
+	default:
+		panic(fmt.Sprintf("a %v is not digested", value.Type()))
+	}
+}
+
+func digestOf(values ...any) golden.Digest {
+	digest := golden.NewDigest()
+	for _, value := range values {
+		addValue(digest, reflect.ValueOf(value))
+	}
+	return digest
+}
+
+// recordRun runs a scenario, and again with the first request worth explaining explained, and returns a line with
+// the main counters and a digest of both complete results.
+func recordRun(t *testing.T, name string, scenario fleet.Scenario) string {
+	t.Helper()
+	scenario.Observe = true
+	result, err := fleet.Run(scenario)
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	explained := result
+	if len(result.Notable) > 0 {
+		scenario.Watch = result.Notable[len(result.Notable)-1].ID
+		if explained, err = fleet.Run(scenario); err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+	}
+	return fmt.Sprintf("%s: %d %d %d %d %d, %d events, %d lines, %v\n", name, result.Asked, result.Served, result.Refused, result.Failed, result.Lost,
+		result.Events, len(explained.Told), digestOf(*result, *explained))
+}
+
+func load(t *testing.T, file string, settings ...string) fleet.Scenario {
+	t.Helper()
+	scenario, err := lab.LoadScenario(filepath.Join(laboratory, file), settings...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	scenario.Seed = 7
+	return scenario
+}
+
+// goldenSettings are put over the site's scenario: SETTING=VALUE, parted by semicolons.
+var goldenSettings = []string{
+	"policy=random", "policy=random;retries=naive", "policy=round-robin", "policy=two-choices;retries=budget", "policy=peak-ewma",
+	"policy=peak-ewma;retries=naive", "policy=bulkhead", "policy=bulkhead;retries=budget;load=1.2", "load=1.3", "probes=true;load=0.9",
+	`list={lag="800ms", asked=true};trouble=[{kind="drain",at="2s",node=0},{kind="silent",at="3s",for="3s"},{kind="drain",at="4s",for="2s",of=0.3}]`,
+	`list={lag="800ms"};trouble=[{kind="silent",at="3s",for="3s"},{kind="restart",at="4s",for="500ms",of=0.4}]`,
+	`list={lag="800ms", membership=true, cell=3};trouble=[{kind="wrong",at="2s",for="4s",of=0.7},{kind="drain",at="7s",for="2s",node=1}]`,
+	`list={lag="300ms", cell=2};trouble=[{kind="wrong",at="2s",for="4s",of=0.7}]`,
+	`trouble=[{kind="drain",at="1s",for="2s",node=1},{kind="stale",at="4s",for="2s"}]`,
+	`trouble=[{kind="hang",at="2s",for="4s",of=0.3}]`, `trouble=[{kind="mute",at="2s",for="4s",of=0.3}]`, `trouble=[{kind="deaf",at="2s",for="4s",of=0.3}]`,
+	`trouble=[{kind="break",at="2s",for="4s",of=0.5,share=0.4}]`, `trouble=[{kind="steal",at="2s",for="4s",of=0.5,share=0.7,every="300ms"}]`,
+	`trouble=[{kind="steal",at="2s",node=2,share=0.9}]`, `trouble=[{kind="restart",at="2s",node=2}]`,
+	`trouble=[{kind="burst",at="2s",for="4s",times=4.0}]`, `trouble=[{kind="power-cut",at="2s",for="2s"}]`, `trouble=[{kind="sidecar-up",at="2s"}]`,
+	`quotas={part=0.5,reclaim="1s",repay=0.1,debt_age="60s",lends=true}`, `quotas={part=0.25,windows=["1s"]}`,
+	`network={delay="1ms",handshake="2ms",trips=2,idle="200ms",most=3}`, `clients={tries=3,patience=[0.3,0.6],heeds=0.5,pause="20ms",insists=true};load=1.1`,
+	`daily={period="5s",swing=0.4};skew=1.1`, `node.choke={above=1.5,after="300ms",times=3.0,rest="500ms",longest="4s"};load=1.0`, "most_events=20000",
+}
+
+func TestScenarioFilesGiveTheRecordedResults(t *testing.T) {
+	var lines strings.Builder
+	files, err := filepath.Glob(laboratory + "/validity/*.toml")
+	if err != nil || len(files) == 0 {
+		t.Fatalf("%q, %v", files, err)
+	}
+	for _, path := range files {
+		file := "validity/" + filepath.Base(path)
+		lines.WriteString(recordRun(t, file, load(t, file)))
+	}
+	for _, settings := range []string{"policy=random;retries=naive", "policy=two-choices;retries=budget", "policy=mothridge"} {
+		lines.WriteString(recordRun(t, settings, load(t, "study/storm-base.toml", strings.Split(settings, ";")...)))
+	}
+	for _, settings := range goldenSettings {
+		list := append([]string{`duration="10s"`}, strings.Split(settings, ";")...)
+		lines.WriteString(recordRun(t, settings, load(t, "site.toml", list...)))
+	}
+	golden.Check(t, "scenarios", lines.String())
+}
+
+// The files that the scenarios are written as are digested with the results: their keys stay.
+func TestSmallScenariosGiveTheRecordedResults(t *testing.T) {
+	var lines strings.Builder
+	for seed := range uint64(150) {
+		scenario := fleet.Small(seed)
+		var file bytes.Buffer
+		if err := lab.WriteScenario(&file, scenario); err != nil {
+			t.Fatal(err)
+		}
+		plan, err := fleet.Plan(scenario)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines.WriteString(fmt.Sprintf("file %v, %d planned %v; ", digestOf(file.String()), len(plan), digestOf(plan)))
+		lines.WriteString(recordRun(t, fmt.Sprint("small ", seed), scenario))
+	}
+	golden.Check(t, "small", lines.String())
+}
+
+// recordSingle drives one node by drawn requests and faults, and digests what it answers and when.
+func recordSingle(seed uint64) golden.Digest {
+	digest, rng := golden.NewDigest(), rand.New(rand.NewPCG(seed, 3))
+	node := fleet.NewSingle(fleet.NodeParams{
+		Cores: 2, Speed: 1.5, Queue: 12, ColdFrom: 0.3, ColdTime: 2 * time.Second, ColdMultiple: 2, Fresh: seed%2 == 0,
+		Choke: fleet.Choke{Above: 2, After: 200 * time.Millisecond, Times: 2, Rest: 300 * time.Millisecond, Longest: 4 * time.Second},
+	})
+	faults := []fleet.Trouble{{Kind: fleet.Hang}, {Kind: fleet.Steal, Share: 0.6}, {Kind: fleet.Restart}}
+	now := time.Duration(0)
+	for i := range 3000 {
+		now += time.Duration(rng.ExpFloat64() * 15 * float64(time.Millisecond))
+		next, due := node.Advance(now)
+		digest.Text('a', fmt.Sprint(next, due))
+		taken := node.Take(time.Duration(rng.ExpFloat64()*40*float64(time.Millisecond)), func(ok bool) { digest.Text('d', fmt.Sprint(i, ok)) })
+		digest.Text('t', fmt.Sprint(taken))
+		switch fault := faults[rng.IntN(3)]; rng.IntN(60) {
+		case 0:
+			node.Strike(fault)
+		case 1, 2, 3:
+			node.End(fault)
+		}
+	}
+	return digest
+}
+
+func TestTrialsGiveTheRecordedResults(t *testing.T) {
+	var lines strings.Builder
+	for seed := range uint64(6) {
+		fmt.Fprintf(&lines, "single %d: %v\n", seed, recordSingle(seed))
+	}
+	for _, rejectAfter := range []time.Duration{0, 2 * time.Second} {
+		for _, rule := range []fleet.CrowdRule{fleet.GiveUpAlike, fleet.TwoCalls} {
+			for _, held := range []bool{false, true} {
+				trial := fleet.Crowd{
+					Sidecars: 300, Service: 66 * time.Millisecond, TurnAway: rejectAfter, Held: held, Rule: rule,
+					Spread: 200 * time.Millisecond, Seed: 1, MostCalls: 3000,
+				}
+				fmt.Fprintf(&lines, "rejected after %v, %s, %v: %v\n", rejectAfter, rule, held, digestOf(trial.Run()))
+			}
+		}
+	}
+	golden.Check(t, "trials", lines.String())
+}
