--- a/cmd/fleetsim/simulate.go
+++ b/cmd/fleetsim/simulate.go
@@ -41,7 +41,7 @@
 	w := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "seed\tasked\tserved\trefused\tfailed\tlost\tgood\tp50\tp99\tbusy\tevents/s\tbroken rules\t")
 	var wrong []string
-	var notable []fleet.Notable
+	var notable []fleet.Sample
 	for i := range c.Seeds {
 		s.Seed = c.Seed + uint64(i)
 		began := time.Now()
@@ -50,26 +50,26 @@
 			return err
 		}
 		busy := 0.0
-		for _, b := range r.NodeBusy {
-			busy += b / float64(len(r.NodeBusy))
+		for _, b := range r.NodeUtilisation {
+			busy += b / float64(len(r.NodeUtilisation))
 		}
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%v\t%.2f\t%.1fM\t%d\t\n", s.Seed, r.Asked, r.Served, r.Refused, r.Failed, r.Lost,
-			r.Share(), quantile(r, 50), quantile(r, 99), busy, float64(r.Events)/time.Since(began).Seconds()/1e6, len(r.Broken))
-		for _, b := range r.Broken {
+		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%v\t%.2f\t%.1fM\t%d\t\n", s.Seed, r.Submissions, r.Served, r.Rejected, r.Failed, r.Lost,
+			r.ObjectiveShare(), quantile(r, 50), quantile(r, 99), busy, float64(r.Events)/time.Since(began).Seconds()/1e6, len(r.Violations))
+		for _, b := range r.Violations {
 			wrong = append(wrong, fmt.Sprintf("seed %d, %s", s.Seed, b))
 		}
-		if r.Cut != "" {
-			wrong = append(wrong, fmt.Sprintf("seed %d was cut: %s", s.Seed, r.Cut))
+		if r.Truncated != "" {
+			wrong = append(wrong, fmt.Sprintf("seed %d was cut: %s", s.Seed, r.Truncated))
 		}
 		if i == 0 {
-			notable = r.Notable
+			notable = r.Samples
 		}
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	for _, n := range notable {
-		fmt.Fprintf(o.out, "seed %d, request %d: %s after %v (fleetsim explain %s --seed %d --request %d)\n", c.Seed, n.ID, n.What, n.Took, c.File, c.Seed, n.ID)
+		fmt.Fprintf(o.out, "seed %d, request %d: %s after %v (fleetsim explain %s --seed %d --request %d)\n", c.Seed, n.ID, n.Outcome, n.Took, c.File, c.Seed, n.ID)
 	}
 	if len(wrong) > 0 {
 		return fmt.Errorf("%d findings, the first: %s", len(wrong), wrong[0])
@@ -92,18 +92,18 @@
 	if err != nil {
 		return err
 	}
-	s.Watch = policy.RequestID(c.Request)
+	s.ExplainRequest = policy.RequestID(c.Request)
 	r, err := fleet.Run(s)
 	if err != nil {
 		return err
 	}
-	if len(r.Told) == 0 {
+	if len(r.Explanation) == 0 {
 		return fmt.Errorf("from seed %d there is no request %d", s.Seed, c.Request)
 	}
-	for _, t := range r.Told {
-		fmt.Fprintf(o.out, "%14v  %+10.1f ms  %s\n", t.At, float64(t.At-r.Told[0].At)/1e6, t.What)
+	for _, t := range r.Explanation {
+		fmt.Fprintf(o.out, "%14v  %+10.1f ms  %s\n", t.At, float64(t.At-r.Explanation[0].At)/1e6, t.Text)
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Fprintln(o.out, "broken:", b)
 	}
 	return nil
@@ -131,7 +131,7 @@
 		return err
 	}
 	small, err := lab.Shrink(s, fault, plays, func(s fleet.Scenario) {
-		fmt.Fprintf(o.log, "smaller: %d sidecars, %d nodes, %v, %d troubles, %d classes\n", s.Sidecars, s.Nodes, s.Duration, len(s.Troubles), len(s.Classes))
+		fmt.Fprintf(o.log, "smaller: %d sidecars, %d nodes, %v, %d troubles, %d classes\n", s.Sidecars, s.Nodes, s.Duration, len(s.Faults), len(s.Classes))
 	})
 	if err != nil {
 		return err
@@ -157,17 +157,17 @@
 func (c *farmCommand) Run(o output) error {
 	requests, bad := uint64(0), 0
 	for i := range c.Seeds {
-		s := fleet.Small(c.First + uint64(i))
+		s := fleet.RandomScenario(c.First + uint64(i))
 		r, err := fleet.Run(s)
 		if err != nil {
 			return err
 		}
-		requests += r.Asked
-		if len(r.Broken) == 0 && r.Cut == "" {
+		requests += r.Submissions
+		if len(r.Violations) == 0 && r.Truncated == "" {
 			continue
 		}
 		bad++
-		fmt.Fprintf(o.out, "seed %d: %q %s\n", s.Seed, r.Broken, r.Cut)
+		fmt.Fprintf(o.out, "seed %d: %q %s\n", s.Seed, r.Violations, r.Truncated)
 		if c.Shrink {
 			if err := shrink(o, s, "any rule", 500, ""); err != nil {
 				return err
--- a/cmd/fleetsim/sockets.go
+++ b/cmd/fleetsim/sockets.go
@@ -44,7 +44,7 @@
 	if c.JSON {
 		return errors.Join(err, writeJSON(o.out, r))
 	}
-	fmt.Fprintf(o.out, "asked %d  served %d  refused %d  failed %d  lost %d  good %.4f\n", r.Asked, r.Served, r.Refused, r.Failed, r.Lost, r.Share())
+	fmt.Fprintf(o.out, "asked %d  served %d  refused %d  failed %d  lost %d  good %.4f\n", r.Submissions, r.Served, r.Rejected, r.Failed, r.Lost, r.ObjectiveShare())
 	for _, q := range []float64{50, 90, 99, 99.9, 100} {
 		fmt.Fprintf(o.out, "p%-5v %v\n", q, quantile(&r.Result, q))
 	}
@@ -73,7 +73,7 @@
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(map[string]any{
-		"asked": r.Asked, "served": r.Served, "refused": r.Refused, "failed": r.Failed, "lost": r.Lost,
+		"asked": r.Submissions, "served": r.Served, "refused": r.Rejected, "failed": r.Failed, "lost": r.Lost,
 		"measures": out, "latency": steps, "late_p99_ms": float64(r.Late.ValueAtQuantile(99)) / 1e3, "odd": r.Odd,
 	})
 }
@@ -106,7 +106,7 @@
 	if c.Number < 0 {
 		return fmt.Errorf("--number %d: 0 or more is meant", c.Number)
 	}
-	p := s.NodeAt(c.Number)
+	p := s.NodeParamsAt(c.Number)
 	n := load.NewNode(p, s.Classes[0].Work)
 	defer n.Close()
 	peer, err := peers.StartNodeAt(c.Address, protocol(c.Protocol), c.Address, nil, n.Script)
@@ -148,20 +148,20 @@
 			return fmt.Errorf("%s: %w", file, err)
 		}
 		row := func(world string, r *fleet.Result, late string, broken int) {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%.4f\t%v\t%v\t%v\t%s\t%d\t\n", file, world, r.Asked, r.Served, r.Refused, r.Failed, r.Share(),
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%.4f\t%v\t%v\t%v\t%s\t%d\t\n", file, world, r.Submissions, r.Served, r.Rejected, r.Failed, r.ObjectiveShare(),
 				quantile(r, 50), quantile(r, 90), quantile(r, 99), late, broken)
 		}
-		row("model", model, "", len(model.Broken))
-		row("sockets", &played.Result, (time.Duration(played.Late.ValueAtQuantile(99)) * time.Microsecond).String(), len(played.Broken)+len(played.Odd))
+		row("model", model, "", len(model.Violations))
+		row("sockets", &played.Result, (time.Duration(played.Late.ValueAtQuantile(99)) * time.Microsecond).String(), len(played.Violations)+len(played.Odd))
 		off := func(a, b float64) string { return fmt.Sprintf("%+.1f%%", 100*(b/math.Max(a, 1e-9)-1)) }
 		q := func(p float64) string {
 			return off(float64(model.Latency.ValueAtQuantile(p)), float64(played.Latency.ValueAtQuantile(p)))
 		}
 		n := func(a, b uint64) string {
-			return fmt.Sprintf("%+.1f%%", 100*(float64(b)-float64(a))/float64(model.Asked))
+			return fmt.Sprintf("%+.1f%%", 100*(float64(b)-float64(a))/float64(model.Submissions))
 		}
-		fmt.Fprintf(w, "\toff\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\t\t\n", n(model.Asked, played.Asked), n(model.Served, played.Served), n(model.Refused, played.Refused),
-			n(model.Failed, played.Failed), off(model.Share(), played.Share()), q(50), q(90), q(99))
+		fmt.Fprintf(w, "\toff\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\t\t\n", n(model.Submissions, played.Submissions), n(model.Served, played.Served), n(model.Rejected, played.Rejected),
+			n(model.Failed, played.Failed), off(model.ObjectiveShare(), played.ObjectiveShare()), q(50), q(90), q(99))
 		for _, odd := range played.Odd {
 			fmt.Fprintln(o.log, odd)
 		}
--- a/internal/fleet/engine.go
+++ b/internal/fleet/engine.go
@@ -13,17 +13,17 @@
 // engine is the heap of events. Two at one instant come in the order in which
 // they were put there. What has come or was called off is used again, so that
 // a run's memory is that of what is under way.
-type engine struct {
-	now    time.Duration
-	last   uint64
-	queue  []entry // a heap of four children each: half as deep as one of two
-	free   []*event
-	events uint64 // that have come so far
+type eventQueue struct {
+	now       time.Duration
+	lastOrder uint64
+	heap      []queuedEvent // a heap of four children each: half as deep as one of two
+	free      []*event
+	processed uint64 // that have come so far
 }
 
 // entry is a place in the heap. It holds what orders it, so that the heap does
 // not follow pointers to compare.
-type entry struct {
+type queuedEvent struct {
 	at    time.Duration
 	order uint64
 	event *event
@@ -31,108 +31,112 @@
 
 // event is something that happens to an actor.
 type event struct {
-	actor actor
-	what  what
-	use   uint32 // counts how often it was used: a timer of an earlier use is of no effect
-	index int    // in the heap
+	handler    eventHandler
+	kind       eventKind
+	generation uint32 // counts how often it was used: a timer of an earlier use is of no effect
+	index      int    // in the heap
 }
 
 // actor is what events happen to. Hot ones are methods and not closures, which
 // would be allocated for each event.
-type actor interface{ act(what) }
+type eventHandler interface{ handleEvent(eventKind) }
 
 // what says which of an actor's events has come.
-type what uint8
+type eventKind uint8
 
 // call is an actor that is a function.
-type call func()
+type handlerFunc func()
 
-func (c call) act(what) { c() }
+func (c handlerFunc) handleEvent(eventKind) { c() }
 
 // timer is an event that may still come. The zero timer is of none.
 type timer struct {
-	event *event
-	use   uint32
+	event      *event
+	generation uint32
 }
 
 // armed says whether the event is still to come.
-func (t timer) armed() bool { return t.event != nil && t.event.use == t.use }
+func (t timer) pending() bool { return t.event != nil && t.event.generation == t.generation }
 
 // after lets a function be called; a time of less than 0 stands for now.
-func (e *engine) after(d time.Duration, do func()) timer { return e.put(d, call(do), 0) }
+func (queue *eventQueue) schedule(d time.Duration, do func()) timer {
+	return queue.scheduleEvent(d, handlerFunc(do), 0)
+}
 
 // put puts an event into the heap; a time of less than 0 stands for now.
-func (e *engine) put(d time.Duration, a actor, w what) timer {
+func (queue *eventQueue) scheduleEvent(d time.Duration, a eventHandler, w eventKind) timer {
 	var x *event
-	if n := len(e.free); n > 0 {
-		x, e.free = e.free[n-1], e.free[:n-1]
+	if n := len(queue.free); n > 0 {
+		x, queue.free = queue.free[n-1], queue.free[:n-1]
 	} else {
 		x = new(event)
 	}
-	x.actor, x.what, x.index = a, w, len(e.queue)
-	e.last++
-	e.queue = append(e.queue, entry{e.now + max(0, d), e.last, x})
-	e.up(x.index)
-	return timer{x, x.use}
+	x.handler, x.kind, x.index = a, w, len(queue.heap)
+	queue.lastOrder++
+	queue.heap = append(queue.heap, queuedEvent{queue.now + max(0, d), queue.lastOrder, x})
+	queue.siftUp(x.index)
+	return timer{x, x.generation}
 }
 
 // cancel calls an event off, if it has not come.
-func (e *engine) cancel(t timer) {
-	if t.armed() {
-		e.remove(t.event.index)
+func (queue *eventQueue) cancel(t timer) {
+	if t.pending() {
+		queue.removeAt(t.event.index)
 	}
 }
 
 // move lets an event come at another time, as if it was put there anew; false
 // where it has come already.
-func (e *engine) move(t timer, d time.Duration) bool {
-	if !t.armed() {
+func (queue *eventQueue) reschedule(t timer, d time.Duration) bool {
+	if !t.pending() {
 		return false
 	}
 	i := t.event.index
-	e.last++
-	e.queue[i].at, e.queue[i].order = e.now+max(0, d), e.last
-	e.up(i)
-	e.down(t.event.index)
+	queue.lastOrder++
+	queue.heap[i].at, queue.heap[i].order = queue.now+max(0, d), queue.lastOrder
+	queue.siftUp(i)
+	queue.siftDown(t.event.index)
 	return true
 }
 
 // step lets the next event come; false where there is none before the end.
-func (e *engine) step(end time.Duration) bool {
-	if len(e.queue) == 0 || e.queue[0].at > end {
+func (queue *eventQueue) processNext(end time.Duration) bool {
+	if len(queue.heap) == 0 || queue.heap[0].at > end {
 		return false
 	}
-	x := e.queue[0]
-	a, w := x.event.actor, x.event.what
-	e.now = x.at
-	e.events++
-	e.remove(0)
-	a.act(w)
+	x := queue.heap[0]
+	a, w := x.event.handler, x.event.kind
+	queue.now = x.at
+	queue.processed++
+	queue.removeAt(0)
+	a.handleEvent(w)
 	return true
 }
 
 // remove takes an entry out and keeps its event for another use.
-func (e *engine) remove(i int) {
-	x := e.queue[i].event
-	n := len(e.queue) - 1
-	last := e.queue[n]
-	e.queue[n] = entry{}
-	e.queue = e.queue[:n]
+func (queue *eventQueue) removeAt(i int) {
+	x := queue.heap[i].event
+	n := len(queue.heap) - 1
+	last := queue.heap[n]
+	queue.heap[n] = queuedEvent{}
+	queue.heap = queue.heap[:n]
 	if i < n {
-		e.queue[i] = last
+		queue.heap[i] = last
 		last.event.index = i
-		e.up(i)
-		e.down(last.event.index)
+		queue.siftUp(i)
+		queue.siftDown(last.event.index)
 	}
-	x.use++
-	x.actor = nil // let go
-	e.free = append(e.free, x)
+	x.generation++
+	x.handler = nil // let go
+	queue.free = append(queue.free, x)
 }
 
-func (x *entry) before(o *entry) bool { return x.at < o.at || x.at == o.at && x.order < o.order }
+func (x *queuedEvent) before(o *queuedEvent) bool {
+	return x.at < o.at || x.at == o.at && x.order < o.order
+}
 
-func (e *engine) up(i int) {
-	q, x := e.queue, e.queue[i]
+func (queue *eventQueue) siftUp(i int) {
+	q, x := queue.heap, queue.heap[i]
 	for i > 0 {
 		parent := (i - 1) / 4
 		if !x.before(&q[parent]) {
@@ -146,8 +150,8 @@
 	x.event.index = i
 }
 
-func (e *engine) down(i int) {
-	q, x := e.queue, e.queue[i]
+func (queue *eventQueue) siftDown(i int) {
+	q, x := queue.heap, queue.heap[i]
 	for {
 		least, first := -1, 4*i+1
 		for c := first; c < min(first+4, len(q)); c++ {
@@ -167,14 +171,14 @@
 }
 
 // stream gives a part its own random numbers: what it draws shifts no other's.
-func stream(seed uint64, part string, number int) *rand.Rand {
+func randomStream(seed uint64, part string, number int) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(part))
 	return rand.New(rand.NewPCG(seed, h.Sum64()+uint64(number)*0x9e3779b97f4a7c15))
 }
 
 // draw draws a number under n by the shares.
-func draw(rng *rand.Rand, n int, share func(i int) float64) int {
+func weightedIndex(rng *rand.Rand, n int, share func(i int) float64) int {
 	sum := 0.0
 	for i := range n {
 		sum += share(i)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -67,20 +67,20 @@
 // the main counters and a digest of both complete results.
 func recordRun(t *testing.T, name string, scenario fleet.Scenario) string {
 	t.Helper()
-	scenario.Observe = true
+	scenario.RecordUtilisation = true
 	result, err := fleet.Run(scenario)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	explained := result
-	if len(result.Notable) > 0 {
-		scenario.Watch = result.Notable[len(result.Notable)-1].ID
+	if len(result.Samples) > 0 {
+		scenario.ExplainRequest = result.Samples[len(result.Samples)-1].ID
 		if explained, err = fleet.Run(scenario); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 	}
-	return fmt.Sprintf("%s: %d %d %d %d %d, %d events, %d lines, %v\n", name, result.Asked, result.Served, result.Refused, result.Failed, result.Lost,
-		result.Events, len(explained.Told), digestOf(*result, *explained))
+	return fmt.Sprintf("%s: %d %d %d %d %d, %d events, %d lines, %v\n", name, result.Submissions, result.Served, result.Rejected, result.Failed, result.Lost,
+		result.Events, len(explained.Explanation), digestOf(*result, *explained))
 }
 
 func load(t *testing.T, file string, settings ...string) fleet.Scenario {
@@ -135,12 +135,12 @@
 func TestSmallScenariosGiveTheRecordedResults(t *testing.T) {
 	var lines strings.Builder
 	for seed := range uint64(150) {
-		scenario := fleet.Small(seed)
+		scenario := fleet.RandomScenario(seed)
 		var file bytes.Buffer
 		if err := lab.WriteScenario(&file, scenario); err != nil {
 			t.Fatal(err)
 		}
-		plan, err := fleet.Plan(scenario)
+		plan, err := fleet.PlanArrivals(scenario)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -153,23 +153,23 @@
 // recordSingle drives one node by drawn requests and faults, and digests what it answers and when.
 func recordSingle(seed uint64) golden.Digest {
 	digest, rng := golden.NewDigest(), rand.New(rand.NewPCG(seed, 3))
-	node := fleet.NewSingle(fleet.NodeParams{
-		Cores: 2, Speed: 1.5, Queue: 12, ColdFrom: 0.3, ColdTime: 2 * time.Second, ColdMultiple: 2, Fresh: seed%2 == 0,
-		Choke: fleet.Choke{Above: 2, After: 200 * time.Millisecond, Times: 2, Rest: 300 * time.Millisecond, Longest: 4 * time.Second},
+	node := fleet.NewSingleNode(fleet.NodeParams{
+		Cores: 2, Speed: 1.5, MaxRequests: 12, InitialSpeedShare: 0.3, WarmUpTime: 2 * time.Second, WarmUpOverloadFactor: 2, StartsCold: seed%2 == 0,
+		OverloadCollapse: fleet.OverloadCollapse{RequestsPerCore: 2, OnsetTime: 200 * time.Millisecond, Slowdown: 2, RecoveryTime: 300 * time.Millisecond, MaxDuration: 4 * time.Second},
 	})
-	faults := []fleet.Trouble{{Kind: fleet.Hang}, {Kind: fleet.Steal, Share: 0.6}, {Kind: fleet.Restart}}
+	faults := []fleet.Fault{{Kind: fleet.Hang}, {Kind: fleet.StealCPU, Share: 0.6}, {Kind: fleet.Restart}}
 	now := time.Duration(0)
 	for i := range 3000 {
 		now += time.Duration(rng.ExpFloat64() * 15 * float64(time.Millisecond))
 		next, due := node.Advance(now)
 		digest.Text('a', fmt.Sprint(next, due))
-		taken := node.Take(time.Duration(rng.ExpFloat64()*40*float64(time.Millisecond)), func(ok bool) { digest.Text('d', fmt.Sprint(i, ok)) })
+		taken := node.Submit(time.Duration(rng.ExpFloat64()*40*float64(time.Millisecond)), func(ok bool) { digest.Text('d', fmt.Sprint(i, ok)) })
 		digest.Text('t', fmt.Sprint(taken))
 		switch fault := faults[rng.IntN(3)]; rng.IntN(60) {
 		case 0:
-			node.Strike(fault)
+			node.BeginFault(fault)
 		case 1, 2, 3:
-			node.End(fault)
+			node.EndFault(fault)
 		}
 	}
 	return digest
@@ -181,11 +181,11 @@
 		fmt.Fprintf(&lines, "single %d: %v\n", seed, recordSingle(seed))
 	}
 	for _, rejectAfter := range []time.Duration{0, 2 * time.Second} {
-		for _, rule := range []fleet.CrowdRule{fleet.GiveUpAlike, fleet.TwoCalls} {
+		for _, rule := range []fleet.DiscoveryRule{fleet.FixedTimeout, fleet.HedgedCalls} {
 			for _, held := range []bool{false, true} {
-				trial := fleet.Crowd{
-					Sidecars: 300, Service: 66 * time.Millisecond, TurnAway: rejectAfter, Held: held, Rule: rule,
-					Spread: 200 * time.Millisecond, Seed: 1, MostCalls: 3000,
+				trial := fleet.DiscoveryTrial{
+					Sidecars: 300, ServiceTime: 66 * time.Millisecond, MaxWait: rejectAfter, HasList: held, Rule: rule,
+					StartSpread: 200 * time.Millisecond, Seed: 1, MaxCalls: 3000,
 				}
 				fmt.Fprintf(&lines, "rejected after %v, %s, %v: %v\n", rejectAfter, rule, held, digestOf(trial.Run()))
 			}
--- a/internal/fleet/quotas.go
+++ b/internal/fleet/quotas.go
@@ -9,21 +9,21 @@
 )
 
 // quotas makes a sidecar's tree: its part of the whole; nil where there is none.
-func (s *Scenario) quotas() (*quota.Tree, error) {
+func (s *Scenario) newQuotaTree() (*quota.Tree, error) {
 	q := &s.Quotas
-	if q.Part == 0 {
+	if q.SidecarShare == 0 {
 		return nil, nil
 	}
 	windows := q.Windows
 	if len(windows) == 0 {
 		windows = []time.Duration{time.Second, 10 * time.Second}
 	}
-	c := quota.Config{LenderReserve: q.Reclaim, RepaymentShare: q.Repay, DebtLifetime: q.DebtAge}
+	c := quota.Config{LenderReserve: q.LenderReserve, RepaymentShare: q.RepaymentShare, DebtLifetime: q.DebtLifetime}
 	node := func(name, parent string, rate, weight float64) {
 		n := quota.Node{Name: name, Parent: parent, Weight: weight}
 		for _, w := range windows {
-			l := quota.Limit{Dimension: quota.Requests, Rate: rate * q.Part, Window: max(w, time.Duration(float64(time.Second)/(rate*q.Part)))} // one fits, at least
-			if !q.Lends {
+			l := quota.Limit{Dimension: quota.Requests, Rate: rate * q.SidecarShare, Window: max(w, time.Duration(float64(time.Second)/(rate*q.SidecarShare)))} // one fits, at least
+			if !q.LendingAllowed {
 				l.Ceiling = l.Rate
 			}
 			n.Limits = append(n.Limits, l)
@@ -36,25 +36,25 @@
 	}
 	node("all", "", whole, 1)
 	for i, t := range s.Tenants {
-		node(tenantNode(i), "all", t.Quota, t.Share)
+		node(tenantQuotaName(i), "all", t.Quota, t.Share)
 	}
 	return quota.New(c)
 }
 
-func tenantNode(i int) string { return fmt.Sprint("tenant-", i) }
+func tenantQuotaName(i int) string { return fmt.Sprint("tenant-", i) }
 
 // within has the quotas decide on a try; false: it was refused.
-func (c *sidecar) within(x *request) bool {
-	if c.quota == nil {
+func (c *sidecar) admitByQuota(x *submission) bool {
+	if c.quotaTree == nil {
 		return true
 	}
-	d := c.quota.Admit(c.time(), quota.Request{Node: tenantNode(x.tenant), Cost: quota.Cost{quota.Requests: 1}, Retry: x.try > 1})
+	d := c.quotaTree.Admit(c.clockTime(), quota.Request{Node: tenantQuotaName(x.tenant), Cost: quota.Cost{quota.Requests: 1}, Retry: x.number > 1})
 	if d.Outcome != quota.Rejected {
 		x.receipt = d.Receipt
 		return true
 	}
 	pause := d.RetryAfter
-	if most := c.s.Clients.MaxPause; most > 0 {
+	if most := c.scenario.Clients.MaxRetryAfter; most > 0 {
 		pause = min(pause, most)
 	}
 	c.Reject(x.id, max(pause, 10*time.Millisecond))
@@ -62,13 +62,13 @@
 }
 
 // spent gives a try's charge back where it never ran, and ends it otherwise.
-func (c *sidecar) spent(x *request, ending policy.AttemptResult) {
-	if c.quota == nil || x.receipt == nil {
+func (c *sidecar) settleQuota(x *submission, ending policy.AttemptResult) {
+	if c.quotaTree == nil || x.receipt == nil {
 		return
 	}
 	if ending == policy.Rejected {
-		c.quota.Refund(x.receipt)
+		c.quotaTree.Refund(x.receipt)
 	} else {
-		c.quota.Release(x.receipt)
+		c.quotaTree.Release(x.receipt)
 	}
 }
--- a/internal/fleet/reference.go
+++ b/internal/fleet/reference.go
@@ -10,7 +10,7 @@
 )
 
 // decider is what a sidecar of the model asks; policy.Balancer is one.
-type decider interface {
+type balancer interface {
 	Start(now time.Duration)
 	EndpointsUpdated(now time.Duration, kind policy.UpdateKind, entries []policy.Endpoint)
 	RequestReceived(now time.Duration, q policy.Request)
@@ -36,91 +36,91 @@
 )
 
 // policies are those that a scenario may name; nothing stands for Mothridge.
-var policies = []Policy{"", Mothridge, Random, RoundRobin, TwoChoices, PeakEWMA, Bulkhead}
+var knownPolicies = []Policy{"", Mothridge, Random, RoundRobin, TwoChoices, PeakEWMA, Bulkhead}
 
 // Retries is when a reference sends what failed again, where the class allows it.
-type Retries string
+type RetryMode string
 
 // The ways of sending again. With Naive and Budget an attempt waits for an even
 // part of the request's time only, so that there is time for another one; that
 // is what starts a storm.
 const (
-	NeverRan Retries = ""       // what certainly never ran, and safe requests, for as long as there is time
-	Naive    Retries = "naive"  // at once, up to the most attempts
-	Budget   Retries = "budget" // the same, but a tenth of the first attempts at the most (as Finagle's retry budget, without its floor)
+	RetryUnstarted  RetryMode = ""       // what certainly never ran, and safe requests, for as long as there is time
+	RetryNaively    RetryMode = "naive"  // at once, up to the most attempts
+	RetryWithBudget RetryMode = "budget" // the same, but a tenth of the first attempts at the most (as Finagle's retry budget, without its floor)
 )
 
-var retries = []Retries{NeverRan, Naive, Budget}
+var knownRetries = []RetryMode{RetryUnstarted, RetryNaively, RetryWithBudget}
 
 const (
-	budgetShare = 0.1             // further attempts for each first one
-	budgetMost  = 10.0            // saved up
-	ewmaDecay   = 2 * time.Second // of PeakEWMA, after a peak
+	retryBudgetShare = 0.1             // further attempts for each first one
+	maxRetryBudget   = 10.0            // saved up
+	ewmaDecay        = 2 * time.Second // of PeakEWMA, after a peak
 	// Of Bulkhead: the slots of all sidecars for each node, and queue places for each slot.
-	bulkheadSlots  = 3.0
-	bulkheadPlaces = 0.15
+	bulkheadSlots      = 3.0
+	bulkheadQueueShare = 0.15
 )
 
 // decider makes a sidecar's.
-func (s *Scenario) decider(cfg policy.Config, seed uint64, h policy.Host) (decider, error) {
+func (s *Scenario) newBalancer(cfg policy.Config, seed uint64, h policy.Host) (balancer, error) {
 	if s.Policy == "" || s.Policy == Mothridge {
 		return policy.New(cfg, seed, h)
 	}
 	r := &reference{
-		policy: s.Policy, retries: s.Retries, cfg: cfg, host: h, rng: stream(seed, "reference", 0),
-		known: make(map[policy.EndpointID]*target), held: make(map[policy.RequestID]*referred), budget: budgetMost,
+		policy: s.Policy, retries: s.Retries, cfg: cfg, host: h, random: randomStream(seed, "reference", 0),
+		targets: make(map[policy.EndpointID]*target), requests: make(map[policy.RequestID]*referenceRequest), retryBudget: maxRetryBudget,
 	}
 	if s.Policy == Bulkhead {
-		r.wall(s)
+		r.addBulkheads(s)
 	}
 	return r, nil
 }
 
 // reference decides by a plain rule.
 type reference struct {
-	policy  Policy
-	retries Retries
-	cfg     policy.Config
-	host    policy.Host
-	rng     *rand.Rand
-	ready   []*target // in the list's order
-	known   map[policy.EndpointID]*target
-	next    int
-	held    map[policy.RequestID]*referred
-	budget  float64
-	walls   []wall // by tenant; none: requests wait for nothing
+	policy      Policy
+	retries     RetryMode
+	cfg         policy.Config
+	host        policy.Host
+	random      *rand.Rand
+	ready       []*target // in the list's order
+	targets     map[policy.EndpointID]*target
+	nextIndex   int
+	requests    map[policy.RequestID]*referenceRequest
+	retryBudget float64
+	bulkheads   []referenceBulkhead // by tenant; none: requests wait for nothing
 }
 
 // target is a server as a reference knows it.
 type target struct {
-	id   policy.EndpointID
-	out  int           // our own requests there
-	mean float64       // seconds, PeakEWMA's
-	asOf time.Duration // of mean
+	id              policy.EndpointID
+	inFlight        int           // our own requests there
+	smoothedLatency float64       // seconds, PeakEWMA's
+	smoothedAt      time.Duration // of mean
 }
 
 // wall is a tenant's compartment.
-type wall struct {
-	slots, used, places int
-	queue               []policy.RequestID
+type referenceBulkhead struct {
+	slots, inFlight, queueLimit int
+	queue                       []policy.RequestID
 }
 
 // referred is a request that a reference holds.
-type referred struct {
-	class, tenant int
-	until         time.Duration
-	part          time.Duration // that an attempt may take
-	sent          []sent
-	mayRun        bool // an attempt may have run
+type referenceRequest struct {
+	class, tenant  int
+	deadline       time.Duration
+	attemptTimeout time.Duration // that an attempt may take
+	sent           []sentAttempt
+	mayHaveRun     bool // an attempt may have run
 }
 
-type sent struct {
+type sentAttempt struct {
 	to *target
 	at time.Duration
 }
 
 // wall gives each tenant its share of the slots.
-func (r *reference) wall(s *Scenario) {
+func (r *reference) addBulkheads(s *Scenario) {
 	shares, total := 0.0, float64(s.Slots)
 	if s.Slots == 0 {
 		total = bulkheadSlots * float64(s.Nodes) * min(1, 2/float64(s.Sidecars))
@@ -133,9 +133,9 @@
 		if shares > 0 {
 			part = s.Tenants[i].Share / shares
 		}
-		w := wall{slots: max(1, int(math.Ceil(total*part)))}
-		w.places = int(math.Ceil(float64(w.slots) * bulkheadPlaces))
-		r.walls = append(r.walls, w)
+		w := referenceBulkhead{slots: max(1, int(math.Ceil(total*part)))}
+		w.queueLimit = int(math.Ceil(float64(w.slots) * bulkheadQueueShare))
+		r.bulkheads = append(r.bulkheads, w)
 	}
 }
 
@@ -157,10 +157,10 @@
 		r.ready = nil
 	}
 	for _, e := range entries {
-		t := r.known[e.ID]
+		t := r.targets[e.ID]
 		if t == nil {
 			t = &target{id: e.ID}
-			r.known[e.ID] = t
+			r.targets[e.ID] = t
 		}
 		at := slices.Index(r.ready, t)
 		switch {
@@ -174,33 +174,33 @@
 
 // RequestReceived sends it, or lets it wait for a slot.
 func (r *reference) RequestReceived(now time.Duration, q policy.Request) {
-	x := &referred{class: q.Class, tenant: q.Tenant, until: now + q.Timeout, part: q.Timeout}
-	if r.retries != NeverRan {
-		x.part = q.Timeout / time.Duration(r.cfg.MaxAttempts)
+	x := &referenceRequest{class: q.Class, tenant: q.Tenant, deadline: now + q.Timeout, attemptTimeout: q.Timeout}
+	if r.retries != RetryUnstarted {
+		x.attemptTimeout = q.Timeout / time.Duration(r.cfg.MaxAttempts)
 	}
-	r.held[q.ID] = x
-	r.budget = min(budgetMost, r.budget+budgetShare)
-	if r.walls == nil {
+	r.requests[q.ID] = x
+	r.retryBudget = min(maxRetryBudget, r.retryBudget+retryBudgetShare)
+	if r.bulkheads == nil {
 		r.send(now, q.ID, x)
 		return
 	}
-	switch w := &r.walls[q.Tenant]; {
-	case w.used < w.slots:
+	switch w := &r.bulkheads[q.Tenant]; {
+	case w.inFlight < w.slots:
 		r.send(now, q.ID, x)
-	case len(w.queue) < w.places:
+	case len(w.queue) < w.queueLimit:
 		w.queue = append(w.queue, q.ID)
 	default:
-		r.finish(q.ID, x)
+		r.respond(q.ID, x)
 	}
 }
 
 // pick chooses a server.
-func (r *reference) pick(now time.Duration) *target {
-	draw := func() *target { return r.ready[r.rng.IntN(len(r.ready))] }
+func (r *reference) selectTarget(now time.Duration) *target {
+	draw := func() *target { return r.ready[r.random.IntN(len(r.ready))] }
 	switch r.policy {
 	case RoundRobin, Bulkhead:
-		r.next++
-		return r.ready[r.next%len(r.ready)]
+		r.nextIndex++
+		return r.ready[r.nextIndex%len(r.ready)]
 	case TwoChoices, PeakEWMA:
 		a, b := draw(), draw()
 		if b.cost(now, r.policy) < a.cost(now, r.policy) {
@@ -214,39 +214,39 @@
 // cost is what a server is avoided by.
 func (t *target) cost(now time.Duration, p Policy) float64 {
 	if p == TwoChoices {
-		return float64(t.out)
+		return float64(t.inFlight)
 	}
-	faded := t.mean * math.Exp(-float64(now-t.asOf)/float64(ewmaDecay))
-	return (faded + 1e-6) * float64(t.out+1)
+	faded := t.smoothedLatency * math.Exp(-float64(now-t.smoothedAt)/float64(ewmaDecay))
+	return (faded + 1e-6) * float64(t.inFlight+1)
 }
 
 // learn takes the time of an answer: a peak counts at once, what is less by and by.
-func (t *target) learn(now, took time.Duration) {
-	x, keep := took.Seconds(), math.Exp(-float64(now-t.asOf)/float64(ewmaDecay))
-	if t.mean = t.mean*keep + x*(1-keep); x > t.mean {
-		t.mean = x
+func (t *target) recordLatency(now, took time.Duration) {
+	x, keep := took.Seconds(), math.Exp(-float64(now-t.smoothedAt)/float64(ewmaDecay))
+	if t.smoothedLatency = t.smoothedLatency*keep + x*(1-keep); x > t.smoothedLatency {
+		t.smoothedLatency = x
 	}
-	t.asOf = now
+	t.smoothedAt = now
 }
 
-func (r *reference) send(now time.Duration, id policy.RequestID, x *referred) {
-	if len(r.ready) == 0 || now >= x.until {
-		r.finish(id, x)
+func (r *reference) send(now time.Duration, id policy.RequestID, x *referenceRequest) {
+	if len(r.ready) == 0 || now >= x.deadline {
+		r.respond(id, x)
 		return
 	}
-	to := r.pick(now)
-	x.sent = append(x.sent, sent{to, now})
-	to.out++
-	if r.walls != nil {
-		r.walls[x.tenant].used++
+	to := r.selectTarget(now)
+	x.sent = append(x.sent, sentAttempt{to, now})
+	to.inFlight++
+	if r.bulkheads != nil {
+		r.bulkheads[x.tenant].inFlight++
 	}
-	r.host.Send(id, to.id, min(x.part, x.until-now), 0)
+	r.host.Send(id, to.id, min(x.attemptTimeout, x.deadline-now), 0)
 }
 
 // finish gives the request its answer: refused where that is harmless.
-func (r *reference) finish(id policy.RequestID, x *referred) {
-	delete(r.held, id)
-	if x.mayRun && r.cfg.Classes[x.class].Idempotency != policy.Idempotent {
+func (r *reference) respond(id policy.RequestID, x *referenceRequest) {
+	delete(r.requests, id)
+	if x.mayHaveRun && r.cfg.Classes[x.class].Idempotency != policy.Idempotent {
 		r.host.Fail(id)
 	} else {
 		r.host.Reject(id, 0)
@@ -255,57 +255,57 @@
 
 // AttemptEnded takes the end of an attempt: what may be sent again is.
 func (r *reference) AttemptEnded(now time.Duration, o policy.AttemptOutcome) {
-	x := r.held[o.ID]
+	x := r.requests[o.ID]
 	if x == nil {
 		return
 	}
 	a := x.sent[o.Attempt]
-	a.to.out--
-	a.to.learn(now, now-a.at)
-	if r.walls != nil {
-		r.walls[x.tenant].used--
+	a.to.inFlight--
+	a.to.recordLatency(now, now-a.at)
+	if r.bulkheads != nil {
+		r.bulkheads[x.tenant].inFlight--
 	}
-	defer r.feed(now, x.tenant)
+	defer r.dispatchQueued(now, x.tenant)
 	if o.Completed {
-		delete(r.held, o.ID)
+		delete(r.requests, o.ID)
 		return
 	}
 	never := o.Result == policy.Rejected || o.Result == policy.ConnectionFailed || o.Result == policy.NotSent
-	x.mayRun = x.mayRun || !never
-	if r.again(x) {
+	x.mayHaveRun = x.mayHaveRun || !never
+	if r.mayRetry(x) {
 		r.send(now, o.ID, x)
 		return
 	}
-	r.finish(o.ID, x)
+	r.respond(o.ID, x)
 }
 
 // again says whether a request goes out once more.
-func (r *reference) again(x *referred) bool {
-	if len(x.sent) >= r.cfg.MaxAttempts || x.mayRun && r.cfg.Classes[x.class].Idempotency != policy.Idempotent {
+func (r *reference) mayRetry(x *referenceRequest) bool {
+	if len(x.sent) >= r.cfg.MaxAttempts || x.mayHaveRun && r.cfg.Classes[x.class].Idempotency != policy.Idempotent {
 		return false
 	}
-	if r.retries == Budget {
-		if r.budget < 1 {
+	if r.retries == RetryWithBudget {
+		if r.retryBudget < 1 {
 			return false
 		}
-		r.budget--
+		r.retryBudget--
 	}
 	return true
 }
 
 // feed gives a free slot to what waits.
-func (r *reference) feed(now time.Duration, tenant int) {
-	if r.walls == nil {
+func (r *reference) dispatchQueued(now time.Duration, tenant int) {
+	if r.bulkheads == nil {
 		return
 	}
-	for w := &r.walls[tenant]; len(w.queue) > 0 && w.used < w.slots; {
+	for w := &r.bulkheads[tenant]; len(w.queue) > 0 && w.inFlight < w.slots; {
 		id := w.queue[0]
 		w.queue = w.queue[1:]
-		if x := r.held[id]; x != nil {
+		if x := r.requests[id]; x != nil {
 			r.send(now, id, x)
 		}
 	}
 }
 
 // ClientDisconnected lets a request go.
-func (r *reference) ClientDisconnected(_ time.Duration, id policy.RequestID) { delete(r.held, id) }
+func (r *reference) ClientDisconnected(_ time.Duration, id policy.RequestID) { delete(r.requests, id) }
--- a/internal/fleet/request.go
+++ b/internal/fleet/request.go
@@ -11,428 +11,428 @@
 )
 
 // request is one try of a client.
-type request struct {
+type submission struct {
 	sidecar *sidecar
 	id      policy.RequestID
-	*client
-	ran      []ran // where and when a keyed one did
-	try      int
-	began    time.Duration
-	attempts []*attempt
-	answered bool
-	deadline timer
-	receipt  *quota.Receipt // of what it took of its quota; nil: nothing
+	*clientRequest
+	effects       []effect // where and when a keyed one did
+	number        int
+	submittedAt   time.Duration
+	attempts      []*attempt
+	completed     bool
+	deadlineTimer timer
+	receipt       *quota.Receipt // of what it took of its quota; nil: nothing
 
 	// Nearly every request has one attempt: it and its place come with it.
-	attempt attempt
-	places  [1]*attempt
+	firstAttempt   attempt
+	attemptStorage [1]*attempt
 }
 
 // client is what all tries of a request have in common.
-type client struct {
-	first   policy.RequestID // the first try's
-	effects int              // how often an unsafe one may have run
-	class   int
-	tenant  int
-	work    float64
-	asked   time.Duration // when the first try was
-	ends    time.Duration // its whole patience
+type clientRequest struct {
+	firstID       policy.RequestID // the first try's
+	unsafeEffects int              // how often an unsafe one may have run
+	class         int
+	tenant        int
+	work          float64
+	arrivedAt     time.Duration // when the first try was
+	deadline      time.Duration // its whole patience
 }
 
 // newRequest makes a try.
-func (c *sidecar) newRequest(of *client, try int) *request {
-	x := &request{sidecar: c, client: of, try: try}
-	x.attempts = x.places[:0]
+func (c *sidecar) newSubmission(of *clientRequest, try int) *submission {
+	x := &submission{sidecar: c, clientRequest: of, number: try}
+	x.attempts = x.attemptStorage[:0]
 	return x
 }
 
 // newAttempt adds an attempt.
-func (x *request) newAttempt(n *node) *attempt {
-	a := &x.attempt
-	if len(x.attempts) > 0 {
+func (submission *submission) newAttempt(n *node) *attempt {
+	a := &submission.firstAttempt
+	if len(submission.attempts) > 0 {
 		a = new(attempt)
 	}
-	*a = attempt{sidecar: x.sidecar, request: x, number: len(x.attempts), node: n, process: n.process}
+	*a = attempt{sidecar: submission.sidecar, submission: submission, number: len(submission.attempts), node: n, incarnation: n.incarnation}
 	a.job.owner, a.job.index = a, -1
-	x.attempts = append(x.attempts, a)
+	submission.attempts = append(submission.attempts, a)
 	return a
 }
 
 // ran is an effect of a keyed request: the nodes of a cell drop its repeats for a while.
-type ran struct {
+type effect struct {
 	cell int
 	at   time.Duration
 }
 
 // attempt is one send of a request to a node.
 type attempt struct {
-	sidecar *sidecar
-	request *request
-	number  int
-	node    *node
-	process int // of the node, when it was sent
-	job     job
-	came    bool  // to its node, which took it
-	link    *link // whose connection it is on; nil: connections are not modelled
-	ending  policy.AttemptResult
-	over    bool
-	timeout timer
+	sidecar      *sidecar
+	submission   *submission
+	number       int
+	node         *node
+	incarnation  int // of the node, when it was sent
+	job          job
+	accepted     bool            // to its node, which took it
+	pool         *connectionPool // whose connection it is on; nil: connections are not modelled
+	result       policy.AttemptResult
+	ended        bool
+	timeoutTimer timer
 }
 
 // The events of an attempt.
 const (
-	attemptReaches   what = iota // it has come to its node
-	attemptTimesOut              // its balancer waits no longer
-	attemptCancelled             // it is called off
-	attemptEnds                  // word of its end has come back
-	attemptDropped               // word that nobody waits has come to its node
-	attemptBroken                // its connection has, with the node's process
+	attemptArrives   eventKind = iota // it has come to its node
+	attemptTimesOut                   // its balancer waits no longer
+	attemptCancelled                  // it is called off
+	attemptResponds                   // word of its end has come back
+	attemptWithdrawn                  // word that nobody waits has come to its node
+	attemptReset                      // its connection has, with the node's process
 )
 
-func (a *attempt) act(w what) {
+func (a *attempt) handleEvent(w eventKind) {
 	switch w {
-	case attemptReaches:
-		a.sidecar.reach(a)
+	case attemptArrives:
+		a.sidecar.attemptArrived(a)
 	case attemptTimesOut:
-		a.sidecar.giveUp(a, policy.TimedOut)
+		a.sidecar.abandonAttempt(a, policy.TimedOut)
 	case attemptCancelled:
-		a.sidecar.giveUp(a, policy.Cancelled)
-	case attemptEnds:
-		a.sidecar.end(a, a.ending)
-	case attemptBroken:
-		a.sidecar.end(a, policy.ConnectionReset)
-	case attemptDropped:
-		a.node.drop(&a.job)
+		a.sidecar.abandonAttempt(a, policy.Cancelled)
+	case attemptResponds:
+		a.sidecar.endAttempt(a, a.result)
+	case attemptReset:
+		a.sidecar.endAttempt(a, policy.ConnectionReset)
+	case attemptWithdrawn:
+		a.node.withdraw(&a.job)
 	}
 }
 
 // arrivals lets requests come to a sidecar: a Poisson stream, thinned where its
 // rate changes (Lewis and Shedler, 1979).
-func (c *sidecar) arrivals(number int) {
+func (c *sidecar) startArrivalProcess(number int) {
 	part, parts := 1.0, 0.0
-	for i := range c.s.Sidecars {
-		w := math.Pow(float64(i+1), -c.s.Skew)
+	for i := range c.scenario.Sidecars {
+		w := math.Pow(float64(i+1), -c.scenario.TrafficSkew)
 		parts += w
 		if i == number {
 			part = w
 		}
 	}
-	peak := 1 + c.s.Daily.Swing
-	for _, t := range c.s.Troubles {
-		if t.Kind == Burst {
-			peak = max(peak, (1+c.s.Daily.Swing)*max(1, t.Times))
+	peak := 1 + c.scenario.Daily.Swing
+	for _, t := range c.scenario.Faults {
+		if t.Kind == TrafficBurst {
+			peak = max(peak, (1+c.scenario.Daily.Swing)*max(1, t.RateFactor))
 		}
 	}
-	a := &arrival{c, c.rate * part / parts * peak, peak}
-	a.next()
+	a := &arrivalProcess{c, c.arrivalRate * part / parts * peak, peak}
+	a.scheduleNext()
 }
 
 // arrival is a sidecar's stream of requests.
-type arrival struct {
+type arrivalProcess struct {
 	*sidecar
-	rate, peak float64 // a second, at the peak; and over the mean
+	rate, peakFactor float64 // a second, at the peak; and over the mean
 }
 
-func (a *arrival) next() {
-	a.put(time.Duration(a.clock.ExpFloat64()/a.rate*float64(time.Second)), a, 0)
+func (process *arrivalProcess) scheduleNext() {
+	process.scheduleEvent(time.Duration(process.arrivalRandom.ExpFloat64()/process.rate*float64(time.Second)), process, 0)
 }
 
-func (a *arrival) act(what) {
-	if a.now > a.s.Duration {
+func (process *arrivalProcess) handleEvent(eventKind) {
+	if process.now > process.scenario.Duration {
 		return
 	}
-	a.next()
+	process.scheduleNext()
 	share := func(i int) float64 {
-		if len(a.s.Tenants) == 0 {
-			return a.bursts[0]
+		if len(process.scenario.Tenants) == 0 {
+			return process.rateFactors[0]
 		}
-		return a.s.Tenants[i].Share * a.bursts[i]
+		return process.scenario.Tenants[i].Share * process.rateFactors[i]
 	}
-	if a.peak > 1 { // at its peak rate only a part of the time
+	if process.peakFactor > 1 { // at its peak rate only a part of the time
 		now, usual := 0.0, 0.0
-		for i := range a.bursts {
-			now, usual = now+share(i), usual+share(i)/max(a.bursts[i], 1e-9)
+		for i := range process.rateFactors {
+			now, usual = now+share(i), usual+share(i)/max(process.rateFactors[i], 1e-9)
 		}
 		wave := 1.0
-		if d := &a.s.Daily; d.Period > 0 {
-			wave += d.Swing * math.Sin(2*math.Pi*float64(a.now)/float64(d.Period))
+		if d := &process.scenario.Daily; d.Period > 0 {
+			wave += d.Swing * math.Sin(2*math.Pi*float64(process.now)/float64(d.Period))
 		}
-		if a.clock.Float64()*a.peak >= now/usual*wave {
+		if process.arrivalRandom.Float64()*process.peakFactor >= now/usual*wave {
 			return
 		}
 	}
-	x := &client{class: draw(a.pick, len(a.s.Classes), func(i int) float64 { return a.s.Classes[i].Share })}
-	if n := len(a.s.Tenants); n > 0 {
-		x.tenant = draw(a.pick, n, share)
+	x := &clientRequest{class: weightedIndex(process.requestRandom, len(process.scenario.Classes), func(i int) float64 { return process.scenario.Classes[i].Share })}
+	if n := len(process.scenario.Tenants); n > 0 {
+		x.tenant = weightedIndex(process.requestRandom, n, share)
 	}
-	a.begin(x, 0)
+	process.beginRequest(x, 0)
 }
 
 // replay lets recorded requests come, to one sidecar after the other.
-func (r *run) replay(i int) {
-	if i >= len(r.s.Replay) {
+func (sim *simulation) replayArrival(i int) {
+	if i >= len(sim.scenario.RecordedArrivals) {
 		return
 	}
-	a := r.s.Replay[i]
-	r.after(a.At-r.now, func() {
-		r.sidecars[i%len(r.sidecars)].begin(&client{class: a.Class, tenant: a.Tenant}, a.Work)
-		r.replay(i + 1)
+	a := sim.scenario.RecordedArrivals[i]
+	sim.schedule(a.At-sim.now, func() {
+		sim.sidecars[i%len(sim.sidecars)].beginRequest(&clientRequest{class: a.Class, tenant: a.Tenant}, a.Work)
+		sim.replayArrival(i + 1)
 	})
 }
 
 // begin is a client's first try. Work of 0 is drawn.
-func (c *sidecar) begin(x *client, work time.Duration) {
-	k := &c.s.Classes[x.class]
-	x.asked, x.ends = c.now, c.now+k.Deadline
+func (c *sidecar) beginRequest(x *clientRequest, work time.Duration) {
+	k := &c.scenario.Classes[x.class]
+	x.arrivedAt, x.deadline = c.now, c.now+k.Deadline
 	if x.work = work.Seconds(); work == 0 {
 		x.work = k.Work.Seconds()
-		switch k.Spread {
+		switch k.WorkDistribution {
 		case Exponential:
-			x.work *= c.pick.ExpFloat64()
+			x.work *= c.requestRandom.ExpFloat64()
 		case LogNormal: // of mean 1: mu is -sigma²/2
-			sigma2 := math.Log(1 + k.CV*k.CV)
-			x.work *= distuv.LogNormal{Mu: -sigma2 / 2, Sigma: math.Sqrt(sigma2), Src: c.pick}.Rand()
+			sigma2 := math.Log(1 + k.CoefficientOfVariation*k.CoefficientOfVariation)
+			x.work *= distuv.LogNormal{Mu: -sigma2 / 2, Sigma: math.Sqrt(sigma2), Src: c.requestRandom}.Rand()
 		}
 	}
 	if c.plan != nil {
-		*c.plan = append(*c.plan, Planned{Arrival{c.now, x.class, x.tenant, time.Duration(x.work * 1e9)}, c.number})
+		*c.plan = append(*c.plan, PlannedArrival{Arrival{c.now, x.class, x.tenant, time.Duration(x.work * 1e9)}, c.number})
 		return
 	}
-	c.seen.came(x)
-	c.open++
-	c.ask(c.newRequest(x, 1))
+	c.recorder.recordArrival(x)
+	c.openRequests++
+	c.submit(c.newSubmission(x, 1))
 }
 
 // ask sends one try to the balancer.
-func (c *sidecar) ask(x *request) {
+func (c *sidecar) submit(x *submission) {
 	c.lastID++
-	x.id, x.began = c.lastID, c.now
-	if x.first == 0 {
-		x.first = x.id
+	x.id, x.submittedAt = c.lastID, c.now
+	if x.firstID == 0 {
+		x.firstID = x.id
 	}
-	c.result.Asked++
-	left := x.ends - c.now
-	if p := c.s.Clients.Patience; len(p) == 2 {
-		left = min(left, time.Duration(float64(c.s.Classes[x.class].Deadline)*(p[0]+(p[1]-p[0])*c.whims.Float64())))
+	c.result.Submissions++
+	left := x.deadline - c.now
+	if p := c.scenario.Clients.TimeoutShares; len(p) == 2 {
+		left = min(left, time.Duration(float64(c.scenario.Classes[x.class].Deadline)*(p[0]+(p[1]-p[0])*c.clientRandom.Float64())))
 	}
-	if c.watched(x) {
-		c.note(x, "asked of sidecar %d, class %d, tenant %d, work %.1f ms, waits %v", c.number, x.class, x.tenant, x.work*1e3, left)
+	if c.isExplained(x) {
+		c.explain(x, "asked of sidecar %d, class %d, tenant %d, work %.1f ms, waits %v", c.number, x.class, x.tenant, x.work*1e3, left)
 	}
-	if c.off { // nothing listens
-		c.lose(x)
+	if c.stopped { // nothing listens
+		c.loseSubmission(x)
 		return
 	}
-	c.requests[x.id] = x
-	x.deadline = c.put(left+slack, x, 0)
-	if !c.within(x) {
+	c.submissions[x.id] = x
+	x.deadlineTimer = c.scheduleEvent(left+timeSlack, x, 0)
+	if !c.admitByQuota(x) {
 		return
 	}
-	c.b.RequestReceived(c.time(), policy.Request{ID: x.id, Class: x.class, Tenant: x.tenant, Timeout: left, ClientRetry: x.try > 1})
+	c.balancer.RequestReceived(c.clockTime(), policy.Request{ID: x.id, Class: x.class, Tenant: x.tenant, Timeout: left, ClientRetry: x.number > 1})
 }
 
 // act is that a try has no answer though its client waits no longer.
-func (x *request) act(what) {
-	c := x.sidecar
-	c.breach("rule 1: request %d of sidecar %d has no answer before its deadline", x.id, c.number)
+func (submission *submission) handleEvent(eventKind) {
+	c := submission.sidecar
+	c.reportViolation("rule 1: request %d of sidecar %d has no answer before its deadline", submission.id, c.number)
 	c.result.Failed++ // for its client
-	c.answer(x)
-	c.b.ClientDisconnected(c.time(), x.id)
+	c.complete(submission)
+	c.balancer.ClientDisconnected(c.clockTime(), submission.id)
 }
 
 // answer gives a try its one answer.
-func (c *sidecar) answer(x *request) {
-	if x.answered {
-		c.breach("rule 1: request %d of sidecar %d has a second answer", x.id, c.number)
+func (c *sidecar) complete(x *submission) {
+	if x.completed {
+		c.reportViolation("rule 1: request %d of sidecar %d has a second answer", x.id, c.number)
 		return
 	}
-	x.answered = true
-	c.open--
-	c.cancel(x.deadline)
-	c.forget(x)
+	x.completed = true
+	c.openRequests--
+	c.cancel(x.deadlineTimer)
+	c.forgetIfDone(x)
 }
 
 // forget lets a request go that has its answer and no attempt out.
-func (c *sidecar) forget(x *request) {
-	if !x.answered {
+func (c *sidecar) forgetIfDone(x *submission) {
+	if !x.completed {
 		return
 	}
 	for _, a := range x.attempts {
-		if !a.over {
+		if !a.ended {
 			return
 		}
 	}
-	delete(c.requests, x.id)
+	delete(c.submissions, x.id)
 }
 
 // pause is a client's own before its next try.
-func (c *sidecar) pause(x *request) time.Duration {
-	d := c.s.Clients.Pause << min(x.try-1, 16)
-	return time.Duration(float64(d) * (0.5 + c.whims.Float64()))
+func (c *sidecar) retryBackoff(x *submission) time.Duration {
+	d := c.scenario.Clients.RetryBackoff << min(x.number-1, 16)
+	return time.Duration(float64(d) * (0.5 + c.clientRandom.Float64()))
 }
 
 // again lets a client try again after a pause; false where it gives up.
-func (c *sidecar) again(x *request, pause time.Duration) bool {
-	if x.try >= c.s.Clients.Tries || c.now+pause >= x.ends {
+func (c *sidecar) scheduleRetry(x *submission, pause time.Duration) bool {
+	if x.number >= c.scenario.Clients.MaxSubmissions || c.now+pause >= x.deadline {
 		return false
 	}
-	c.open++ // the client goes on waiting
-	c.after(pause, func() { c.ask(c.newRequest(x.client, x.try+1)) })
+	c.openRequests++ // the client goes on waiting
+	c.schedule(pause, func() { c.submit(c.newSubmission(x.clientRequest, x.number+1)) })
 	return true
 }
 
 // connect takes an attempt to its node, over a connection where those are modelled.
 func (c *sidecar) connect(a *attempt) {
-	l, p := c.linkTo(a.node), &c.s.Network
+	l, p := c.poolTo(a.node), &c.scenario.Network
 	if l == nil {
-		c.put(c.delay(), a, attemptReaches)
+		c.scheduleEvent(c.networkDelay(), a, attemptArrives)
 		return
 	}
-	if n := len(l.idle); n > 0 {
-		l.idle, a.link = l.idle[:n-1], l
-		c.put(c.delay(), a, attemptReaches)
+	if n := len(l.idleSince); n > 0 {
+		l.idleSince, a.pool = l.idleSince[:n-1], l
+		c.scheduleEvent(c.networkDelay(), a, attemptArrives)
 		return
 	}
-	d := c.delay()
-	for range 2 * p.Trips {
-		d += c.delay()
+	d := c.networkDelay()
+	for range 2 * p.HandshakeRoundTrips {
+		d += c.networkDelay()
 	}
-	if p.Most > 0 && a.node.open >= p.Most {
-		a.ending = policy.ConnectionFailed
-		c.put(d, a, attemptEnds)
+	if p.MaxConnections > 0 && a.node.connections >= p.MaxConnections {
+		a.result = policy.ConnectionFailed
+		c.scheduleEvent(d, a, attemptResponds)
 		return
 	}
 	c.result.Handshakes++
-	a.node.open++
-	a.link = l
-	c.put(d, a, attemptReaches)
-	a.node.take(new(job), p.Handshake.Seconds()) // beside the request's own work
+	a.node.connections++
+	a.pool = l
+	c.scheduleEvent(d, a, attemptArrives)
+	a.node.accept(new(job), p.HandshakeWork.Seconds()) // beside the request's own work
 }
 
 // reach is when an attempt has come to its node.
-func (c *sidecar) reach(a *attempt) {
+func (c *sidecar) attemptArrived(a *attempt) {
 	n := a.node
 	switch {
-	case a.over || n.deaf: // given up on its way; or it never comes
+	case a.ended || n.dropsRequests: // given up on its way; or it never comes
 		return
 	case n.down:
-		a.ending = policy.ConnectionFailed
-	case a.process != n.process && a.link != nil: // its connection ended with the process before
-		a.ending = policy.ConnectionReset
+		a.result = policy.ConnectionFailed
+	case a.incarnation != n.incarnation && a.pool != nil: // its connection ended with the process before
+		a.result = policy.ConnectionReset
 	default:
-		a.process = n.process
-		c.arrive(n, a.request.work)
-		if a.came = n.take(&a.job, a.request.work); a.came {
-			c.effect(a.request, n)
+		a.incarnation = n.incarnation
+		c.checkWarmUpOverload(n, a.submission.work)
+		if a.accepted = n.accept(&a.job, a.submission.work); a.accepted {
+			c.recordEffect(a.submission, n)
 			return
 		}
-		a.ending = policy.Rejected
+		a.result = policy.Rejected
 	}
-	c.put(c.delay(), a, attemptEnds)
+	c.scheduleEvent(c.networkDelay(), a, attemptResponds)
 }
 
 // jobEnded is that the node has done its work, or fell over with it.
 func (a *attempt) jobEnded(ok bool) {
 	c, n := a.sidecar, a.node
 	switch {
-	case n.mute && ok: // worked for, but no word of it comes back
-	case !ok || n.breaks > 0 && c.network.Float64() < n.breaks:
-		c.put(c.delay(), a, attemptBroken)
+	case n.dropsResponses && ok: // worked for, but no word of it comes back
+	case !ok || n.resetShare > 0 && c.networkRandom.Float64() < n.resetShare:
+		c.scheduleEvent(c.networkDelay(), a, attemptReset)
 	default:
-		a.ending = policy.Served
-		c.put(c.delay(), a, attemptEnds)
+		a.result = policy.Served
+		c.scheduleEvent(c.networkDelay(), a, attemptResponds)
 	}
 }
 
 // effect checks the second rule where a request's effect may run from now on.
-func (c *sidecar) effect(x *request, n *node) {
-	k := &c.s.Classes[x.class]
+func (c *sidecar) recordEffect(x *submission, n *node) {
+	k := &c.scenario.Classes[x.class]
 	times := 0
-	switch policy.Idempotency(k.Effect) {
+	switch policy.Idempotency(k.Idempotency) {
 	case policy.NotIdempotent:
-		x.effects++
-		times = x.effects
+		x.unsafeEffects++
+		times = x.unsafeEffects
 	case policy.IdempotentByKey:
-		cell := c.cell(n)
-		if k.Scope != Scope(policy.ScopeCell) {
+		cell := c.cellOf(n)
+		if k.DedupScope != DedupScope(policy.ScopeCell) {
 			cell = 0
 		}
-		for _, r := range x.ran {
-			if r.cell == cell && c.now-r.at <= k.Window {
+		for _, r := range x.effects {
+			if r.cell == cell && c.now-r.at <= k.DedupWindow {
 				return // a repeat, dropped
 			}
 		}
-		x.ran = append(x.ran, ran{cell, c.now})
-		times = len(x.ran)
+		x.effects = append(x.effects, effect{cell, c.now})
+		times = len(x.effects)
 	}
 	if times > 1 {
-		c.breach("rule 2: request %d of sidecar %d may run a second time, at node %d", x.id, c.number, n.number)
+		c.reportViolation("rule 2: request %d of sidecar %d may run a second time, at node %d", x.id, c.number, n.number)
 	}
 }
 
 // end ends an attempt once.
-func (c *sidecar) end(a *attempt, ending policy.AttemptResult) {
-	x := a.request
-	if a.over {
+func (c *sidecar) endAttempt(a *attempt, ending policy.AttemptResult) {
+	x := a.submission
+	if a.ended {
 		return
 	}
-	if ending == policy.Served && a.process != a.node.process { // it fell between its last byte and its answer's coming
+	if ending == policy.Served && a.incarnation != a.node.incarnation { // it fell between its last byte and its answer's coming
 		ending = policy.ConnectionReset
 	}
-	a.over = true
-	c.cancel(a.timeout)
-	c.letGo(a, ending)
-	if c.watched(x) {
-		c.note(x, "attempt %d %s", a.number, endings[ending])
+	a.ended = true
+	c.cancel(a.timeoutTimer)
+	c.releaseConnection(a, ending)
+	if c.isExplained(x) {
+		c.explain(x, "attempt %d %s", a.number, resultTexts[ending])
 	}
-	settled := x.answered
-	if ending == policy.Served && !x.answered {
+	settled := x.completed
+	if ending == policy.Served && !x.completed {
 		settled = true
-		if c.watched(x) {
-			c.note(x, "served, %v after the first try", c.now-x.asked)
+		if c.isExplained(x) {
+			c.explain(x, "served, %v after the first try", c.now-x.arrivedAt)
 		}
-		c.seen.served(x)
-		c.answer(x)
+		c.recorder.recordServed(x)
+		c.complete(x)
 	}
-	c.forget(x)
-	c.b.AttemptEnded(c.time(), policy.AttemptOutcome{ID: x.id, Attempt: a.number, Result: ending, Completed: settled})
+	c.forgetIfDone(x)
+	c.balancer.AttemptEnded(c.clockTime(), policy.AttemptOutcome{ID: x.id, Attempt: a.number, Result: ending, Completed: settled})
 }
 
-var endings = map[policy.AttemptResult]string{
+var resultTexts = map[policy.AttemptResult]string{
 	policy.Served: "is answered", policy.Rejected: "is turned away", policy.TimedOut: "runs out of time", policy.ConnectionFailed: "finds no connection",
 	policy.ConnectionReset: "ends with its connection", policy.Cancelled: "is called off",
 }
 
 // letGo gives an attempt's connection back, or closes it.
-func (c *sidecar) letGo(a *attempt, ending policy.AttemptResult) {
+func (c *sidecar) releaseConnection(a *attempt, ending policy.AttemptResult) {
 	switch {
-	case a.link == nil || a.process != a.node.process || a.link.process != a.node.process:
+	case a.pool == nil || a.incarnation != a.node.incarnation || a.pool.incarnation != a.node.incarnation:
 	case ending == policy.Served || ending == policy.Rejected:
-		a.link.rest()
+		a.pool.putIdle()
 	default:
-		a.node.open--
+		a.node.connections--
 	}
 }
 
 // giveUp ends an attempt that nobody waits for; its node hears of it later.
-func (c *sidecar) giveUp(a *attempt, ending policy.AttemptResult) {
-	if a.over {
+func (c *sidecar) abandonAttempt(a *attempt, ending policy.AttemptResult) {
+	if a.ended {
 		return
 	}
-	if a.came {
-		c.put(c.delay(), a, attemptDropped)
+	if a.accepted {
+		c.scheduleEvent(c.networkDelay(), a, attemptWithdrawn)
 	}
-	c.end(a, ending)
+	c.endAttempt(a, ending)
 }
 
 // abandon ends an attempt with its sidecar: no balancer hears of it.
-func (c *sidecar) abandon(a *attempt) {
-	if a.over {
+func (c *sidecar) discardAttempt(a *attempt) {
+	if a.ended {
 		return
 	}
-	a.over = true
-	c.cancel(a.timeout)
-	c.letGo(a, policy.Cancelled)
-	if a.came {
-		c.put(c.delay(), a, attemptDropped)
+	a.ended = true
+	c.cancel(a.timeoutTimer)
+	c.releaseConnection(a, policy.Cancelled)
+	if a.accepted {
+		c.scheduleEvent(c.networkDelay(), a, attemptWithdrawn)
 	}
 }
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -16,97 +16,97 @@
 // drainWithin is how long after the news of a drain a node may still be sent
 // something, and slack what each time limit of a rule is longer.
 const (
-	drainWithin = 2 * time.Second
-	slack       = 50 * time.Millisecond
+	drainGrace = 2 * time.Second
+	timeSlack  = 50 * time.Millisecond
 )
 
 // run is a run under way.
-type run struct {
-	engine
-	s        *Scenario
-	rate     float64 // first tries a second
-	nodes    []*node
-	sidecars []*sidecar
-	pick     *rand.Rand // of classes, tenants and work
-	network  *rand.Rand
-	lists    *rand.Rand
-	whims    *rand.Rand // of clients
-	offered  []offer
-	news     []news    // of nodes, in order, where a list may be told late
-	bursts   []float64 // what each tenant sends now, over its usual
-	silent   time.Duration
-	lastID   policy.RequestID
-	watch    policy.RequestID // the first try of the client that is watched
-	open     int              // clients that wait
-	result   Result
-	broken   int
-	seen     *observer
-	plan     *[]Planned // not nil: what comes is only written down
+type simulation struct {
+	eventQueue
+	scenario        *Scenario
+	arrivalRate     float64 // first tries a second
+	nodes           []*node
+	sidecars        []*sidecar
+	requestRandom   *rand.Rand // of classes, tenants and work
+	networkRandom   *rand.Rand
+	listRandom      *rand.Rand
+	clientRandom    *rand.Rand // of clients
+	offeredWork     []workEstimate
+	healthChanges   []healthChange // of nodes, in order, where a list may be told late
+	rateFactors     []float64      // what each tenant sends now, over its usual
+	listOutageUntil time.Duration
+	lastID          policy.RequestID
+	explainedID     policy.RequestID // the first try of the client that is watched
+	openRequests    int              // clients that wait
+	result          Result
+	violations      int
+	recorder        *recorder
+	plan            *[]PlannedArrival // not nil: what comes is only written down
 }
 
 // offer is the work offered to a node lately, fading within a second.
-type offer struct {
+type workEstimate struct {
 	work float64
 	at   time.Duration
 }
 
 // news is what the list came to say of a node.
-type news struct {
-	at    time.Duration
-	node  *node
-	state policy.Health
+type healthChange struct {
+	at     time.Duration
+	node   *node
+	health policy.Health
 }
 
 // Run plays a scenario. The error says what is wrong with it; broken rules are
 // in the result.
 func Run(s Scenario) (*Result, error) {
-	r, err := play(s)
-	if err != nil || s.Watch == 0 || r.watch == s.Watch {
+	r, err := simulate(s)
+	if err != nil || s.ExplainRequest == 0 || r.explainedID == s.ExplainRequest {
 		return &r.result, err
 	}
-	s.Watch = r.watch // of a later try: all of its client's are told
-	r, err = play(s)
+	s.ExplainRequest = r.explainedID // of a later try: all of its client's are told
+	r, err = simulate(s)
 	return &r.result, err
 }
 
-func play(s Scenario) (*run, error) {
-	r, err := prepare(&s)
+func simulate(s Scenario) (*simulation, error) {
+	r, err := newSimulation(&s)
 	if err != nil {
-		return new(run), err
+		return new(simulation), err
 	}
-	for _, t := range s.Troubles {
-		r.after(t.At, func() { r.trouble(t) })
+	for _, t := range s.Faults {
+		r.schedule(t.Start, func() { r.injectFault(t) })
 	}
-	r.arrivals()
-	r.play()
-	r.finish()
+	r.startArrivals()
+	r.processEvents()
+	r.finishResult()
 	return r, nil
 }
 
 // prepare puts the parts of a run together.
-func prepare(s *Scenario) (*run, error) {
+func newSimulation(s *Scenario) (*simulation, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	if s.MostEvents == 0 {
-		s.MostEvents = 100_000_000
+	if s.MaxEvents == 0 {
+		s.MaxEvents = 100_000_000
 	}
-	r := &run{
-		s: s, rate: s.Rate, watch: s.Watch, offered: make([]offer, s.Nodes),
-		pick: stream(s.Seed, "requests", 0), network: stream(s.Seed, "network", 0), lists: stream(s.Seed, "lists", 0), whims: stream(s.Seed, "clients", 0),
+	r := &simulation{
+		scenario: s, arrivalRate: s.ArrivalRate, explainedID: s.ExplainRequest, offeredWork: make([]workEstimate, s.Nodes),
+		requestRandom: randomStream(s.Seed, "requests", 0), networkRandom: randomStream(s.Seed, "network", 0), listRandom: randomStream(s.Seed, "lists", 0), clientRandom: randomStream(s.Seed, "clients", 0),
 	}
-	if s.Load > 0 {
-		r.rate = s.Load * s.Capacity() / s.work()
+	if s.OfferedLoad > 0 {
+		r.arrivalRate = s.OfferedLoad * s.Capacity() / s.meanWork()
 	}
 	for range max(1, len(s.Tenants)) {
-		r.bursts = append(r.bursts, 1)
+		r.rateFactors = append(r.rateFactors, 1)
 	}
-	r.seen = newObserver(r)
+	r.recorder = newRecorder(r)
 	for i := range s.Nodes {
-		r.nodes = append(r.nodes, &node{engine: &r.engine, p: s.NodeAt(i), number: i})
+		r.nodes = append(r.nodes, &node{events: &r.eventQueue, params: s.NodeParamsAt(i), number: i})
 	}
 	for i := range s.Sidecars {
-		c := &sidecar{run: r, number: i, clock: stream(s.Seed, "arrivals", i)}
+		c := &sidecar{simulation: r, number: i, arrivalRandom: randomStream(s.Seed, "arrivals", i)}
 		r.sidecars = append(r.sidecars, c)
 		if err := c.start(); err != nil {
 			return nil, err
@@ -116,250 +116,250 @@
 }
 
 // arrivals lets requests come to all sidecars.
-func (r *run) arrivals() {
-	if len(r.s.Replay) > 0 {
-		r.replay(0)
+func (sim *simulation) startArrivals() {
+	if len(sim.scenario.RecordedArrivals) > 0 {
+		sim.replayArrival(0)
 		return
 	}
-	for i, c := range r.sidecars {
-		c.arrivals(i)
+	for i, c := range sim.sidecars {
+		c.startArrivalProcess(i)
 	}
 }
 
 // finish draws up the result.
-func (r *run) finish() {
-	for _, n := range r.nodes {
+func (sim *simulation) finishResult() {
+	for _, n := range sim.nodes {
 		n.advance()
-		r.result.NodeServed = append(r.result.NodeServed, n.served)
-		r.result.NodeBusy = append(r.result.NodeBusy, n.busy/max(r.now.Seconds(), 1e-9)/float64(n.p.Cores))
-		r.result.Chokes += n.chokes
+		sim.result.NodeServed = append(sim.result.NodeServed, n.served)
+		sim.result.NodeUtilisation = append(sim.result.NodeUtilisation, n.busyCoreSeconds/max(sim.now.Seconds(), 1e-9)/float64(n.params.Cores))
+		sim.result.OverloadCollapses += n.collapses
 	}
-	if c := &r.result; c.Cut == "" && c.Asked != c.Served+c.Refused+c.Failed+c.Lost {
-		r.breach("%d asked, but %d served, %d refused, %d failed and %d lost", c.Asked, c.Served, c.Refused, c.Failed, c.Lost)
+	if c := &sim.result; c.Truncated == "" && c.Submissions != c.Served+c.Rejected+c.Failed+c.Lost {
+		sim.reportViolation("%d asked, but %d served, %d refused, %d failed and %d lost", c.Submissions, c.Served, c.Rejected, c.Failed, c.Lost)
 	}
-	r.result.Events = r.events
-	r.seen.finish()
+	sim.result.Events = sim.processed
+	sim.recorder.sortSamples()
 }
 
 // play lets events come until the last request has its answer.
-func (r *run) play() {
+func (sim *simulation) processEvents() {
 	for {
 		switch {
-		case r.now > r.s.Duration && r.open == 0:
+		case sim.now > sim.scenario.Duration && sim.openRequests == 0:
 			return
-		case r.events >= r.s.MostEvents:
-			r.result.Cut = fmt.Sprintf("after %d events, at %v of %v, with %d requests open", r.events, r.now, r.s.Duration, r.open)
+		case sim.processed >= sim.scenario.MaxEvents:
+			sim.result.Truncated = fmt.Sprintf("after %d events, at %v of %v, with %d requests open", sim.processed, sim.now, sim.scenario.Duration, sim.openRequests)
 			return
-		case !r.step(1 << 62):
+		case !sim.processNext(1 << 62):
 			return
 		}
 	}
 }
 
 // breach notes a broken rule.
-func (r *run) breach(format string, args ...any) {
-	if r.broken++; r.broken <= mostBroken {
-		r.result.Broken = append(r.result.Broken, fmt.Sprintf("%v: %s", r.now, fmt.Sprintf(format, args...)))
+func (sim *simulation) reportViolation(format string, args ...any) {
+	if sim.violations++; sim.violations <= maxViolations {
+		sim.result.Violations = append(sim.result.Violations, fmt.Sprintf("%v: %s", sim.now, fmt.Sprintf(format, args...)))
 	}
 }
 
 // watched says whether what happens to a request is told: asked first, as the
 // words cost more than what they are about.
-func (r *run) watched(x *request) bool {
-	return r.watch != 0 && x != nil && (x.first == r.watch || x.id == r.watch)
+func (sim *simulation) isExplained(x *submission) bool {
+	return sim.explainedID != 0 && x != nil && (x.firstID == sim.explainedID || x.id == sim.explainedID)
 }
 
 // note tells of the client that is watched.
-func (r *run) note(x *request, format string, args ...any) {
-	r.watch = x.first
-	if len(r.result.Told) < mostTold {
-		r.result.Told = append(r.result.Told, Told{r.now, fmt.Sprintf("try %d (request %d): ", x.try, x.id) + fmt.Sprintf(format, args...)})
+func (sim *simulation) explain(x *submission, format string, args ...any) {
+	sim.explainedID = x.firstID
+	if len(sim.result.Explanation) < maxExplanationLines {
+		sim.result.Explanation = append(sim.result.Explanation, ExplanationLine{sim.now, fmt.Sprintf("try %d (request %d): ", x.number, x.id) + fmt.Sprintf(format, args...)})
 	}
 }
 
 // delay draws a one-way delay.
-func (r *run) delay() time.Duration {
-	return time.Duration(r.network.ExpFloat64() * float64(r.s.Network.Delay))
+func (sim *simulation) networkDelay() time.Duration {
+	return time.Duration(sim.networkRandom.ExpFloat64() * float64(sim.scenario.Network.Delay))
 }
 
 // trouble lets something happen, and end.
-func (r *run) trouble(t Trouble) {
+func (sim *simulation) injectFault(t Fault) {
 	later := func(do func()) {
-		if t.For > 0 {
-			r.after(t.For, do)
+		if t.Duration > 0 {
+			sim.schedule(t.Duration, do)
 		}
 	}
 	switch t.Kind {
-	case Silent:
-		r.silent = r.now + t.For
-		for _, c := range r.sidecars {
-			if c.told = !r.s.List.Asked; !c.off {
-				c.b.EndpointsUpdated(c.time(), policy.FailedUpdate, nil)
+	case ListOutage:
+		sim.listOutageUntil = sim.now + t.Duration
+		for _, c := range sim.sidecars {
+			if c.subscribed = !sim.scenario.List.WatchRequired; !c.stopped {
+				c.balancer.EndpointsUpdated(c.clockTime(), policy.FailedUpdate, nil)
 			}
 		}
 		return
-	case Stale:
-		r.tellAll(func(n *node) policy.Health { return r.stateAt(n, r.now-t.For) })
-		later(func() { r.tellAll(r.stateNow) })
+	case StaleList:
+		sim.publishList(func(n *node) policy.Health { return sim.healthAt(n, sim.now-t.Duration) })
+		later(func() { sim.publishList(sim.currentHealth) })
 		return
-	case Burst:
-		r.bursts[t.Tenant] = t.Times
-		later(func() { r.bursts[t.Tenant] = 1 })
+	case TrafficBurst:
+		sim.rateFactors[t.Tenant] = t.RateFactor
+		later(func() { sim.rateFactors[t.Tenant] = 1 })
 		return
-	case PowerCut:
-		for _, c := range r.sidecars {
-			if !c.off {
+	case PowerLoss:
+		for _, c := range sim.sidecars {
+			if !c.stopped {
 				c.stop()
 			}
 		}
-		for _, n := range r.nodes {
+		for _, n := range sim.nodes {
 			n.restart(false)
 		}
-		r.after(t.For, func() {
-			for _, n := range r.nodes {
+		sim.schedule(t.Duration, func() {
+			for _, n := range sim.nodes {
 				n.restart(true)
 			}
-			for _, c := range r.sidecars {
-				if c.off { // another cut may have ended before
+			for _, c := range sim.sidecars {
+				if c.stopped { // another cut may have ended before
 					c.restart()
 				}
 			}
 		})
 		return
-	case SidecarUp:
-		for _, c := range r.sidecars {
-			if !c.off { // in a power cut there is none
+	case SidecarRestart:
+		for _, c := range sim.sidecars {
+			if !c.stopped { // in a power cut there is none
 				c.stop()
 				c.restart()
 			}
 		}
 		return
 	}
-	hit := []*node{r.nodes[t.Node]}
-	if t.Of > 0 {
+	hit := []*node{sim.nodes[t.Node]}
+	if t.NodeShare > 0 {
 		hit = nil
-		for _, i := range stream(r.s.Seed, "troubles "+string(t.Kind), int(t.At)).Perm(len(r.nodes))[:int(math.Round(t.Of*float64(len(r.nodes))))] {
-			hit = append(hit, r.nodes[i])
+		for _, i := range randomStream(sim.scenario.Seed, "troubles "+string(t.Kind), int(t.Start)).Perm(len(sim.nodes))[:int(math.Round(t.NodeShare*float64(len(sim.nodes))))] {
+			hit = append(hit, sim.nodes[i])
 		}
 	}
-	if t.Kind == Wrong {
+	if t.Kind == IncompleteList {
 		out := make(map[*node]bool)
 		for _, n := range hit {
 			out[n] = true
 		}
-		r.tellAll(func(n *node) policy.Health {
+		sim.publishList(func(n *node) policy.Health {
 			if out[n] {
 				return policy.Removed
 			}
-			return r.stateNow(n)
+			return sim.currentHealth(n)
 		})
-		later(func() { r.tellAll(r.stateNow) })
+		later(func() { sim.publishList(sim.currentHealth) })
 		return
 	}
 	for _, n := range hit {
-		r.strike(n, t, later)
+		sim.injectNodeFault(n, t, later)
 	}
 }
 
 // strike lets something happen to a node.
-func (r *run) strike(n *node, t Trouble, later func(func())) {
+func (sim *simulation) injectNodeFault(n *node, t Fault, later func(func())) {
 	set := func(change, back func()) {
-		n.set(change)
-		later(func() { n.set(back) })
+		n.change(change)
+		later(func() { n.change(back) })
 	}
 	switch t.Kind {
 	case Hang:
-		set(func() { n.hangs = true }, func() { n.hangs = false })
-	case Mute:
-		set(func() { n.mute = true }, func() { n.mute = false })
-	case Deaf:
-		set(func() { n.deaf = true }, func() { n.deaf = false })
-	case Break:
-		set(func() { n.breaks = t.Share }, func() { n.breaks = 0 })
-	case Steal:
-		set(func() { n.stolen = t.Share }, func() { n.stolen = 0 })
-		if t.Every > 0 {
-			end := r.now + t.For
+		set(func() { n.hanging = true }, func() { n.hanging = false })
+	case DropResponses:
+		set(func() { n.dropsResponses = true }, func() { n.dropsResponses = false })
+	case DropRequests:
+		set(func() { n.dropsRequests = true }, func() { n.dropsRequests = false })
+	case ResetConnections:
+		set(func() { n.resetShare = t.Share }, func() { n.resetShare = 0 })
+	case StealCPU:
+		set(func() { n.stolenShare = t.Share }, func() { n.stolenShare = 0 })
+		if t.Period > 0 {
+			end := sim.now + t.Duration
 			var turn func()
 			turn = func() {
 				switch {
-				case t.For > 0 && r.now >= end || r.now > r.s.Duration:
+				case t.Duration > 0 && sim.now >= end || sim.now > sim.scenario.Duration:
 					return
-				case n.stolen > 0:
-					n.set(func() { n.stolen = 0 })
+				case n.stolenShare > 0:
+					n.change(func() { n.stolenShare = 0 })
 				default:
-					n.set(func() { n.stolen = t.Share })
+					n.change(func() { n.stolenShare = t.Share })
 				}
-				r.after(t.Every/2, turn)
+				sim.schedule(t.Period/2, turn)
 			}
-			r.after(t.Every/2, turn)
+			sim.schedule(t.Period/2, turn)
 		}
 	case Drain:
-		r.tell(n, policy.Draining)
-		later(func() { r.tell(n, policy.Ready) })
+		sim.publishHealth(n, policy.Draining)
+		later(func() { sim.publishHealth(n, policy.Ready) })
 	case Restart:
-		if t.For == 0 {
+		if t.Duration == 0 {
 			n.restart(true)
-			r.tell(n, policy.Ready)
+			sim.publishHealth(n, policy.Ready)
 			return
 		}
 		n.restart(false)
-		r.tell(n, policy.Removed)
+		sim.publishHealth(n, policy.Removed)
 		later(func() {
 			n.restart(true)
-			r.tell(n, policy.Ready)
+			sim.publishHealth(n, policy.Ready)
 		})
 	}
 }
 
 // stateNow is what a right list says of a node.
-func (r *run) stateNow(n *node) policy.Health { return r.stateAt(n, r.now) }
+func (sim *simulation) currentHealth(n *node) policy.Health { return sim.healthAt(n, sim.now) }
 
 // stateAt is what the list said at a time.
-func (r *run) stateAt(n *node, at time.Duration) policy.Health {
+func (sim *simulation) healthAt(n *node, at time.Duration) policy.Health {
 	state := policy.Ready
-	for _, x := range r.news {
+	for _, x := range sim.healthChanges {
 		if x.node == n && x.at <= at {
-			state = x.state
+			state = x.health
 		}
 	}
 	return state
 }
 
 // tell brings news of a node to every sidecar, to each after a delay of its own.
-func (r *run) tell(n *node, state policy.Health) {
-	r.news = append(r.news, news{r.now, n, state})
-	for _, c := range r.sidecars {
-		r.after(r.lag(), func() { c.hear(n, state) })
+func (sim *simulation) publishHealth(n *node, state policy.Health) {
+	sim.healthChanges = append(sim.healthChanges, healthChange{sim.now, n, state})
+	for _, c := range sim.sidecars {
+		sim.schedule(sim.listDelay(), func() { c.applyHealth(n, state) })
 	}
 }
 
 // lag draws how long news take, not before the list is heard again.
-func (r *run) lag() time.Duration {
-	return max(0, r.silent-r.now) + time.Duration(r.lists.Float64()*float64(r.s.List.Lag))
+func (sim *simulation) listDelay() time.Duration {
+	return max(0, sim.listOutageUntil-sim.now) + time.Duration(sim.listRandom.Float64()*float64(sim.scenario.List.MaxDelay))
 }
 
 // tellAll brings a whole list to every sidecar.
-func (r *run) tellAll(state func(*node) policy.Health) {
-	states := make([]policy.Health, len(r.nodes))
-	for i, n := range r.nodes {
+func (sim *simulation) publishList(state func(*node) policy.Health) {
+	states := make([]policy.Health, len(sim.nodes))
+	for i, n := range sim.nodes {
 		states[i] = state(n)
 	}
-	for _, c := range r.sidecars {
-		r.after(r.lag(), func() { c.hearAll(states) })
+	for _, c := range sim.sidecars {
+		sim.schedule(sim.listDelay(), func() { c.applyList(states) })
 	}
 }
 
 // arrive notes that an attempt reached a node, and lets a cold one fall over
 // that is offered too much.
-func (r *run) arrive(n *node, work float64) {
-	r.result.Attempts++
-	o := &r.offered[n.number]
-	passed := (r.now - o.at).Seconds()
-	o.work, o.at = o.work*max(0, 1-passed)+work, r.now
-	if c := n.warmth(); !n.down && !n.hangs && c < 1 && n.p.ColdMultiple > 0 && r.now-n.started > time.Second &&
-		o.work > n.p.ColdMultiple*c*n.p.Speed*float64(n.p.Cores) {
-		n.set(func() { n.down = true })
-		r.breach("rule 4: node %d fell over, cold and offered %.2f of %.2f", n.number, o.work, c*n.p.Speed*float64(n.p.Cores))
+func (sim *simulation) checkWarmUpOverload(n *node, work float64) {
+	sim.result.Attempts++
+	o := &sim.offeredWork[n.number]
+	passed := (sim.now - o.at).Seconds()
+	o.work, o.at = o.work*max(0, 1-passed)+work, sim.now
+	if c := n.warmUpShare(); !n.down && !n.hanging && c < 1 && n.params.WarmUpOverloadFactor > 0 && sim.now-n.startedAt > time.Second &&
+		o.work > n.params.WarmUpOverloadFactor*c*n.params.Speed*float64(n.params.Cores) {
+		n.change(func() { n.down = true })
+		sim.reportViolation("rule 4: node %d fell over, cold and offered %.2f of %.2f", n.number, o.work, c*n.params.Speed*float64(n.params.Cores))
 	}
 }
--- a/internal/lab/file.go
+++ b/internal/lab/file.go
@@ -104,7 +104,7 @@
 		return s, fmt.Errorf("%s: %w", path, err)
 	}
 	if recorded {
-		if s.Replay, err = loadRecord(filepath.Join(filepath.Dir(path), record), &s); err != nil {
+		if s.RecordedArrivals, err = loadRecord(filepath.Join(filepath.Dir(path), record), &s); err != nil {
 			return s, err
 		}
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -101,8 +101,8 @@
 // A scenario is the same after it was written and read.
 func TestScenarioRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
-		s := fleet.Small(seed)
-		s.Replay = []fleet.Arrival{{At: time.Second, Class: 1}}
+		s := fleet.RandomScenario(seed)
+		s.RecordedArrivals = []fleet.Arrival{{At: time.Second, Class: 1}}
 		var b bytes.Buffer
 		if err := WriteScenario(&b, s); err != nil {
 			t.Fatal(err)
@@ -146,8 +146,8 @@
 func TestRecordedRequests(t *testing.T) {
 	s, err := LoadScenario(files(t, "s.toml", "replay = \"r.csv\"\n"+strings.Replace(base, "load = 0.5", "", 1), "r.csv", "# seconds,class,tenant,ms\n0.1,read,0,\n0.2,0,0,5.5\n"))
 	want := []fleet.Arrival{{At: 100 * time.Millisecond}, {At: 200 * time.Millisecond, Work: 5500 * time.Microsecond}}
-	if err != nil || !reflect.DeepEqual(s.Replay, want) {
-		t.Errorf("%v, %v", s.Replay, err)
+	if err != nil || !reflect.DeepEqual(s.RecordedArrivals, want) {
+		t.Errorf("%v, %v", s.RecordedArrivals, err)
 	}
 }
 
@@ -289,9 +289,9 @@
 
 // What breaks a bound is found again in something much smaller.
 func TestShrink(t *testing.T) {
-	s := fleet.Small(4)
-	s.Nodes, s.Sidecars, s.Load, s.Duration, s.Daily = 8, 4, 0.5, 20*time.Second, fleet.Wave{}
-	s.Troubles = []fleet.Trouble{{Kind: fleet.Drain, At: 2 * time.Second, Node: 1}, {Kind: fleet.Hang, At: time.Second, Of: 1}}
+	s := fleet.RandomScenario(4)
+	s.Nodes, s.Sidecars, s.OfferedLoad, s.Duration, s.Daily = 8, 4, 0.5, 20*time.Second, fleet.Wave{}
+	s.Faults = []fleet.Fault{{Kind: fleet.Drain, Start: 2 * time.Second, Node: 1}, {Kind: fleet.Hang, Start: time.Second, NodeShare: 1}}
 	fault, err := ParseFault("good<0.7")
 	if err != nil {
 		t.Fatal(err)
@@ -303,7 +303,7 @@
 	if r, err := fleet.Run(small); err != nil || !fault(r) {
 		t.Errorf("the smaller one does not show the fault: %v", err)
 	}
-	if small.Nodes > 1 || small.Sidecars > 1 || small.Duration > 3*time.Second || len(small.Classes) > 2 || len(small.Troubles) > 1 || small.Troubles[0].Kind != fleet.Hang {
+	if small.Nodes > 1 || small.Sidecars > 1 || small.Duration > 3*time.Second || len(small.Classes) > 2 || len(small.Faults) > 1 || small.Faults[0].Kind != fleet.Hang {
 		t.Errorf("left is %+v", small)
 	}
 	if _, err := Shrink(s, func(*fleet.Result) bool { return false }, 10, nil); err == nil {
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -51,31 +51,31 @@
 	least := func(ts []fleet.Tally) float64 {
 		worst := 1.0
 		for i := range ts {
-			worst = min(worst, ts[i].Share())
+			worst = min(worst, ts[i].ObjectiveShare())
 		}
 		return worst
 	}
 	at := func(q float64) float64 { return float64(r.Latency.ValueAtQuantile(q)) / 1e3 }
-	mean, spread := stat.PopMeanStdDev(r.NodeBusy, nil)
+	mean, spread := stat.PopMeanStdDev(r.NodeUtilisation, nil)
 	cut := 0.0
-	if r.Cut != "" {
+	if r.Truncated != "" {
 		cut = 1
 	}
 	var end fleet.Tally
 	for _, w := range r.Windows[len(r.Windows)*3/4:] {
-		end.First, end.Good = end.First+w.First, end.Good+w.Good
+		end.Requests, end.MetObjective = end.Requests+w.Requests, end.MetObjective+w.MetObjective
 	}
 	over, under := 0.0, 1.0
 	for i, t := range r.Tenants {
 		if i < len(r.Quotas) && r.Quotas[i] > 0 {
 			over = max(over, float64(t.Served)/r.Quotas[i])
-			under = min(under, float64(t.Served)/max(1, min(r.Quotas[i], float64(t.First))))
+			under = min(under, float64(t.Served)/max(1, min(r.Quotas[i], float64(t.Requests))))
 		}
 	}
 	return []float64{
-		r.Share(), r.WorstWindow(), least(r.Tenants), least(r.Classes),
-		per(r.Served, r.Asked), per(r.Refused, r.Asked), per(r.Failed, r.Asked), per(r.Lost, r.Asked), at(50), at(99), at(99.9),
-		per(r.Attempts, r.First), per(r.Handshakes, r.First), mean, spread / max(mean, 1e-9), float64(r.Chokes), float64(len(r.Broken)), cut, end.Share(), over, under,
+		r.ObjectiveShare(), r.WorstWindowShare(), least(r.Tenants), least(r.Classes),
+		per(r.Served, r.Submissions), per(r.Rejected, r.Submissions), per(r.Failed, r.Submissions), per(r.Lost, r.Submissions), at(50), at(99), at(99.9),
+		per(r.Attempts, r.Requests), per(r.Handshakes, r.Requests), mean, spread / max(mean, 1e-9), float64(r.OverloadCollapses), float64(len(r.Violations)), cut, end.ObjectiveShare(), over, under,
 	}
 }
 
--- a/internal/lab/plots.go
+++ b/internal/lab/plots.go
@@ -76,8 +76,8 @@
 // goodput is the share of good requests over time.
 func goodput(r *fleet.Result) (s series) {
 	for i, w := range r.Windows {
-		if w.First > 0 {
-			s = append(s, plotter.XY{X: (float64(i) + 0.5) * r.Width.Seconds(), Y: float64(w.Good) / float64(w.First)})
+		if w.Requests > 0 {
+			s = append(s, plotter.XY{X: (float64(i) + 0.5) * r.WindowLength.Seconds(), Y: float64(w.MetObjective) / float64(w.Requests)})
 		}
 	}
 	return s
@@ -118,15 +118,15 @@
 // heat is how busy each node was in each window, as a picture's cells.
 type heat struct{ r *fleet.Result }
 
-func (h heat) Dims() (c, r int)   { return len(h.r.Heat), len(h.r.NodeBusy) }
-func (h heat) Z(c, r int) float64 { return h.r.Heat[c][r] }
-func (h heat) X(c int) float64    { return (float64(c) + 0.5) * h.r.Width.Seconds() }
+func (h heat) Dims() (c, r int)   { return len(h.r.WindowUtilisation), len(h.r.NodeUtilisation) }
+func (h heat) Z(c, r int) float64 { return h.r.WindowUtilisation[c][r] }
+func (h heat) X(c int) float64    { return (float64(c) + 0.5) * h.r.WindowLength.Seconds() }
 func (h heat) Y(r int) float64    { return float64(r) }
 
 // drawHeat draws how busy the nodes were over time; nothing where there are too
 // few windows or nodes to draw.
 func drawHeat(title string, r *fleet.Result) (template.HTML, error) {
-	if len(r.Heat) < 2 || len(r.NodeBusy) < 2 {
+	if len(r.WindowUtilisation) < 2 || len(r.NodeUtilisation) < 2 {
 		return "", nil
 	}
 	colors := moreland.SmoothBlueRed()
@@ -134,7 +134,7 @@
 	colors.SetMax(1)
 	m := plotter.NewHeatMap(heat{r}, colors.Palette(64))
 	m.Min, m.Max = 0, 1
-	m.Rasterized = len(r.Heat)*len(r.NodeBusy) > 5000 // else a picture of a node for each second would be megabytes
+	m.Rasterized = len(r.WindowUtilisation)*len(r.NodeUtilisation) > 5000 // else a picture of a node for each second would be megabytes
 	p := titled(title, "time, s", "node")
 	p.Add(m)
 	return svg(p, 15*vg.Centimeter, 6*vg.Centimeter)
@@ -145,12 +145,12 @@
 func drawLoad(title string, results []*fleet.Result) (template.HTML, error) {
 	p := titled(title, "node", "busy, share")
 	p.Y.Min, p.Y.Max = 0, 1.02
-	width := vg.Points(min(8, 300/float64(len(results)*max(1, len(results[0].NodeBusy)))))
-	if len(results[0].NodeBusy) > 60 { // bars would be hairs
+	width := vg.Points(min(8, 300/float64(len(results)*max(1, len(results[0].NodeUtilisation)))))
+	if len(results[0].NodeUtilisation) > 60 { // bars would be hairs
 		var all []series
 		for _, r := range results {
 			var s series
-			for n, b := range r.NodeBusy {
+			for n, b := range r.NodeUtilisation {
 				s = append(s, plotter.XY{X: float64(n), Y: b})
 			}
 			all = append(all, s)
@@ -161,7 +161,7 @@
 		return svg(p, 15*vg.Centimeter, 6*vg.Centimeter)
 	}
 	for i, r := range results {
-		b, err := plotter.NewBarChart(plotter.Values(r.NodeBusy), width)
+		b, err := plotter.NewBarChart(plotter.Values(r.NodeUtilisation), width)
 		if err != nil {
 			return "", err
 		}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -190,7 +190,7 @@
 	var results []*fleet.Result
 	for _, i := range g.cells {
 		c := s.Experiment.Cells[i]
-		c.Scenario.Seed, c.Scenario.Observe = s.Experiment.Seeds.First, true
+		c.Scenario.Seed, c.Scenario.RecordUtilisation = s.Experiment.Seeds.First, true
 		r, err := fleet.Run(c.Scenario)
 		if err != nil {
 			return nil, err
--- a/internal/lab/shrink.go
+++ b/internal/lab/shrink.go
@@ -17,11 +17,11 @@
 // such as "good<0.9" that is to be broken.
 func ParseFault(text string) (Fault, error) {
 	if text == "any rule" {
-		return func(r *fleet.Result) bool { return len(r.Broken) > 0 }, nil
+		return func(r *fleet.Result) bool { return len(r.Violations) > 0 }, nil
 	}
 	if strings.HasPrefix(text, "rule ") {
 		return func(r *fleet.Result) bool {
-			return slices.ContainsFunc(r.Broken, func(b string) bool { return strings.Contains(b, ": "+text+":") })
+			return slices.ContainsFunc(r.Violations, func(b string) bool { return strings.Contains(b, ": "+text+":") })
 		}, nil
 	}
 	for _, op := range []string{"<", ">"} {
@@ -82,7 +82,7 @@
 	var out []fleet.Scenario
 	try := func(change func(*fleet.Scenario) bool) {
 		c := s
-		c.Troubles, c.Classes, c.Tenants = slices.Clone(s.Troubles), slices.Clone(s.Classes), slices.Clone(s.Tenants)
+		c.Faults, c.Classes, c.Tenants = slices.Clone(s.Faults), slices.Clone(s.Classes), slices.Clone(s.Tenants)
 		if change(&c) {
 			out = append(out, c)
 		}
@@ -90,7 +90,7 @@
 	for _, part := range []float64{0.5, 0.8} {
 		try(func(c *fleet.Scenario) bool {
 			c.Duration = time.Duration(float64(c.Duration) * part).Round(10 * time.Millisecond)
-			c.Troubles = slices.DeleteFunc(c.Troubles, func(t fleet.Trouble) bool { return t.At > c.Duration })
+			c.Faults = slices.DeleteFunc(c.Faults, func(t fleet.Fault) bool { return t.Start > c.Duration })
 			return c.Duration >= 500*time.Millisecond
 		})
 	}
@@ -104,42 +104,48 @@
 		try(func(c *fleet.Scenario) bool {
 			was := c.Nodes
 			smaller := count(&c.Nodes, cut(c.Nodes))
-			c.Rate *= float64(c.Nodes) / float64(was) // what is left of them is as busy
-			for i := range c.Troubles {
-				c.Troubles[i].Node %= c.Nodes
+			c.ArrivalRate *= float64(c.Nodes) / float64(was) // what is left of them is as busy
+			for i := range c.Faults {
+				c.Faults[i].Node %= c.Nodes
 			}
 			return smaller
 		})
 	}
-	for i := range s.Troubles {
-		try(func(c *fleet.Scenario) bool { c.Troubles = slices.Delete(c.Troubles, i, i+1); return true })
-		try(func(c *fleet.Scenario) bool { c.Troubles[i].Of = 0; return s.Troubles[i].Of > 0 })
+	for i := range s.Faults {
+		try(func(c *fleet.Scenario) bool { c.Faults = slices.Delete(c.Faults, i, i+1); return true })
+		try(func(c *fleet.Scenario) bool { c.Faults[i].NodeShare = 0; return s.Faults[i].NodeShare > 0 })
 	}
-	if len(s.Replay) == 0 {
+	if len(s.RecordedArrivals) == 0 {
 		for i := range s.Classes {
 			try(func(c *fleet.Scenario) bool { c.Classes = slices.Delete(c.Classes, i, i+1); return len(c.Classes) > 0 })
 		}
 		try(func(c *fleet.Scenario) bool { c.Tenants = nil; return len(s.Tenants) > 0 })
 	}
 	for _, off := range []func(*fleet.Scenario) bool{
-		func(c *fleet.Scenario) bool { c.Node.Choke = fleet.Choke{}; return s.Node.Choke != c.Node.Choke },
+		func(c *fleet.Scenario) bool {
+			c.Node.OverloadCollapse = fleet.OverloadCollapse{}
+			return s.Node.OverloadCollapse != c.Node.OverloadCollapse
+		},
 		func(c *fleet.Scenario) bool {
 			c.Network = fleet.Network{Delay: s.Network.Delay}
 			return s.Network != c.Network
 		},
 		func(c *fleet.Scenario) bool { c.Network.Delay = 0; return s.Network.Delay > 0 },
-		func(c *fleet.Scenario) bool { c.List = fleet.List{Lag: s.List.Lag}; return s.List != c.List },
-		func(c *fleet.Scenario) bool { c.List.Lag = 0; return s.List.Lag > 0 },
+		func(c *fleet.Scenario) bool {
+			c.List = fleet.EndpointList{MaxDelay: s.List.MaxDelay}
+			return s.List != c.List
+		},
+		func(c *fleet.Scenario) bool { c.List.MaxDelay = 0; return s.List.MaxDelay > 0 },
 		func(c *fleet.Scenario) bool { c.Daily = fleet.Wave{}; return s.Daily != c.Daily },
-		func(c *fleet.Scenario) bool { c.Probes = false; return s.Probes },
-		func(c *fleet.Scenario) bool { c.Skew = 0; return s.Skew > 0 },
-		func(c *fleet.Scenario) bool { c.Speeds = nil; return len(s.Speeds) > 0 },
+		func(c *fleet.Scenario) bool { c.LoadReports = false; return s.LoadReports },
+		func(c *fleet.Scenario) bool { c.TrafficSkew = 0; return s.TrafficSkew > 0 },
+		func(c *fleet.Scenario) bool { c.SpeedFactors = nil; return len(s.SpeedFactors) > 0 },
 		func(c *fleet.Scenario) bool {
-			c.Clients = fleet.Clients{Tries: s.Clients.Tries}
-			return len(s.Clients.Patience) > 0 || s.Clients.Pause > 0 || s.Clients.MaxPause > 0
+			c.Clients = fleet.Clients{MaxSubmissions: s.Clients.MaxSubmissions}
+			return len(s.Clients.TimeoutShares) > 0 || s.Clients.RetryBackoff > 0 || s.Clients.MaxRetryAfter > 0
 		},
-		func(c *fleet.Scenario) bool { return count(&c.Clients.Tries, c.Clients.Tries-1) },
-		func(c *fleet.Scenario) bool { return count(&c.Attempts, c.Attempts-1) },
+		func(c *fleet.Scenario) bool { return count(&c.Clients.MaxSubmissions, c.Clients.MaxSubmissions-1) },
+		func(c *fleet.Scenario) bool { return count(&c.MaxAttempts, c.MaxAttempts-1) },
 	} {
 		try(off)
 	}
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -61,7 +61,7 @@
 			return nil, err
 		}
 	}
-	plan, err := fleet.Plan(o.Scenario)
+	plan, err := fleet.PlanArrivals(o.Scenario)
 	switch {
 	case err != nil:
 		return nil, err
@@ -124,13 +124,13 @@
 	r := &Result{Late: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)}
 	r.Latency = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	r.Classes, r.Tenants = make([]fleet.Tally, len(o.Scenario.Classes)), make([]fleet.Tally, max(1, len(o.Scenario.Tenants)))
-	r.Width = time.Second
+	r.WindowLength = time.Second
 	r.Windows = make([]fleet.Window, int((o.Scenario.Duration+time.Second-1)/time.Second))
 	return &generator{Options: o, began: time.Now().Add(10 * time.Millisecond), of: of, whims: rand.New(rand.NewPCG(o.Scenario.Seed, 1)), result: r}
 }
 
 // client is one client: its tries until it has an answer or gives up.
-func (g *generator) client(ctx context.Context, number int, p fleet.Planned, asked time.Time) {
+func (g *generator) client(ctx context.Context, number int, p fleet.PlannedArrival, asked time.Time) {
 	s, k := &g.Scenario, &g.Scenario.Classes[p.Class]
 	w := &g.result.Windows[min(int(p.At/time.Second), len(g.result.Windows)-1)]
 	g.mu.Lock()
@@ -138,9 +138,9 @@
 	g.open++
 	g.result.Late.RecordValue(time.Since(asked).Microseconds())
 	for _, t := range []*fleet.Tally{&g.result.Tally, &g.result.Classes[p.Class], &g.result.Tenants[p.Tenant]} {
-		t.First++
+		t.Requests++
 	}
-	w.First++
+	w.Requests++
 	g.mu.Unlock()
 	defer func() {
 		g.mu.Lock()
@@ -154,7 +154,7 @@
 			began = asked
 		}
 		left := asked.Add(k.Deadline).Sub(began)
-		if pat := s.Clients.Patience; len(pat) == 2 {
+		if pat := s.Clients.TimeoutShares; len(pat) == 2 {
 			left = min(left, time.Duration(float64(k.Deadline)*(pat[0]+(pat[1]-pat[0])*g.draw())))
 		}
 		call := g.call(number, try, p, left)
@@ -173,13 +173,13 @@
 }
 
 // call is a try as it is sent. Its work goes in the body, which the node reads.
-func (g *generator) call(number, try int, p fleet.Planned, left time.Duration) peers.Call {
+func (g *generator) call(number, try int, p fleet.PlannedArrival, left time.Duration) peers.Call {
 	k := &g.Scenario.Classes[p.Class]
 	c := peers.Call{
 		ID: fmt.Sprintf("%d-%d-%d", g.Scenario.Seed, number, try), Class: className(&g.Scenario, p.Class), Tenant: tenantName(&g.Scenario, p.Tenant),
 		Timeout: left, Retry: try > 1, Body: fmt.Appendf(nil, "%s%d", workField, p.Work.Microseconds()),
 	}
-	switch policy.Idempotency(k.Effect) {
+	switch policy.Idempotency(k.Idempotency) {
 	case policy.IdempotentByKey:
 		c.Key = fmt.Sprintf("%d-%d", g.Scenario.Seed, number)
 	case policy.NotIdempotent:
@@ -209,12 +209,12 @@
 }
 
 // note counts an answer as the model does.
-func (g *generator) note(p fleet.Planned, w *fleet.Window, call peers.Call, got peers.Result, began, now, asked time.Time) {
-	aim, took := g.Scenario.Classes[p.Class].Aim, now.Sub(asked)
+func (g *generator) note(p fleet.PlannedArrival, w *fleet.Window, call peers.Call, got peers.Result, began, now, asked time.Time) {
+	aim, took := g.Scenario.Classes[p.Class].LatencyObjective, now.Sub(asked)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.result
-	r.Asked++
+	r.Submissions++
 	at := &r.Windows[max(0, min(int(now.Sub(g.began)/time.Second), len(r.Windows)-1))]
 	switch got.Verdict {
 	case peers.Served:
@@ -223,18 +223,18 @@
 		r.Latency.RecordValue(took.Microseconds())
 		for _, t := range []*fleet.Tally{&r.Tally, &r.Classes[p.Class], &r.Tenants[p.Tenant]} {
 			if now.Sub(began) <= aim {
-				t.Within++
+				t.SubmissionsMetObjective++
 			}
 			if took <= aim {
-				t.Good++
+				t.MetObjective++
 			}
 		}
 		if took <= aim {
-			w.Good++
+			w.MetObjective++
 		}
 	case peers.Refused:
-		r.Refused++
-		at.Refused++
+		r.Rejected++
+		at.Rejected++
 	case peers.Failed:
 		r.Failed++
 		at.Failed++
@@ -256,15 +256,15 @@
 // again says whether a client tries again, and after which pause.
 func (g *generator) again(got peers.Result, k *fleet.Class, try int) (time.Duration, bool) {
 	c := &g.Scenario.Clients
-	own := func() time.Duration { return time.Duration(float64(c.Pause<<min(try-1, 16)) * (0.5 + g.draw())) }
+	own := func() time.Duration { return time.Duration(float64(c.RetryBackoff<<min(try-1, 16)) * (0.5 + g.draw())) }
 	switch {
-	case try >= c.Tries:
+	case try >= c.MaxSubmissions:
 		return 0, false
-	case got.Verdict == peers.Refused && (c.Heeds >= 1 || g.draw() < c.Heeds):
+	case got.Verdict == peers.Refused && (c.RetryAfterShare >= 1 || g.draw() < c.RetryAfterShare):
 		return got.Pause, true
 	case got.Verdict == peers.Refused:
 		return own(), true
-	case got.Verdict != peers.Served && policy.Idempotency(k.Effect) == policy.Idempotent && (c.Insists || got.Verdict == peers.Lost):
+	case got.Verdict != peers.Served && policy.Idempotency(k.Idempotency) == policy.Idempotent && (c.RetriesFailures || got.Verdict == peers.Lost):
 		return own(), true
 	}
 	return 0, false
@@ -283,7 +283,7 @@
 			r := g.result
 			p := Progress{
 				Gone: time.Since(g.began), Whole: g.Scenario.Duration, Sent: g.sent, Of: g.of, Open: g.open,
-				Served: r.Served, Refused: r.Refused, Failed: r.Failed, Lost: r.Lost,
+				Served: r.Served, Refused: r.Rejected, Failed: r.Failed, Lost: r.Lost,
 				P50: time.Duration(r.Latency.ValueAtQuantile(50)) * time.Microsecond, P99: time.Duration(r.Latency.ValueAtQuantile(99)) * time.Microsecond,
 			}
 			g.mu.Unlock()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -17,11 +17,11 @@
 // small is two seconds of light load over three nodes.
 func small() fleet.Scenario {
 	return fleet.Scenario{
-		Seed: 1, Duration: 2 * time.Second, Nodes: 3, Sidecars: 2, Load: 0.3, Attempts: 3, Clients: fleet.Clients{Tries: 2, Heeds: 1, MaxPause: 500 * ms},
-		Node: fleet.NodeParams{Cores: 2, Speed: 1, Queue: 50},
+		Seed: 1, Duration: 2 * time.Second, Nodes: 3, Sidecars: 2, OfferedLoad: 0.3, MaxAttempts: 3, Clients: fleet.Clients{MaxSubmissions: 2, RetryAfterShare: 1, MaxRetryAfter: 500 * ms},
+		Node: fleet.NodeParams{Cores: 2, Speed: 1, MaxRequests: 50},
 		Classes: []fleet.Class{
-			{Name: "reading", Share: 0.7, Work: 10 * ms, Aim: 500 * ms, Deadline: time.Second, Effect: fleet.Effect(policy.IdempotentByKey), Window: time.Second},
-			{Name: "entry", Share: 0.3, Work: 15 * ms, Aim: 500 * ms, Deadline: 2 * time.Second, Effect: fleet.Effect(policy.NotIdempotent)},
+			{Name: "reading", Share: 0.7, Work: 10 * ms, LatencyObjective: 500 * ms, Deadline: time.Second, Idempotency: fleet.Idempotency(policy.IdempotentByKey), DedupWindow: time.Second},
+			{Name: "entry", Share: 0.3, Work: 15 * ms, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Idempotency: fleet.Idempotency(policy.NotIdempotent)},
 		},
 		Tenants: []fleet.Tenant{{Name: "north", Share: 0.8}, {Name: "south", Share: 0.2}},
 	}
@@ -32,7 +32,7 @@
 func TestPlay(t *testing.T) {
 	for _, p := range []peers.Protocol{peers.HTTP, peers.RPC} {
 		s := small()
-		s.Troubles = []fleet.Trouble{{Kind: fleet.Hang, At: 500 * ms, For: 400 * ms}, {Kind: fleet.Drain, At: 600 * ms, For: 300 * ms, Node: 1}, {Kind: fleet.Restart, At: time.Second, Node: 2}}
+		s.Faults = []fleet.Fault{{Kind: fleet.Hang, Start: 500 * ms, Duration: 400 * ms}, {Kind: fleet.Drain, Start: 600 * ms, Duration: 300 * ms, Node: 1}, {Kind: fleet.Restart, Start: time.Second, Node: 2}}
 		model, err := fleet.Run(s)
 		if err != nil {
 			t.Fatal(err)
@@ -42,8 +42,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.First != model.First || r.Asked != r.Served+r.Refused+r.Failed+r.Lost || r.Lost > 0 || len(r.Broken)+len(r.Odd) > 0 || r.Share() < 0.8 {
-			t.Errorf("over %s: %d of %d requests came; %+v, good %.3f, %q %q", p, r.First, model.First, r.Tally, r.Share(), r.Broken, r.Odd)
+		if r.Requests != model.Requests || r.Submissions != r.Served+r.Rejected+r.Failed+r.Lost || r.Lost > 0 || len(r.Violations)+len(r.Odd) > 0 || r.ObjectiveShare() < 0.8 {
+			t.Errorf("over %s: %d of %d requests came; %+v, good %.3f, %q %q", p, r.Requests, model.Requests, r.Tally, r.ObjectiveShare(), r.Violations, r.Odd)
 		}
 		if len(seen) == 0 || seen[0].Sent == 0 {
 			t.Errorf("progress: %+v", seen)
@@ -65,7 +65,7 @@
 	}
 	defer n.Close()
 	s := small()
-	s.Sidecars, s.Clients.Tries, s.Duration = 1, 1, time.Second
+	s.Sidecars, s.Clients.MaxSubmissions, s.Duration = 1, 1, time.Second
 	stall.Lock()
 	timer := time.AfterFunc(600*ms, stall.Unlock)
 	defer timer.Stop()
@@ -74,14 +74,14 @@
 		t.Fatal(err)
 	}
 	// All that was due in the first 0.6 s waited until then: three fifths of all, 0.3 s on the mean.
-	if p25 := time.Duration(r.Latency.ValueAtQuantile(60)) * time.Microsecond; r.Served != r.Asked || p25 < 100*ms {
-		t.Errorf("of %d requests %d served; two fifths took longer than %v, want 200 ms or so", r.Asked, r.Served, p25)
+	if p25 := time.Duration(r.Latency.ValueAtQuantile(60)) * time.Microsecond; r.Served != r.Submissions || p25 < 100*ms {
+		t.Errorf("of %d requests %d served; two fifths took longer than %v, want 200 ms or so", r.Submissions, r.Served, p25)
 	}
 }
 
 // The node of the model takes as long over a socket as it does in the model.
 func TestNodeShares(t *testing.T) {
-	n := NewNode(fleet.NodeParams{Cores: 1, Speed: 1, Queue: 2}, 50*ms)
+	n := NewNode(fleet.NodeParams{Cores: 1, Speed: 1, MaxRequests: 2}, 50*ms)
 	defer n.Close()
 	began := time.Now()
 	given := make(chan struct{})
@@ -92,7 +92,7 @@
 	if took := time.Since(began); took < 95*ms {
 		t.Errorf("two requests of 50 ms on a core took %v", took)
 	}
-	end := n.Strike(fleet.Trouble{Kind: fleet.Hang})
+	end := n.Strike(fleet.Fault{Kind: fleet.Hang})
 	hung := n.Script(peers.Call{})
 	close(given)
 	if hung.Wait(given) != peers.Reset {
@@ -100,7 +100,7 @@
 	}
 	end()
 	lost := n.Script(peers.Call{})
-	n.Strike(fleet.Trouble{Kind: fleet.Restart})
+	n.Strike(fleet.Fault{Kind: fleet.Restart})
 	if lost.Wait(make(chan struct{})) != peers.Reset {
 		t.Error("a restart answers what it held")
 	}
@@ -113,9 +113,9 @@
 	}{
 		{func(s *fleet.Scenario) { s.Policy = fleet.Random }, "is a reference"},
 		{func(s *fleet.Scenario) { s.List.Membership = true }, "the model's alone"},
-		{func(s *fleet.Scenario) { s.Classes[0].Scope = fleet.Scope(policy.ScopeCell) }, "scope all"},
-		{func(s *fleet.Scenario) { s.Troubles = []fleet.Trouble{{Kind: fleet.PowerCut}} }, "power-cut"},
-		{func(s *fleet.Scenario) { s.Troubles = []fleet.Trouble{{Kind: fleet.Hang, Of: 0.5}} }, "one node"},
+		{func(s *fleet.Scenario) { s.Classes[0].DedupScope = fleet.DedupScope(policy.ScopeCell) }, "scope all"},
+		{func(s *fleet.Scenario) { s.Faults = []fleet.Fault{{Kind: fleet.PowerLoss}} }, "power-cut"},
+		{func(s *fleet.Scenario) { s.Faults = []fleet.Fault{{Kind: fleet.Hang, NodeShare: 0.5}} }, "one node"},
 		{func(s *fleet.Scenario) { s.Nodes = 0 }, "0 nodes"},
 	} {
 		s := small()
--- a/internal/load/node.go
+++ b/internal/load/node.go
@@ -18,7 +18,7 @@
 type Node struct {
 	mu    sync.Mutex
 	began time.Time
-	node  *fleet.Single
+	node  *fleet.SingleNode
 	timer *time.Timer
 	over  chan struct{}
 	mean  time.Duration // work of a request that tells none
@@ -26,7 +26,7 @@
 
 // NewNode makes one. Close ends its timer.
 func NewNode(p fleet.NodeParams, mean time.Duration) *Node {
-	n := &Node{began: time.Now(), node: fleet.NewSingle(p), over: make(chan struct{}), mean: mean}
+	n := &Node{began: time.Now(), node: fleet.NewSingleNode(p), over: make(chan struct{}), mean: mean}
 	n.timer = time.AfterFunc(time.Hour, n.tick)
 	return n
 }
@@ -52,16 +52,16 @@
 }
 
 // Strike lets something happen to the node; the function that it gives ends it.
-func (n *Node) Strike(t fleet.Trouble) (end func()) {
-	change := func(do func(fleet.Trouble)) {
+func (n *Node) Strike(t fleet.Fault) (end func()) {
+	change := func(do func(fleet.Fault)) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.advance()
 		do(t)
 		n.advance()
 	}
-	change(n.node.Strike)
-	return func() { change(n.node.End) }
+	change(n.node.BeginFault)
+	return func() { change(n.node.EndFault) }
 }
 
 // workField is what a request's body begins with: its work in µs.
@@ -79,7 +79,7 @@
 	done := make(chan bool, 1)
 	n.mu.Lock()
 	n.advance()
-	taken := n.node.Take(work, func(ok bool) { done <- ok })
+	taken := n.node.Submit(work, func(ok bool) { done <- ok })
 	n.advance()
 	n.mu.Unlock()
 	if !taken {
--- a/internal/load/world.go
+++ b/internal/load/world.go
@@ -31,7 +31,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		wg.Go(func() { w.trouble(ctx, t) })
 	}
 	r, err := Run(ctx, o)
@@ -41,7 +41,7 @@
 		return nil, err
 	}
 	for _, twice := range w.rigs[0].Ledger.Doubled(func(string) bool { return true }) {
-		r.Broken = append(r.Broken, "rule 2: "+twice)
+		r.Violations = append(r.Violations, "rule 2: "+twice)
 	}
 	return r, nil
 }
@@ -54,25 +54,25 @@
 	if s.Policy != "" && s.Policy != fleet.Mothridge {
 		return fmt.Errorf("policy %q is a reference: no sidecar has it", s.Policy)
 	}
-	if s.List.Membership || s.Network.Handshake > 0 || s.List.Cell != 0 {
+	if s.List.Membership || s.Network.HandshakeWork > 0 || s.List.CellSize != 0 {
 		return fmt.Errorf("list.membership, list.cell and network.handshake are the model's alone")
 	}
 	for i, k := range s.Classes {
-		if policy.Idempotency(k.Effect) == policy.IdempotentByKey && k.Scope != fleet.Scope(policy.ScopeAll) {
+		if policy.Idempotency(k.Idempotency) == policy.IdempotentByKey && k.DedupScope != fleet.DedupScope(policy.ScopeAll) {
 			return fmt.Errorf("class %d: the stand-in nodes remember keys in common: scope all is meant", i)
 		}
 	}
-	for i, t := range s.Troubles {
+	for i, t := range s.Faults {
 		switch t.Kind {
-		case fleet.Hang, fleet.Drain, fleet.Restart, fleet.Burst:
-		case fleet.Steal:
-			if t.Every > 0 {
+		case fleet.Hang, fleet.Drain, fleet.Restart, fleet.TrafficBurst:
+		case fleet.StealCPU:
+			if t.Period > 0 {
 				return fmt.Errorf("trouble %d: steal with every is the model's alone", i)
 			}
 		default:
 			return fmt.Errorf("trouble %d: %s is the model's alone", i, t.Kind)
 		}
-		if t.Of > 0 || t.Kind == fleet.Restart && t.For > 0 {
+		if t.NodeShare > 0 || t.Kind == fleet.Restart && t.Duration > 0 {
 			return fmt.Errorf("trouble %d: over sockets one node is meant, and a restart that takes no time", i)
 		}
 	}
@@ -89,7 +89,7 @@
 func (w *world) start(protocol peers.Protocol) error {
 	s := w.s
 	for i := range s.Nodes {
-		w.nodes = append(w.nodes, NewNode(s.NodeAt(i), s.Classes[0].Work))
+		w.nodes = append(w.nodes, NewNode(s.NodeParamsAt(i), s.Classes[0].Work))
 	}
 	o := rig.Options{Front: protocol, Nodes: protocol, Number: s.Nodes, Slots: s.Slots, Settings: w.settings(), Sockets: 4096}
 	for i := range s.Sidecars {
@@ -123,7 +123,7 @@
 // list tells the discovery of a node.
 func (w *world) list(i int, health string, started int64) {
 	n := w.rigs[0].Nodes[i]
-	w.rigs[0].Discovery.Set(peers.Host{Host: n.Name, Dial: n.Addr(), Site: "a", Class: "m", Block: i, Health: health, Share: w.s.Weight(i), BornMS: started})
+	w.rigs[0].Discovery.Set(peers.Host{Host: n.Name, Dial: n.Addr(), Site: "a", Class: "m", Block: i, Health: health, Share: w.s.NodeCapacity(i), BornMS: started})
 }
 
 // settings are the platform's, as the scenario has them.
@@ -132,8 +132,8 @@
 	var classes, orgs []any
 	for i, k := range s.Classes {
 		classes = append(classes, map[string]any{
-			"name": className(s, i), "semantics": []string{"free", "guarded", "single_shot"}[k.Effect], "dedup_scope": "all",
-			"window_ms": k.Window.Seconds() * 1e3, "aim_ms": k.Aim.Seconds() * 1e3, "hard_limit_ms": k.Deadline.Seconds() * 1e3, "worth": 1,
+			"name": className(s, i), "semantics": []string{"free", "guarded", "single_shot"}[k.Idempotency], "dedup_scope": "all",
+			"window_ms": k.DedupWindow.Seconds() * 1e3, "aim_ms": k.LatencyObjective.Seconds() * 1e3, "hard_limit_ms": k.Deadline.Seconds() * 1e3, "worth": 1,
 		})
 	}
 	for i, t := range s.Tenants {
@@ -145,30 +145,30 @@
 	return map[string]any{
 		"balancers": s.Sidecars, "classes": classes, "orgs": orgs, "client_habits": map[string]any{"marks_retry": true},
 		"caps": map[string]any{
-			"may_cancel": true, "probes": s.Probes, "most_tries": s.Attempts, "dial_timeout_ms": rig.ConnectIn.Milliseconds(), "conn_idle_ms": 30000,
-			"max_retry_after_ms": s.Clients.MaxPause.Milliseconds(),
+			"may_cancel": true, "probes": s.LoadReports, "most_tries": s.MaxAttempts, "dial_timeout_ms": rig.ConnectIn.Milliseconds(), "conn_idle_ms": 30000,
+			"max_retry_after_ms": s.Clients.MaxRetryAfter.Milliseconds(),
 		},
 		"rules": map[string]any{
-			"cold_from": s.Node.ColdFrom, "cold_ms": s.Node.ColdTime.Milliseconds(), "fall_multiple": s.Node.ColdMultiple,
+			"cold_from": s.Node.InitialSpeedShare, "cold_ms": s.Node.WarmUpTime.Milliseconds(), "fall_multiple": s.Node.WarmUpOverloadFactor,
 			"stop_sending_within_ms": rig.DrainWithin.Milliseconds(),
 		},
 	}
 }
 
 // trouble lets something happen when its time comes, and end.
-func (w *world) trouble(ctx context.Context, t fleet.Trouble) {
-	if t.Kind == fleet.Burst || !sleep(ctx, t.At) { // a burst is in the plan
+func (w *world) trouble(ctx context.Context, t fleet.Fault) {
+	if t.Kind == fleet.TrafficBurst || !sleep(ctx, t.Start) { // a burst is in the plan
 		return
 	}
 	tell := func(health string, started int64) {
-		if sleep(ctx, w.s.List.Lag/2) { // the mean of the model's
+		if sleep(ctx, w.s.List.MaxDelay/2) { // the mean of the model's
 			w.list(t.Node, health, started)
 		}
 	}
 	switch t.Kind {
 	case fleet.Drain:
 		tell("draining", 0)
-		if t.For > 0 && sleep(ctx, t.For) {
+		if t.Duration > 0 && sleep(ctx, t.Duration) {
 			tell("up", 0)
 		}
 	case fleet.Restart:
@@ -178,7 +178,7 @@
 		tell("up", began)
 	default:
 		end := w.nodes[t.Node].Strike(t)
-		if t.For > 0 && sleep(ctx, t.For) {
+		if t.Duration > 0 && sleep(ctx, t.Duration) {
 			end()
 		}
 	}
