--- /dev/null
+++ b/internal/fleet/node_jobs.go
@@ -0,0 +1,55 @@
+package fleet
+
+// job is a request's work at a node.
+type job struct {
+	finishAt float64  // attained service of the node at which it is done
+	order    uint64   // of its arrival; decides between equal finishAt
+	owner    jobOwner // nil: its end matters to no one
+	index    int      // in the heap; -1: it has left the node
+}
+
+// jobOwner learns that its job has ended: ok if it was completed, false if it was lost with the node's process.
+type jobOwner interface{ jobEnded(ok bool) }
+
+func (job *job) finish(ok bool) {
+	if job.owner != nil {
+		job.owner.jobEnded(ok)
+	}
+}
+
+// jobEndedFunc is a function as a jobOwner.
+type jobEndedFunc func(ok bool)
+
+func (f jobEndedFunc) jobEnded(ok bool) { f(ok) }
+
+// jobHeap orders jobs by completion; it implements heap.Interface of container/heap.
+type jobHeap []*job
+
+func (jobs jobHeap) Len() int { return len(jobs) }
+
+func (jobs jobHeap) Less(i, j int) bool {
+	a, b := jobs[i], jobs[j]
+	return a.finishAt < b.finishAt || a.finishAt == b.finishAt && a.order < b.order
+}
+
+func (jobs jobHeap) Swap(i, j int) {
+	jobs[i], jobs[j] = jobs[j], jobs[i]
+	jobs[i].index, jobs[j].index = i, j
+}
+
+// Push implements heap.Interface.
+func (jobs *jobHeap) Push(x any) {
+	added := x.(*job)
+	added.index = len(*jobs)
+	*jobs = append(*jobs, added)
+}
+
+// Pop implements heap.Interface.
+func (jobs *jobHeap) Pop() any {
+	last := len(*jobs) - 1
+	removed := (*jobs)[last]
+	(*jobs)[last] = nil // for the garbage collector
+	*jobs = (*jobs)[:last]
+	removed.index = -1
+	return removed
+}
