--- /dev/null
+++ b/internal/fleet/arrivals.go
@@ -0,0 +1,139 @@
+package fleet
+
+import (
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"gonum.org/v1/gonum/stat/distuv"
+)
+
+// startArrivals starts the arrival process of each sidecar, or the replay of recorded arrivals.
+func (sim *simulation) startArrivals() {
+	if len(sim.scenario.RecordedArrivals) > 0 {
+		sim.replayArrival(0)
+		return
+	}
+	for _, sidecar := range sim.sidecars {
+		sidecar.startArrivalProcess()
+	}
+}
+
+// replayArrival schedules a recorded request and the ones after it. Sidecars get them in turn.
+func (sim *simulation) replayArrival(number int) {
+	if number >= len(sim.scenario.RecordedArrivals) {
+		return
+	}
+	recorded := sim.scenario.RecordedArrivals[number]
+	sim.schedule(recorded.At-sim.now, func() {
+		request := &clientRequest{class: recorded.Class, tenant: recorded.Tenant}
+		sim.sidecars[number%len(sim.sidecars)].beginRequest(request, recorded.Work)
+		sim.replayArrival(number + 1)
+	})
+}
+
+// arrivalProcess creates a sidecar's new requests: a Poisson process. Where the rate varies, it runs at the peak rate
+// and drops arrivals at random (thinning; Lewis and Shedler, 1979).
+type arrivalProcess struct {
+	*sidecar
+	rate       float64 // arrivals a second at the peak
+	peakFactor float64 // the peak rate over the mean rate
+}
+
+func (sidecar *sidecar) startArrivalProcess() {
+	peakFactor := sidecar.scenario.peakRateFactor()
+	rate := sidecar.arrivalRate * sidecar.scenario.trafficWeight(sidecar.number) / sidecar.scenario.totalTrafficWeight() * peakFactor
+	process := &arrivalProcess{sidecar, rate, peakFactor}
+	process.scheduleNext()
+}
+
+// trafficWeight returns a sidecar's weight by Zipf's law.
+func (scenario *Scenario) trafficWeight(sidecar int) float64 {
+	return math.Pow(float64(sidecar+1), -scenario.TrafficSkew)
+}
+
+func (scenario *Scenario) totalTrafficWeight() float64 {
+	total := 0.0
+	for sidecar := range scenario.Sidecars {
+		total += scenario.trafficWeight(sidecar)
+	}
+	return total
+}
+
+// peakRateFactor returns the greatest factor on the mean arrival rate by the daily variation and traffic bursts.
+func (scenario *Scenario) peakRateFactor() float64 {
+	daily := 1 + scenario.Daily.Swing
+	peak := daily
+	for _, fault := range scenario.Faults {
+		if fault.Kind == TrafficBurst {
+			peak = max(peak, daily*max(1, fault.RateFactor))
+		}
+	}
+	return peak
+}
+
+// scheduleNext draws the interarrival time to the next request.
+func (process *arrivalProcess) scheduleNext() {
+	interarrival := process.arrivalRandom.ExpFloat64() / process.rate * float64(time.Second)
+	process.scheduleEvent(time.Duration(interarrival), process, onlyEvent)
+}
+
+// handleEvent is the arrival of a request.
+func (process *arrivalProcess) handleEvent(eventKind) {
+	if process.now > process.scenario.Duration {
+		return
+	}
+	process.scheduleNext()
+	if process.peakFactor > 1 && process.arrivalRandom.Float64()*process.peakFactor >= process.rateFactor() {
+		return
+	}
+	classes := process.scenario.Classes
+	request := &clientRequest{}
+	request.class = weightedIndex(process.requestRandom, len(classes), func(i int) float64 { return classes[i].Share })
+	if tenants := len(process.scenario.Tenants); tenants > 0 {
+		request.tenant = weightedIndex(process.requestRandom, tenants, process.tenantShare)
+	}
+	process.beginRequest(request, 0)
+}
+
+// tenantShare returns a tenant's present share of the traffic, bursts included.
+func (process *arrivalProcess) tenantShare(tenant int) float64 {
+	if len(process.scenario.Tenants) == 0 {
+		return process.rateFactors[0]
+	}
+	return process.scenario.Tenants[tenant].Share * process.rateFactors[tenant]
+}
+
+// rateFactor returns the present factor on the mean arrival rate.
+func (process *arrivalProcess) rateFactor() float64 {
+	present, usual := 0.0, 0.0
+	for tenant, factor := range process.rateFactors {
+		share := process.tenantShare(tenant)
+		present += share
+		usual += share / max(factor, 1e-9)
+	}
+	return present / usual * process.scenario.Daily.factorAt(process.now)
+}
+
+// factorAt returns the factor on the mean arrival rate at a time.
+func (wave *Wave) factorAt(at time.Duration) float64 {
+	if wave.Period <= 0 {
+		return 1
+	}
+	return 1 + wave.Swing*math.Sin(2*math.Pi*float64(at)/float64(wave.Period))
+}
+
+// drawWork draws the work of a request, in seconds of a core of speed 1.
+func (class *Class) drawWork(random *rand.Rand) float64 {
+	mean := class.Work.Seconds()
+	switch class.WorkDistribution {
+	case Exponential:
+		return mean * random.ExpFloat64()
+	case LogNormal:
+		variance := math.Log(1 + class.CoefficientOfVariation*class.CoefficientOfVariation)
+		factor := distuv.LogNormal{Mu: -variance / 2, Sigma: math.Sqrt(variance), Src: random} // of mean 1
+		return mean * factor.Rand()
+	case Fixed:
+	}
+	return mean
+}
--- /dev/null
+++ b/internal/fleet/endpoint_list.go
@@ -0,0 +1,131 @@
+package fleet
+
+import (
+	"time"
+
+	"mothridge/policy"
+)
+
+// healthChange is a change of a node's health in the endpoint list.
+type healthChange struct {
+	at     time.Duration
+	node   *node
+	health policy.Health
+}
+
+// currentHealth returns what a right list says of a node now.
+func (sim *simulation) currentHealth(node *node) policy.Health { return sim.healthAt(node, sim.now) }
+
+// healthAt returns what the list said of a node at a time.
+func (sim *simulation) healthAt(node *node, at time.Duration) policy.Health {
+	health := policy.Ready
+	for _, change := range sim.healthChanges {
+		if change.node == node && change.at <= at {
+			health = change.health
+		}
+	}
+	return health
+}
+
+// publishHealth changes a node's health in the list and sends the update to every sidecar, each with a delay of its own.
+func (sim *simulation) publishHealth(node *node, health policy.Health) {
+	sim.healthChanges = append(sim.healthChanges, healthChange{sim.now, node, health})
+	for _, sidecar := range sim.sidecars {
+		sim.schedule(sim.listDelay(), func() { sidecar.applyHealth(node, health) })
+	}
+}
+
+// publishList sends a complete list to every sidecar.
+func (sim *simulation) publishList(healthOf func(*node) policy.Health) {
+	health := make([]policy.Health, len(sim.nodes))
+	for i, node := range sim.nodes {
+		health[i] = healthOf(node)
+	}
+	for _, sidecar := range sim.sidecars {
+		sim.schedule(sim.listDelay(), func() { sidecar.applyList(health) })
+	}
+}
+
+// listDelay draws the delay of an update; in a list outage it counts from the outage's end.
+func (sim *simulation) listDelay() time.Duration {
+	outage := max(0, sim.listOutageUntil-sim.now)
+	return outage + time.Duration(sim.listRandom.Float64()*float64(sim.scenario.List.MaxDelay))
+}
+
+// cellOf returns the number of the node's cell, whose nodes share their idempotency keys.
+func (sim *simulation) cellOf(node *node) int {
+	return node.number / max(1, sim.scenario.List.CellSize)
+}
+
+// processStart returns when the list says that a node's process started, on the balancer's clock; 0 means long ago.
+func (sim *simulation) processStart(node *node) time.Duration {
+	if node.startedAt == 0 && !node.params.StartsCold {
+		return 0
+	}
+	return epoch + node.startedAt
+}
+
+// listedHealth returns the health of all nodes by the present list.
+func (sidecar *sidecar) listedHealth() []policy.Health {
+	health := make([]policy.Health, len(sidecar.nodes))
+	for i, node := range sidecar.nodes {
+		health[i] = sidecar.currentHealth(node)
+	}
+	return health
+}
+
+// applyHealth takes an update of one node.
+func (sidecar *sidecar) applyHealth(node *node, health policy.Health) {
+	if sidecar.stopped || !sidecar.subscribed {
+		return
+	}
+	if sidecar.membershipSet != nil {
+		sidecar.applyDelta(node, health)
+		return
+	}
+	update := []policy.Endpoint{sidecar.endpointOf(node, health)}
+	sidecar.balancer.EndpointsUpdated(sidecar.clockTime(), policy.DeltaUpdate, update)
+}
+
+// applyList takes a complete list.
+func (sidecar *sidecar) applyList(health []policy.Health) {
+	if sidecar.stopped {
+		return
+	}
+	if sidecar.membershipSet != nil {
+		sidecar.replaceList(health)
+		return
+	}
+	var list []policy.Endpoint
+	for i, node := range sidecar.nodes {
+		endpoint := sidecar.endpointOf(node, health[i])
+		if health[i] != policy.Removed {
+			list = append(list, endpoint)
+		}
+	}
+	sidecar.balancer.EndpointsUpdated(sidecar.clockTime(), policy.FullUpdate, list)
+}
+
+// endpointOf returns a node as an endpoint for the balancer, without the membership module.
+func (sidecar *sidecar) endpointOf(node *node, health policy.Health) policy.Endpoint {
+	id := policy.EndpointID(node.number + 1)
+	sidecar.noteHealth(id, health)
+	return policy.Endpoint{
+		ID:        id,
+		Cell:      sidecar.cellOf(node),
+		Weight:    sidecar.scenario.NodeCapacity(node.number),
+		Health:    health,
+		StartedAt: sidecar.processStart(node),
+	}
+}
+
+// noteHealth records since when the sidecar knows that an endpoint drains or is removed.
+func (sidecar *sidecar) noteHealth(id policy.EndpointID, health policy.Health) {
+	since := &sidecar.endpoints[id-1].drainingSince
+	switch {
+	case health == policy.Ready:
+		*since = 0
+	case *since == 0:
+		*since = max(1, sidecar.now)
+	}
+}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -71,9 +71,6 @@
 	return min(1, initial+(1-initial)*max(0, passed))
 }
 
-// fullSpeed returns the work that a warm node can do in a second.
-func (node *node) fullSpeed() float64 { return node.params.Speed * float64(node.params.Cores) }
-
 // speedFactor returns the share of its speed that the node has now.
 func (node *node) speedFactor() float64 {
 	if node.hanging || node.down {
--- a/internal/fleet/quotas.go
+++ b/internal/fleet/quotas.go
@@ -8,67 +8,93 @@
 	"mothridge/quota"
 )
 
-// quotas makes a sidecar's tree: its part of the whole; nil where there is none.
-func (s *Scenario) newQuotaTree() (*quota.Tree, error) {
-	q := &s.Quotas
-	if q.SidecarShare == 0 {
+const (
+	rootQuotaName = "all"
+	// minQuotaRetryAfter is the least Retry-After of a submission that the quotas reject.
+	minQuotaRetryAfter = 10 * time.Millisecond
+)
+
+var defaultQuotaWindows = []time.Duration{time.Second, 10 * time.Second}
+
+// newQuotaTree returns a sidecar's quotas; nil if there are none.
+func (scenario *Scenario) newQuotaTree() (*quota.Tree, error) {
+	quotas := &scenario.Quotas
+	if quotas.SidecarShare == 0 {
 		return nil, nil
 	}
-	windows := q.Windows
-	if len(windows) == 0 {
-		windows = []time.Duration{time.Second, 10 * time.Second}
+	total := 0.0
+	for _, tenant := range scenario.Tenants {
+		total += tenant.Quota
 	}
-	c := quota.Config{LenderReserve: q.LenderReserve, RepaymentShare: q.RepaymentShare, DebtLifetime: q.DebtLifetime}
-	node := func(name, parent string, rate, weight float64) {
-		n := quota.Node{Name: name, Parent: parent, Weight: weight}
-		for _, w := range windows {
-			l := quota.Limit{Dimension: quota.Requests, Rate: rate * q.SidecarShare, Window: max(w, time.Duration(float64(time.Second)/(rate*q.SidecarShare)))} // one fits, at least
-			if !q.LendingAllowed {
-				l.Ceiling = l.Rate
-			}
-			n.Limits = append(n.Limits, l)
-		}
-		c.Nodes = append(c.Nodes, n)
+	root := quota.Node{Name: rootQuotaName, Weight: 1, Limits: quotas.limits(total)}
+	config := quota.Config{
+		LenderReserve:  quotas.LenderReserve,
+		RepaymentShare: quotas.RepaymentShare,
+		DebtLifetime:   quotas.DebtLifetime,
+		Nodes:          []quota.Node{root},
 	}
-	whole := 0.0
-	for _, t := range s.Tenants {
-		whole += t.Quota
+	for i, tenant := range scenario.Tenants {
+		config.Nodes = append(config.Nodes, quota.Node{
+			Name:   tenantQuotaName(i),
+			Parent: rootQuotaName,
+			Weight: tenant.Share,
+			Limits: quotas.limits(tenant.Quota),
+		})
 	}
-	node("all", "", whole, 1)
-	for i, t := range s.Tenants {
-		node(tenantQuotaName(i), "all", t.Quota, t.Share)
+	return quota.New(config)
+}
+
+// limits returns a limit for each window; a window is so long that one request fits into it.
+func (quotas *Quotas) limits(rate float64) []quota.Limit {
+	windows := quotas.Windows
+	if len(windows) == 0 {
+		windows = defaultQuotaWindows
+	}
+	sidecarRate := rate * quotas.SidecarShare
+	var limits []quota.Limit
+	for _, window := range windows {
+		shortest := time.Duration(float64(time.Second) / sidecarRate)
+		limit := quota.Limit{Dimension: quota.Requests, Rate: sidecarRate, Window: max(window, shortest)}
+		if !quotas.LendingAllowed {
+			limit.Ceiling = limit.Rate
+		}
+		limits = append(limits, limit)
 	}
-	return quota.New(c)
+	return limits
 }
 
-func tenantQuotaName(i int) string { return fmt.Sprint("tenant-", i) }
+func tenantQuotaName(tenant int) string { return fmt.Sprint("tenant-", tenant) }
 
-// within has the quotas decide on a try; false: it was refused.
-func (c *sidecar) admitByQuota(x *submission) bool {
-	if c.quotaTree == nil {
+// admitByQuota has the quotas decide on a submission. It reports false if they rejected it.
+func (sidecar *sidecar) admitByQuota(submission *submission) bool {
+	if sidecar.quotaTree == nil {
 		return true
 	}
-	d := c.quotaTree.Admit(c.clockTime(), quota.Request{Node: tenantQuotaName(x.tenant), Cost: quota.Cost{quota.Requests: 1}, Retry: x.number > 1})
-	if d.Outcome != quota.Rejected {
-		x.receipt = d.Receipt
+	decision := sidecar.quotaTree.Admit(sidecar.clockTime(), quota.Request{
+		Node:  tenantQuotaName(submission.tenant),
+		Cost:  quota.Cost{quota.Requests: 1},
+		Retry: submission.number > 1,
+	})
+	if decision.Outcome != quota.Rejected {
+		submission.receipt = decision.Receipt
 		return true
 	}
-	pause := d.RetryAfter
-	if most := c.scenario.Clients.MaxRetryAfter; most > 0 {
-		pause = min(pause, most)
+	retryAfter := decision.RetryAfter
+	if longest := sidecar.scenario.Clients.MaxRetryAfter; longest > 0 {
+		retryAfter = min(retryAfter, longest)
 	}
-	c.Reject(x.id, max(pause, 10*time.Millisecond))
+	sidecar.Reject(submission.id, max(retryAfter, minQuotaRetryAfter))
 	return false
 }
 
-// spent gives a try's charge back where it never ran, and ends it otherwise.
-func (c *sidecar) settleQuota(x *submission, ending policy.AttemptResult) {
-	if c.quotaTree == nil || x.receipt == nil {
+// settleQuota refunds the charge of a rejected submission and releases that of a failed one.
+func (sidecar *sidecar) settleQuota(submission *submission, result policy.AttemptResult) {
+	if sidecar.quotaTree == nil || submission.receipt == nil {
 		return
 	}
-	if ending == policy.Rejected {
-		c.quotaTree.Refund(x.receipt)
+	if result == policy.Rejected {
+		sidecar.quotaTree.Refund(submission.receipt)
 	} else {
-		c.quotaTree.Release(x.receipt)
+		sidecar.quotaTree.Release(submission.receipt)
 	}
 }
--- a/internal/fleet/reference.go
+++ b/internal/fleet/reference.go
@@ -50,7 +50,7 @@
 	RetryWithBudget RetryMode = "budget" // the same, but a tenth of the first attempts at the most (as Finagle's retry budget, without its floor)
 )
 
-var knownRetries = []RetryMode{RetryUnstarted, RetryNaively, RetryWithBudget}
+var knownRetryModes = []RetryMode{RetryUnstarted, RetryNaively, RetryWithBudget}
 
 const (
 	retryBudgetShare = 0.1             // further attempts for each first one
--- a/internal/fleet/sidecar.go
+++ b/internal/fleet/sidecar.go
@@ -11,289 +11,182 @@
 	"mothridge/quota"
 )
 
-// sidecar is a balancer with the clients beside it. It is the balancer's Host.
+// sidecar is a balancer with the host that carries out its decisions, and its clients.
 type sidecar struct {
 	*simulation
 	number        int
-	incarnation   int // counts its processes
-	balancer      balancer
+	incarnation   int // number of its process
 	stopped       bool
-	arrivalRandom *rand.Rand // of arrivals
-	submissions   map[policy.RequestID]*submission
+	arrivalRandom *rand.Rand
+
+	balancer      balancer
 	balancerTimer timer
-	pools         []*connectionPool
+	quotaTree     *quota.Tree // nil: no quotas
+	submissions   map[policy.RequestID]*submission
+	pools         []*connectionPool // by node; nil: connections are not modelled
 
-	subscribed    bool            // of the list: it was pushed, or asked for and not lost since
-	quotaTree     *quota.Tree     // nil: there are none
-	membershipSet *membership.Set // nil: news come straight from the list
+	subscribed    bool            // updates of the endpoint list are pushed, or its watch is open
+	membershipSet *membership.Set // nil: updates go straight to the balancer
 	endpointIDs   map[string]policy.EndpointID
-	endpoints     []sidecarEndpoint // by id, less one
+	endpoints     []sidecarEndpoint // by ID, from 1
 }
 
-// server is what a sidecar knows of an id that it gave to its balancer.
+// sidecarEndpoint is what a sidecar knows of an endpoint ID that it has given to its balancer.
 type sidecarEndpoint struct {
 	node          *node
-	drainingSince time.Duration // when it heard that it drains or is gone; 0: it does not
+	drainingSince time.Duration // by the updates that have come; 0: ready
 }
 
-// start begins a process: it knows what the list says, and nothing else.
-func (c *sidecar) start() error {
-	s := c.scenario
-	c.submissions, c.pools = make(map[policy.RequestID]*submission), nil
-	c.membershipSet, c.endpointIDs, c.endpoints = nil, make(map[string]policy.EndpointID), nil
-	if s.Network.HandshakeWork > 0 {
-		c.pools = make([]*connectionPool, s.Nodes)
-	}
-	cfg := policy.Config{
-		FleetSize: s.Sidecars, Slots: s.Slots, MaxAttempts: s.MaxAttempts, CancelAllowed: true, MaxRetryAfter: s.Clients.MaxRetryAfter, ClientsMarkRetries: true,
-		WatchOnRequest: s.List.WatchRequired, WatchRequestWithin: watchRequestWithin, ProbesAllowed: s.LoadReports, ProbeLoadReports: s.LoadReports, SlowStartInitialShare: s.Node.InitialSpeedShare, SlowStartDuration: s.Node.WarmUpTime, SlowStartOverloadFactor: s.Node.WarmUpOverloadFactor,
-	}
-	for _, k := range s.Classes {
-		cfg.Classes = append(cfg.Classes, policy.Class{LatencyObjective: k.LatencyObjective, Deadline: k.Deadline, PriorityWeight: 1, Idempotency: policy.Idempotency(k.Idempotency), DedupScope: policy.DedupScope(k.DedupScope), DedupWindow: k.DedupWindow})
-	}
-	for _, t := range s.Tenants {
-		cfg.Tenants = append(cfg.Tenants, policy.Tenant{Share: t.Share, Quota: t.Quota})
-	}
+// membershipTickInterval is how often the membership module gets the time.
+const membershipTickInterval = time.Second
+
+// start starts a process, which knows the endpoint list if that is pushed, and nothing else.
+func (sidecar *sidecar) start() error {
+	sidecar.reset()
+	config := sidecar.scenario.balancerConfig()
+	seed := sidecar.scenario.Seed + uint64(sidecar.number) + uint64(sidecar.incarnation)<<32
 	var err error
-	if c.balancer, err = s.newBalancer(cfg, s.Seed+uint64(c.number)+uint64(c.incarnation)<<32, c); err != nil {
+	if sidecar.balancer, err = sidecar.scenario.newBalancer(config, seed, sidecar); err != nil {
 		return err
 	}
-	if c.quotaTree, err = s.newQuotaTree(); err != nil {
+	if sidecar.quotaTree, err = sidecar.scenario.newQuotaTree(); err != nil {
 		return err
 	}
-	if s.List.Membership {
-		if c.membershipSet, err = membership.New(membership.Config{}, membership.Source{Name: "registry"}); err != nil {
-			return fmt.Errorf("membership: %w", err)
-		}
-		if c.incarnation == 0 { // they go on over a restart
-			c.scheduleEvent(time.Second, c, membershipTick)
-		}
-	} else {
-		for _, n := range c.nodes {
-			c.endpoints = append(c.endpoints, sidecarEndpoint{node: n})
-		}
+	if err := sidecar.startList(); err != nil {
+		return err
 	}
-	c.subscribed = !s.List.WatchRequired
-	c.balancer.Start(c.clockTime())
-	if c.subscribed {
-		c.applyList(c.listedHealth())
+	sidecar.subscribed = !sidecar.scenario.List.WatchRequired
+	sidecar.balancer.Start(sidecar.clockTime())
+	if sidecar.subscribed {
+		sidecar.applyList(sidecar.listedHealth())
 	}
 	return nil
 }
 
-// states are all nodes as the list has them now.
-func (c *sidecar) listedHealth() []policy.Health {
-	states := make([]policy.Health, len(c.nodes))
-	for i, n := range c.nodes {
-		states[i] = c.currentHealth(n)
+// reset clears what a process holds.
+func (sidecar *sidecar) reset() {
+	sidecar.submissions = make(map[policy.RequestID]*submission)
+	sidecar.endpointIDs = make(map[string]policy.EndpointID)
+	sidecar.membershipSet, sidecar.endpoints, sidecar.pools = nil, nil, nil
+	if sidecar.scenario.Network.HandshakeWork > 0 {
+		sidecar.pools = make([]*connectionPool, sidecar.scenario.Nodes)
 	}
-	return states
 }
 
-// stop ends the process: what it held is lost for its clients.
-func (c *sidecar) stop() {
-	ids := make([]policy.RequestID, 0, len(c.submissions))
-	for id := range c.submissions {
-		ids = append(ids, id)
-	}
-	slices.Sort(ids) // never in the order of a map
-	for _, id := range ids {
-		x := c.submissions[id]
-		for _, a := range x.attempts {
-			c.discardAttempt(a)
-		}
-		if !x.completed {
-			if c.isExplained(x) {
-				c.explain(x, "its sidecar ended")
-			}
-			c.loseSubmission(x)
-		}
-	}
-	c.submissions, c.stopped = make(map[policy.RequestID]*submission), true
-	c.cancel(c.balancerTimer)
-}
-
-// lose is for a try whose sidecar is no more.
-func (c *sidecar) loseSubmission(x *submission) {
-	c.result.Lost++
-	c.complete(x)
-	if c.scenario.Classes[x.class].Idempotency == Idempotency(policy.Idempotent) {
-		c.scheduleRetry(x, c.retryBackoff(x))
-	}
-}
-
-// restart begins another process in the place of one that ended.
-func (c *sidecar) restart() {
-	c.stopped = false
-	c.incarnation++
-	if err := c.start(); err != nil {
-		panic(err) // the same settings were good before
-	}
-}
-
-func (c *sidecar) clockTime() time.Duration { return epoch + c.now }
-
-// The events of a sidecar.
-const (
-	balancerTimerFires eventKind = iota // its balancer's timer
-	membershipTick                      // the membership module's
-)
-
-func (c *sidecar) handleEvent(w eventKind) {
-	switch {
-	case c.stopped:
-	case w == balancerTimerFires:
-		c.balancer.TimerFired(c.clockTime())
-	case w == membershipTick:
-		if c.now >= c.listOutageUntil {
-			c.applyMembership(c.membershipSet.SourceResponded(c.clockTime(), 0))
+// startList prepares for the endpoint list: by the membership module, or with an endpoint ID for each node.
+func (sidecar *sidecar) startList() error {
+	if !sidecar.scenario.List.Membership {
+		for _, node := range sidecar.nodes {
+			sidecar.endpoints = append(sidecar.endpoints, sidecarEndpoint{node: node})
 		}
-		c.applyMembership(c.membershipSet.Tick(c.clockTime()))
-	}
-	if w == membershipTick {
-		c.scheduleEvent(time.Second, c, membershipTick)
-	}
-}
-
-// Send starts an attempt.
-func (c *sidecar) Send(id policy.RequestID, to policy.EndpointID, timeout, _ time.Duration) {
-	x := c.submissions[id]
-	if x == nil {
-		c.reportViolation("sidecar %d sends request %d, which has ended", c.number, id)
-		return
+		return nil
 	}
-	to--
-	n := c.endpoints[to].node
-	a := x.newAttempt(n)
-	if at := c.endpoints[to].drainingSince; at > 0 && c.now > at+drainGrace+timeSlack {
-		c.reportViolation("rule 3: sidecar %d sends request %d to node %d, %v after it heard that it drains", c.number, id, n.number, c.now-at)
-	}
-	if c.isExplained(x) {
-		c.explain(x, "attempt %d goes to node %d%s", a.number, n.number, n.condition())
+	var err error
+	sidecar.membershipSet, err = membership.New(membership.Config{}, membership.Source{Name: "registry"})
+	if err != nil {
+		return fmt.Errorf("membership: %w", err)
 	}
-	if timeout > 0 {
-		a.timeoutTimer = c.scheduleEvent(timeout, a, attemptTimesOut)
+	if sidecar.incarnation == 0 { // the ticks go on over restarts
+		sidecar.scheduleEvent(membershipTickInterval, sidecar, membershipTick)
 	}
-	c.connect(a)
+	return nil
 }
 
-// Reject tells the client that trying again is harmless; it may.
-func (c *sidecar) Reject(id policy.RequestID, pause time.Duration) {
-	x := c.submissions[id]
-	if x == nil || x.completed {
-		c.reportViolation("rule 1: sidecar %d refuses request %d, which has its answer", c.number, id)
-		return
-	}
-	if c.isExplained(x) {
-		c.explain(x, "refused, with a pause of %v", pause)
-	}
-	c.settleQuota(x, policy.Rejected)
-	c.result.Rejected++
-	c.recorder.windowAt(c.now).Rejected++
-	c.complete(x)
-	told := pause
-	if c.scenario.Clients.RetryAfterShare < 1 && c.clientRandom.Float64() >= c.scenario.Clients.RetryAfterShare {
-		told = c.retryBackoff(x)
+// balancerConfig returns the decision module's configuration.
+func (scenario *Scenario) balancerConfig() policy.Config {
+	config := policy.Config{
+		FleetSize:               scenario.Sidecars,
+		Slots:                   scenario.Slots,
+		MaxAttempts:             scenario.MaxAttempts,
+		CancelAllowed:           true,
+		MaxRetryAfter:           scenario.Clients.MaxRetryAfter,
+		ClientsMarkRetries:      true,
+		WatchOnRequest:          scenario.List.WatchRequired,
+		WatchRequestWithin:      watchRequestWithin,
+		ProbesAllowed:           scenario.LoadReports,
+		ProbeLoadReports:        scenario.LoadReports,
+		SlowStartInitialShare:   scenario.Node.InitialSpeedShare,
+		SlowStartDuration:       scenario.Node.WarmUpTime,
+		SlowStartOverloadFactor: scenario.Node.WarmUpOverloadFactor,
+	}
+	for _, class := range scenario.Classes {
+		config.Classes = append(config.Classes, policy.Class{
+			LatencyObjective: class.LatencyObjective,
+			Deadline:         class.Deadline,
+			PriorityWeight:   1,
+			Idempotency:      policy.Idempotency(class.Idempotency),
+			DedupScope:       policy.DedupScope(class.DedupScope),
+			DedupWindow:      class.DedupWindow,
+		})
 	}
-	if !c.scheduleRetry(x, told) {
-		c.recorder.recordSample(x, "refused in the end", c.now-x.arrivedAt)
+	for _, tenant := range scenario.Tenants {
+		config.Tenants = append(config.Tenants, policy.Tenant{Share: tenant.Share, Quota: tenant.Quota})
 	}
+	return config
 }
 
-// Fail answers without a promise.
-func (c *sidecar) Fail(id policy.RequestID) {
-	x := c.submissions[id]
-	if x == nil || x.completed {
-		c.reportViolation("rule 1: sidecar %d fails request %d, which has its answer", c.number, id)
-		return
-	}
-	if c.isExplained(x) {
-		c.explain(x, "failed")
-	}
-	c.settleQuota(x, policy.ServerError)
-	c.result.Failed++
-	c.recorder.windowAt(c.now).Failed++
-	c.complete(x)
-	if !c.scenario.Clients.RetriesFailures || c.scenario.Classes[x.class].Idempotency != Idempotency(policy.Idempotent) || !c.scheduleRetry(x, c.retryBackoff(x)) {
-		c.recorder.recordSample(x, "failed", c.now-x.arrivedAt)
+// stop ends the process: the submissions that it held are lost.
+func (sidecar *sidecar) stop() {
+	ids := make([]policy.RequestID, 0, len(sidecar.submissions))
+	for id := range sidecar.submissions {
+		ids = append(ids, id)
 	}
-}
-
-// Cancel gives an attempt up.
-func (c *sidecar) Cancel(id policy.RequestID, number int) {
-	if x := c.submissions[id]; x != nil && number < len(x.attempts) {
-		c.scheduleEvent(0, x.attempts[number], attemptCancelled) // not within the balancer's own call
+	slices.Sort(ids) // the order of a map is not reproducible
+	for _, id := range ids {
+		submission := sidecar.submissions[id]
+		for _, attempt := range submission.attempts {
+			sidecar.discardAttempt(attempt)
+		}
+		if submission.completed {
+			continue
+		}
+		if sidecar.isExplained(submission) {
+			sidecar.explain(submission, "its sidecar ended")
+		}
+		sidecar.loseSubmission(submission)
 	}
+	sidecar.submissions, sidecar.stopped = make(map[policy.RequestID]*submission), true
+	sidecar.cancel(sidecar.balancerTimer)
 }
 
-// SetTimer arms the one timer.
-func (c *sidecar) SetTimer(d time.Duration) {
-	if !c.reschedule(c.balancerTimer, d) {
-		c.balancerTimer = c.scheduleEvent(d, c, balancerTimerFires)
+// restart starts the next process.
+func (sidecar *sidecar) restart() {
+	sidecar.stopped = false
+	sidecar.incarnation++
+	if err := sidecar.start(); err != nil {
+		panic(err) // the first process started with the same settings
 	}
 }
 
-// probeTimeout is how long a probe waits for its answer.
-const probeTimeout = 300 * time.Millisecond
+// clockTime returns the time on the decision module's clock.
+func (sidecar *sidecar) clockTime() time.Duration { return epoch + sidecar.now }
 
-// Probe asks a node what it holds, beside its queue.
-func (c *sidecar) Probe(to policy.EndpointID) {
-	life, n := c.incarnation, c.endpoints[to-1].node
-	tell := func(d time.Duration, ok bool, l policy.LoadReport) {
-		c.schedule(d, func() {
-			if c.incarnation == life && !c.stopped {
-				c.balancer.ProbeCompleted(c.clockTime(), to, ok, l)
-			}
-		})
-	}
-	c.schedule(c.networkDelay(), func() {
-		if n.down || n.hanging || n.dropsResponses || n.dropsRequests {
-			tell(probeTimeout, false, policy.LoadReport{InFlight: -1})
-			return
+// whileRunning schedules a function that is skipped if the present process has ended by then.
+func (sidecar *sidecar) whileRunning(delay time.Duration, do func()) {
+	incarnation := sidecar.incarnation
+	sidecar.schedule(delay, func() {
+		if sidecar.incarnation == incarnation && !sidecar.stopped {
+			do()
 		}
-		tell(c.networkDelay(), true, policy.LoadReport{InFlight: float64(len(n.jobs))})
 	})
 }
 
-// askWithin is how long a sidecar may go without asking for a list that is asked
-// for, and listCall how long such a call waits.
+// The events of a sidecar.
 const (
-	watchRequestWithin = 10 * time.Second
-	watchTimeout       = time.Second
+	balancerTimerFires eventKind = iota
+	membershipTick
 )
 
-// RequestWatch subscribes to a list that must be asked for.
-func (c *sidecar) RequestWatch() {
-	life := c.incarnation
-	answer := func(d time.Duration, do func()) {
-		c.schedule(d, func() {
-			if c.incarnation == life && !c.stopped {
-				do()
-			}
-		})
-	}
-	if c.now < c.listOutageUntil {
-		answer(watchTimeout, func() { c.balancer.EndpointsUpdated(c.clockTime(), policy.FailedUpdate, nil) })
-		return
-	}
-	answer(c.listDelay(), func() {
-		c.subscribed = true
-		c.applyList(c.listedHealth())
-	})
-}
-
-// condition says in words what is wrong with a node.
-func (n *node) condition() string {
-	for _, k := range []struct {
-		is   bool
-		word string
-	}{
-		{n.down, "which is down"}, {n.hanging, "which hangs"}, {n.dropsResponses, "of which nothing comes back"}, {n.dropsRequests, "to which nothing comes"},
-		{n.collapsed, fmt.Sprintf("which is slow after overload and holds %d", len(n.jobs))}, {n.warmUpShare() < 1, fmt.Sprintf("which is cold, at %.2f", n.warmUpShare())},
-	} {
-		if k.is {
-			return ", " + k.word
+func (sidecar *sidecar) handleEvent(kind eventKind) {
+	switch kind {
+	case balancerTimerFires:
+		if !sidecar.stopped {
+			sidecar.balancer.TimerFired(sidecar.clockTime())
+		}
+	case membershipTick:
+		if !sidecar.stopped {
+			sidecar.tickMembership()
 		}
+		sidecar.scheduleEvent(membershipTickInterval, sidecar, membershipTick)
 	}
-	return fmt.Sprintf(", which holds %d", len(n.jobs))
 }
