--- /dev/null
+++ b/internal/fleet/reference_two_choices.go
@@ -0,0 +1,24 @@
+package fleet
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// twoChoicesSelector draws two ready endpoints and selects the one of lower cost (Mitzenmacher, 2001).
+type twoChoicesSelector struct {
+	random *rand.Rand
+	cost   func(now time.Duration, target *target) float64
+}
+
+func (selector *twoChoicesSelector) selectTarget(now time.Duration, ready []*target) *target {
+	first := ready[selector.random.IntN(len(ready))]
+	second := ready[selector.random.IntN(len(ready))]
+	if selector.cost(now, second) < selector.cost(now, first) {
+		return second
+	}
+	return first
+}
+
+// inFlightCost is the number of this sidecar's attempts in flight (TwoChoices).
+func inFlightCost(_ time.Duration, target *target) float64 { return float64(target.inFlight) }
