--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// replayArrival schedules a recorded request and the ones after it. Sidecars get them in turn.
+// replayArrival schedules a recorded request and the ones after it. Sidecars get them round robin.
 func (sim *simulation) replayArrival(number int) {
 	if number >= len(sim.scenario.RecordedArrivals) {
 		return
@@ -37,12 +37,13 @@
 type arrivalProcess struct {
 	*sidecar
 	rate       float64 // arrivals a second at the peak
-	peakFactor float64 // the peak rate over the mean rate
+	peakFactor float64 // peak rate / mean rate
 }
 
 func (sidecar *sidecar) startArrivalProcess() {
 	peakFactor := sidecar.scenario.peakRateFactor()
-	rate := sidecar.arrivalRate * sidecar.scenario.trafficWeight(sidecar.number) / sidecar.scenario.totalTrafficWeight() * peakFactor
+	weight, total := sidecar.scenario.trafficWeight(sidecar.number), sidecar.scenario.totalTrafficWeight()
+	rate := sidecar.arrivalRate * weight / total * peakFactor
 	process := &arrivalProcess{sidecar, rate, peakFactor}
 	process.scheduleNext()
 }
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -10,7 +10,7 @@
 	submission   *submission
 	number       int
 	node         *node
-	incarnation  int // of the node's process to which it was sent
+	incarnation  int // of the node's process that it is for
 	job          job
 	accepted     bool                 // by its node
 	pool         *connectionPool      // to which its connection belongs; nil: connections are not modelled
@@ -44,6 +44,7 @@
 		sidecar.endAttempt(attempt, policy.ConnectionReset)
 	case attemptWithdrawn:
 		attempt.node.withdraw(&attempt.job)
+	default: // the kinds of other handlers
 	}
 }
 
@@ -116,7 +117,8 @@
 		return
 	}
 	submission := attempt.submission
-	if result == policy.Served && attempt.incarnation != attempt.node.incarnation { // the process ended before the response came
+	if result == policy.Served && attempt.incarnation != attempt.node.incarnation {
+		// The process ended before the response came.
 		result = policy.ConnectionReset
 	}
 	sidecar.closeAttempt(attempt, result)
--- a/internal/fleet/connections.go
+++ b/internal/fleet/connections.go
@@ -31,7 +31,7 @@
 	return pool
 }
 
-// connect sends an attempt to its node, over an idle or a new connection if connections are modelled.
+// connect sends an attempt to its node, on an idle or a new connection if connections are modelled.
 func (sidecar *sidecar) connect(attempt *attempt) {
 	pool := sidecar.poolTo(attempt.node)
 	switch {
@@ -45,7 +45,7 @@
 	}
 }
 
-// openConnection sends an attempt over a new connection; it fails if the node has as many as it accepts.
+// openConnection sends an attempt on a new connection; it fails if the node has as many as it accepts.
 func (sidecar *sidecar) openConnection(attempt *attempt, pool *connectionPool) {
 	network, node := &sidecar.scenario.Network, attempt.node
 	delay := sidecar.networkDelay()
--- a/internal/fleet/discovery_trial.go
+++ b/internal/fleet/discovery_trial.go
@@ -10,7 +10,7 @@
 )
 
 // DiscoveryTrial is a load trial of the discovery service: all sidecars need a list from it at once. The service
-// takes the calls in turn, works on those that were given up as well, and rejects a call that would wait too long.
+// takes the calls first in, first out, works on those that were given up, too, and rejects a call that would wait too long.
 // The trial has a clock of its own with a fixed step.
 type DiscoveryTrial struct {
 	// Sidecars that need the list, 1 at least.
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,4 +1,4 @@
-// Package fleet simulates a whole fleet: clients, sidecars with the real decision module, the network, the endpoint
+// Package fleet simulates a fleet: clients, sidecars with the real decision module, the network, the endpoint
 // list and the nodes that serve requests. It is a discrete-event simulation and pure: a run is a function of its
 // [Scenario], the seed included. It uses no goroutine, no clock and no input besides.
 //
--- a/internal/fleet/endpoint_list.go
+++ b/internal/fleet/endpoint_list.go
@@ -27,7 +27,7 @@
 	return health
 }
 
-// publishHealth changes a node's health in the list and sends the update to every sidecar, each with a delay of its own.
+// publishHealth changes a node's health in the list and sends the update to every sidecar, each with its own delay.
 func (sim *simulation) publishHealth(node *node, health policy.Health) {
 	sim.healthChanges = append(sim.healthChanges, healthChange{sim.now, node, health})
 	for _, sidecar := range sim.sidecars {
@@ -65,8 +65,8 @@
 	return epoch + node.startedAt
 }
 
-// listedHealth returns the health of all nodes by the present list.
-func (sidecar *sidecar) listedHealth() []policy.Health {
+// publishedHealth returns the health of all nodes by the present list.
+func (sidecar *sidecar) publishedHealth() []policy.Health {
 	health := make([]policy.Health, len(sidecar.nodes))
 	for i, node := range sidecar.nodes {
 		health[i] = sidecar.currentHealth(node)
--- a/internal/fleet/event_queue.go
+++ b/internal/fleet/event_queue.go
@@ -35,7 +35,7 @@
 // each would be allocated.
 type eventHandler interface{ handleEvent(eventKind) }
 
-// eventKind tells the events of one handler apart.
+// eventKind distinguishes the events of one handler.
 type eventKind uint8
 
 // onlyEvent is the kind of handlers that have a single kind of event.
@@ -56,8 +56,8 @@
 func (t timer) pending() bool { return t.event != nil && t.event.generation == t.generation }
 
 // schedule calls a function after a delay; a negative delay counts as 0.
-func (queue *eventQueue) schedule(delay time.Duration, do func()) timer {
-	return queue.scheduleEvent(delay, handlerFunc(do), onlyEvent)
+func (queue *eventQueue) schedule(delay time.Duration, do func()) {
+	queue.scheduleEvent(delay, handlerFunc(do), onlyEvent)
 }
 
 // scheduleEvent passes an event to a handler after a delay; a negative delay counts as 0.
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -38,7 +38,7 @@
 	Restart          FaultKind = "restart"    // a node loses its requests, is down for Duration and warms up
 	ListOutage       FaultKind = "silent"     // updates of the list are held back until the end
 	IncompleteList   FaultKind = "wrong"      // the list leaves out nodes that exist
-	StaleList        FaultKind = "stale"      // the list is sent as it was Duration before, and corrected after Duration
+	StaleList        FaultKind = "stale"      // the list is as it was Duration before, and right after Duration
 	TrafficBurst     FaultKind = "burst"      // a tenant's arrival rate is multiplied
 	PowerLoss        FaultKind = "power-cut"  // all nodes and sidecars are down, then start together
 	SidecarRestart   FaultKind = "sidecar-up" // all sidecars restart; what they held is lost
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -63,7 +63,7 @@
 	return digest
 }
 
-// recordRun runs a scenario, and again with the first request worth explaining explained, and returns a line with
+// recordRun runs a scenario, and again with its last sample explained, and returns a line with
 // the main counters and a digest of both complete results.
 func recordRun(t *testing.T, name string, scenario fleet.Scenario) string {
 	t.Helper()
@@ -93,7 +93,7 @@
 	return scenario
 }
 
-// goldenSettings are put over the site's scenario: SETTING=VALUE, parted by semicolons.
+// goldenSettings replace settings of the site's scenario: SETTING=VALUE, parted by semicolons.
 var goldenSettings = []string{
 	"policy=random", "policy=random;retries=naive", "policy=round-robin", "policy=two-choices;retries=budget", "policy=peak-ewma",
 	"policy=peak-ewma;retries=naive", "policy=bulkhead", "policy=bulkhead;retries=budget;load=1.2", "load=1.3", "probes=true;load=0.9",
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -29,7 +29,8 @@
 	attempt := submission.newAttempt(endpoint.node)
 	sidecar.checkDrained(id, endpoint)
 	if sidecar.isExplained(submission) {
-		sidecar.explain(submission, "attempt %d goes to node %d%s", attempt.number, endpoint.node.number, endpoint.node.condition())
+		sidecar.explain(submission, "attempt %d goes to node %d%s",
+			attempt.number, endpoint.node.number, endpoint.node.condition())
 	}
 	if timeout > 0 {
 		attempt.timeoutTimer = sidecar.scheduleEvent(timeout, attempt, attemptTimesOut)
@@ -118,7 +119,7 @@
 	}
 	sidecar.whileRunning(sidecar.listDelay(), func() {
 		sidecar.subscribed = true
-		sidecar.applyList(sidecar.listedHealth())
+		sidecar.applyList(sidecar.publishedHealth())
 	})
 }
 
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -23,7 +23,7 @@
 	completionTimer timer // of the first completion as it is foreseen
 
 	startedAt   time.Duration // start of its process; it warms up from then on
-	incarnation int           // number of its process: attempts sent to an earlier one are lost
+	incarnation int           // number of its process: attempts on the way to an earlier one are lost
 	down        bool          // no process runs
 
 	// Faults that are in effect.
@@ -58,6 +58,7 @@
 		node.setCollapsed(!node.collapsed)
 	case nodeCollapseEnds:
 		node.setCollapsed(false)
+	default: // the kinds of other handlers
 	}
 }
 
@@ -156,7 +157,7 @@
 	return true
 }
 
-// withdraw removes a job whose result is no longer wanted, unless the node completes those as well.
+// withdraw removes a job whose result is no longer wanted, unless the node completes those too.
 func (node *node) withdraw(withdrawn *job) {
 	if withdrawn.index < 0 || node.params.KeepsAbandoned {
 		return
--- a/internal/fleet/node_jobs.go
+++ b/internal/fleet/node_jobs.go
@@ -25,13 +25,16 @@
 // jobHeap orders jobs by completion; it implements heap.Interface of container/heap.
 type jobHeap []*job
 
+// Len implements heap.Interface.
 func (jobs jobHeap) Len() int { return len(jobs) }
 
+// Less implements heap.Interface: the earlier completion first.
 func (jobs jobHeap) Less(i, j int) bool {
 	a, b := jobs[i], jobs[j]
 	return a.finishAt < b.finishAt || a.finishAt == b.finishAt && a.order < b.order
 }
 
+// Swap implements heap.Interface.
 func (jobs jobHeap) Swap(i, j int) {
 	jobs[i], jobs[j] = jobs[j], jobs[i]
 	jobs[i].index, jobs[j].index = i, j
--- a/internal/fleet/policies.go
+++ b/internal/fleet/policies.go
@@ -25,10 +25,10 @@
 const (
 	Mothridge  Policy = "mothridge"   // the real decision module
 	Random     Policy = "random"      // any ready endpoint
-	RoundRobin Policy = "round-robin" // the ready endpoints in turn
+	RoundRobin Policy = "round-robin" // the ready endpoints one after the other
 	TwoChoices Policy = "two-choices" // the less loaded of two random ones
 	PeakEWMA   Policy = "peak-ewma"   // the one of two random ones with the lower expected latency
-	Bulkhead   Policy = "bulkhead"    // slots and a queue for each tenant, endpoints in turn
+	Bulkhead   Policy = "bulkhead"    // slots and a queue for each tenant; endpoints as RoundRobin
 )
 
 // knownPolicies are those that a scenario may name; the empty one means Mothridge.
@@ -40,7 +40,7 @@
 // The retry modes. With RetryNaively and RetryWithBudget an attempt waits only for an even part of the submission's
 // time, so that there is time for a further one.
 const (
-	RetryUnstarted  RetryMode = ""       // an attempt has the submission's whole time
+	RetryUnstarted  RetryMode = ""       // an attempt has all of the submission's time
 	RetryNaively    RetryMode = "naive"  // at once, up to MaxAttempts
 	RetryWithBudget RetryMode = "budget" // as RetryNaively, but only as the retry budget allows
 )
--- a/internal/fleet/random.go
+++ b/internal/fleet/random.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// streamStride spreads the numbers of a part's streams over the seeds (2^64 over the golden ratio).
+// streamStride spreads the numbers of a part's streams among the seeds (2^64 divided by the golden ratio).
 const streamStride = 0x9e3779b97f4a7c15
 
 // randomStream returns the random number stream of a part of the model. Parts have streams of their own, so that a
--- a/internal/fleet/random_scenario.go
+++ b/internal/fleet/random_scenario.go
@@ -13,7 +13,11 @@
 	scenario := draw.base(seed)
 	if draw.chance(0.5) {
 		scenario.Node.OverloadCollapse = OverloadCollapse{
-			RequestsPerCore: 2, OnsetTime: time.Second, Slowdown: 2.5, RecoveryTime: 3 * time.Second, MaxDuration: 26 * time.Second,
+			RequestsPerCore: 2,
+			OnsetTime:       time.Second,
+			Slowdown:        2.5,
+			RecoveryTime:    3 * time.Second,
+			MaxDuration:     26 * time.Second,
 		}
 	}
 	if draw.chance(0.5) {
@@ -102,7 +106,8 @@
 	dedupScopes := []DedupScope{DedupScope(policy.ScopeAll), DedupScope(policy.ScopeCell)}
 	return []Class{{
 		Share: 3, Work: 20 * ms, LatencyObjective: 250 * ms, Deadline: 2 * time.Second,
-		Idempotency: Idempotency(policy.IdempotentByKey), DedupWindow: 600 * ms, DedupScope: dedupScopes[draw.random.IntN(2)],
+		Idempotency: Idempotency(policy.IdempotentByKey), DedupWindow: 600 * ms,
+		DedupScope: dedupScopes[draw.random.IntN(2)],
 	}, {
 		Share: 1, Work: 40 * ms, LatencyObjective: 500 * ms, Deadline: 3 * time.Second,
 		Idempotency: Idempotency(policy.NotIdempotent), WorkDistribution: LogNormal, CoefficientOfVariation: 0.8,
--- a/internal/fleet/recorder.go
+++ b/internal/fleet/recorder.go
@@ -11,7 +11,7 @@
 const (
 	maxViolations        = 20   // reported with their texts
 	maxExplanationLines  = 500  // of a request
-	maxSamplesPerOutcome = 5    // worth explaining
+	maxSamplesPerOutcome = 5    // to explain
 	maxWindows           = 3600 // a longer run has longer windows
 
 	maxLatency             = time.Hour // that the histograms hold
@@ -141,7 +141,7 @@
 	_ = recorder.windowLatency.RecordValue(min(micros, recorder.windowLatency.HighestTrackableValue()))
 }
 
-// recordSample keeps the first few submissions of an outcome that are worth explaining.
+// recordSample keeps the first few submissions of an outcome as samples to explain.
 func (recorder *recorder) recordSample(submission *submission, outcome string, took time.Duration) {
 	known := 0
 	for _, sample := range recorder.result.Samples {
--- a/internal/fleet/reference.go
+++ b/internal/fleet/reference.go
@@ -19,7 +19,7 @@
 	ready       []*target // in the order of the list
 	targets     map[policy.EndpointID]*target
 	requests    map[policy.RequestID]*referenceRequest
-	retryBudget float64             // further attempts that may be sent
+	retryBudget float64             // further attempts that it may start
 	bulkheads   []referenceBulkhead // by tenant; none: no submission waits
 }
 
@@ -41,13 +41,13 @@
 	class, tenant  int
 	deadline       time.Duration
 	attemptTimeout time.Duration
-	attempts       []sentAttempt
+	attempts       []referenceAttempt
 	mayHaveRun     bool // one of the attempts may have run
 }
 
-type sentAttempt struct {
-	target *target
-	sentAt time.Duration
+type referenceAttempt struct {
+	target    *target
+	startedAt time.Duration
 }
 
 func newReference(scenario *Scenario, config policy.Config, seed uint64, host policy.Host) *reference {
@@ -89,7 +89,7 @@
 // TimerFired implements balancer; a reference policy sets no timer.
 func (reference *reference) TimerFired(time.Duration) {}
 
-// EndpointsUpdated takes over which endpoints are ready.
+// EndpointsUpdated notes which endpoints are ready.
 func (reference *reference) EndpointsUpdated(_ time.Duration, kind policy.UpdateKind, entries []policy.Endpoint) {
 	switch kind {
 	case policy.FailedUpdate:
@@ -144,7 +144,7 @@
 		return
 	}
 	selected := reference.selector.selectTarget(now, reference.ready)
-	request.attempts = append(request.attempts, sentAttempt{selected, now})
+	request.attempts = append(request.attempts, referenceAttempt{selected, now})
 	selected.inFlight++
 	if reference.bulkheads != nil {
 		reference.bulkheads[request.tenant].inFlight++
@@ -174,7 +174,7 @@
 	}
 	attempt := request.attempts[outcome.Attempt]
 	attempt.target.inFlight--
-	attempt.target.recordLatency(now, now-attempt.sentAt)
+	attempt.target.recordLatency(now, now-attempt.startedAt)
 	if reference.bulkheads != nil {
 		reference.bulkheads[request.tenant].inFlight--
 	}
--- a/internal/fleet/reference_retry.go
+++ b/internal/fleet/reference_retry.go
@@ -11,7 +11,7 @@
 	reference.retryBudget = min(maxRetryBudget, reference.retryBudget+retryBudgetShare)
 }
 
-// mayRetry reports whether a further attempt may be sent, and spends the retry budget for it.
+// mayRetry reports whether a further attempt may start, and spends the retry budget for it.
 func (reference *reference) mayRetry(request *referenceRequest) bool {
 	if len(request.attempts) >= reference.config.MaxAttempts {
 		return false
--- a/internal/fleet/result.go
+++ b/internal/fleet/result.go
@@ -42,13 +42,13 @@
 	Violations []string
 	// Truncated is why the run was ended before its end; empty: it was not.
 	Truncated string
-	// Samples worth explaining, by outcome.
+	// Samples of submissions to explain, by outcome.
 	Samples []Sample
 	// Explanation of Scenario.ExplainRequest.
 	Explanation []ExplanationLine
 }
 
-// Tally counts requests, each over all its submissions.
+// Tally counts requests, each with all its submissions.
 type Tally struct {
 	// Requests that arrived.
 	Requests uint64
@@ -72,7 +72,7 @@
 	P50, P99 time.Duration
 }
 
-// Sample is a submission worth explaining.
+// Sample is a submission that a user may want explained.
 type Sample struct {
 	ID      policy.RequestID
 	Outcome string
@@ -93,7 +93,7 @@
 	return float64(tally.MetObjective) / float64(tally.Requests)
 }
 
-// worstSpan is the number of windows over which WorstWindowShare takes the share.
+// worstSpan is the number of windows of which WorstWindowShare takes the share.
 const worstSpan = 10
 
 // WorstWindowShare returns the least ObjectiveShare of ten windows in a row, or of all if there are fewer.
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -77,7 +77,7 @@
 	return len(submission.effects)
 }
 
-// checkDrained checks rule 3 when an attempt is sent: endpoints that drain or are removed get none.
+// checkDrained checks rule 3 when an attempt starts: endpoints that drain or are removed get none.
 func (sidecar *sidecar) checkDrained(id policy.RequestID, endpoint *sidecarEndpoint) {
 	if since := endpoint.drainingSince; since > 0 && sidecar.now > since+drainGrace+timeSlack {
 		sidecar.reportViolation("rule 3: sidecar %d sends request %d to node %d, %v after it heard that it drains",
--- a/internal/fleet/scenario.go
+++ b/internal/fleet/scenario.go
@@ -19,15 +19,15 @@
 	Nodes int `toml:"nodes"`
 	// Sidecars is the number of sidecars, 1 at least.
 	Sidecars int `toml:"sidecars"`
-	// ArrivalRate is the number of new requests a second over all sidecars; 0: OfferedLoad decides.
+	// ArrivalRate is the number of new requests a second at all sidecars together; 0: OfferedLoad decides.
 	ArrivalRate float64 `toml:"rate,omitempty"`
-	// OfferedLoad decides the arrival rate: work that arrives over the work that all nodes can do. One of the two is set.
+	// OfferedLoad decides the arrival rate: work that arrives / work that all nodes can do. One of the two is set.
 	OfferedLoad float64 `toml:"load,omitempty"`
 	// TrafficSkew is the exponent of Zipf's law: sidecar i has 1/i^TrafficSkew of the traffic; 0: all have the same.
 	TrafficSkew float64 `toml:"skew,omitempty"`
 	// Node is what each node can do.
 	Node NodeParams `toml:"node"`
-	// SpeedFactors of the nodes in turn, multiplied with Node.Speed; none: 1.
+	// SpeedFactors of the nodes, by number modulo their count, multiplied with Node.Speed; none: 1.
 	SpeedFactors []float64 `toml:"speeds,omitempty"`
 	// Network between sidecars and nodes.
 	Network Network `toml:"network,omitempty"`
@@ -76,9 +76,9 @@
 	MaxRequests int `toml:"queue,omitempty"`
 	// InitialSpeedShare is the share of its speed, 0 to 1, that a process has at its start.
 	InitialSpeedShare float64 `toml:"cold_from,omitempty"`
-	// WarmUpTime from the start until a process has its whole speed; 0: it has it at once.
+	// WarmUpTime from the start until a process has its full speed; 0: it has it at once.
 	WarmUpTime time.Duration `toml:"cold_time,omitempty"`
-	// WarmUpOverloadFactor is the offered load, over what the node can do while it warms up, above which it goes
+	// WarmUpOverloadFactor is the offered load / what the node can do while it warms up, above which it goes
 	// down; 0: it does not.
 	WarmUpOverloadFactor float64 `toml:"cold_multiple,omitempty"`
 	// StartsCold: all processes have just started when the run begins.
@@ -156,7 +156,7 @@
 	return work / shares
 }
 
-// meanArrivalRate returns the requests a second over all sidecars.
+// meanArrivalRate returns the requests a second at all sidecars together.
 func (scenario *Scenario) meanArrivalRate() float64 {
 	if scenario.OfferedLoad > 0 {
 		return scenario.OfferedLoad * scenario.Capacity() / scenario.meanWork()
--- a/internal/fleet/scenario_check.go
+++ b/internal/fleet/scenario_check.go
@@ -175,7 +175,8 @@
 func (class *Class) check() error {
 	switch {
 	case !class.timesValid():
-		return fmt.Errorf("share %v, work %v, aim %v and deadline %v: all above 0 are needed, the deadline not before the aim",
+		return fmt.Errorf("share %v, work %v, aim %v and deadline %v: all above 0 are needed, "+
+			"the deadline not before the aim",
 			class.Share, class.Work, class.LatencyObjective, class.Deadline)
 	case !slices.Contains([]WorkDistribution{Exponential, Fixed, LogNormal}, class.WorkDistribution):
 		return fmt.Errorf("spread %q is not known: %q, %q or nothing is meant", class.WorkDistribution, Fixed, LogNormal)
@@ -197,7 +198,8 @@
 		return fmt.Errorf("kind %q is not known: one of %q is meant", fault.Kind, faultKinds)
 	}
 	if !fault.placeValid(scenario) {
-		return fmt.Errorf("node %d of %d, or a share of %v, at %v for %v, every %v: what there is is meant, and no time below 0",
+		return fmt.Errorf("node %d of %d, or a share of %v, at %v for %v, every %v: "+
+			"what there is is meant, and no time below 0",
 			fault.Node, scenario.Nodes, fault.NodeShare, fault.Start, fault.Duration, fault.Period)
 	}
 	switch fault.Kind {
@@ -207,7 +209,8 @@
 		}
 	case TrafficBurst:
 		if !fault.burstValid(scenario) {
-			return fmt.Errorf("burst of %v times of tenant %d for %v: a multiple, a tenant that there is and a time are meant",
+			return fmt.Errorf("burst of %v times of tenant %d for %v: "+
+				"a multiple, a tenant that there is and a time are meant",
 				fault.RateFactor, fault.Tenant, fault.Duration)
 		}
 	case ListOutage, IncompleteList, StaleList:
--- a/internal/fleet/scenario_clients.go
+++ b/internal/fleet/scenario_clients.go
@@ -18,11 +18,11 @@
 	Work time.Duration `toml:"work"`
 	// WorkDistribution about the mean; empty: Exponential.
 	WorkDistribution WorkDistribution `toml:"spread,omitempty"`
-	// CoefficientOfVariation of log-normal work: standard deviation over mean.
+	// CoefficientOfVariation of log-normal work: standard deviation / mean.
 	CoefficientOfVariation float64 `toml:"cv,omitempty"`
 	// LatencyObjective within which a response earns its full value.
 	LatencyObjective time.Duration `toml:"aim"`
-	// Deadline of the client over all its submissions, not before the objective.
+	// Deadline of the client, for all its submissions, not before the objective.
 	Deadline time.Duration `toml:"deadline"`
 	// Idempotency is what repeating the request may do.
 	Idempotency Idempotency `toml:"effect"`
@@ -87,7 +87,7 @@
 	Name string `toml:"name,omitempty"`
 	// Share of the requests, in proportion to the other tenants' shares.
 	Share float64 `toml:"share"`
-	// Quota in requests a second over all sidecars; 0: none is known.
+	// Quota in requests a second at all sidecars together; 0: none is known.
 	Quota float64 `toml:"quota,omitempty"`
 }
 
@@ -108,7 +108,7 @@
 	RetriesFailures bool `toml:"insists,omitempty"`
 }
 
-// Wave varies the arrival rate by a sine, as over a day.
+// Wave varies the arrival rate by a sine, as in a day.
 type Wave struct {
 	// Period of the sine; 0: the rate is constant.
 	Period time.Duration `toml:"period,omitempty"`
--- a/internal/fleet/sidecar.go
+++ b/internal/fleet/sidecar.go
@@ -58,7 +58,7 @@
 	sidecar.subscribed = !sidecar.scenario.List.WatchRequired
 	sidecar.balancer.Start(sidecar.clockTime())
 	if sidecar.subscribed {
-		sidecar.applyList(sidecar.listedHealth())
+		sidecar.applyList(sidecar.publishedHealth())
 	}
 	return nil
 }
@@ -86,7 +86,7 @@
 	if err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
-	if sidecar.incarnation == 0 { // the ticks go on over restarts
+	if sidecar.incarnation == 0 { // restarts leave the ticks as they are
 		sidecar.scheduleEvent(membershipTickInterval, sidecar, membershipTick)
 	}
 	return nil
@@ -188,5 +188,6 @@
 			sidecar.tickMembership()
 		}
 		sidecar.scheduleEvent(membershipTickInterval, sidecar, membershipTick)
+	default: // the kinds of other handlers
 	}
 }
--- a/internal/fleet/single_node.go
+++ b/internal/fleet/single_node.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// SingleNode is one node of the model by itself. Its caller supplies the time, so that the same node can serve over
+// SingleNode is one node of the model by itself. Its caller supplies the time, so that the same node can serve on
 // a real socket. It is not safe for concurrent use.
 type SingleNode struct {
 	events eventQueue
--- a/internal/fleet/submission.go
+++ b/internal/fleet/submission.go
@@ -7,7 +7,7 @@
 	"mothridge/quota"
 )
 
-// clientRequest is a client's request over all its submissions.
+// clientRequest is a client's request with all its submissions.
 type clientRequest struct {
 	firstID       policy.RequestID // of the first submission
 	class         int              // index into Scenario.Classes
@@ -93,7 +93,8 @@
 // handleEvent is the end of the time in which a submission must have its response (rule 1).
 func (submission *submission) handleEvent(eventKind) {
 	sidecar := submission.sidecar
-	sidecar.reportViolation("rule 1: request %d of sidecar %d has no answer before its deadline", submission.id, sidecar.number)
+	sidecar.reportViolation("rule 1: request %d of sidecar %d has no answer before its deadline",
+		submission.id, sidecar.number)
 	sidecar.result.Failed++
 	sidecar.complete(submission)
 	sidecar.balancer.ClientDisconnected(sidecar.clockTime(), submission.id)
