--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -68,8 +68,7 @@
 		return 1
 	}
 	passed := float64(node.events.now-node.startedAt) / float64(node.params.WarmUpTime)
-	initial := node.params.InitialSpeedShare
-	return min(1, initial+(1-initial)*max(0, passed))
+	return min(1, node.params.InitialSpeedShare+(1-node.params.InitialSpeedShare)*max(0, passed))
 }
 
 // speedFactor returns the share of its speed that the node has now.
