--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -6,261 +6,177 @@
 	"time"
 )
 
-// node serves what it is sent: all requests that it holds share its cores
-// evenly (processor sharing), none gets more than one of them.
+// node models an upstream process as a queue with processor sharing: all requests that it holds share its cores
+// evenly, and none gets more than one core.
 //
-// It works by virtual time: attained is the service that a request there since
-// the beginning would have had. A request that comes now ends when attained has
-// grown by its work, so that the order of ends changes with no arrival.
+// It works in virtual time: attained is the service that a request would have had that was there from the start. A
+// request is done when attained has grown by its work, so the order of completions does not change with arrivals and
+// each arrival or completion costs O(log n).
 type node struct {
-	engine *engine
-	p      NodeParams
+	events *eventQueue
+	params NodeParams
 	number int
 
-	attained float64 // seconds of service for each request
-	asOf     time.Duration
-	held     jobs
-	next     timer // the first end, as it is foreseen
+	attained        float64       // seconds of service per request, on a core of speed 1
+	attainedAt      time.Duration // simulated time up to which attained is worked out
+	jobs            jobHeap
+	completionTimer timer // of the first completion as it is foreseen
 
-	started time.Duration // of its process; cold from then on
-	process int           // counts its processes: what came to one before is lost
-	hangs   bool
-	mute    bool    // it works, but nothing comes back
-	deaf    bool    // nothing comes to it
-	breaks  float64 // share of its answers that are lost with their connections
-	stolen  float64 // share of its cores that others take
-	down    bool    // fell over, or is off
-	drains  bool
-	open    int // connections
+	startedAt   time.Duration // start of its process; it warms up from then on
+	incarnation int           // number of its process: attempts on the way to an earlier one are lost
+	down        bool          // no process runs
 
-	choked bool  // the slow state after overload
-	turns  timer // into it, or out of it
-	gives  timer // out of it at the latest
+	// Faults that are in effect.
+	hanging        bool    // it accepts requests and does not work on them
+	dropsResponses bool    // it works, but its responses are lost
+	dropsRequests  bool    // requests to it are lost
+	resetShare     float64 // share of its responses that are lost with their connections
+	stolenShare    float64 // share of its cores that others use
 
-	served, turnedAway, chokes uint64
-	busy                       float64 // core-seconds
+	connections int // open ones
+
+	collapsed        bool  // overload collapse: it works more slowly
+	collapseTimer    timer // of the next change of collapsed
+	collapseEndTimer timer // of the latest end of a collapse
+
+	served, rejected, collapses uint64
+	busyCoreSeconds             float64
 }
 
 // The events of a node.
 const (
-	nodeEnds  what = iota // the next request has had its service, or the speed changes
-	nodeTurns             // it was crowded, or idle, for long enough
-	nodeGives             // the slow state ends by itself
+	nodeCompletes     eventKind = iota // the next job is done, or the speed changes
+	nodeCollapseTurns                  // it was overloaded, or idle, for long enough
+	nodeCollapseEnds                   // a collapse has lasted for as long as it may
 )
 
-func (n *node) act(w what) {
-	switch w {
-	case nodeEnds:
-		n.serve()
-	case nodeTurns:
-		n.choke(!n.choked)
-	case nodeGives:
-		n.choke(false)
-	}
-}
-
-// job is a request at a node.
-type job struct {
-	ends  float64 // attained service at which it does
-	order uint64
-	owner customer // nil: nobody wants to hear of its end
-	index int      // in the heap; -1: it is out
-}
-
-// customer hears of the end of its job, false where it was lost.
-type customer interface{ jobEnded(ok bool) }
-
-// end tells a job's owner.
-func (j *job) end(ok bool) {
-	if j.owner != nil {
-		j.owner.jobEnded(ok)
+func (node *node) handleEvent(kind eventKind) {
+	switch kind {
+	case nodeCompletes:
+		node.completeJobs()
+	case nodeCollapseTurns:
+		node.setCollapsed(!node.collapsed)
+	case nodeCollapseEnds:
+		node.setCollapsed(false)
+	default: // the kinds of other handlers
 	}
 }
 
-// whenEnded is a customer that is a function.
-type whenEnded func(ok bool)
-
-func (f whenEnded) jobEnded(ok bool) { f(ok) }
-
-// warmth is the share of its speed that a node's process has reached.
-func (n *node) warmth() float64 {
-	if n.p.ColdTime <= 0 || n.started == 0 && !n.p.Fresh {
+// warmUpShare returns the share of its speed that the node's process has reached since its start.
+func (node *node) warmUpShare() float64 {
+	if node.params.WarmUpTime <= 0 || node.startedAt == 0 && !node.params.StartsCold {
 		return 1
 	}
-	warm := float64(n.engine.now-n.started) / float64(n.p.ColdTime)
-	return min(1, n.p.ColdFrom+(1-n.p.ColdFrom)*max(0, warm))
+	passed := float64(node.events.now-node.startedAt) / float64(node.params.WarmUpTime)
+	return min(1, node.params.InitialSpeedShare+(1-node.params.InitialSpeedShare)*max(0, passed))
 }
 
-// capacity is the share of its full speed that a node has.
-func (n *node) capacity() float64 {
-	if n.hangs || n.down {
+// speedFactor returns the share of its speed that the node has now.
+func (node *node) speedFactor() float64 {
+	if node.hanging || node.down {
 		return 0
 	}
-	c := n.warmth() * (1 - n.stolen)
-	if n.choked {
-		c /= n.p.Choke.Times
+	factor := node.warmUpShare() * (1 - node.stolenShare)
+	if node.collapsed {
+		factor /= node.params.OverloadCollapse.Slowdown
 	}
-	return c
+	return factor
 }
 
-// rate is how fast attained grows: each request has a core at the most.
-func (n *node) rate() float64 {
-	if len(n.held) == 0 {
+// serviceRate returns how fast attained grows.
+func (node *node) serviceRate() float64 {
+	if len(node.jobs) == 0 {
 		return 0
 	}
-	return n.p.Speed * n.capacity() * min(1, float64(n.p.Cores)/float64(len(n.held)))
+	coresPerJob := min(1, float64(node.params.Cores)/float64(len(node.jobs)))
+	return node.params.Speed * node.speedFactor() * coresPerJob
 }
 
 // advance brings the virtual time up to now.
-func (n *node) advance() {
-	passed := (n.engine.now - n.asOf).Seconds()
-	n.attained += passed * n.rate()
-	n.busy += passed * float64(min(len(n.held), n.p.Cores))
-	n.asOf = n.engine.now
+func (node *node) advance() {
+	passed := (node.events.now - node.attainedAt).Seconds()
+	node.attained += passed * node.serviceRate()
+	node.busyCoreSeconds += passed * float64(min(len(node.jobs), node.params.Cores))
+	node.attainedAt = node.events.now
 }
 
-// warming is how often a cold node's speed is brought up to date.
-const warming = 100 * time.Millisecond
-
-// foresee sets when the next request ends, or the speed changes.
-func (n *node) foresee() {
-	n.watch()
-	rate := n.rate()
-	if rate <= 0 {
-		n.engine.cancel(n.next)
-		return
-	}
-	d := time.Duration(math.Ceil(max(0, n.held[0].ends-n.attained) / rate * 1e9))
-	if n.warmth() < 1 {
-		d = min(d, warming)
-	}
-	if !n.engine.move(n.next, d) {
-		n.next = n.engine.put(d, n, nodeEnds)
-	}
+// change applies a change of the node's state from now on.
+func (node *node) change(apply func()) {
+	node.advance()
+	apply()
+	node.scheduleCompletion()
 }
 
-// watch follows what leads into the slow state after overload, and out of it.
-func (n *node) watch() {
-	c := &n.p.Choke
-	if c.Times <= 1 {
+// warmUpStep is how often the speed of a node that warms up is brought up to date.
+const warmUpStep = 100 * time.Millisecond
+
+// scheduleCompletion sets the timer to the next completion or change of speed.
+func (node *node) scheduleCompletion() {
+	node.watchOverload()
+	rate := node.serviceRate()
+	if rate <= 0 {
+		node.events.cancel(node.completionTimer)
 		return
 	}
-	on, after := float64(len(n.held)) > c.Above*float64(n.p.Cores), c.After
-	if n.choked {
-		on, after = 2*len(n.held) <= n.p.Cores, c.Rest // mostly idle
+	delay := time.Duration(math.Ceil(max(0, node.jobs[0].finishAt-node.attained) / rate * 1e9))
+	if node.warmUpShare() < 1 {
+		delay = min(delay, warmUpStep)
 	}
-	switch {
-	case !on:
-		n.engine.cancel(n.turns)
-	case !n.turns.armed():
-		n.turns = n.engine.put(after, n, nodeTurns)
+	if !node.events.reschedule(node.completionTimer, delay) {
+		node.completionTimer = node.events.scheduleEvent(delay, node, nodeCompletes)
 	}
 }
 
-// choke takes a node into the slow state, or out of it.
-func (n *node) choke(on bool) {
-	n.set(func() {
-		n.choked = on
-		n.engine.cancel(n.turns)
-		n.engine.cancel(n.gives)
-		if on {
-			n.chokes++
-			if n.p.Choke.Longest > 0 {
-				n.gives = n.engine.put(n.p.Choke.Longest, n, nodeGives)
-			}
-		}
-	})
-}
-
-// epsilon allows for what rounding to nanoseconds leaves, in seconds of service.
-const epsilon = 1e-9
+// serviceTolerance allows for rounding to nanoseconds, in seconds of service.
+const serviceTolerance = 1e-9
 
-// serve ends the requests that have had their service.
-func (n *node) serve() {
-	n.advance()
-	for len(n.held) > 0 && n.held[0].ends <= n.attained+epsilon {
-		j := heap.Pop(&n.held).(*job)
-		n.served++
-		j.end(true)
+// completeJobs ends the jobs that have had their service.
+func (node *node) completeJobs() {
+	node.advance()
+	for len(node.jobs) > 0 && node.jobs[0].finishAt <= node.attained+serviceTolerance {
+		done := heap.Pop(&node.jobs).(*job)
+		node.served++
+		done.finish(true)
 	}
-	n.foresee()
+	node.scheduleCompletion()
 }
 
-// take takes a job of so much work, in seconds of a core of speed 1; false says
-// that it is turned away.
-func (n *node) take(j *job, work float64) bool {
-	if n.down || n.p.Queue > 0 && len(n.held) >= n.p.Queue {
-		n.turnedAway++
+// accept takes a job with its work in seconds of a core of speed 1. It reports false if the node is down or full.
+func (node *node) accept(accepted *job, work float64) bool {
+	full := node.params.MaxRequests > 0 && len(node.jobs) >= node.params.MaxRequests
+	if node.down || full {
+		node.rejected++
 		return false
 	}
-	n.advance()
-	n.engine.last++
-	j.ends, j.order = n.attained+work, n.engine.last
-	heap.Push(&n.held, j)
-	n.foresee()
+	node.advance()
+	node.events.lastOrder++
+	accepted.finishAt, accepted.order = node.attained+work, node.events.lastOrder
+	heap.Push(&node.jobs, accepted)
+	node.scheduleCompletion()
 	return true
 }
 
-// drop takes a request off that nobody waits for any more.
-func (n *node) drop(j *job) {
-	if j.index < 0 || n.p.KeepsAbandoned {
+// withdraw removes a job whose result is no longer wanted, unless the node completes those too.
+func (node *node) withdraw(withdrawn *job) {
+	if withdrawn.index < 0 || node.params.KeepsAbandoned {
 		return
 	}
-	n.advance()
-	heap.Remove(&n.held, j.index)
-	n.foresee()
+	node.advance()
+	heap.Remove(&node.jobs, withdrawn.index)
+	node.scheduleCompletion()
 }
 
-// restart ends the process and all that it holds; up begins another one, which
-// is cold.
-func (n *node) restart(up bool) {
-	n.advance()
-	held := n.held
-	n.held, n.open = nil, 0
-	n.process++
-	n.engine.cancel(n.turns)
-	n.engine.cancel(n.gives)
-	n.set(func() { n.started, n.down, n.choked = n.engine.now, !up, false })
-	for _, j := range held { // in the heap's order, which the seed alone decides
-		j.index = -1
-		j.end(false)
+// restart ends the process with all that it holds; up starts the next one, which warms up.
+func (node *node) restart(up bool) {
+	node.advance()
+	lost := node.jobs
+	node.jobs, node.connections = nil, 0
+	node.incarnation++
+	node.events.cancel(node.collapseTimer)
+	node.events.cancel(node.collapseEndTimer)
+	node.change(func() { node.startedAt, node.down, node.collapsed = node.events.now, !up, false })
+	for _, job := range lost { // in the heap's order, which only the seed decides
+		job.index = -1
+		job.finish(false)
 	}
 }
-
-// set changes what a node is, from now on.
-func (n *node) set(change func()) {
-	n.advance()
-	change()
-	n.foresee()
-}
-
-// jobs is a heap of container/heap, the first to end first.
-type jobs []*job
-
-func (q jobs) Len() int { return len(q) }
-
-func (q jobs) Less(i, j int) bool {
-	return q[i].ends < q[j].ends || q[i].ends == q[j].ends && q[i].order < q[j].order
-}
-
-func (q jobs) Swap(i, j int) {
-	q[i], q[j] = q[j], q[i]
-	q[i].index, q[j].index = i, j
-}
-
-// Push is container/heap's.
-func (q *jobs) Push(x any) {
-	j := x.(*job)
-	j.index = len(*q)
-	*q = append(*q, j)
-}
-
-// Pop is container/heap's.
-func (q *jobs) Pop() any {
-	n := len(*q) - 1
-	x := (*q)[n]
-	(*q)[n] = nil // let go
-	*q = (*q)[:n]
-	x.index = -1
-	return x
-}
