--- a/cmd/fleetsim/sockets.go
+++ b/cmd/fleetsim/sockets.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := load.Run(ctx, load.Options{Scenario: s, Protocol: protocol(c.Protocol), Targets: c.Target, Most: c.Most, Progress: live(o.log)})
+	r, err := load.Run(ctx, load.Options{Scenario: s, Protocol: protocol(c.Protocol), Targets: c.Target, MaxRequests: c.Most, Progress: live(o.log)})
 	if r == nil {
 		return err
 	}
@@ -48,8 +48,8 @@
 	for _, q := range []float64{50, 90, 99, 99.9, 100} {
 		fmt.Fprintf(o.out, "p%-5v %v\n", q, quantile(&r.Result, q))
 	}
-	fmt.Fprintf(o.out, "the generator sent 99%% of the requests within %v of their time\n", time.Duration(r.Late.ValueAtQuantile(99))*time.Microsecond)
-	for _, odd := range r.Odd {
+	fmt.Fprintf(o.out, "the generator sent 99%% of the requests within %v of their time\n", time.Duration(r.StartDelay.ValueAtQuantile(99))*time.Microsecond)
+	for _, odd := range r.Unexpected {
 		fmt.Fprintln(o.out, odd)
 	}
 	return err
@@ -74,15 +74,15 @@
 	e.SetIndent("", "  ")
 	return e.Encode(map[string]any{
 		"asked": r.Submissions, "served": r.Served, "refused": r.Rejected, "failed": r.Failed, "lost": r.Lost,
-		"measures": out, "latency": steps, "late_p99_ms": float64(r.Late.ValueAtQuantile(99)) / 1e3, "odd": r.Odd,
+		"measures": out, "latency": steps, "late_p99_ms": float64(r.StartDelay.ValueAtQuantile(99)) / 1e3, "odd": r.Unexpected,
 	})
 }
 
 // live writes a line a second.
 func live(w io.Writer) func(load.Progress) {
 	return func(p load.Progress) {
-		fmt.Fprintf(w, "%5.0f of %.0f s  sent %6d of %d  open %4d  served %6d  refused %5d  failed %4d  lost %3d  p50 %v  p99 %v\n", p.Gone.Seconds(), p.Whole.Seconds(),
-			p.Sent, p.Of, p.Open, p.Served, p.Refused, p.Failed, p.Lost, p.P50.Round(100*time.Microsecond), p.P99.Round(100*time.Microsecond))
+		fmt.Fprintf(w, "%5.0f of %.0f s  sent %6d of %d  open %4d  served %6d  refused %5d  failed %4d  lost %3d  p50 %v  p99 %v\n", p.Elapsed.Seconds(), p.Duration.Seconds(),
+			p.Started, p.Total, p.InFlight, p.Served, p.Rejected, p.Failed, p.Lost, p.P50.Round(100*time.Microsecond), p.P99.Round(100*time.Microsecond))
 	}
 }
 
@@ -152,7 +152,7 @@
 				quantile(r, 50), quantile(r, 90), quantile(r, 99), late, broken)
 		}
 		row("model", model, "", len(model.Violations))
-		row("sockets", &played.Result, (time.Duration(played.Late.ValueAtQuantile(99)) * time.Microsecond).String(), len(played.Violations)+len(played.Odd))
+		row("sockets", &played.Result, (time.Duration(played.StartDelay.ValueAtQuantile(99)) * time.Microsecond).String(), len(played.Violations)+len(played.Unexpected))
 		off := func(a, b float64) string { return fmt.Sprintf("%+.1f%%", 100*(b/math.Max(a, 1e-9)-1)) }
 		q := func(p float64) string {
 			return off(float64(model.Latency.ValueAtQuantile(p)), float64(played.Latency.ValueAtQuantile(p)))
@@ -162,7 +162,7 @@
 		}
 		fmt.Fprintf(w, "\toff\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\t\t\n", n(model.Submissions, played.Submissions), n(model.Served, played.Served), n(model.Rejected, played.Rejected),
 			n(model.Failed, played.Failed), off(model.ObjectiveShare(), played.ObjectiveShare()), q(50), q(90), q(99))
-		for _, odd := range played.Odd {
+		for _, odd := range played.Unexpected {
 			fmt.Fprintln(o.log, odd)
 		}
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -42,10 +42,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Requests != model.Requests || r.Submissions != r.Served+r.Rejected+r.Failed+r.Lost || r.Lost > 0 || len(r.Violations)+len(r.Odd) > 0 || r.ObjectiveShare() < 0.8 {
-			t.Errorf("over %s: %d of %d requests came; %+v, good %.3f, %q %q", p, r.Requests, model.Requests, r.Tally, r.ObjectiveShare(), r.Violations, r.Odd)
+		if r.Requests != model.Requests || r.Submissions != r.Served+r.Rejected+r.Failed+r.Lost || r.Lost > 0 || len(r.Violations)+len(r.Unexpected) > 0 || r.ObjectiveShare() < 0.8 {
+			t.Errorf("over %s: %d of %d requests came; %+v, good %.3f, %q %q", p, r.Requests, model.Requests, r.Tally, r.ObjectiveShare(), r.Violations, r.Unexpected)
 		}
-		if len(seen) == 0 || seen[0].Sent == 0 {
+		if len(seen) == 0 || seen[0].Started == 0 {
 			t.Errorf("progress: %+v", seen)
 		}
 	}
@@ -69,7 +69,7 @@
 	stall.Lock()
 	timer := time.AfterFunc(600*ms, stall.Unlock)
 	defer timer.Stop()
-	r, err := Run(context.Background(), Options{Scenario: s, Protocol: peers.HTTP, Targets: []string{n.Addr()}, Most: 10_000})
+	r, err := Run(context.Background(), Options{Scenario: s, Protocol: peers.HTTP, Targets: []string{n.Addr()}, MaxRequests: 10_000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	if took := time.Since(began); took < 95*ms {
 		t.Errorf("two requests of 50 ms on a core took %v", took)
 	}
-	end := n.Strike(fleet.Fault{Kind: fleet.Hang})
+	end := n.BeginFault(fleet.Fault{Kind: fleet.Hang})
 	hung := n.Script(peers.Call{})
 	close(given)
 	if hung.Wait(given) != peers.Reset {
@@ -100,7 +100,7 @@
 	}
 	end()
 	lost := n.Script(peers.Call{})
-	n.Strike(fleet.Fault{Kind: fleet.Restart})
+	n.BeginFault(fleet.Fault{Kind: fleet.Restart})
 	if lost.Wait(make(chan struct{})) != peers.Reset {
 		t.Error("a restart answers what it held")
 	}
@@ -125,10 +125,10 @@
 		}
 	}
 	for _, o := range []Options{
-		{Scenario: small(), Targets: []string{"192.0.2.1:80"}, Most: 1000}, {Scenario: small(), Most: 1000}, {Scenario: small(), Targets: []string{"127.0.0.1:1"}, Most: 3},
+		{Scenario: small(), Targets: []string{"192.0.2.1:80"}, MaxRequests: 1000}, {Scenario: small(), MaxRequests: 1000}, {Scenario: small(), Targets: []string{"127.0.0.1:1"}, MaxRequests: 3},
 	} {
 		if _, err := Run(context.Background(), o); err == nil {
-			t.Errorf("targets %q with a bound of %d are loaded", o.Targets, o.Most)
+			t.Errorf("targets %q with a bound of %d are loaded", o.Targets, o.MaxRequests)
 		}
 	}
 }
