--- a/internal/core/endpoint.go
+++ b/internal/core/endpoint.go
@@ -22,7 +22,7 @@
 // The states. Unknown values count as Draining: no new attempts.
 const (
 	Draining Health = iota
-	Up
+	Ready
 	Removed
 )
 
--- a/internal/core/endpoint_table.go
+++ b/internal/core/endpoint_table.go
@@ -110,7 +110,7 @@
 	endpoint := t.byName[entry.Name]
 	appeared := endpoint == nil && t.discovered
 	if !validAddress(entry.Addr) {
-		if endpoint == nil || entry.Health == Up {
+		if endpoint == nil || entry.Health == Ready {
 			return policy.Endpoint{}, false
 		}
 		entry.Addr = endpoint.entry.Addr // it gets no new attempts: its address does not matter
@@ -123,7 +123,7 @@
 	}
 	endpoint.updateStart(entry, appeared, now, confirmedAt)
 	endpoint.entry = entry
-	if entry.Health == Up {
+	if entry.Health == Ready {
 		endpoint.closedAt.Store(0)
 	} else {
 		endpoint.close(now)
@@ -183,7 +183,7 @@
 // forPolicy returns the Balancer's value for a state; unknown ones mean no new attempts.
 func (h Health) forPolicy() policy.Health {
 	switch h {
-	case Up:
+	case Ready:
 		return policy.Ready
 	case Removed:
 		return policy.Removed
--- a/internal/core/endpoint_table_test.go
+++ b/internal/core/endpoint_table_test.go
@@ -12,7 +12,7 @@
 	core := newTestCore(t)
 	core.updateEndpoints(policy.FullUpdate, EndpointUpdate{Complete: true, Endpoints: []Endpoint{
 		{},
-		{Addr: "127.0.0.1:7", Health: Up},
+		{Addr: "127.0.0.1:7", Health: Ready},
 		upEndpoint("s-2", "nowhere"),
 		upEndpoint("s-1", "127.0.0.1:7"),
 		upEndpoint("s-3", "127.0.0.1:8"),
@@ -33,7 +33,7 @@
 		return endpoint
 	}
 	cell := 3
-	entry := Endpoint{Name: "s-1", Addr: "127.0.0.1:7", Zone: "a", Cell: &cell, Health: Up, Weight: 1.5}
+	entry := Endpoint{Name: "s-1", Addr: "127.0.0.1:7", Zone: "a", Cell: &cell, Health: Ready, Weight: 1.5}
 	first := upsert(entry)
 	want := policy.Endpoint{ID: first.ID, Cell: 3, Health: policy.Ready, Weight: 1.5}
 	if first != want {
@@ -52,8 +52,8 @@
 	if removed := upsert(entry); removed.ID != first.ID || removed.Health != policy.Removed {
 		t.Errorf("removed without an address gives %+v", removed)
 	}
-	second := upsert(Endpoint{Name: "s-2", Addr: "127.0.0.1:9", Zone: "elsewhere", Health: Up})
-	third := upsert(Endpoint{Name: "s-3", Addr: "127.0.0.1:9", Zone: "elsewhere", Health: Up})
+	second := upsert(Endpoint{Name: "s-2", Addr: "127.0.0.1:9", Zone: "elsewhere", Health: Ready})
+	third := upsert(Endpoint{Name: "s-3", Addr: "127.0.0.1:9", Zone: "elsewhere", Health: Ready})
 	if second.ID == first.ID || second.Zone == 0 || second.Zone != third.Zone || second.Cell == third.Cell {
 		t.Errorf("endpoints %+v and %+v", second, third)
 	}
@@ -64,7 +64,7 @@
 func TestStartBeforeThisProcess(t *testing.T) {
 	core := newTestCore(t)
 	startedAt := time.Duration(time.Now().Add(-2 * time.Second).UnixNano())
-	entry := Endpoint{Name: "s-1", Addr: "127.0.0.1:7", Health: Up, StartedAt: startedAt}
+	entry := Endpoint{Name: "s-1", Addr: "127.0.0.1:7", Health: Ready, StartedAt: startedAt}
 	endpoint, usable := core.endpoints.upsert(entry, core.now, 0)
 	age := core.clock.now() - endpoint.StartedAt
 	if !usable || endpoint.StartedAt <= 0 || age < time.Second || age > peertest.WaitTimeout {
@@ -75,7 +75,7 @@
 func TestStartAheadOfTheClockStays(t *testing.T) {
 	core := newTestCore(t)
 	startedAt := time.Duration(time.Now().Add(time.Hour).UnixNano())
-	entry := Endpoint{Name: "s-2", Addr: "127.0.0.1:7", Health: Up, StartedAt: startedAt}
+	entry := Endpoint{Name: "s-2", Addr: "127.0.0.1:7", Health: Ready, StartedAt: startedAt}
 	first, _ := core.endpoints.upsert(entry, core.now, 0)
 	core.now = core.clock.now() + time.Second
 	again, _ := core.endpoints.upsert(entry, core.now, 0)
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -43,7 +43,7 @@
 }
 
 func upEndpoint(name, address string) Endpoint {
-	return Endpoint{Name: name, Addr: address, Zone: "a", Health: Up, Weight: 1}
+	return Endpoint{Name: name, Addr: address, Zone: "a", Health: Ready, Weight: 1}
 }
 
 // unresponsiveUpstream never responds.
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -3,7 +3,8 @@
 import "time"
 
 // Message is what is forwarded to an upstream, in terms of no protocol. Fields and Body must not
-// be changed after Submit: concurrent attempts read them.
+// be changed after Submit: the goroutine of an attempt reads them, also after the client has
+// disconnected.
 type Message struct {
 	Method string              // GET if the request is safe to repeat, else POST
 	Target string              // path and query, as received
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -11,8 +11,8 @@
 const ResponseMargin = 5 * time.Millisecond
 
 // Request is a client's request. Its listener sets the exported fields; each Handler that it
-// passes may wrap Respond and OnClientGone before it calls the next one. From Submit to the Core
-// on, nothing changes them.
+// passes may wrap Respond before it calls the next one; only package quotas sets OnClientGone. From
+// Submit to the Core on, nothing changes them.
 type Request struct {
 	Message
 	ID           string        // Request-Id: while it is in use, another request with it is a Duplicate
--- a/internal/front/rpcfront/front.go
+++ b/internal/front/rpcfront/front.go
@@ -18,9 +18,9 @@
 	"mothridge/policy"
 )
 
-// Handler takes requests: a core.Handler, or what stands before it.
+// Handler takes requests: the core.Handler that is first in the chain.
 type Handler interface {
-	// Submit takes a request; its Respond is called once, also before Submit returns.
+	// Submit takes a request; its Respond is called once, possibly before Submit returns.
 	Submit(*core.Request)
 	// Abandon says that a request's client has disconnected or cancelled it.
 	Abandon(*core.Request)
--- a/internal/hook/limits.go
+++ b/internal/hook/limits.go
@@ -53,17 +53,17 @@
 type RuntimeError struct {
 	File     string
 	Line     int
-	Function string // the function
+	Function string // in which it failed
 	Err      error
 }
 
 // Error returns position, function and reason.
-func (f *RuntimeError) Error() string {
-	return fmt.Sprintf("%s:%d: in %s: %v", f.File, f.Line, f.Function, f.Err)
+func (e *RuntimeError) Error() string {
+	return fmt.Sprintf("%s:%d: in %s: %v", e.File, e.Line, e.Function, e.Err)
 }
 
 // Unwrap returns the reason.
-func (f *RuntimeError) Unwrap() error { return f.Err }
+func (e *RuntimeError) Unwrap() error { return e.Err }
 
 // valueError returns an error that is ErrValue.
 func valueError(format string, args ...any) error {
--- a/internal/hook/machine.go
+++ b/internal/hook/machine.go
@@ -38,7 +38,7 @@
 }
 
 // Run runs a program's hook for the event's kind; without such a hook it does nothing. The store may
-// be nil if the program declares no state. An error is a *Failure; the Result then has no effects,
+// be nil if the program declares no state. An error is a *RuntimeError; the Result then has no effects,
 // but the fuel and memory that were spent.
 func (m *Machine) Run(p *Program, event *Event, store Store, limits Limits) (Result, error) {
 	number, ok := p.hooks[event.Kind]
--- a/internal/operator/eureka.go
+++ b/internal/operator/eureka.go
@@ -4,8 +4,8 @@
 type Eureka struct {
 	Name          string   `toml:"name"`
 	Replicas      []URL    `toml:"replicas"`    // base URLs, the preferred one first
-	Apps          []string `toml:"apps"`        // applications to read; none: all
-	VIPs          []string `toml:"vips"`        // virtual addresses to read; none: all
+	Apps          []string `toml:"apps"`        // applications to read; all where Apps and VIPs are both empty
+	VIPs          []string `toml:"vips"`        // virtual addresses to read
 	Format        Format   `toml:"format"`      // empty: JSON
 	Interval      Duration `toml:"interval"`    // between two reads; empty: the client's default
 	Timeout       Duration `toml:"timeout"`     // of one read; empty: the client's default
--- a/internal/operator/limits.go
+++ b/internal/operator/limits.go
@@ -1,7 +1,7 @@
 package operator
 
-// Limits is the [limits] table: bounds of the process. All but Slots count with a
-// [sidecar] table alone; else the platform sets them.
+// Limits is the [limits] table: bounds of the process. All but Slots apply
+// only with a [sidecar] table; else the platform sets them.
 type Limits struct {
 	// Slots is how many attempts may be in flight at once, of all tenants together; 0: the number
 	// that the settings give.
--- a/internal/plugin/effects.go
+++ b/internal/plugin/effects.go
@@ -135,7 +135,7 @@
 }
 
 func (t *transaction) refuse(e *hook.Effect) error {
-	if !t.plugin.spec.MayRefuse {
+	if !t.plugin.spec.MayReject {
 		return denied("a refusal: may_refuse of the plug-in's manifest is not set")
 	}
 	t.refusal = &core.Response{
--- a/internal/plugin/gate.go
+++ b/internal/plugin/gate.go
@@ -104,7 +104,7 @@
 			return fmt.Errorf("plug-in %q: there is no tenant %q: one of %q is meant", spec.Name, tenant, g.cfg.Tenants)
 		}
 	}
-	for _, class := range spec.Refused {
+	for _, class := range spec.RejectClasses {
 		if !slices.Contains(g.cfg.Classes, class) {
 			return fmt.Errorf("plug-in %q: there is no class %q: one of %q is meant", spec.Name, class, g.cfg.Classes)
 		}
--- a/internal/plugin/member.go
+++ b/internal/plugin/member.go
@@ -16,7 +16,7 @@
 // healthNames are the values of event.state.
 var healthNames = [...]string{
 	core.Draining: "draining",
-	core.Up:       "up",
+	core.Ready:    "up",
 	core.Removed:  "removed",
 }
 
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -71,7 +71,7 @@
 
 // What a request goes on with, or how it is refused, and that each has one answer.
 func TestEffects(t *testing.T) {
-	all := Spec{Name: "p", Headers: []string{"X-*", "Tenant"}, Tenants: []string{"lockyer"}, MayRefuse: true}
+	all := Spec{Name: "p", Headers: []string{"X-*", "Tenant"}, Tenants: []string{"lockyer"}, MayReject: true}
 	for _, x := range []struct {
 		name, program string
 		change        func(*Spec)
@@ -92,10 +92,10 @@
 		{"a header that grows over the bound", `on request { var s = "xxxxxxxx"  for i in 0..11 { s = s + s } set_header("X-A", s)  tag("x") }`, nil, nil, map[string][]string{}, 0, 1},
 		{"half of the effects before a failure", `on request { set_header("X-A", "1")  set_tenant("lockyer")  let z = 0  tag(text(1 / z)) }`, nil, nil, map[string][]string{}, 0, 1},
 		{"a refusal", `on request { set_header("X-A", "1")  refuse("out\nside", 2s) }`, nil, nil, nil, 0, 0},
-		{"a refusal that is not allowed", `on request { refuse("no", 2s) }`, func(s *Spec) { s.MayRefuse = false }, nil, map[string][]string{}, 0, 1},
-		{"a failure that refuses", `on request { let z = 0  tag(text(1 / z)) }`, func(s *Spec) { s.Refuse = true }, nil, nil, 0, 1},
-		{"a failure that refuses this class", `on request { let z = 0  tag(text(1 / z)) }`, func(s *Spec) { s.Refused = []string{"weight-reading"} }, nil, nil, 0, 1},
-		{"a failure that refuses another class", `on request { let z = 0  tag(text(1 / z)) }`, func(s *Spec) { s.Refused = []string{"harvest-entry"} }, nil, map[string][]string{}, 0, 1},
+		{"a refusal that is not allowed", `on request { refuse("no", 2s) }`, func(s *Spec) { s.MayReject = false }, nil, map[string][]string{}, 0, 1},
+		{"a failure that refuses", `on request { let z = 0  tag(text(1 / z)) }`, func(s *Spec) { s.RejectOnFailure = true }, nil, nil, 0, 1},
+		{"a failure that refuses this class", `on request { let z = 0  tag(text(1 / z)) }`, func(s *Spec) { s.RejectClasses = []string{"weight-reading"} }, nil, nil, 0, 1},
+		{"a failure that refuses another class", `on request { let z = 0  tag(text(1 / z)) }`, func(s *Spec) { s.RejectClasses = []string{"harvest-entry"} }, nil, map[string][]string{}, 0, 1},
 	} {
 		s := all
 		s.File = writePrograms(t, x.program)[0]
@@ -151,7 +151,7 @@
 	if c := p.Counts(); c.Exhausted != breaker.DefaultMaxFailures || c.Skipped != 50-breaker.DefaultMaxFailures || p.breaker.State() != breaker.Open {
 		t.Errorf("%+v, %v", c, p.breaker.State())
 	}
-	p.spec.Refuse = true
+	p.spec.RejectOnFailure = true
 	if _, responses := submit(g, 0, nil); len(responses) != 1 || responses[0].Result != core.Rejected {
 		t.Errorf("left out, with a rule that refuses: %+v", responses)
 	}
--- a/internal/plugin/request.go
+++ b/internal/plugin/request.go
@@ -48,7 +48,7 @@
 
 // refusesOnFailure reports whether requests of a class are refused if the plug-in fails.
 func (p *Plugin) refusesOnFailure(class string) bool {
-	return p.spec.Refuse || slices.Contains(p.spec.Refused, class)
+	return p.spec.RejectOnFailure || slices.Contains(p.spec.RejectClasses, class)
 }
 
 // setRequestEvent makes a request the workspace's event.
--- a/internal/plugin/spec.go
+++ b/internal/plugin/spec.go
@@ -4,15 +4,15 @@
 
 // Spec is a plug-in's manifest, from the operators' file.
 type Spec struct {
-	Name      string
-	File      string   // of the program
-	Hooks     []string // that are run; empty: all that the program has
-	Headers   []string // patterns, as in path.Match, of the headers that it may set and remove
-	Tenants   []string // to which it may assign requests
-	MayRefuse bool
-	Limits    hook.Limits // of a run; zero fields: the defaults
-	Refuse    bool        // whether a request is refused if the plug-in fails; else it goes on
-	Refused   []string    // classes whose requests are refused then in any case
+	Name            string
+	File            string   // of the program
+	Hooks           []string // that are run; empty: all that the program has
+	Headers         []string // patterns, as in path.Match, of the headers that it may set and remove
+	Tenants         []string // to which it may assign requests
+	MayReject       bool
+	Limits          hook.Limits // of a run; zero fields: the defaults
+	RejectOnFailure bool        // whether a request is refused if the plug-in fails; else it goes on
+	RejectClasses   []string    // classes whose requests are refused then in any case
 }
 
 // withDefaults returns the manifest with the default of each limit that is not set.
--- a/internal/quotas/admit.go
+++ b/internal/quotas/admit.go
@@ -71,7 +71,7 @@
 	mu      *sync.Mutex // the Gate's
 	tree    *quota.Tree // that charged it; the Gate may have loaded another since
 	receipt *quota.Receipt
-	once    sync.Once // an answer and a client that goes may come together
+	once    sync.Once // Respond and Abandon may be called at once
 }
 
 // end returns what the request holds: its slots, or all of the charge if it never ran.
@@ -87,7 +87,8 @@
 	})
 }
 
-// mayHaveRun reports whether a request with that result may have reached an endpoint.
+// mayHaveRun is false for results after which the whole charge is returned: rejected and
+// duplicate requests. A rejected request of an idempotent class may have run all the same.
 func mayHaveRun(result core.Result) bool {
 	return result != core.Rejected && result != core.Duplicate
 }
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -1,5 +1,5 @@
-// Package quotas applies the operators' quotas to requests. A Gate stands between the
-// listeners' chain and the core: it finds the node of the quota tree that a request is
+// Package quotas applies the operators' quotas to requests. A Gate stands after the
+// plug-ins and before the core: it finds the node of the quota tree that a request is
 // charged to, has package quota decide, and returns what an ended request held.
 package quotas
 
--- a/internal/registry/merge/merge.go
+++ b/internal/registry/merge/merge.go
@@ -126,7 +126,7 @@
 func health(state membership.State) core.Health {
 	switch state {
 	case membership.Ready:
-		return core.Up
+		return core.Ready
 	case membership.Removed:
 		return core.Removed
 	default:
--- a/internal/registry/merge/merge_test.go
+++ b/internal/registry/merge/merge_test.go
@@ -41,14 +41,14 @@
 	merger, updates, stop, ended := startMerger(t)
 	cell := 3
 	merger.UpdatePlatform(platformSource, core.EndpointUpdate{Complete: true, Endpoints: []core.Endpoint{
-		{Name: "s-1", Addr: "10.0.0.1:80", Zone: "a", Cell: &cell, Health: core.Up, Weight: 2},
+		{Name: "s-1", Addr: "10.0.0.1:80", Zone: "a", Cell: &cell, Health: core.Ready, Weight: 2},
 	}})
 	update := peertest.Await(t, "the platform's update", updates)
 	if len(update.Endpoints) != 1 || update.Complete {
 		t.Fatalf("update %+v", update)
 	}
 	first := update.Endpoints[0]
-	if first.Host != "s-1" || first.Addr != "10.0.0.1:80" || *first.Cell != 3 || first.Health != core.Up ||
+	if first.Host != "s-1" || first.Addr != "10.0.0.1:80" || *first.Cell != 3 || first.Health != core.Ready ||
 		first.Weight != 2 || first.Zone != "a" {
 		t.Errorf("endpoint %+v", first)
 	}
@@ -63,10 +63,10 @@
 	if drained := update.Endpoints[0]; drained.Name != first.Name || drained.Health != core.Draining {
 		t.Errorf("the platform's endpoint %+v", drained)
 	}
-	if second := update.Endpoints[1]; second.Health != core.Up || *second.Cell < firstAssignedCell {
+	if second := update.Endpoints[1]; second.Health != core.Ready || *second.Cell < firstAssignedCell {
 		t.Errorf("the registry's endpoint %+v", second)
 	}
-	added := core.Endpoint{Name: "s-3", Addr: "10.0.0.3:80", Health: core.Up}
+	added := core.Endpoint{Name: "s-3", Addr: "10.0.0.3:80", Health: core.Ready}
 	merger.UpdatePlatform(platformSource, core.EndpointUpdate{Endpoints: []core.Endpoint{added}})
 	peertest.Await(t, "one more endpoint", updates)
 	removed := added
--- a/internal/registry/platform/hedged_call.go
+++ b/internal/registry/platform/hedged_call.go
@@ -56,7 +56,7 @@
 
 // hedgedCall is a set of calls of which the first answer counts. Each call has a connection of
 // its own, so that canceling it frees its resources at once. Discovery.call's goroutine alone
-// uses it; each call runs in a goroutine, which ends once its result is taken or it is canceled.
+// uses it; each call runs in a goroutine, which ends once its result is taken or it is cancelled.
 type hedgedCall struct {
 	url     string
 	results chan callResult
--- a/internal/registry/platform/listing.go
+++ b/internal/registry/platform/listing.go
@@ -70,7 +70,7 @@
 func parseHealth(text string) core.Health {
 	switch text {
 	case "up":
-		return core.Up
+		return core.Ready
 	case "removed":
 		return core.Removed
 	}
--- a/internal/registry/platform/listing_test.go
+++ b/internal/registry/platform/listing_test.go
@@ -27,7 +27,7 @@
 		t.Fatalf("update %+v", update)
 	}
 	usable := update.Endpoints[2]
-	if usable.Name != "s-1" || usable.Health != core.Up || usable.StartedAt.Seconds() != 4 ||
+	if usable.Name != "s-1" || usable.Health != core.Ready || usable.StartedAt.Seconds() != 4 ||
 		usable.Weight != 1 || *usable.Cell != 3 {
 		t.Errorf("the usable entry is %+v", usable)
 	}
--- a/internal/registry/platform/watch_test.go
+++ b/internal/registry/platform/watch_test.go
@@ -21,7 +21,7 @@
 		version   uint64
 		endpoints int
 		health    core.Health
-	}{{43, 1, core.Up}, {43, 0, 0}, {47, 1, core.Draining}} {
+	}{{43, 1, core.Ready}, {43, 0, 0}, {47, 1, core.Draining}} {
 		update := peertest.Await(t, "a change", updates)
 		if update.Version != want.version || len(update.Endpoints) != want.endpoints {
 			t.Errorf("change %d is %+v, want %+v", i, update, want)
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -29,7 +29,7 @@
 	Zones       []string      // names by number
 	LoadField   string        // a load report's name for the number of requests in flight
 	DialTimeout time.Duration // a connection not made by then counts as failed
-	DrainGrace  time.Duration // after a drain is notified nothing may begin later than this
+	DrainGrace  time.Duration // no attempt may start later than this after its endpoint began to drain
 	ConnIdle    time.Duration // upstreams close a connection that was idle this long
 }
 
--- a/internal/sidecar/plugins.go
+++ b/internal/sidecar/plugins.go
@@ -56,13 +56,13 @@
 	for i := range f.Plugins {
 		p := &f.Plugins[i]
 		spec := plugin.Spec{
-			Name:      p.Name,
-			File:      p.File,
-			Tenants:   p.Tenants,
-			MayRefuse: p.MayReject,
-			Refuse:    p.OnFailure == operator.Reject,
-			Refused:   p.RejectClasses,
-			Limits:    hook.Limits{Fuel: int64(p.Fuel), Memory: int64(p.MemoryKB) << 10},
+			Name:            p.Name,
+			File:            p.File,
+			Tenants:         p.Tenants,
+			MayReject:       p.MayReject,
+			RejectOnFailure: p.OnFailure == operator.Reject,
+			RejectClasses:   p.RejectClasses,
+			Limits:          hook.Limits{Fuel: int64(p.Fuel), Memory: int64(p.MemoryKB) << 10},
 		}
 		for _, h := range p.Hooks {
 			spec.Hooks = append(spec.Hooks, string(h))
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// reloadQuotas takes another operators' file's quotas; balances stay.
+// reloadQuotas takes another operators' file's quotas; balances stay. A file without quotas
+// changes nothing.
 func (s *service) reloadQuotas(f *operator.File) error {
 	if s.quotas == nil || len(f.Quotas) == 0 {
 		return nil
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// reloadOperatorFile takes the plug-ins of the operators' file, all of them or none, and its quotas.
+// reloadOperatorFile takes the plug-ins of the operators' file, all of them or none, and its
+// quotas, where there were some at the start. To remove or add the first takes a restart.
 func (s *service) reloadOperatorFile() {
 	if s.plugins == nil && s.quotas == nil || s.config.Operator.Path() == "" {
 		return
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -16,9 +16,9 @@
 	// and killMargin after SIGTERM. What is in flight then is lost.
 	maxClientWait = 3 * time.Second
 	killMargin    = 700 * time.Millisecond
-	// respondBefore that all requests in flight get their response, and there is time to write it.
+	// respondBefore is how long before the kill the rest gets its response: time to write it.
 	respondBefore = 250 * time.Millisecond
-	// exitBefore that the process has ended.
+	// exitBefore is how long before the kill the process has ended.
 	exitBefore = 50 * time.Millisecond
 )
 
@@ -55,7 +55,8 @@
 	return errs
 }
 
-// killGrace is how soon after SIGTERM the process may be killed.
+// killGrace is how soon after SIGTERM the process may be killed; at least long enough for
+// acceptGrace and the last responses.
 func (c *Config) killGrace() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.Policy.Classes {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -166,7 +166,7 @@
 		return
 	}
 	if !ok {
-		b.recordFailure(now, endpoint) // only a response to a request takes it back
+		b.recordFailure(now, endpoint) // only a served attempt ends the ejection
 	}
 	b.onProbeResult(now, endpoint, ok, report)
 }
--- a/policy/bulkhead.go
+++ b/policy/bulkhead.go
@@ -41,7 +41,7 @@
 
 // sizeBulkheads sets slots and queue limits. By Little's law the requests in flight are their rate times
 // the time that each uses a slot. That time is a small share of the objective, which leaves most of it for
-// attempts that go wrong. Without quotas the first endpoint list is all there is to go by.
+// attempts that go wrong. Without quotas the endpoint list is the guide. Config.Slots overrides both.
 func (b *Balancer) sizeBulkheads() {
 	byQuota := b.totalQuota * b.meanObjective * slotObjectiveShare
 	b.fleetInFlight = cmp.Or(byQuota, slotsPerEndpoint*float64(len(b.endpoints)))
--- a/policy/config.go
+++ b/policy/config.go
@@ -28,8 +28,9 @@
 	// bulkhead of its own. Empty means one tenant, number 0, without a quota.
 	Tenants []Tenant
 
-	// Slots is the number of attempts in flight of all bulkheads together. 0 derives
-	// it from quotas and latency objectives, or without quotas from the first endpoint list.
+	// Slots is about the number of attempts in flight of all bulkheads together, as each
+	// tenant's share is rounded up. 0 derives it from quotas and latency objectives, or
+	// without quotas from the first endpoint list.
 	Slots int
 
 	// MaxAttempts bounds the attempts for one request, the first included; at least 1.
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -12,10 +12,11 @@
 )
 
 const (
-	// maxWatchBackoff is short, as a change counts as known 6 s after it was available and must be obeyed 2 s
-	// later, while a request may last 3 s until it is given up, and the next one 2 s until it is answered.
+	// maxWatchBackoff: a change must take effect 8 s after it was available. A request may be given up after
+	// 3 s, this pause be drawn half as long again (backoff), and the next request be answered after 2 s.
 	maxWatchBackoff = 3 * time.Second / 2
 
+	defaultWatchRepeat = 4 * time.Second // where Config.WatchRequestWithin is not set
 	// A silent request is repeated after 3/4 of Config.WatchRequestWithin.
 	watchRepeatNumerator, watchRepeatDenominator = 3, 4
 )
@@ -107,7 +108,7 @@
 
 func (b *Balancer) requestWatch(now time.Duration) {
 	interval := b.cfg.WatchRequestWithin * watchRepeatNumerator / watchRepeatDenominator
-	b.nextWatchAt = now + cmp.Or(interval, maxBackoff)
+	b.nextWatchAt = now + cmp.Or(interval, defaultWatchRepeat)
 	b.host.RequestWatch()
 }
 
--- a/policy/host.go
+++ b/policy/host.go
@@ -29,8 +29,9 @@
 	// It is called only where Config.CancelAllowed is set.
 	Cancel(id RequestID, attempt int)
 
-	// SetTimer requests one call of Balancer.TimerFired after d. It replaces no
-	// earlier timer.
+	// SetTimer requests a call of Balancer.TimerFired after d. The program may keep or
+	// drop an earlier timer: this is only called for a time before that one's, and a call
+	// that is not due is ignored.
 	SetTimer(d time.Duration)
 
 	// Probe health-checks an endpoint. Exactly one call of Balancer.ProbeCompleted or
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -1,6 +1,7 @@
 // Load shedding rejects requests on arrival while few of the recent ones met their objective. Otherwise
 // clients' retries and requests without a waiting client keep endpoints overloaded, even at one slot for
-// each balancer. The inputs are recent requests, as decayed counts, and priority weights.
+// each balancer. Only where traffic is low: else bulkheads bound the load. The inputs are recent requests, as
+// decayed counts, and priority weights.
 
 package policy
 
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -54,7 +54,7 @@
 	b.setEjected(now, endpoint, false)
 }
 
-// recordPossibleFailure takes a failure that may be chance: the second with no success in between counts.
+// recordPossibleFailure takes a failure that may be chance: it counts unless it is the first since a success.
 func (b *Balancer) recordPossibleFailure(now time.Duration, endpoint *endpointState) {
 	endpoint.lastErrorAt = now
 	if endpoint.pendingFailure {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -14,8 +14,6 @@
 
 import (
 	"fmt"
-	"slices"
-	"strings"
 	"time"
 )
 
@@ -33,18 +31,9 @@
 
 var dimensionNames = [dimensions]string{"requests", "worth", "bytes", "concurrent"}
 
-// String returns the name that the operators' file and ParseDimension use.
+// String returns the name in responses, metrics and on the admin socket.
 func (d Dimension) String() string { return dimensionNames[d] }
 
-// ParseDimension reads a dimension's name. The error lists the known ones.
-func ParseDimension(name string) (Dimension, error) {
-	if i := slices.Index(dimensionNames[:], name); i >= 0 {
-		return Dimension(i), nil
-	}
-	known := strings.Join(dimensionNames[:], ", ")
-	return 0, fmt.Errorf("dimension %q is not known: one of %s is meant", name, known)
-}
-
 // Limit is what a node is entitled to in one dimension over one window.
 type Limit struct {
 	Dimension Dimension
--- a/resolver/config.go
+++ b/resolver/config.go
@@ -14,7 +14,7 @@
 	HedgeAfterWithoutList time.Duration
 
 	// CallTimeout is how long the older of two calls may be without a response before it is
-	// canceled. It doubles with each call that is canceled for it, up to MaxCallTimeout.
+	// cancelled. It doubles with each call that is cancelled for it, up to MaxCallTimeout.
 	CallTimeout    time.Duration
 	MaxCallTimeout time.Duration
 
@@ -40,7 +40,7 @@
 // sequence. A change counts as known to the sidecar 6 s after it was available, and a drain
 // takes effect 2 s later. A call that starts MaxHedgeAfter after the service's return leaves
 // 3.5 s of these 8 s for its response. CallTimeout exceeds the time that a call may wait in the
-// service's queue, as the service handles a canceled call all the same.
+// service's queue, as the service handles a cancelled call all the same.
 func ForPolledLists() Config {
 	return Config{
 		HedgeAfter:            3 * time.Second,
--- a/resolver/resolver.go
+++ b/resolver/resolver.go
@@ -131,5 +131,5 @@
 	return len(s.calls) > 0
 }
 
-// CancelAll notes that the caller canceled all calls.
+// CancelAll notes that the caller cancelled all calls.
 func (s *Schedule) CancelAll() { s.calls = nil }
