--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -36,7 +36,7 @@
 	}
 	s.background.Go(func() {
 		if err := server.Serve(); err != nil {
-			slog.Error("admin", "err", err)
+			slog.Error("admin socket failed", "err", err)
 		}
 	})
 	s.closeAdmin = server.Close
--- a/internal/sidecar/platform_config.go
+++ b/internal/sidecar/platform_config.go
@@ -145,7 +145,7 @@
 	}
 	known := new(platform.Listing)
 	if err := json.Unmarshal(text, known); err != nil {
-		slog.Warn("configuration: the known list is passed over", "err", err)
+		slog.Warn("configuration: cached endpoint list unreadable, ignored", "err", err)
 		return nil
 	}
 	return known
