--- a/internal/lab/file.go
+++ b/internal/lab/file.go
@@ -182,28 +182,31 @@
 		}
 		return string(b)
 	}
-	switch v.Kind() {
-	case reflect.Struct:
-		t := make(tree)
-		for i := range v.NumField() {
-			name, option, _ := strings.Cut(v.Type().Field(i).Tag.Get("toml"), ",")
-			if name != "-" && (option != "omitempty" || !v.Field(i).IsZero()) {
-				t[name] = encode(v.Field(i))
-			}
-		}
-		return t
-	case reflect.Slice:
-		if v.Type().Elem().Kind() == reflect.Struct {
-			var list []tree
-			for i := range v.Len() {
-				list = append(list, encode(v.Index(i)).(tree))
-			}
-			return list
+	switch {
+	case v.Kind() == reflect.Struct:
+		return encodeStruct(v)
+	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
+		var list []tree
+		for i := range v.Len() {
+			list = append(list, encodeStruct(v.Index(i)))
 		}
+		return list
 	}
 	return v.Interface()
 }
 
+// encodeStruct encodes the fields by their toml tags.
+func encodeStruct(v reflect.Value) tree {
+	t := make(tree)
+	for i := range v.NumField() {
+		name, option, _ := strings.Cut(v.Type().Field(i).Tag.Get("toml"), ",")
+		if name != "-" && (option != "omitempty" || !v.Field(i).IsZero()) {
+			t[name] = encode(v.Field(i))
+		}
+	}
+	return t
+}
+
 // copyTree copies a document, so that one cell's changes are not another's.
 func copyTree(t tree) tree {
 	return copyValue(t).(tree)
@@ -269,27 +272,32 @@
 		switch t.Kind() {
 		case reflect.Slice:
 			t = t.Elem()
-			continue
 		case reflect.Struct:
-			var names []string
-			found := false
-			for f := range t.NumField() {
-				name, _, _ := strings.Cut(t.Field(f).Tag.Get("toml"), ",")
-				if name == step {
-					t, found = t.Field(f).Type, true
-					break
-				}
-				if name != "-" {
-					names = append(names, name)
-				}
-			}
-			if found {
-				continue
+			field, names := fieldByTag(t, step)
+			if field == nil {
+				path := strings.Join(steps[:i+1], ".")
+				return fmt.Errorf("a scenario has no setting %q; there are %s", path, strings.Join(names, ", "))
 			}
-			slices.Sort(names)
-			return fmt.Errorf("a scenario has no setting %q; there are %s", strings.Join(steps[:i+1], "."), strings.Join(names, ", "))
+			t = field
+		default:
+			return fmt.Errorf("there is nothing below %q", strings.Join(steps[:i], "."))
 		}
-		return fmt.Errorf("there is nothing below %q", strings.Join(steps[:i], "."))
 	}
 	return nil
 }
+
+// fieldByTag returns the type of the field with a toml tag; else nil and the names of all tags.
+func fieldByTag(t reflect.Type, wanted string) (reflect.Type, []string) {
+	var names []string
+	for i := range t.NumField() {
+		name, _, _ := strings.Cut(t.Field(i).Tag.Get("toml"), ",")
+		if name == wanted {
+			return t.Field(i).Type, nil
+		}
+		if name != "-" {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return nil, names
+}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -80,13 +80,17 @@
 // WriteCSV writes all rows with all measures.
 func (s *Summary) WriteCSV(out io.Writer) error {
 	w := csv.NewWriter(out)
-	w.Write(slices.Concat(s.Factors, []string{"seed"}, s.Measures))
+	if err := w.Write(slices.Concat(s.Factors, []string{"seed"}, s.Measures)); err != nil {
+		return err
+	}
 	for _, r := range s.Rows {
 		row := append(slices.Clone(r.Levels), strconv.FormatUint(r.Seed, 10))
 		for _, v := range r.Values {
 			row = append(row, strconv.FormatFloat(v, 'g', -1, 64))
 		}
-		w.Write(row)
+		if err := w.Write(row); err != nil {
+			return err
+		}
 	}
 	w.Flush()
 	return w.Error()
