--- a/cmd/sidecar/members_test.go
+++ b/cmd/sidecar/members_test.go
@@ -12,11 +12,12 @@
 	"time"
 
 	"mothridge/internal/peers"
+	"mothridge/internal/peers/peertest"
 )
 
 // The real program follows a registry, registers with it, and lists its members.
 func TestMembersOfARunningSidecar(t *testing.T) {
-	registry := startRegistry(t)
+	registry := peertest.NewEureka(t)
 	up := peers.EurekaInstance{ID: "records-01", App: "RECORDS", Host: "127.0.0.1", IP: "127.0.0.1", Port: 1, Status: "UP"}
 	registry.Register(up)
 	drained := up
@@ -70,14 +71,3 @@
 	}
 	return output, errorOutput
 }
-
-// startRegistry starts a stand-in registry that ends with the test.
-func startRegistry(t *testing.T) *peers.Eureka {
-	t.Helper()
-	registry, err := peers.StartEureka("")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(registry.Close)
-	return registry
-}
--- /dev/null
+++ b/internal/peers/peertest/eureka.go
@@ -0,0 +1,19 @@
+package peertest
+
+import (
+	"testing"
+
+	"mothridge/internal/peers"
+)
+
+// NewEureka starts a stand-in Eureka registry on a loopback port of its own. It is closed at
+// the end of the test.
+func NewEureka(t testing.TB) *peers.Eureka {
+	t.Helper()
+	registry, err := peers.StartEureka("")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(registry.Close)
+	return registry
+}
--- a/internal/registry/eureka/client_test.go
+++ b/internal/registry/eureka/client_test.go
@@ -17,7 +17,7 @@
 func TestListThenDeltas(t *testing.T) {
 	for _, asXML := range []bool{false, true} {
 		t.Run(fmt.Sprint("xml=", asXML), func(t *testing.T) {
-			registry := startRegistry(t)
+			registry := peertest.NewEureka(t)
 			registry.Register(testInstance(1, "UP"))
 			client := newPolledClient(t, Config{XML: asXML}, registry)
 			wantAllFields(t, client.wantList(t, "1 UP"))
@@ -66,7 +66,7 @@
 
 // After a delta that does not add up to the registry's hash the complete list is fetched.
 func TestHashMismatch(t *testing.T) {
-	registry := startRegistry(t)
+	registry := peertest.NewEureka(t)
 	registry.Register(testInstance(1, "UP"))
 	client := newPolledClient(t, Config{}, registry)
 	client.nextUpdate(t)
@@ -88,7 +88,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			registry := startRegistry(t)
+			registry := peertest.NewEureka(t)
 			registry.Register(testInstance(1, "UP"))
 			client := newPolledClient(t, Config{Timeout: 200 * time.Millisecond}, registry)
 			client.nextUpdate(t)
@@ -110,7 +110,7 @@
 
 // A failed poll goes on with the next replica, in their order, from its complete list.
 func TestFailover(t *testing.T) {
-	first, second := startRegistry(t), startRegistry(t)
+	first, second := peertest.NewEureka(t), peertest.NewEureka(t)
 	first.Register(testInstance(1, "UP"))
 	second.Register(testInstance(1, "UP"))
 	second.Register(testInstance(2, "UP"))
@@ -156,7 +156,7 @@
 
 // Only some apps and VIP addresses are followed; one without an instance is no error.
 func TestSelectedApps(t *testing.T) {
-	registry := startRegistry(t)
+	registry := peertest.NewEureka(t)
 	registry.Register(testInstance(1, "UP"))
 	other := testInstance(2, "UP")
 	other.App, other.VIP = "OTHER", "other"
--- a/internal/registry/eureka/helpers_test.go
+++ b/internal/registry/eureka/helpers_test.go
@@ -9,16 +9,6 @@
 	"mothridge/internal/peers"
 )
 
-func startRegistry(t *testing.T) *peers.Eureka {
-	t.Helper()
-	registry, err := peers.StartEureka("")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(registry.Close)
-	return registry
-}
-
 // testInstance returns an instance to register: the n-th one of the app RECORDS.
 func testInstance(n int, status string) peers.EurekaInstance {
 	return peers.EurekaInstance{
--- a/internal/registry/eureka/parse_test.go
+++ b/internal/registry/eureka/parse_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"mothridge/internal/peers"
+	"mothridge/internal/peers/peertest"
 )
 
 // quirks are the forms in which public servers differ, row by row of docs/protocol/eureka.md:
@@ -202,7 +203,7 @@
 // What the stand-in writes in either dialect and format reads back the same; so do formats that
 // are announced as the other, or that change between polls.
 func TestStandinReadsBack(t *testing.T) {
-	registry := startRegistry(t)
+	registry := peertest.NewEureka(t)
 	full := testInstance(1, "UP")
 	full.SecurePortEnabled, full.SecurePort, full.SecureVIP = true, 8443, "s"
 	full.Group, full.HomePage, full.Country = "G", "http://127.0.0.1/", 49
--- a/internal/registry/eureka/register_test.go
+++ b/internal/registry/eureka/register_test.go
@@ -13,7 +13,7 @@
 // It registers as STARTING, is UP once ready, renews, registers again when its lease is lost or
 // another replica is in use, and deregisters at the end.
 func TestRegistration(t *testing.T) {
-	first, second := startRegistry(t), startRegistry(t)
+	first, second := peertest.NewEureka(t), peertest.NewEureka(t)
 	var ready atomic.Bool
 	registrar, err := NewRegistrar(Registration{
 		Replicas:      []string{first.URL(), second.URL() + "/"},
--- a/internal/rig/eureka_flips_test.go
+++ b/internal/rig/eureka_flips_test.go
@@ -9,6 +9,7 @@
 
 	"mothridge/internal/operator"
 	"mothridge/internal/peers"
+	"mothridge/internal/peers/peertest"
 )
 
 var interval = flag.Duration("interval", 50*time.Millisecond,
@@ -44,7 +45,7 @@
 	if *long {
 		nodes, duration = 18, time.Minute
 	}
-	registry := startEureka(t)
+	registry := peertest.NewEureka(t)
 	rig, _ := startWithEureka(t, registry, Options{
 		Front: pair.front, Nodes: pair.nodes, Number: nodes, Slots: 120, Open: 200, Script: delayed(2 * time.Millisecond),
 		Operators: func(file *operator.File) { file.Eureka[0].Interval = operator.Duration(interval.String()) },
--- a/internal/rig/eureka_test.go
+++ b/internal/rig/eureka_test.go
@@ -31,16 +31,6 @@
 	return rig, client
 }
 
-func startEureka(t *testing.T) *peers.Eureka {
-	t.Helper()
-	registry, err := peers.StartEureka("")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(registry.Close)
-	return registry
-}
-
 // polls counts the sidecar's calls for the list.
 func polls(registry *peers.Eureka) int {
 	return registry.Calls("/apps") + registry.Calls("/apps/delta")
@@ -55,7 +45,7 @@
 
 // A registry that goes silent, or answers with nothing, leaves the pool as it was.
 func TestEurekaSilentKeepsThePool(t *testing.T) {
-	registry := startEureka(t)
+	registry := peertest.NewEureka(t)
 	_, client := startWithEureka(t, registry, Options{Number: 3})
 	for _, fault := range []peers.EurekaFault{peers.EmptyList, peers.NoResponse} {
 		registry.SetFault(fault)
@@ -84,7 +74,7 @@
 }
 
 func testNewID(t *testing.T, pair pairing) {
-	registry := startEureka(t)
+	registry := peertest.NewEureka(t)
 	rig, client := startWithEureka(t, registry, Options{Front: pair.front, Nodes: pair.nodes, Number: 1})
 	node := rig.Nodes[0]
 	node.SetScript(func(call peers.Call) peers.Response {
@@ -137,7 +127,7 @@
 // What the membership decisions guard against, through the program: half of
 // the nodes vanish at once, another replica is stale, clocks are an hour off.
 func TestEurekaGuardsThroughTheProgram(t *testing.T) {
-	stale, registry := startEureka(t), startEureka(t)
+	stale, registry := peertest.NewEureka(t), peertest.NewEureka(t)
 	rig, client := startWithEureka(t, registry, Options{Number: 6, Operators: func(file *operator.File) {
 		file.Eureka[0].Replicas = append(file.Eureka[0].Replicas, operator.URL(stale.URL()))
 	}})
