--- a/internal/registry/merge/cells.go
+++ b/internal/registry/merge/cells.go
@@ -2,11 +2,11 @@
 
 import "strconv"
 
-// firstAssignedCell is the first of the numbers for cells that have a name. It is above any
-// number that a source gives a cell itself.
+// firstAssignedCell is the first number assigned to a cell whose name is not a number. It is
+// above every number that a source can give a cell itself.
 const firstAssignedCell = 1 << 20
 
-// cellNumbers assigns the numbers by which the core knows cells.
+// cellNumbers maps the cell names of the sources to the cell numbers of the core.
 type cellNumbers struct {
 	byName map[string]int
 	next   int
@@ -16,14 +16,15 @@
 	return &cellNumbers{byName: make(map[string]int), next: firstAssignedCell}
 }
 
-// number returns a cell's number: the one that its name states, or else one assigned to the
-// name for good; nil for no name.
+// number returns the number of the cell with this name. A name that is a decimal number below
+// firstAssignedCell is its own number; any other name is assigned a number, which never changes.
+// The result is nil for an empty name.
 func (c *cellNumbers) number(name string) *int {
 	if name == "" {
 		return nil
 	}
-	if stated, err := strconv.Atoi(name); err == nil && stated >= 0 && stated < firstAssignedCell {
-		return &stated
+	if parsed, err := strconv.Atoi(name); err == nil && parsed >= 0 && parsed < firstAssignedCell {
+		return &parsed
 	}
 	assigned, known := c.byName[name]
 	if !known {
--- a/internal/registry/merge/eureka.go
+++ b/internal/registry/merge/eureka.go
@@ -9,25 +9,25 @@
 	"mothridge/membership"
 )
 
-// Mapping names the metadata keys of an instance that hold what the registry's own fields do
-// not. An empty key maps nothing.
+// Mapping contains the metadata keys of a registered instance from which the fields are read
+// that the registry has no field of its own for. A field whose key is empty is not mapped.
 type Mapping struct {
 	Zone          string
 	MachineType   string
 	Cell          string
-	Weight        string // value: a number above 0 and below maxWeight; any other counts as 1
+	Weight        string // value: a number above 0 and below maxWeight; any other value means 1
 	Protocol      string
 	StartedAt     string // value: Unix time in milliseconds
-	UseSecurePort bool   // endpoints are reached at their secure port
+	UseSecurePort bool   // endpoints are reached at the secure port of their instance
 }
 
 const (
 	defaultWeight = 1
 	maxWeight     = 1e6
-	maxStartMs    = 1 << 43 // in the year 2248; keeps the time within a Duration
+	maxStartMs    = 1 << 43 // in the year 2248; a later time would overflow a time.Duration
 )
 
-// UsesKey reports whether any field is mapped from the metadata of that key.
+// UsesKey reports whether any field is read from the metadata key.
 func (m *Mapping) UsesKey(key string) bool {
 	switch key {
 	case "":
@@ -38,8 +38,8 @@
 	return false
 }
 
-// UpdateEureka applies an update of a Eureka registry as that of a source. It does not keep the
-// update.
+// UpdateEureka queues an update from a Eureka registry as an update of the source with this
+// index. It does not retain the update.
 func (m *Merger) UpdateEureka(source int, mapping Mapping, update eureka.Update) {
 	if update.Complete {
 		m.replaceList(source, update.Replica, mapping.instances(update.Instances))
@@ -74,13 +74,13 @@
 	return deltas
 }
 
-// instance maps an instance; false where it has no address.
+// instance converts a registered instance. The result is false if the instance has no address.
 func (m *Mapping) instance(registered *eureka.Instance) (membership.Instance, bool) {
 	addr, ok := m.address(registered)
 	if !ok {
 		return membership.Instance{}, false
 	}
-	value := func(key string) string {
+	metadataValue := func(key string) string {
 		if key == "" {
 			return ""
 		}
@@ -91,19 +91,20 @@
 		Name:        registered.ID,
 		Addr:        addr,
 		Status:      effectiveStatus(registered),
-		Zone:        value(m.Zone),
-		MachineType: value(m.MachineType),
-		Cell:        value(m.Cell),
-		Protocol:    value(m.Protocol),
-		Weight:      parseWeight(value(m.Weight)),
-		StartedAt:   parseStart(value(m.StartedAt)),
+		Zone:        metadataValue(m.Zone),
+		MachineType: metadataValue(m.MachineType),
+		Cell:        metadataValue(m.Cell),
+		Protocol:    metadataValue(m.Protocol),
+		Weight:      parseWeight(metadataValue(m.Weight)),
+		StartedAt:   parseStart(metadataValue(m.StartedAt)),
 		Dirty:       registered.Dirty,
 		Updated:     registered.Updated,
 	}, true
 }
 
-// address returns the IP address and port of an instance. There is no name service, so its
-// host name counts only where it is an address.
+// address returns the IP address and port of a registered instance, and false if the instance
+// has no port or no IP address. No DNS is available, so the host name is used only if it is an
+// IP address.
 func (m *Mapping) address(registered *eureka.Instance) (string, bool) {
 	host, port := registered.IP, registered.Port
 	if m.UseSecurePort {
@@ -118,8 +119,8 @@
 	return net.JoinHostPort(host, strconv.Itoa(port)), true
 }
 
-// effectiveStatus returns an instance's status under its override. A registry reports the
-// override as the status; where one does not, the stricter of the two applies.
+// effectiveStatus returns the status of an instance with its override applied. A registry
+// normally reports the override as the status. If the two differ, the stricter one applies.
 func effectiveStatus(registered *eureka.Instance) membership.Status {
 	status := parseStatus(registered.Status)
 	if registered.Override == "" || registered.Override == "UNKNOWN" {
@@ -150,7 +151,8 @@
 	return defaultWeight
 }
 
-// parseStart returns the Unix time of a start; 0 where the text is not one.
+// parseStart returns the Unix time of a start. It returns 0 if the text is not a valid time in
+// milliseconds.
 func parseStart(text string) time.Duration {
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err == nil && ms > 0 && ms < maxStartMs {
--- a/internal/registry/merge/eureka_test.go
+++ b/internal/registry/merge/eureka_test.go
@@ -8,8 +8,8 @@
 	"mothridge/membership"
 )
 
-// allKeys maps every field.
-var allKeys = Mapping{
+// fullMapping maps every field from a metadata key.
+var fullMapping = Mapping{
 	Zone: "zone", MachineType: "type", Cell: "cell", Weight: "weight", Protocol: "protocol", StartedAt: "started_ms",
 }
 
@@ -25,26 +25,26 @@
 
 func TestMapping(t *testing.T) {
 	registered := registeredInstance()
-	got := allKeys.deltas([]eureka.Instance{registered})
+	got := fullMapping.deltas([]eureka.Instance{registered})
 	want := membership.Instance{
 		ID: "r1", Name: "r1", Addr: "10.0.0.1:8080", Status: membership.Up, Zone: "b", MachineType: "m2", Cell: "c7",
 		Protocol: "msgpack-rpc", Weight: 1.5, StartedAt: 1500 * time.Millisecond, Dirty: 3, Updated: 4,
 	}
 	if len(got) != 1 || got[0].Op != membership.Put || got[0].Instance != want {
-		t.Errorf("got %+v", got)
+		t.Errorf("got the deltas %+v, want one Put of the mapped instance", got)
 	}
 	registered.Action = "DELETED"
-	if got := allKeys.deltas([]eureka.Instance{registered}); len(got) != 1 || got[0].Op != membership.Delete {
-		t.Errorf("deleted it is %+v", got)
+	if got := fullMapping.deltas([]eureka.Instance{registered}); len(got) != 1 || got[0].Op != membership.Delete {
+		t.Errorf("action DELETED: got %+v, want one delta with Op Delete", got)
 	}
 }
 
-func TestMappingOfAddress(t *testing.T) {
-	mapping := allKeys
+func TestMappingAddress(t *testing.T) {
+	mapping := fullMapping
 	mapping.UseSecurePort = true
 	registered := registeredInstance()
 	if instance, _ := mapping.instance(&registered); instance.Addr != "10.0.0.1:8443" {
-		t.Errorf("at its secure port it is %s", instance.Addr)
+		t.Errorf("secure port: got the address %s, want 10.0.0.1:8443", instance.Addr)
 	}
 	for name, change := range map[string]func(*eureka.Instance){
 		"no port":    func(registered *eureka.Instance) { registered.SecurePort = 0 },
@@ -53,36 +53,36 @@
 		registered := registeredInstance()
 		change(&registered)
 		if instance, ok := mapping.instance(&registered); ok {
-			t.Errorf("%s: %+v", name, instance)
+			t.Errorf("%s: got %+v, want no instance", name, instance)
 		}
 	}
 }
 
-func TestMappingOfStatus(t *testing.T) {
+func TestMappingStatus(t *testing.T) {
 	for name, tt := range map[string]struct {
 		status, override string
 		want             membership.Status
 	}{
 		"override":        {"UP", "OUT_OF_SERVICE", membership.OutOfService},
 		"override lifted": {"UP", "UNKNOWN", membership.Up},
-		"override to UP":  {"DOWN", "UP", membership.Down}, // the stricter applies
+		"override to UP":  {"DOWN", "UP", membership.Down}, // the stricter status applies
 		"unknown status":  {"PARKED", "", membership.Unknown},
 		"no status":       {"", "", membership.Unknown},
 	} {
 		registered := registeredInstance()
 		registered.Status, registered.Override = tt.status, tt.override
-		if instance, _ := allKeys.instance(&registered); instance.Status != tt.want {
-			t.Errorf("%s: %v, want %v", name, instance.Status, tt.want)
+		if instance, _ := fullMapping.instance(&registered); instance.Status != tt.want {
+			t.Errorf("%s: got the status %v, want %v", name, instance.Status, tt.want)
 		}
 	}
 }
 
-func TestMappingOfInvalidMetadata(t *testing.T) {
+func TestMappingInvalidMetadata(t *testing.T) {
 	for key, value := range map[string]string{"weight": "-1", "started_ms": "soon"} {
 		registered := registeredInstance()
 		registered.Metadata = map[string]string{key: value}
-		if instance, _ := allKeys.instance(&registered); instance.Weight != 1 || instance.StartedAt != 0 {
-			t.Errorf("%s=%s: weight %v, started %v", key, value, instance.Weight, instance.StartedAt)
+		if instance, _ := fullMapping.instance(&registered); instance.Weight != 1 || instance.StartedAt != 0 {
+			t.Errorf("%s=%s: got weight %v and start %v, want 1 and 0", key, value, instance.Weight, instance.StartedAt)
 		}
 	}
 }
--- a/internal/registry/merge/form_test.go
+++ b/internal/registry/merge/form_test.go
@@ -8,9 +8,9 @@
 	"mothridge/membership"
 )
 
-// Other versions of the members command read the admin socket's responses, so the form stays
-// byte for byte.
-func TestFormOfView(t *testing.T) {
+// The members command of another version reads the admin socket's responses, so the JSON
+// encoding of a View must stay the same byte for byte.
+func TestViewJSON(t *testing.T) {
 	view := View{
 		Now: time.Hour, Ready: 3,
 		Members: []membership.Member{{
@@ -26,6 +26,6 @@
 		`"Site":"a","Kind":"m2","Cell":"4","Protocol":"http","Weight":1.5,"Started":60000000000,"State":2,"Reason":"UP by registry",` +
 		`"Claims":["registry i1: UP"]}],"Sources":[{"Name":"registry","Live":2,"Lost":1,"Heard":1000000000,"Reason":"silent"}]}`
 	if got, err := json.Marshal(view); err != nil || string(got) != want {
-		t.Errorf("the view is %s (error %v), want %s", got, err, want)
+		t.Errorf("got %s (error %v), want %s", got, err, want)
 	}
 }
--- a/internal/registry/merge/merge.go
+++ b/internal/registry/merge/merge.go
@@ -1,7 +1,8 @@
 // Package merge runs the membership module. It queues the updates of all sources, applies them
 // in one goroutine and passes the changes of the merged view to the core.
 //
-// Each source is given by its index in the Set's list of sources.
+// All methods identify a source by its index in the sources that the membership.Set was created
+// with.
 package merge
 
 import (
@@ -13,30 +14,31 @@
 	"mothridge/membership"
 )
 
-// tickInterval is how often the Set's timers are checked.
+// tickInterval is the interval at which the timers of the Set are checked.
 const tickInterval = 500 * time.Millisecond
 
-// maxQueuedEvents is how many events wait before a caller blocks.
+// maxQueuedEvents is the capacity of the event queue. A caller blocks while the queue is full.
 const maxQueuedEvents = 16
 
-// Merger merges the lists of several sources into the core's list.
+// Merger merges the lists of several sources into the endpoint list of the core.
 //
-// Its owner starts Run in a goroutine and ends it by Run's context. That goroutine alone uses
-// the Set. The other methods may be called concurrently, before Run too; the Update and Set
-// methods block while maxQueuedEvents wait, and for good after the end of Run.
+// The owner of a Merger starts Run in a goroutine and stops it by canceling Run's context. Only
+// that goroutine uses the Set. The other methods may be called concurrently, also before Run.
+// UpdateEureka, UpdatePlatform and SetStatic block while maxQueuedEvents events are queued, and
+// block forever once the queue is full after Run has returned.
 type Merger struct {
 	set       *membership.Set
 	publish   func(core.EndpointUpdate)
 	startedAt time.Time
 	events    chan func(now time.Duration)
 
-	// Of Run's goroutine alone.
-	loggedReasons []string // why each source is not trusted, as logged last
+	// Only Run's goroutine uses the following fields.
+	loggedReasons []string // by source: the last logged reason why the source is not trusted; empty: trusted
 	cells         *cellNumbers
 }
 
-// New returns a Merger of a Set, which it owns from then on. Run calls publish with the changes
-// of the merged view, in order.
+// New returns a Merger for a Set. The Merger owns the Set from then on. Run calls publish with
+// the changes of the merged view, in order.
 func New(set *membership.Set, publish func(core.EndpointUpdate)) *Merger {
 	return &Merger{
 		set:           set,
@@ -48,13 +50,14 @@
 	}
 }
 
-// now returns a Unix time, as that is what starts are reported in. It is monotonic: New
-// alone reads the Unix time.
+// now returns the current Unix time, because sources report process starts as Unix times. The
+// result never goes backwards: the Unix time is read once, in New, and the monotonic clock is
+// used after that.
 func (m *Merger) now() time.Duration {
 	return time.Duration(m.startedAt.UnixNano()) + time.Since(m.startedAt)
 }
 
-// Run merges until ctx ends.
+// Run applies the queued updates and checks the timers of the Set until ctx is done.
 func (m *Merger) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -71,11 +74,11 @@
 	}
 }
 
-// replaceList queues a complete list of a source.
+// replaceList queues a complete list from a source.
 func (m *Merger) replaceList(source int, replica string, list []membership.Instance) {
 	m.events <- func(now time.Duration) {
 		changes, err := m.set.ReplaceList(now, source, replica, list)
-		list = nil // so that its memory is free while the changes are published
+		list = nil // allows the list to be garbage collected while the changes are published
 		if err != nil {
 			slog.Warn("membership: list rejected, nothing of it is applied", "err", err)
 		}
@@ -83,14 +86,14 @@
 	}
 }
 
-// applyDelta queues changes of a source's list.
+// applyDelta queues changes to a source's list.
 func (m *Merger) applyDelta(source int, replica string, deltas []membership.Delta) {
 	m.events <- func(now time.Duration) {
 		m.publishChanges(m.set.ApplyDelta(now, source, replica, deltas))
 	}
 }
 
-// SetStatic replaces the list of a static source.
+// SetStatic queues a complete list that replaces the list of a static source.
 func (m *Merger) SetStatic(source int, list []membership.Instance) {
 	m.replaceList(source, "", list)
 }
@@ -107,7 +110,7 @@
 	m.publish(update)
 }
 
-// endpoint returns a change in the core's terms.
+// endpoint converts a change of the merged view to an endpoint of the core.
 func (m *Merger) endpoint(change *membership.Change) core.Endpoint {
 	return core.Endpoint{
 		Name:        change.Key,
@@ -134,7 +137,7 @@
 	}
 }
 
-// logSourceStates logs when a source is no longer trusted and when it is again.
+// logSourceStates logs each source that is no longer trusted and each source that is trusted again.
 func (m *Merger) logSourceStates() {
 	for i, source := range m.set.Sources() {
 		logged := m.loggedReasons[i]
--- a/internal/registry/merge/merge_test.go
+++ b/internal/registry/merge/merge_test.go
@@ -10,13 +10,14 @@
 	"mothridge/membership"
 )
 
-// The sources of a test's Merger.
+// The indexes of the two sources of a test's Merger.
 const (
 	platformSource = 0
 	eurekaSource   = 1
 )
 
-// startMerger runs a Merger of two sources until stop is called; ended is closed after its end.
+// startMerger runs a Merger with two sources until stop is called. ended is closed once Run has
+// returned.
 func startMerger(t *testing.T) (
 	merger *Merger, updates <-chan core.EndpointUpdate, stop func(), ended <-chan struct{},
 ) {
@@ -36,8 +37,9 @@
 	return merger, published, cancel, done
 }
 
-// The updates of two sources become one list for the core, and the view explains it.
-func TestMerging(t *testing.T) {
+// Updates from two sources are merged into one endpoint list for the core, with the stricter
+// status of the two, and the view contains the reason and the claims of both sources.
+func TestMergeTwoSources(t *testing.T) {
 	merger, updates, stop, ended := startMerger(t)
 	cell := 3
 	merger.UpdatePlatform(platformSource, core.EndpointUpdate{Complete: true, Endpoints: []core.Endpoint{
@@ -45,12 +47,12 @@
 	}})
 	update := peertest.Await(t, "the platform's update", updates)
 	if len(update.Endpoints) != 1 || update.Complete {
-		t.Fatalf("update %+v", update)
+		t.Fatalf("got %+v, want a delta with one endpoint", update)
 	}
 	first := update.Endpoints[0]
 	if first.Host != "s-1" || first.Addr != "10.0.0.1:80" || *first.Cell != 3 || first.Health != core.Ready ||
 		first.Weight != 2 || first.Zone != "a" {
-		t.Errorf("endpoint %+v", first)
+		t.Errorf("got the endpoint %+v, want s-1 as the platform reported it", first)
 	}
 	merger.UpdateEureka(eurekaSource, Mapping{Cell: "cell"}, eureka.Update{Complete: true, Instances: []eureka.Instance{
 		{ID: "s-1", IP: "10.0.0.1", Port: 80, Status: "OUT_OF_SERVICE"},
@@ -58,34 +60,34 @@
 	}})
 	update = peertest.Await(t, "the registry's update", updates)
 	if len(update.Endpoints) != 2 {
-		t.Fatalf("update %+v", update)
+		t.Fatalf("got %+v, want two endpoints", update)
 	}
 	if drained := update.Endpoints[0]; drained.Name != first.Name || drained.Health != core.Draining {
-		t.Errorf("the platform's endpoint %+v", drained)
+		t.Errorf("the platform's endpoint: got %+v, want the same name and Draining", drained)
 	}
 	if second := update.Endpoints[1]; second.Health != core.Ready || *second.Cell < firstAssignedCell {
-		t.Errorf("the registry's endpoint %+v", second)
+		t.Errorf("the registry's endpoint: got %+v, want Ready and an assigned cell number", second)
 	}
 	added := core.Endpoint{Name: "s-3", Addr: "10.0.0.3:80", Health: core.Ready}
 	merger.UpdatePlatform(platformSource, core.EndpointUpdate{Endpoints: []core.Endpoint{added}})
-	peertest.Await(t, "one more endpoint", updates)
+	peertest.Await(t, "the update with the added endpoint", updates)
 	removed := added
 	removed.Health = core.Removed
 	merger.UpdatePlatform(platformSource, core.EndpointUpdate{Endpoints: []core.Endpoint{removed}})
-	update = peertest.Await(t, "its removal", updates)
+	update = peertest.Await(t, "the update with the removal", updates)
 	if len(update.Endpoints) != 1 || update.Endpoints[0].Health != core.Removed {
-		t.Errorf("update %+v", update)
+		t.Errorf("got %+v, want one removed endpoint", update)
 	}
 	view, err := merger.View(t.Context(), "", 10)
 	if err != nil || len(view.Sources) != 2 || view.Sources[eurekaSource].Live != 2 ||
 		view.Members[0].Reason != "OUT_OF_SERVICE by eureka" || len(view.Members[0].Claims) != 2 {
-		t.Errorf("view %+v, %v", view, err)
+		t.Errorf("got the view %+v, error %v", view, err)
 	}
 	stop()
-	peertest.Await(t, "the end", ended)
+	peertest.Await(t, "the end of Run", ended)
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := merger.View(canceled, "", 10); err == nil {
-		t.Error("a view after the end")
+		t.Error("View after the end of Run returned no error")
 	}
 }
--- a/internal/registry/merge/platform.go
+++ b/internal/registry/merge/platform.go
@@ -7,7 +7,8 @@
 	"mothridge/membership"
 )
 
-// UpdatePlatform applies an update of the platform's discovery as that of a source.
+// UpdatePlatform queues an update from the platform's discovery as an update of the source with
+// this index.
 func (m *Merger) UpdatePlatform(source int, update core.EndpointUpdate) {
 	if update.Complete {
 		m.replaceList(source, "", platformList(update.Endpoints))
--- a/internal/registry/merge/view.go
+++ b/internal/registry/merge/view.go
@@ -7,17 +7,18 @@
 	"mothridge/membership"
 )
 
-// View is the merged view and the state of its sources at a time. Its JSON form is that of the
-// admin socket.
+// View is a snapshot of the merged view and of the states of its sources. The admin socket
+// responds with its JSON encoding.
 type View struct {
 	Now     time.Duration            `json:"Now"`   // Unix time
-	Ready   int                      `json:"Ready"` // endpoints that may get requests
+	Ready   int                      `json:"Ready"` // number of endpoints that may receive requests
 	Members []membership.Member      `json:"Members"`
 	Sources []membership.SourceState `json:"Sources"`
 }
 
-// View returns the merged view with the members whose address follows after, at most limit of
-// them. It waits for Run to get to it; its error is that of ctx.
+// View returns the merged view with at most limit members, sorted by address, whose addresses
+// sort after the argument after. It blocks until Run has processed the queued events before it,
+// and returns the error of ctx if ctx is done first.
 func (m *Merger) View(ctx context.Context, after string, limit int) (*View, error) {
 	result := make(chan *View, 1)
 	collect := func(now time.Duration) {
