--- a/internal/registry/platform/discovery.go
+++ b/internal/registry/platform/discovery.go
@@ -1,5 +1,5 @@
-// Package platform follows the platform's discovery, an HTTP service with the list of endpoints
-// and a watch of its changes.
+// Package platform is the client of the platform's discovery, an HTTP service that serves the
+// list of endpoints and a watch for changes of that list.
 package platform
 
 import (
@@ -11,42 +11,44 @@
 	"mothridge/resolver"
 )
 
-// The delay before the next watch after one that failed. It starts at the minimum and doubles
-// up to the maximum, which bounds how late the return of discovery is noticed.
+// The bounds of the delay between a watch that failed and the next one. The delay starts at the
+// minimum and doubles up to the maximum, which limits how late the sidecar detects that discovery
+// has recovered.
 const (
 	minReopenDelay = 100 * time.Millisecond
 	maxReopenDelay = 250 * time.Millisecond
 )
 
-// Discovery follows the list of endpoints at discovery's address.
+// Discovery keeps the list of endpoints up to date by watching the discovery service.
 //
-// Its owner starts Run in a goroutine and ends it by Run's context; Run returns after all that it
-// started. Run's goroutine alone uses the fields but addressChanges.
+// The owner of a Discovery starts Run in a goroutine and stops it by canceling Run's context.
+// Run returns after all goroutines that it started. Only Run's goroutine uses the fields, except
+// addressChanges.
 type Discovery struct {
 	listURL  string
 	publish  func(core.EndpointUpdate)
-	schedule *resolver.Schedule // of the calls; its clock starts at startedAt
+	schedule *resolver.Schedule // decides when calls start and end; its clock starts at startedAt
 
 	startedAt      time.Time
-	addressChanges chan string // the next address; of several the last one
+	addressChanges chan string // capacity 1: holds the most recent address that Run has not applied yet
 
-	// Set where the decision module requests each watch; else nil.
+	// Both are nil unless the decision module requests each watch (see WatchOnRequest).
 	watchRequests <-chan struct{}
 	watchFailed   func()
 
-	hasList     bool      // there is a list, which may be out of date
-	hasBase     bool      // that list is discovery's at version, so its changes apply to it
+	hasList     bool      // the sidecar has a list, which may be out of date
+	hasBase     bool      // the list equals discovery's list at version, so later changes can be applied to it
 	version     uint64    // of the list
 	confirmedAt time.Time // when the list was last known to be up to date
 }
 
-// New returns a Discovery at an address, with the list that the sidecar has already; nil: it has
-// none. Run calls publish with each update, in order.
+// New returns a Discovery for the service at an address. known is the list that the sidecar
+// already has, or nil if it has none. Run calls publish with each update, in order.
 func New(addr string, known *Listing, publish func(core.EndpointUpdate)) *Discovery {
 	d := &Discovery{
 		listURL:        listURL(addr),
 		publish:        publish,
-		schedule:       resolver.New(resolver.ForPushedLists(), 0), // without jitter, so any seed will do
+		schedule:       resolver.New(resolver.ForPushedLists(), 0), // no jitter, so the seed is unused
 		startedAt:      time.Now(),
 		addressChanges: make(chan string, 1),
 	}
@@ -56,42 +58,43 @@
 	return d
 }
 
-// WatchOnRequest makes Run wait for one of the requests before each watch, for deployments in
-// which a call has a cost. Run calls failed when a call failed or the watch has ended. The seed
-// is that of the jitter between the calls of several sidecars. It must be called before Run.
+// WatchOnRequest makes Run wait for a value from requests before each watch. It is meant for
+// deployments in which calls are expensive. Run calls failed when a call has failed or the watch
+// has ended. The seed determines the jitter that spreads the calls of several sidecars over
+// time. WatchOnRequest must be called before Run.
 func (d *Discovery) WatchOnRequest(requests <-chan struct{}, failed func(), seed uint64) {
 	d.watchRequests, d.watchFailed = requests, failed
 	d.schedule = resolver.New(resolver.ForPolledLists(), seed)
 }
 
-// SetAddress makes Run continue at another address at once. It does not block, and must not be
+// SetAddress makes Run switch to another address immediately. It does not block. It must not be
 // called concurrently with itself.
 func (d *Discovery) SetAddress(addr string) {
 	select {
-	case <-d.addressChanges: // superseded
+	case <-d.addressChanges: // drop the address that addr replaces
 	default:
 	}
 	d.addressChanges <- addr
 }
 
-// changeAddress continues at another address. The versions there may be unrelated to those at
-// the previous one, so the next list has to be complete.
+// changeAddress switches to another address. Versions at the new address may be unrelated to
+// those at the previous address, so the next list must be complete.
 func (d *Discovery) changeAddress(addr string) {
 	slog.Info("discovery: moved", "to", addr)
 	d.listURL, d.hasBase = listURL(addr), false
 }
 
-// retryState is the state between watches that fail in a row.
+// retryState is the state of the retries while consecutive watches fail.
 type retryState struct {
 	delay  time.Duration // before the next watch
-	logged bool          // that watches fail
+	logged bool          // the failure of watches has been logged
 }
 
 func newRetryState() retryState { return retryState{delay: minReopenDelay} }
 
-// Run watches the list until ctx ends. When a watch ends or falls silent, Run opens the next one
-// after a delay, or on request where WatchOnRequest was called. The previous list stays in force
-// until there is another.
+// Run watches the list until ctx is done. When a watch ends or receives no data for
+// watchSilence, Run opens the next watch after a delay, or on request if WatchOnRequest was
+// called. The previous list stays in use until a new one is received.
 func (d *Discovery) Run(ctx context.Context) {
 	retry, openNow := newRetryState(), false
 	for ctx.Err() == nil {
@@ -123,8 +126,9 @@
 	}
 }
 
-// waitForWatchRequest returns true when the next watch is requested or the address changes, at
-// once where watches are not requested; false at the end of ctx.
+// waitForWatchRequest blocks until the next watch is requested or the address changes, and
+// returns true. It returns true immediately if WatchOnRequest was not called, and false if ctx
+// is done first.
 func (d *Discovery) waitForWatchRequest(ctx context.Context) bool {
 	if d.watchRequests == nil {
 		return true
@@ -140,8 +144,8 @@
 	}
 }
 
-// reportFailure reports the end of a watch to who requests them. A request that still waits was
-// meant for that watch and is dropped.
+// reportFailure calls watchFailed to report the end of a watch. It drops a pending watch
+// request, because that request was meant for the watch that ended.
 func (d *Discovery) reportFailure() {
 	select {
 	case <-d.watchRequests:
@@ -150,8 +154,8 @@
 	d.watchFailed()
 }
 
-// waitToReopen returns after the delay before the next watch, at a change of address or at the
-// end of ctx.
+// waitToReopen blocks until the delay before the next watch has passed, the address changes, or
+// ctx is done.
 func (d *Discovery) waitToReopen(ctx context.Context, retry *retryState) {
 	timer := time.NewTimer(retry.delay)
 	defer timer.Stop()
--- a/internal/registry/platform/discovery_test.go
+++ b/internal/registry/platform/discovery_test.go
@@ -9,8 +9,9 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// A new address applies at once, with a complete list first: its versions may be unrelated to
-// those at the old one, from which no update may come later.
+// A new address must take effect immediately and start with a complete list, because versions
+// at the new address may be unrelated to those at the old address. No update from the old
+// address may be published afterwards.
 func TestAddressChange(t *testing.T) {
 	for name, known := range map[string]*Listing{"watching": knownList(41), "waiting for a list": nil} {
 		t.Run(name, func(t *testing.T) {
@@ -23,7 +24,7 @@
 				watch := peertest.Await(t, "the old watch", previous.Watches)
 				defer peertest.Await(t, "the old watch's end", watch.Ended)
 			}
-			discovery.SetAddress("127.0.0.1:1") // and another one at once: the last one counts
+			discovery.SetAddress("127.0.0.1:1") // replaced before Run reads it: only the last address applies
 			discovery.SetAddress(next.Addr)
 			peertest.Await(t, "the call for the new list", next.ListRequests)
 			next.ListResponses <- peertest.ListText(7, true, endpointText("up"))
@@ -34,15 +35,16 @@
 	}
 }
 
-// watchOnRequest has a Discovery that is not running wait for requests, and returns the channels
-// of the requests and of the failures that it reports.
+// watchOnRequest makes a Discovery that is not yet running wait for a request before each watch.
+// It returns the channel for the requests and the channel of the failures that Run reports.
 func watchOnRequest(discovery *Discovery) (requests chan<- struct{}, failures <-chan struct{}) {
 	requested, failed := make(chan struct{}, 1), make(chan struct{}, 1)
 	discovery.watchRequests, discovery.watchFailed = requested, func() { failed <- struct{}{} }
 	return requested, failed
 }
 
-// A change of address needs no watch request, and a failure at the new address is reported.
+// A change of address opens a watch without a watch request, and the failure of the watch at the
+// new address is reported.
 func TestAddressChangeWithWatchOnRequest(t *testing.T) {
 	previous, next := peertest.NewDiscovery(t), peertest.NewDiscovery(t)
 	discovery, updates := newDiscovery(previous.Addr, knownList(3))
@@ -54,13 +56,14 @@
 	peertest.Await(t, "the call for the new list", next.ListRequests)
 	next.ListResponses <- peertest.ListText(1, true)
 	if update := peertest.Await(t, "the list", updates); update.Version != 1 || !update.Complete {
-		t.Errorf("published %+v", update)
+		t.Errorf("got the update %+v, want a complete list of version 1", update)
 	}
 	close(peertest.Await(t, "the new watch", next.Watches).Lines)
-	peertest.Await(t, "the report of its end", failures)
+	peertest.Await(t, "the report that the new watch ended", failures)
 }
 
-// Each watch waits for a request; success and failure are reported.
+// Each watch waits for a request. A successful watch is reported by an update, a failed one by the
+// failure callback.
 func TestWatchOnRequest(t *testing.T) {
 	registry := peertest.NewDiscovery(t)
 	discovery, updates := newDiscovery(registry.Addr, knownList(3))
@@ -68,46 +71,47 @@
 	go discovery.Run(t.Context())
 	requests <- struct{}{}
 	watch := peertest.Await(t, "the watch", registry.Watches)
-	watch.Lines <- "" // nothing has changed: an update without endpoints reports the success
+	watch.Lines <- "" // no change: an update without endpoints reports that the watch is open
 	update := peertest.Await(t, "the update", updates)
 	if update.Version != 3 || update.Complete || len(update.Endpoints) != 0 {
-		t.Errorf("published %+v", update)
+		t.Errorf("got the update %+v, want version 3 without endpoints", update)
 	}
 	close(watch.Lines)
 	peertest.Await(t, "the report of the failure", failures)
 	select {
 	case <-registry.Watches:
-		t.Error("watched again without a request")
+		t.Error("got a second watch without a request")
 	default:
 	}
 	requests <- struct{}{}
 	peertest.Await(t, "the second watch", registry.Watches)
 }
 
-// While discovery is down the agent of a pushed list accepts calls and does not respond. A drain
-// that it has at its return is published within the 2 s in which it takes effect.
-func TestReturnOfSilentAgentIsNoticedInTime(t *testing.T) {
-	addr, unanswered, returns := startSilentAgent(t)
+// While discovery is down, the agent that serves pushed lists accepts calls but does not respond.
+// A drain that the agent reports once it responds again must be published within 2 s, the time
+// in which a drain must take effect.
+func TestSilentAgentRecoveryIsDetected(t *testing.T) {
+	addr, unanswered, recovered := startSilentAgent(t)
 	discovery, updates := newDiscovery(addr, knownList(41))
 	go discovery.Run(t.Context())
-	peertest.Await(t, "a call", unanswered)
-	peertest.Await(t, "a further call", unanswered)
-	returned := time.Now()
-	close(returns)
+	peertest.Await(t, "the first call", unanswered)
+	peertest.Await(t, "the second call", unanswered)
+	recoveredAt := time.Now()
+	close(recovered)
 	if update := peertest.Await(t, "the change", updates); update.Version != 43 {
-		t.Errorf("published %+v", update)
+		t.Errorf("got the update %+v, want version 43", update)
 	}
-	if took := time.Since(returned); took > 2*time.Second {
-		t.Errorf("published %v after the return", took)
+	if took := time.Since(recoveredAt); took > 2*time.Second {
+		t.Errorf("update published %v after the recovery, want at most 2s", took)
 	}
 }
 
-// startSilentAgent starts an agent that answers no call until returns is closed, and those from
-// before never.
-func startSilentAgent(t *testing.T) (addr string, unanswered <-chan net.Conn, returns chan<- struct{}) {
+// startSilentAgent starts an agent that accepts calls but does not respond until recovered is
+// closed. It never responds to calls that it accepted before that.
+func startSilentAgent(t *testing.T) (addr string, unanswered <-chan net.Conn, recovered chan<- struct{}) {
 	t.Helper()
 	listener := peertest.Listen(t)
-	silent, up := make(chan net.Conn, 100), make(chan struct{})
+	accepted, recovery := make(chan net.Conn, 100), make(chan struct{})
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -116,24 +120,25 @@
 			}
 			t.Cleanup(func() { conn.Close() })
 			select {
-			case <-up:
-				go answerWithDrain(conn)
+			case <-recovery:
+				go respondWithDrain(conn)
 			default:
-				silent <- conn
+				accepted <- conn
 			}
 		}
 	}()
-	return listener.Addr().String(), silent, up
+	return listener.Addr().String(), accepted, recovery
 }
 
-func answerWithDrain(conn net.Conn) {
+func respondWithDrain(conn net.Conn) {
 	conn.Read(make([]byte, 4<<10))
 	change := peertest.ListText(43, false, endpointText("draining")) + "\n"
 	conn.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + change))
 }
 
-// A discovery that responds slowly is followed, at whatever speed.
-func TestSlowDiscoveryIsFollowed(t *testing.T) {
+// A list is published however slowly discovery responds. Canceling each call after a fixed timeout
+// would never get a response from a discovery that is slower than the timeout.
+func TestListFromSlowDiscovery(t *testing.T) {
 	for name, tt := range map[string]struct {
 		onRequest    bool
 		responseTime time.Duration
@@ -157,7 +162,7 @@
 			case update := <-updates:
 				wantOneEndpoint(t, update)
 			case <-time.After(2*tt.responseTime + time.Second):
-				t.Fatalf("no update, with %d calls", calls.Load())
+				t.Fatalf("got no update after %d calls", calls.Load())
 			}
 		})
 	}
@@ -166,6 +171,6 @@
 func wantOneEndpoint(t *testing.T, update core.EndpointUpdate) {
 	t.Helper()
 	if update.Version != 7 || len(update.Endpoints) != 1 {
-		t.Errorf("published %+v", update)
+		t.Errorf("got the update %+v, want version 7 with one endpoint", update)
 	}
 }
--- a/internal/registry/platform/hedged_call.go
+++ b/internal/registry/platform/hedged_call.go
@@ -12,12 +12,14 @@
 	"mothridge/resolver"
 )
 
-// MaxConnections is how many connections a Discovery has at a time: a call and its hedge.
+// MaxConnections is the maximum number of connections that a Discovery has at a time: one for a
+// call and one for its hedge.
 const MaxConnections = 2
 
-// call calls discovery, with hedges as the schedule has them, until a call is answered with
-// status 200. It returns that response's body; closing it ends the call. The error is that of
-// the last call that failed, or of ctx.
+// call sends a GET request for url to discovery, hedged as the schedule decides, until a call is
+// answered with status 200. It returns the body of that response; closing the body ends the call.
+// If all running calls have failed, it returns the error of the last one; if ctx is done, the
+// error of ctx.
 func (d *Discovery) call(ctx context.Context, url string) (io.ReadCloser, error) {
 	calls := &hedgedCall{
 		url:     url,
@@ -41,7 +43,7 @@
 				return result.body, nil
 			}
 			calls.cancel(result.id)
-			if anotherRuns := d.schedule.CallFailed(result.id); !anotherRuns {
+			if anotherRunning := d.schedule.CallFailed(result.id); !anotherRunning {
 				return nil, result.err
 			}
 		case <-ctx.Done():
@@ -51,26 +53,27 @@
 	}
 }
 
-// noCall is the ID of no call of a schedule.
+// noCall is an ID that a schedule never assigns to a call.
 const noCall resolver.CallID = 0
 
-// hedgedCall is a set of calls of which the first answer counts. Each call has a connection of
-// its own, so that canceling it frees its resources at once. Discovery.call's goroutine alone
-// uses it; each call runs in a goroutine, which ends once its result is taken or it is cancelled.
+// hedgedCall is a set of calls for the same URL, of which the first successful response is used.
+// Each call has its own connection, so that canceling the call frees its resources immediately.
+// Only the goroutine of Discovery.call uses a hedgedCall. Each call runs in its own goroutine,
+// which ends once its result has been received or the call has been canceled.
 type hedgedCall struct {
 	url     string
 	results chan callResult
 	cancels map[resolver.CallID]context.CancelFunc
 }
 
-// callResult is a call's error, or the body of its response.
+// callResult is the outcome of a call: its error, or the body of its response.
 type callResult struct {
 	id   resolver.CallID
 	body io.ReadCloser
 	err  error
 }
 
-// apply does what the schedule decided.
+// apply cancels and starts the calls that the schedule decided to cancel and start.
 func (c *hedgedCall) apply(ctx context.Context, step resolver.Step) {
 	for _, id := range step.Cancel {
 		c.cancel(id)
@@ -102,7 +105,7 @@
 	}
 }
 
-// cancelAllBut cancels all calls but one, which lasts until its body is closed.
+// cancelAllBut cancels all calls except the call id. That call lasts until its body is closed.
 func (c *hedgedCall) cancelAllBut(id resolver.CallID) {
 	for other, cancel := range c.cancels {
 		if other != id {
@@ -111,14 +114,14 @@
 	}
 }
 
-// statusError is a response with a status other than 200.
+// statusError is the error for a response with a status other than 200.
 type statusError int
 
-// Error names the status.
-func (status statusError) Error() string { return fmt.Sprintf("status %d", int(status)) }
+// Error returns a text with the status code.
+func (status statusError) Error() string { return fmt.Sprintf("unexpected status %d", int(status)) }
 
-// get makes one call on a connection of its own, which ends with ctx, and returns the body of
-// the response. Closing that calls cancel.
+// get makes one call on its own connection, which is closed when ctx is done, and returns the
+// body of the response. Closing the body calls cancel.
 func get(ctx context.Context, cancel context.CancelFunc, url string) (io.ReadCloser, error) {
 	transport := newTransport(ctx)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -141,8 +144,9 @@
 	return &responseBody{ReadCloser: response.Body, endCall: endCall}, nil
 }
 
-// newTransport returns a transport for one call. It dials with the call's context: net/http
-// would go on dialing after the call's end, for a later one.
+// newTransport returns a transport for one call. It dials with the context of the call, because
+// net/http would otherwise continue to dial after the end of the call, to keep the connection
+// for a later call.
 func newTransport(ctx context.Context) *http.Transport {
 	dialer := &net.Dialer{KeepAlive: -1}
 	return &http.Transport{
@@ -153,7 +157,7 @@
 	}
 }
 
-// responseBody ends its call when it is closed.
+// responseBody is a response body whose Close also ends the call.
 type responseBody struct {
 	io.ReadCloser
 	endCall func()
--- a/internal/registry/platform/listing.go
+++ b/internal/registry/platform/listing.go
@@ -7,15 +7,16 @@
 	"mothridge/internal/settings"
 )
 
-// Listing is a message of discovery: the complete list of endpoints or what changed in it. Its
-// tags and those of listingEntry are the only place with the platform's names.
+// Listing is a message from discovery: the complete list of endpoints, or the endpoints that
+// changed. The JSON tags of Listing and listingEntry are the only place that uses the platform's
+// names.
 type Listing struct {
 	Version   uint64         `json:"seq"`
 	Complete  bool           `json:"whole"`
 	Endpoints []listingEntry `json:"hosts"`
 }
 
-// listingEntry is one endpoint of a Listing.
+// listingEntry is the entry of one endpoint in a Listing.
 type listingEntry struct {
 	Name        string  `json:"host"`
 	Addr        string  `json:"dial"`
@@ -24,11 +25,12 @@
 	Cell        *int    `json:"block"`
 	Health      string  `json:"health"`
 	Weight      float64 `json:"share"`
-	StartedAtMs float64 `json:"born_ms"` // Unix time; 0: long ago
+	StartedAtMs float64 `json:"born_ms"` // Unix time in milliseconds; 0: long ago
 }
 
-// UnmarshalJSON decodes an entry. One with a field of the wrong type becomes an entry without a
-// name, which the core ignores, so that it makes no other entry unusable.
+// UnmarshalJSON decodes an entry. An entry with a field of the wrong type is decoded as an entry
+// without a name, which the core ignores. An invalid entry therefore does not make the other
+// entries of the list unusable.
 func (e *listingEntry) UnmarshalJSON(text []byte) error {
 	type withoutMethods listingEntry
 	var decoded withoutMethods
@@ -40,7 +42,7 @@
 	return nil
 }
 
-// EndpointUpdate returns the listing in the core's terms.
+// EndpointUpdate converts the listing to an endpoint update of the core.
 func (l Listing) EndpointUpdate() core.EndpointUpdate {
 	update := core.EndpointUpdate{
 		Version:   l.Version,
@@ -66,7 +68,7 @@
 	}
 }
 
-// parseHealth returns the health for one of the platform's words. An unknown one is Draining.
+// parseHealth converts a health value of the platform. An unknown value counts as Draining.
 func parseHealth(text string) core.Health {
 	switch text {
 	case "up":
--- a/internal/registry/platform/listing_test.go
+++ b/internal/registry/platform/listing_test.go
@@ -8,8 +8,9 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// An unusable entry makes no other entry of its list unusable.
-func TestUnusableEntries(t *testing.T) {
+// Entries that are invalid must not make the other entries of the list unusable, and an unknown
+// health must count as draining.
+func TestInvalidEntriesAreIsolated(t *testing.T) {
 	text := peertest.ValidJSON(t, peertest.ListText(1, true,
 		`{"host":7,"dial":"127.0.0.1:7","health":"up"}`,
 		`"nonsense"`,
@@ -21,17 +22,17 @@
 	}
 	update := listing.EndpointUpdate()
 	if update.Version != 1 || !update.Complete || len(update.Endpoints) != 4 {
-		t.Fatalf("update %+v", update)
+		t.Fatalf("got %+v, want a complete list of version 1 with 4 endpoints", update)
 	}
 	if update.Endpoints[0].Name != "" || update.Endpoints[1].Name != "" {
-		t.Fatalf("update %+v", update)
+		t.Fatalf("got %+v, want the invalid entries without a name", update)
 	}
-	usable := update.Endpoints[2]
-	if usable.Name != "s-1" || usable.Health != core.Ready || usable.StartedAt.Seconds() != 4 ||
-		usable.Weight != 1 || *usable.Cell != 3 {
-		t.Errorf("the usable entry is %+v", usable)
+	valid := update.Endpoints[2]
+	if valid.Name != "s-1" || valid.Health != core.Ready || valid.StartedAt.Seconds() != 4 ||
+		valid.Weight != 1 || *valid.Cell != 3 {
+		t.Errorf("valid entry: got %+v, want s-1, ready, cell 3, weight 1, started at 4s", valid)
 	}
 	if unknown := update.Endpoints[3]; unknown.Name != "s-3" || unknown.Health != core.Draining {
-		t.Errorf("an unknown health: %+v, want draining", unknown)
+		t.Errorf("unknown health: got %+v, want s-3 draining", unknown)
 	}
 }
--- a/internal/registry/platform/message_forms_test.go
+++ b/internal/registry/platform/message_forms_test.go
@@ -10,23 +10,24 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// In whatever form a message arrives, a drain in it is published once its last byte has come, on
-// the watch that is open.
-func TestMessagesInAllForms(t *testing.T) {
-	up, other := endpointText("up"), peertest.HostText("s-2", "127.0.0.1:8", "up", 0)
+// A drain is published as soon as the last byte of its message has arrived, whatever white space
+// the message contains and however it is split into pieces. The watch stays open and no further
+// call is made.
+func TestMessageFormats(t *testing.T) {
+	ready, otherEndpoint := endpointText("up"), peertest.HostText("s-2", "127.0.0.1:8", "up", 0)
 	change := peertest.ListText(43, false, endpointText("draining"))
-	between := strings.Index(change, ",\"health\"") // two fields
+	fieldEnd := strings.Index(change, ",\"health\"") // offset between two fields of the message
 	for name, pieces := range map[string][]string{
-		"a line":                    {change + "\n"},
-		"no line break after it":    {change},
-		"indented":                  {indented(t, change) + "\n"},
-		"carriage returns":          {strings.ReplaceAll(indented(t, change), "\n", "\r\n") + "\r\n\r\n"},
-		"byte by byte":              strings.Split(change+"\n", ""),
-		"indented, byte by byte":    strings.Split(indented(t, change), ""),
-		"after another":             {peertest.ListText(42, false, up) + "\n" + change + "\n"},
-		"cut where another one was": {peertest.ListText(42, false, up) + change[:30], change[30:]},
-		"empty lines in its middle": {change[:between], "\n", "\n", change[between:]},
-		"a list without it":         {peertest.ListText(43, true, other) + "\n"},
+		"one line":                           {change + "\n"},
+		"no final line break":                {change},
+		"indented":                           {indented(t, change) + "\n"},
+		"carriage returns":                   {strings.ReplaceAll(indented(t, change), "\n", "\r\n") + "\r\n\r\n"},
+		"byte by byte":                       strings.Split(change+"\n", ""),
+		"indented, byte by byte":             strings.Split(indented(t, change), ""),
+		"after another message":              {peertest.ListText(42, false, ready) + "\n" + change + "\n"},
+		"start in piece of another message":  {peertest.ListText(42, false, ready) + change[:30], change[30:]},
+		"empty lines within the message":     {change[:fieldEnd], "\n", "\n", change[fieldEnd:]},
+		"complete list without the endpoint": {peertest.ListText(43, true, otherEndpoint) + "\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			registry := peertest.NewDiscovery(t)
@@ -36,7 +37,7 @@
 				select {
 				case watch.Bytes <- piece:
 				case <-watch.Ended:
-					t.Fatal("the watch was ended")
+					t.Fatal("the client closed the watch")
 				}
 			}
 			wantDrainOrRemoval(t, updates, 43)
@@ -54,8 +55,8 @@
 	return b.String()
 }
 
-// wantDrainOrRemoval waits for the update of a version and checks that the endpoint s-1 is
-// draining in it, or absent from a complete list with s-2.
+// wantDrainOrRemoval waits for the update with this version and checks that the endpoint s-1 is
+// draining, or that the update is a complete list of only s-2.
 func wantDrainOrRemoval(t *testing.T, updates <-chan core.EndpointUpdate, version uint64) {
 	t.Helper()
 	update := peertest.Await(t, "the change", updates)
@@ -64,19 +65,19 @@
 	}
 	removed := update.Complete && len(update.Endpoints) == 1 && update.Endpoints[0].Name == "s-2"
 	if !removed && update.Endpoints[0].Health != core.Draining {
-		t.Errorf("published %+v", update)
+		t.Errorf("got the update %+v, want s-1 draining or removed", update)
 	}
 }
 
-// wantStillOpen checks that a watch is still read and that there was no other call.
+// wantStillOpen checks that the client still reads the watch and has made no other call.
 func wantStillOpen(t *testing.T, registry *peertest.Discovery, watch *peertest.Watch) {
 	t.Helper()
 	select {
 	case watch.Lines <- "":
 	case <-watch.Ended:
-		t.Error("the watch was ended")
+		t.Error("the client closed the watch")
 	}
 	if len(registry.Watches) > 0 || len(registry.ListRequests) > 0 {
-		t.Error("another call was needed")
+		t.Error("the client made another call")
 	}
 }
--- a/internal/registry/platform/slow_discovery_test.go
+++ b/internal/registry/platform/slow_discovery_test.go
@@ -10,7 +10,7 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// startSlowDiscovery starts a discovery that takes a time to respond to each call, and counts
+// startSlowDiscovery starts a discovery that responds to each call after responseTime, and counts
 // the calls.
 func startSlowDiscovery(t *testing.T, responseTime time.Duration) (addr string, calls *atomic.Int64) {
 	t.Helper()
--- a/internal/registry/platform/stream.go
+++ b/internal/registry/platform/stream.go
@@ -8,50 +8,53 @@
 	"time"
 )
 
-// maxMessageBytes bounds one message of discovery, with the white space before it.
+// maxMessageBytes is the maximum size of one message from discovery, including the white space
+// before the message.
 const maxMessageBytes = 4 << 20
 
-// stream reads a response of discovery and detects its silence. The messages are JSON values,
-// which may be indented and arrive in any pieces, with white space between them. Any byte
-// restarts the time of silence, except that within a message white space alone does not:
-// discovery goes on sending empty lines after a message whose rest was lost.
+// stream reads a response from discovery and detects when the response receives no data. The
+// messages are JSON values with white space between them. They may be indented and may arrive in
+// pieces of any size. Any data restarts the silence timer, except data within a message that is
+// only white space: discovery continues to send empty lines after a message whose remainder was
+// lost.
 type stream struct {
 	silenceTimer *time.Timer
 	body         io.Reader
-	onKeepAlive  func() // called by Read for white space between messages; may be nil
+	onKeepAlive  func() // called by Read when it reads only white space between messages; may be nil
 	bytesRead    int64
 	messageEnd   int64 // offset of the end of the last complete message
-	inMessage    bool  // part of a further one has been read
-	err          error // of the body, or that a message is too long
+	inMessage    bool  // part of the next message has been read
+	err          error // first error: from reading the body, or because a message is too long
 }
 
 // newStream returns a stream that calls onSilence, from another goroutine, when a response has
-// had no data for watchSilence.
+// received no data for watchSilence.
 func newStream(onSilence func()) *stream {
 	s := &stream{silenceTimer: time.AfterFunc(watchSilence, onSilence)}
 	s.stop()
 	return s
 }
 
-// start reads a response from its beginning.
+// start begins to read a new response and starts the silence timer.
 func (s *stream) start(body io.Reader, onKeepAlive func()) {
 	*s = stream{silenceTimer: s.silenceTimer, body: body, onKeepAlive: onKeepAlive}
 	s.restartSilence()
 }
 
-// stop ends the detection of silence until the next start.
+// stop stops the silence timer until the next start.
 func (s *stream) stop() { s.silenceTimer.Stop() }
 
 func (s *stream) restartSilence() { s.silenceTimer.Reset(watchSilence) }
 
-// endMessage notes that the decoder has read a message to its end.
+// endMessage records that the decoder has read a complete message.
 func (s *stream) endMessage(decoder *json.Decoder) {
-	buffered, _ := io.ReadAll(decoder.Buffered()) // from memory
+	buffered, _ := io.ReadAll(decoder.Buffered()) // cannot fail: reads from memory
 	s.messageEnd = decoder.InputOffset()
 	s.inMessage = !isBlank(buffered)
 }
 
-// Read reads from the response, for the JSON decoder.
+// Read implements io.Reader for the JSON decoder. It reads from the response, and returns an
+// error for a message that is longer than maxMessageBytes.
 func (s *stream) Read(b []byte) (int, error) {
 	n, err := s.body.Read(b)
 	s.bytesRead += int64(n)
@@ -59,7 +62,7 @@
 		s.noteData(b[:n])
 	}
 	if err == nil && s.bytesRead-s.messageEnd > maxMessageBytes {
-		err = fmt.Errorf("a message of over %d bytes", maxMessageBytes)
+		err = fmt.Errorf("message is longer than %d bytes", maxMessageBytes)
 	}
 	if err != nil && s.err == nil {
 		s.err = err
--- a/internal/registry/platform/watch.go
+++ b/internal/registry/platform/watch.go
@@ -14,17 +14,17 @@
 
 const listPath = "/registry/instances"
 
-// watchSilence is how long a watch may be without data. While nothing changes discovery writes
-// an empty line every 2 s.
+// watchSilence is how long a watch may receive no data before it is closed. Discovery writes an
+// empty line every 2 s while the list does not change.
 const watchSilence = 3 * time.Second
 
 var (
-	// errGap is the error for a change that is missing or unreadable. Only the complete list
-	// helps then.
-	errGap = errors.New("gap in the list")
-	// errSilent ends a call after watchSilence.
+	// errGap is the error for a list or change that is missing or unreadable. The client must
+	// then fetch the complete list.
+	errGap = errors.New("endpoint list is incomplete or unreadable")
+	// errSilent is the error of a call that received no data for watchSilence.
 	errSilent = errors.New("silent")
-	// errAddressChanged ends a watch at an address that is no longer discovery's.
+	// errAddressChanged is the error of a watch that was ended because discovery's address changed.
 	errAddressChanged = errors.New("discovery's address changed")
 )
 
@@ -34,20 +34,20 @@
 	return d.listURL + "?watch=1&from=" + strconv.FormatUint(d.version, 10)
 }
 
-// watchEnd is how a watch ended.
+// watchEnd describes how a watch ended.
 type watchEnd struct {
-	responded bool   // discovery wrote something
-	newAddr   string // where discovery's address changed; else empty
+	responded bool   // discovery sent data
+	newAddr   string // discovery's new address; empty unless the address changed
 	err       error
 }
 
-// watchUntilAddressChange watches until the watch ends or the address changes. No update from
-// the old address is published after its return.
+// watchUntilAddressChange runs one watch until the watch ends or discovery's address changes. No
+// update from the old address is published after it has returned.
 func (d *Discovery) watchUntilAddressChange(ctx context.Context) watchEnd {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	ended, newAddr := make(chan struct{}), make(chan string, 1)
-	go func() { // until the watch has ended
+	go func() { // runs until the address changes or the watch has ended
 		defer close(newAddr)
 		select {
 		case addr := <-d.addressChanges:
@@ -61,8 +61,9 @@
 	return watchEnd{responded: responded, newAddr: <-newAddr, err: err}
 }
 
-// watch opens one watch and publishes its updates until it ends, and reports whether discovery
-// responded. Without a list that changes apply to it fetches the complete list first.
+// watch opens one watch, publishes its updates until the watch ends, and reports whether discovery
+// responded. If there is no list that changes can be applied to, watch fetches the complete list
+// first.
 func (d *Discovery) watch(ctx context.Context) (responded bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -87,7 +88,7 @@
 	defer body.Close()
 	stream.start(body, func() {
 		d.confirmedAt = time.Now()
-		if !responded { // the first sign that the watch is open
+		if !responded { // the first data shows that the watch is open
 			d.publish(core.EndpointUpdate{Version: d.version})
 		}
 		responded = true
@@ -104,7 +105,7 @@
 	}
 }
 
-// readMessage reads the next message of a watch. Its error is io.EOF at the end of the watch.
+// readMessage reads the next message of a watch. It returns io.EOF at the end of the watch.
 func (d *Discovery) readMessage(stream *stream, decoder *json.Decoder) (Listing, error) {
 	var listing Listing
 	if err := decoder.Decode(&listing); err != nil {
@@ -133,8 +134,10 @@
 	return d.apply(listing)
 }
 
-// apply publishes a listing. Changes apply in order and to the list that they follow; those of
-// the current version are known already and leave an update without endpoints.
+// apply publishes a listing. Changes must arrive in the order of their versions, and only apply
+// to a list that discovery had; otherwise apply returns errGap, and the next watch fetches the
+// complete list first. Changes of the current version are already known, so the published update
+// contains no endpoints.
 func (d *Discovery) apply(listing Listing) error {
 	if !listing.Complete {
 		if !d.hasBase || listing.Version < d.version {
--- a/internal/registry/platform/watch_test.go
+++ b/internal/registry/platform/watch_test.go
@@ -9,13 +9,14 @@
 	"mothridge/internal/peers/peertest"
 )
 
+// A watch publishes each change once and in order, and the next watch starts from the last version.
 func TestWatchPublishesChangesInOrder(t *testing.T) {
 	registry := peertest.NewDiscovery(t)
 	updates := startDiscovery(t, registry, knownList(41))
 	watch := wantWatchFrom(t, registry, "41")
 	watch.Lines <- peertest.ListText(43, false, endpointText("up"))
 	watch.Lines <- ""
-	watch.Lines <- peertest.ListText(43, false, endpointText("up")) // known already
+	watch.Lines <- peertest.ListText(43, false, endpointText("up")) // same version again: already known
 	watch.Lines <- peertest.ListText(47, false, endpointText("draining"))
 	for i, want := range []struct {
 		version   uint64
@@ -24,15 +25,17 @@
 	}{{43, 1, core.Ready}, {43, 0, 0}, {47, 1, core.Draining}} {
 		update := peertest.Await(t, "a change", updates)
 		if update.Version != want.version || len(update.Endpoints) != want.endpoints {
-			t.Errorf("change %d is %+v, want %+v", i, update, want)
+			t.Errorf("change %d: got %+v, want %+v", i, update, want)
 		} else if want.endpoints > 0 && update.Endpoints[0].Health != want.health {
-			t.Errorf("change %d is %+v, want %+v", i, update, want)
+			t.Errorf("change %d: got %+v, want %+v", i, update, want)
 		}
 	}
-	close(watch.Lines) // the watch ends
+	close(watch.Lines) // ends the watch
 	wantWatchFrom(t, registry, "47")
 }
 
+// After an unreadable message or a lower version, the client fetches the complete list and then
+// watches from the version of that list.
 func TestGapFetchesCompleteList(t *testing.T) {
 	for name, line := range map[string]string{
 		"unreadable": `{"seq":42,"whole":false,"hosts":[{"ho`,
@@ -52,6 +55,7 @@
 	}
 }
 
+// A watch that receives no data for watchSilence is closed and reopened from the same version.
 func TestSilentWatchIsReopened(t *testing.T) {
 	registry := peertest.NewDiscovery(t)
 	startDiscovery(t, registry, knownList(1))
@@ -59,13 +63,14 @@
 	start := time.Now()
 	wantWatchFrom(t, registry, "1")
 	if took := time.Since(start); took < watchSilence/2 {
-		t.Errorf("reopened after %v", took)
+		t.Errorf("reopened after %v, want at least half of watchSilence", took)
 	}
-	peertest.Await(t, "the end of the silent one", silent.Ended)
+	peertest.Await(t, "the end of the silent watch", silent.Ended)
 }
 
-// Half a message and empty lines after it do not count as data: its rest may never come.
-func TestHalfAMessageIsSilence(t *testing.T) {
+// Empty lines after an incomplete message do not count as data, because the rest of the message
+// may never arrive. The watch must be reopened although empty lines still arrive.
+func TestPartialMessageCountsAsSilence(t *testing.T) {
 	registry := peertest.NewDiscovery(t)
 	updates := startDiscovery(t, registry, knownList(41))
 	watch := peertest.Await(t, "the watch", registry.Watches)
@@ -82,12 +87,12 @@
 			case <-watch.Ended:
 			}
 			if time.Since(start) > 2*watchSilence {
-				t.Fatal("empty lines kept a watch open whose message never ended")
+				t.Fatal("empty lines kept a watch with an incomplete message open")
 			}
 			continue
 		case next := <-registry.Watches:
 			if next.From != "41" {
-				t.Errorf("the next watch is from %s, want 41", next.From)
+				t.Errorf("the next watch starts from version %s, want 41", next.From)
 			}
 		}
 		break
