--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The cost of a delta of one instance must not grow with the list.
+// BenchmarkDelta measures a delta of one instance. Its cost must not grow with the length of the
+// source's list.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint("nodes=", n), func(b *testing.B) {
@@ -21,6 +22,7 @@
 	}
 }
 
+// BenchmarkReplaceList measures a complete list that equals the previous one.
 func BenchmarkReplaceList(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint("nodes=", n), func(b *testing.B) {
@@ -35,7 +37,7 @@
 	}
 }
 
-// newBenchSet returns a Set that holds a list of n instances, and the list.
+// newBenchSet returns a Set with one source that lists n instances, and the list.
 func newBenchSet(b *testing.B, n int) (*Set, []Instance) {
 	set, err := New(Config{}, Source{"eureka", true})
 	if err != nil {
--- a/membership/fakecore_test.go
+++ b/membership/fakecore_test.go
@@ -7,16 +7,19 @@
 	"time"
 )
 
-// fakeCore keeps the view that the changes of a Set add up to, and checks that they are consistent.
+// fakeCore stands in for the core: it applies the changes of a Set to a view of its own and checks
+// that the changes are consistent.
 type fakeCore struct {
 	t         *testing.T
 	set       *Set
 	now       time.Duration
 	endpoints map[string]Change // by key
-	removed   map[string]bool   // keys that must not be used again
-	changes   []Change          // all so far
+	removed   map[string]bool   // keys of removed endpoints, which must not be used again
+	changes   []Change          // all changes so far
 }
 
+// newFakeCore returns a fakeCore with a new Set. Without sources, the Set has the sources platform and
+// eureka.
 func newFakeCore(t *testing.T, cfg Config, sources ...Source) *fakeCore {
 	t.Helper()
 	if len(sources) == 0 {
@@ -34,7 +37,7 @@
 	for _, change := range changes {
 		core.changes = append(core.changes, change)
 		if core.removed[change.Key] {
-			core.t.Fatalf("key %s is used again", change.Key)
+			core.t.Fatalf("got a change of key %s, which was removed before", change.Key)
 		}
 		if change.State == Removed {
 			core.remove(change.Key)
@@ -48,13 +51,14 @@
 func (core *fakeCore) remove(key string) {
 	core.t.Helper()
 	if _, present := core.endpoints[key]; !present {
-		core.t.Fatalf("%s is removed and was never there", key)
+		core.t.Fatalf("got the removal of %s, which is not in the view", key)
 	}
 	delete(core.endpoints, key)
 	core.removed[key] = true
 }
 
-// check compares the view with the Set's own count, and its addresses with one another.
+// check compares the number of ready endpoints with that of the Set, and checks that no two endpoints
+// have the same address.
 func (core *fakeCore) check() {
 	core.t.Helper()
 	ready, keyByAddr := 0, make(map[string]string)
@@ -63,12 +67,12 @@
 			ready++
 		}
 		if other := keyByAddr[endpoint.Addr]; other != "" {
-			core.t.Fatalf("%s and %s are both at %s", other, endpoint.Key, endpoint.Addr)
+			core.t.Fatalf("the endpoints %s and %s have the same address %s", other, endpoint.Key, endpoint.Addr)
 		}
 		keyByAddr[endpoint.Addr] = endpoint.Key
 	}
 	if ready != core.set.Ready() {
-		core.t.Fatalf("%d endpoints are ready, the set says %d", ready, core.set.Ready())
+		core.t.Fatalf("the view has %d ready endpoints, the Set reports %d", ready, core.set.Ready())
 	}
 }
 
@@ -95,7 +99,7 @@
 	core.apply(core.set.ApplyDelta(core.now, source, "r1", deltas))
 }
 
-// advance lets time pass with a Tick every second.
+// advance advances the time by d, with a Tick every second.
 func (core *fakeCore) advance(d time.Duration) {
 	core.t.Helper()
 	for end := core.now + d; core.now < end; {
@@ -104,7 +108,7 @@
 	}
 }
 
-// endpointAt returns the endpoint at an address; its state is Removed if there is none.
+// endpointAt returns the endpoint at an address, or a Change with the state Removed if there is none.
 func (core *fakeCore) endpointAt(addr string) Change {
 	for _, endpoint := range core.endpoints {
 		if endpoint.Addr == addr {
@@ -114,12 +118,13 @@
 	return Change{State: Removed}
 }
 
-// wantState checks the state at an address, and that its reason contains a text.
+// wantState checks the state of the endpoint at an address, and that its reason contains the text
+// reason.
 func (core *fakeCore) wantState(addr string, state State, reason string) {
 	core.t.Helper()
 	endpoint := core.endpointAt(addr)
 	if endpoint.State != state {
-		core.t.Errorf("%s is in state %d (%s), want %d", addr, endpoint.State, endpoint.Reason, state)
+		core.t.Errorf("%s: got state %d (%s), want %d", addr, endpoint.State, endpoint.Reason, state)
 	}
 	got := endpoint.Reason
 	for _, member := range core.set.Members("", 1000) {
@@ -128,10 +133,11 @@
 		}
 	}
 	if !strings.Contains(got, reason) {
-		core.t.Errorf("%s: reason %q, want %q in it", addr, got, reason)
+		core.t.Errorf("%s: got the reason %q, want it to contain %q", addr, got, reason)
 	}
 }
 
+// testInstance returns instance n with this status. Its ID, name and address follow from n.
 func testInstance(n int, status Status, dirty int64) Instance {
 	return Instance{
 		ID:     fmt.Sprint("i", n),
@@ -144,16 +150,16 @@
 	}
 }
 
-// testInstances returns the instances 0 to n-1 of one status.
+// testInstances returns the instances 0 to n-1 with the same status.
 func testInstances(n int, status Status) []Instance {
-	var all []Instance
+	var list []Instance
 	for i := range n {
-		all = append(all, testInstance(i, status, 1))
+		list = append(list, testInstance(i, status, 1))
 	}
-	return all
+	return list
 }
 
-// The sources of a fakeCore.
+// The indexes of the two default sources of a fakeCore.
 const (
 	platform = 0
 	eureka   = 1
--- a/membership/flap_damping.go
+++ b/membership/flap_damping.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Flap damping after RFC 2439: an endpoint gets a penalty each time it stops being Up, and
-// the penalty halves with each half-life. From the suppress threshold on the endpoint drains,
-// also while it is Up, until the penalty is down to the reuse threshold. Damping delays a
-// return; it never delays a drain.
+// Flap damping follows RFC 2439. Each time an endpoint stops being Up, its penalty grows by
+// flapPenalty, and the penalty halves with each half-life. An endpoint whose penalty reaches the
+// suppress threshold is suppressed: it drains, even while it is Up, until the penalty has decayed
+// to the reuse threshold. Damping delays a return to service; it never delays a drain.
 const (
-	flapPenalty       = 1.0 // the unit of the others
-	maxPenalty        = 6.0 // bounds the time of suppression
+	flapPenalty       = 1.0 // the other penalties and thresholds are multiples of this unit
+	maxPenalty        = 6.0 // limits how long an endpoint stays suppressed
 	suppressThreshold = 3.0
 	reuseThreshold    = 1.0
 	penaltyHalfLife   = 20 * time.Second
 )
 
-// updatePenalty decays the endpoint's penalty and adds to it if the endpoint was Ready and
-// its status is not Up any more.
+// updatePenalty decays the endpoint's penalty, and increases it if the endpoint is Ready and its
+// status is no longer Up.
 func (s *Set) updatePenalty(now time.Duration, ep *endpoint, status Status) {
 	ep.decayPenalty(now)
 	if ep.isReady() && status != Up {
@@ -30,6 +30,8 @@
 	}
 }
 
+// decayPenalty reduces the penalty by the time since its last update, and ends the suppression once
+// the penalty is at or below the reuse threshold.
 func (ep *endpoint) decayPenalty(now time.Duration) {
 	ep.penalty *= math.Exp2(-float64(now-ep.penaltyUpdatedAt) / float64(penaltyHalfLife))
 	ep.penaltyUpdatedAt = now
@@ -38,8 +40,8 @@
 	}
 }
 
-// stateOf returns the state of an endpoint of the given status, and why. A suppressed one is
-// Ready where no other is.
+// stateOf returns the state of an endpoint with the given status, and the reason for the state. A
+// suppressed endpoint is Ready if no other endpoint is.
 func (s *Set) stateOf(ep *endpoint, status Status, reason string) (State, string) {
 	switch {
 	case status != Up:
@@ -47,12 +49,12 @@
 	case !ep.suppressed:
 		return Ready, reason
 	case !s.anotherReady(ep):
-		return Ready, "it flaps, but there is no other; " + reason
+		return Ready, "flaps, but no other endpoint is ready; " + reason
 	}
-	return Draining, "it flaps: drained until it has kept up for a while; " + reason
+	return Draining, "flaps: drained until its flap penalty has decayed; " + reason
 }
 
-// anotherReady reports whether any endpoint but ep is Ready.
+// anotherReady reports whether any endpoint other than ep is Ready.
 func (s *Set) anotherReady(ep *endpoint) bool {
 	others := s.readyCount
 	if ep.isReady() {
--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -16,7 +16,8 @@
 	goldenInstances = 25
 )
 
-// digestOfChanges returns the digest of all changes that follow random events from two sources.
+// digestOfChanges applies random events from two sources and returns the digest of all resulting
+// changes, and the average number of ready endpoints.
 func digestOfChanges(t *testing.T, seed uint64) string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 2))
@@ -29,39 +30,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	digest, ready := golden.NewDigest(), 0
-	record := func(changes []membership.Change) {
+	digest, readySum := golden.NewDigest(), 0
+	recordChanges := func(changes []membership.Change) {
 		for _, c := range changes {
 			digest.Text('c', strings.Join([]string{c.Key, c.Name, c.Addr, c.Zone, c.MachineType, c.Cell, c.Protocol}, "\t"))
 			digest.Numbers('s', int64(c.State), int64(c.StartedAt))
 			digest.Float('w', c.Weight)
 		}
 		digest.Numbers('r', int64(set.Ready()))
-		ready += set.Ready()
+		readySum += set.Ready()
 	}
 	dirty, flaps := int64(0), 0
-	draw := func(id int) membership.Instance {
+	randomInstance := func(id int) membership.Instance {
 		if dirty++; rng.IntN(20) == 0 {
 			dirty -= 3
 		}
-		i := membership.Instance{
+		instance := membership.Instance{
 			ID: fmt.Sprint("i", id), Name: fmt.Sprint("records-", id), Addr: fmt.Sprint("10.0.0.", id%23, ":80"),
 			Zone: fmt.Sprint("z", id%3), Weight: float64(id % 4), Dirty: dirty, Updated: dirty + int64(rng.IntN(3)),
 		}
 		if rng.IntN(6) == 0 {
-			i.Status = membership.Status(rng.IntN(5))
+			instance.Status = membership.Status(rng.IntN(5))
 		}
 		if rng.IntN(3) > 0 {
-			i.StartedAt = time.Duration(1+rng.IntN(3)) * time.Minute
+			instance.StartedAt = time.Duration(1+rng.IntN(3)) * time.Minute
 		}
 		if rng.IntN(4) > 0 {
-			i.Cell = fmt.Sprint("cell-", id%5)
+			instance.Cell = fmt.Sprint("cell-", id%5)
 		}
-		return i
+		return instance
 	}
 	now := time.Hour
 	for step := range goldenSteps {
-		every := []int{0, 3, 0, 12}[step/400%4] // steps between two flaps of one instance; 0: none
+		// flapInterval is the average number of steps between two status changes of the flapping
+		// instance; 0: no changes.
+		flapInterval := []int{0, 3, 0, 12}[step/400%4]
 		flapping := seed%3 == 0
 		source, replica := rng.IntN(2), fmt.Sprint("replica-", rng.IntN(8)/7)
 		switch pause := rng.IntN(300); {
@@ -74,22 +77,22 @@
 		case pause == 158:
 			now += time.Duration(rng.IntN(15)) * time.Minute
 		}
-		if flapping && every > 0 && rng.IntN(every) == 0 {
+		if flapping && flapInterval > 0 && rng.IntN(flapInterval) == 0 {
 			flaps++
-			i := membership.Instance{ID: "flapping", Name: "flapping", Addr: "10.0.1.1:80", StartedAt: time.Minute}
-			i.Dirty = int64(flaps)
-			i.Status = membership.Status(flaps % 2 * int(membership.Down))
-			record(set.ApplyDelta(now, 1, replica, []membership.Delta{{Op: membership.Put, Instance: i}}))
+			instance := membership.Instance{ID: "flapping", Name: "flapping", Addr: "10.0.1.1:80", StartedAt: time.Minute}
+			instance.Dirty = int64(flaps)
+			instance.Status = membership.Status(flaps % 2 * int(membership.Down))
+			recordChanges(set.ApplyDelta(now, 1, replica, []membership.Delta{{Op: membership.Put, Instance: instance}}))
 		}
 		switch rng.IntN(12) {
 		case 0:
 			var list []membership.Instance
 			if flapping && source == 1 {
-				continue // it would lose the instance that flaps
+				continue // a list without the flapping instance would remove it
 			}
 			for id := range goldenInstances {
 				if rng.IntN(10) > 0 {
-					list = append(list, draw(id))
+					list = append(list, randomInstance(id))
 				}
 			}
 			if rng.IntN(8) == 0 {
@@ -99,23 +102,23 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			record(changes)
+			recordChanges(changes)
 		case 1:
-			record(set.SourceResponded(now, source))
+			recordChanges(set.SourceResponded(now, source))
 		case 2, 3, 4:
-			record(set.Tick(now))
+			recordChanges(set.Tick(now))
 		default:
-			d := membership.Delta{Op: membership.Put, Instance: draw(rng.IntN(goldenInstances))}
+			delta := membership.Delta{Op: membership.Put, Instance: randomInstance(rng.IntN(goldenInstances))}
 			if rng.IntN(4) == 0 {
-				d.Op = membership.Delete
+				delta.Op = membership.Delete
 			}
-			record(set.ApplyDelta(now, source, replica, []membership.Delta{d}))
+			recordChanges(set.ApplyDelta(now, source, replica, []membership.Delta{delta}))
 		}
 	}
-	return fmt.Sprintf("%s %.2f", digest, float64(ready)/goldenSteps)
+	return fmt.Sprintf("%s %.2f", digest, float64(readySum)/goldenSteps)
 }
 
-// The merged view stays as it was recorded. Record it anew with
+// The changes of the merged view must equal the recorded digests. To record them again, run
 //
 //	go test ./membership -run Golden -update
 func TestGoldenChanges(t *testing.T) {
--- a/membership/loss_protection.go
+++ b/membership/loss_protection.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// An instance that a source no longer lists, or that it says was deregistered, may have ended
-// or may be lost to a fault of the source. A source may therefore lose Config.MaxLoss of its
-// instances within Config.LossWindow, one at least, and never its last one. Instances of a
-// greater loss are held with their last status. After Config.LossHold they are removed, if
-// their source then responds and lists some other instance.
+// Loss protection limits how many instances a source can remove at once. An instance that a source
+// no longer lists or reports as deregistered may have ended, or may be missing because of a fault
+// of the source. A source may therefore lose at most the share Config.MaxLoss of its instances
+// within Config.LossWindow, but always one instance, and never its last one. If it loses more, the
+// lost instances are held: they stay in the view with their last status. After Config.LossHold
+// they are removed, if their source then responds and lists at least one other instance.
 
 // removeInstance handles an instance that its source reports as deregistered.
 func (s *Set) removeInstance(now time.Duration, src *source, removed *Instance) {
@@ -20,13 +21,13 @@
 		return
 	}
 	if removed.Dirty != 0 && removed.Dirty < rec.Dirty {
-		return // it has registered again since
+		return // the instance has registered again since then
 	}
 	s.removeOrHold(now, []*record{rec}, src.lossAllowed(now, 1, &s.cfg))
 }
 
-// removeAbsent handles the instances that a complete list of their source does not hold.
-// Those that are held already are left to expireRecord.
+// removeAbsent handles the instances that are absent from a complete list of their source.
+// Instances that are already held are left to expireRecord.
 func (s *Set) removeAbsent(now time.Duration, src *source, present map[string]bool) {
 	var absent []*record
 	anyAbsent := false
@@ -49,6 +50,7 @@
 	s.removeOrHold(now, absent, src.lossAllowed(now, len(absent), &s.cfg))
 }
 
+// removeOrHold removes the absent instances if their loss is allowed, and holds them otherwise.
 func (s *Set) removeOrHold(now time.Duration, absent []*record, allowed bool) {
 	for _, rec := range absent {
 		if allowed {
@@ -59,8 +61,8 @@
 	}
 }
 
-// lossAllowed reports whether a source may lose n more live instances now. Small losses within
-// the window are summed.
+// lossAllowed reports whether a source may lose n more live instances now. The losses within
+// Config.LossWindow are summed.
 func (src *source) lossAllowed(now time.Duration, n int, cfg *Config) bool {
 	live := src.recordCount[recordLive]
 	if now-src.lossWindowStart >= cfg.LossWindow || src.lossBaseline < live {
@@ -73,18 +75,20 @@
 	return lost <= max(1, int(float64(src.lossBaseline)*cfg.MaxLoss))
 }
 
-// holdLost keeps an instance that its source lost together with too many others.
+// holdLost holds an instance that its source lost together with more instances than Config.MaxLoss
+// allows.
 func (s *Set) holdLost(now time.Duration, rec *record) {
 	src := rec.source
 	src.setState(rec, recordHeld)
 	rec.stateSince = now
 	live, held := src.recordCount[recordLive], src.recordCount[recordHeld]
-	src.reason = fmt.Sprintf("lost %d of %d at once: held", held, held+live)
+	src.reason = fmt.Sprintf("lost %d of %d instances at once: the lost instances are held", held, held+live)
 	s.markChanged(rec.Addr)
 	s.timers[rec.Addr] = true
 }
 
-// mayRemoveHeld reports whether a held instance is due for removal.
+// mayRemoveHeld reports whether Config.LossHold has passed for a held instance and its source
+// responds and lists at least one instance.
 func (s *Set) mayRemoveHeld(now time.Duration, rec *record) bool {
 	src := rec.source
 	return now-rec.stateSince >= s.cfg.LossHold && src.recordCount[recordLive] > 0 && !src.silent
--- a/membership/members.go
+++ b/membership/members.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Member is an endpoint as operators see it.
+// Member is an endpoint as shown to operators.
 type Member struct {
 	Change
 	Claims []string `json:"Claims"` // the source, instance ID and status of each record, sorted
 }
 
-// Members returns the endpoints whose address follows after, by address, at most limit of
-// them. Those of which only tombstones are left are among them.
+// Members returns at most limit endpoints, sorted by address, whose addresses sort after the
+// argument after. The result includes endpoints that have only tombstones left.
 func (s *Set) Members(after string, limit int) []Member {
 	var addrs []string
 	for addr := range s.endpoints {
@@ -28,11 +28,12 @@
 	return members
 }
 
+// member returns the endpoint as shown to operators.
 func (ep *endpoint) member() Member {
 	member := Member{Change: ep.published}
 	member.Addr = ep.addr
 	if !ep.isPublished {
-		member.Reason = "no source lists it any more"
+		member.Reason = "no source lists this endpoint any longer"
 	}
 	for _, rec := range ep.records {
 		member.Claims = append(member.Claims, rec.describe())
@@ -41,6 +42,7 @@
 	return member
 }
 
+// describe returns the claim of the record: its source, instance ID and status.
 func (rec *record) describe() string {
 	status := rec.Status.String()
 	switch rec.state {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-func TestStatusesAreHonoured(t *testing.T) {
+// An endpoint drains while its instance has any status other than Up, and becomes Ready again with Up.
+func TestStatusDeterminesState(t *testing.T) {
 	core := newFakeCore(t, Config{})
 	core.replaceList(eureka, testInstances(4, Up)...)
 	for i, status := range []Status{OutOfService, Down, Starting, Unknown} {
@@ -17,11 +18,11 @@
 		core.wantState(testInstance(i, Up, 0).Addr, Ready, "UP by eureka")
 	}
 	if len(core.removed) > 0 {
-		t.Errorf("%v were removed", core.removed)
+		t.Errorf("got the removed endpoints %v, want none", core.removed)
 	}
 }
 
-// A list with no instances, and silence for hours, leave the pool as it was.
+// A faulty registry that sends empty lists or does not respond for an hour must not change the view.
 func TestEmptyListAndSilence(t *testing.T) {
 	core := newFakeCore(t, Config{})
 	core.replaceList(eureka, testInstances(5, Up)...)
@@ -30,25 +31,25 @@
 		core.replaceList(eureka)
 	}
 	if core.set.Ready() != 5 {
-		t.Errorf("%d are ready after an hour of empty lists", core.set.Ready())
+		t.Errorf("got %d ready endpoints after 100 empty lists, want 5", core.set.Ready())
 	}
 	core.wantState(testInstance(0, Up, 0).Addr, Ready, "held")
 	core.replaceList(eureka, testInstances(5, Up)...)
 	if src := core.set.Sources()[eureka]; src.Reason != "" || src.Live != 5 || src.Held != 0 {
-		t.Errorf("back to normal it is %+v", src)
+		t.Errorf("after a complete list: got the source %+v, want 5 live, none held and no reason", src)
 	}
 	core.advance(time.Hour)
 	if src := core.set.Sources()[eureka]; core.set.Ready() != 5 || !strings.Contains(src.Reason, "silent") {
-		t.Errorf("%d ready, source %+v", core.set.Ready(), src)
+		t.Errorf("after an hour of silence: got %d ready and source %+v, want 5 and silent", core.set.Ready(), src)
 	}
 	core.apply(core.set.SourceResponded(core.now, eureka))
 	if src := core.set.Sources()[eureka]; src.Reason != "" {
-		t.Errorf("once it has responded it is %+v", src)
+		t.Errorf("after a response: got the source %+v, want no reason", src)
 	}
 }
 
-// Half the instances disappear at once, in a list or a delta: they are held, and removed if
-// they stay away for LossHold.
+// If half the instances disappear at once, in a list or a delta, they are held, and removed only if
+// they are still absent after LossHold.
 func TestMassDisappearance(t *testing.T) {
 	for name, loseHalf := range map[string]func(core *fakeCore){
 		"list":  func(core *fakeCore) { core.replaceList(eureka, testInstances(5, Up)...) },
@@ -59,48 +60,49 @@
 			core.replaceList(eureka, testInstances(10, Up)...)
 			loseHalf(core)
 			if name == "list" && core.set.Ready() != 10 || core.set.Ready() < 7 {
-				t.Errorf("%d are ready", core.set.Ready())
+				t.Errorf("got %d ready endpoints, want 10 after a list, at least 7 after a delta", core.set.Ready())
 			}
 			if src := core.set.Sources()[eureka]; !strings.Contains(src.Reason, "at once") {
-				t.Errorf("source %+v", src)
+				t.Errorf("got the source %+v, want the loss as its reason", src)
 			}
 			core.wantState("10.0.0.9:80", Ready, "held")
-			for range 25 { // the source goes on without them
+			for range 25 { // the source keeps responding without the lost instances
 				core.advance(30 * time.Second)
 				core.replaceList(eureka, testInstances(5, Up)...)
 			}
 			if core.set.Ready() != 5 || core.endpointAt("10.0.0.9:80").State != Removed {
-				t.Errorf("%d are ready after they were absent for more than %v", core.set.Ready(), DefaultLossHold)
+				t.Errorf("got %d ready after an absence of over %v, want 5 without 10.0.0.9:80",
+					core.set.Ready(), DefaultLossHold)
 			}
 		})
 	}
 }
 
-// A small loss removes its instances. Small losses within the window are summed, and the last
-// instance stays.
+// A loss of at most MaxLoss removes the lost instances. Losses within LossWindow are summed, so that
+// many small losses cannot empty the view, and the last instance of a source is never removed.
 func TestSmallLosses(t *testing.T) {
 	core := newFakeCore(t, Config{})
 	core.replaceList(eureka, testInstances(10, Up)...)
 	core.replaceList(eureka, testInstances(8, Up)...)
 	if core.set.Ready() != 8 {
-		t.Errorf("%d ready, though two of ten may be lost", core.set.Ready())
+		t.Errorf("got %d ready endpoints after a loss of 2 of 10, want 8", core.set.Ready())
 	}
 	for n := 7; n > 0; n-- {
 		core.replaceList(eureka, testInstances(n, Up)...)
 	}
 	if core.set.Ready() != 7 {
-		t.Errorf("%d ready after one was lost after the other, want 7", core.set.Ready())
+		t.Errorf("got %d ready endpoints after losses of one instance at a time, want 7", core.set.Ready())
 	}
 	single := newFakeCore(t, Config{})
 	single.replaceList(eureka, testInstances(1, Up)...)
 	single.delete(eureka, "i0")
 	if single.set.Ready() != 1 {
-		t.Error("the last one was removed")
+		t.Error("the last instance of the source was removed")
 	}
 }
 
-// Updates that are older than what is held, as of a replica that lags, change nothing. A
-// drain is honoured whatever the clocks say.
+// An update that is older than the current record, as from a replica that lags, must not change the
+// view. A drain applies immediately, even if the clock of the registry is wrong.
 func TestStaleReplica(t *testing.T) {
 	core := newFakeCore(t, Config{})
 	newer, older := testInstance(1, OutOfService, 9), testInstance(1, Up, 5)
@@ -108,30 +110,31 @@
 	core.replaceList(eureka, newer, second, third)
 	changes, err := core.set.ReplaceList(core.now, eureka, "lagging", []Instance{older, second, third})
 	if err != nil || len(changes) != 0 {
-		t.Errorf("an older list changes %+v, %v", changes, err)
+		t.Errorf("older list: got the changes %+v and error %v, want none", changes, err)
 	}
 	core.wantState(older.Addr, Draining, "OUT_OF_SERVICE")
-	// The same registration, by a registry's clock an hour slow.
-	slow := testInstance(2, OutOfService, 1)
-	slow.Updated = -3600_000
-	changes, _ = core.set.ReplaceList(core.now, eureka, "lagging", []Instance{older, slow, third})
+	// The same registration is drained by a registry whose clock is an hour slow.
+	drained := testInstance(2, OutOfService, 1)
+	drained.Updated = -3600_000
+	changes, _ = core.set.ReplaceList(core.now, eureka, "lagging", []Instance{older, drained, third})
 	core.apply(changes)
-	core.wantState(slow.Addr, Draining, "OUT_OF_SERVICE")
-	// Back in service by the same replica's clock: applied at once.
-	back := slow
-	back.Status, back.Updated = Up, slow.Updated+1
-	core.apply(core.set.ApplyDelta(core.now, eureka, "lagging", []Delta{{Put, back}}))
-	core.wantState(back.Addr, Ready, "UP")
-	// What is older and is repeated is applied in the end: the instance's own clock was set back.
+	core.wantState(drained.Addr, Draining, "OUT_OF_SERVICE")
+	// A later update from the same replica applies immediately.
+	restored := drained
+	restored.Status, restored.Updated = Up, drained.Updated+1
+	core.apply(core.set.ApplyDelta(core.now, eureka, "lagging", []Delta{{Put, restored}}))
+	core.wantState(restored.Addr, Ready, "UP")
+	// An older update that is repeated for StaleUpdateHold applies: the instance's clock was set back.
 	for range 40 {
 		core.advance(time.Second)
-		changes, _ = core.set.ReplaceList(core.now, eureka, "lagging", []Instance{older, back, third})
+		changes, _ = core.set.ReplaceList(core.now, eureka, "lagging", []Instance{older, restored, third})
 		core.apply(changes)
 	}
 	core.wantState(older.Addr, Ready, "UP")
 }
 
-// An older update does not bring back a deleted instance.
+// An update that is not newer than a tombstone must not add the deleted instance again. The tombstone
+// is deleted after TombstoneLifetime.
 func TestTombstones(t *testing.T) {
 	core := newFakeCore(t, Config{})
 	core.replaceList(eureka, testInstances(5, Up)...)
@@ -139,50 +142,54 @@
 	core.wantState("10.0.0.4:80", Removed, "")
 	core.put(eureka, testInstance(4, Up, 1))
 	core.wantState("10.0.0.4:80", Removed, "")
-	core.put(eureka, testInstance(4, Up, 2)) // it registered again
+	core.put(eureka, testInstance(4, Up, 2)) // a new registration
 	core.wantState("10.0.0.4:80", Ready, "UP")
 	core.delete(eureka, "i4")
 	core.advance(DefaultTombstoneLifetime + time.Second)
 	if len(core.set.sources[eureka].records) != 4 || len(core.set.endpoints) != 4 {
-		t.Errorf("%d records and %d endpoints are kept", len(core.set.sources[eureka].records), len(core.set.endpoints))
+		t.Errorf("got %d records and %d endpoints, want 4 of each",
+			len(core.set.sources[eureka].records), len(core.set.endpoints))
 	}
 }
 
-// An instance registers under a new ID at the address of another one: a new process with a
-// key and a start of its own, in no cell for a while.
-func TestNewProcessAtAnOldAddress(t *testing.T) {
+// If an instance registers with a new ID, or a later start, at an address that is already known, the
+// endpoint is a new process with a new key and start time, and belongs to no cell for
+// NewProcessPeriod. The end of the old lease must not affect the new process.
+func TestNewProcessAtKnownAddress(t *testing.T) {
 	core := newFakeCore(t, Config{})
 	core.replaceList(eureka, testInstances(3, Up)...)
-	old := core.endpointAt("10.0.0.1:80")
+	previous := core.endpointAt("10.0.0.1:80")
 	next := testInstance(1, Up, 7)
 	next.ID = "i1-again"
-	core.put(eureka, next) // the old lease has not run out
-	fresh := core.endpointAt("10.0.0.1:80")
-	if fresh.Key == old.Key || fresh.State != Ready || fresh.StartedAt != core.now || fresh.Cell != "" || old.Cell != "c" {
-		t.Fatalf("old %+v, new %+v", old, fresh)
+	core.put(eureka, next) // the old lease has not expired yet
+	current := core.endpointAt("10.0.0.1:80")
+	if current.Key == previous.Key || current.State != Ready || current.StartedAt != core.now || current.Cell != "" ||
+		previous.Cell != "c" {
+		t.Fatalf("old %+v: got %+v, want a new key, Ready, started now, no cell", previous, current)
 	}
-	if last := core.changes[len(core.changes)-2]; last.Key != old.Key || last.State != Removed {
-		t.Errorf("before it comes %+v, want the old one's removal", last)
+	if removal := core.changes[len(core.changes)-2]; removal.Key != previous.Key || removal.State != Removed {
+		t.Errorf("got the change %+v before the new process, want the removal of the old one", removal)
 	}
-	core.delete(eureka, "i1") // the old lease ends
-	if got := core.endpointAt("10.0.0.1:80"); got.Key != fresh.Key || got.State != Ready {
-		t.Errorf("after the old lease's end it is %+v", got)
+	core.delete(eureka, "i1") // the old lease expires
+	if got := core.endpointAt("10.0.0.1:80"); got.Key != current.Key || got.State != Ready {
+		t.Errorf("after the old lease expired: got %+v, want the new process, Ready", got)
 	}
 	core.advance(DefaultNewProcessPeriod + time.Second)
-	if got := core.endpointAt("10.0.0.1:80"); got.Key != fresh.Key || got.Cell != "c" || got.StartedAt != fresh.StartedAt {
-		t.Errorf("later it is %+v", got)
+	if got := core.endpointAt("10.0.0.1:80"); got.Key != current.Key || got.Cell != "c" ||
+		got.StartedAt != current.StartedAt {
+		t.Errorf("after NewProcessPeriod: got %+v, want the new process in cell c", got)
 	}
-	// The same id with a later start is another process too.
+	// The same ID with a later start is a new process as well.
 	restarted := next
 	restarted.StartedAt, restarted.Dirty = core.now, 8
 	core.put(eureka, restarted)
-	if got := core.endpointAt("10.0.0.1:80"); got.Key == fresh.Key || got.StartedAt != core.now || got.Cell != "" {
-		t.Errorf("restarted it is %+v", got)
+	if got := core.endpointAt("10.0.0.1:80"); got.Key == current.Key || got.StartedAt != core.now || got.Cell != "" {
+		t.Errorf("after the restart: got %+v, want a new key, started now, no cell", got)
 	}
 }
 
-// Of two instances of one source at an address the later process counts, also where it is
-// out of service and the older one is up.
+// If one source lists two instances at the same address, the later process determines the state,
+// even if it is out of service and the earlier one is Up.
 func TestTwoInstancesAtOneAddress(t *testing.T) {
 	core := newFakeCore(t, Config{})
 	older, newer := testInstance(1, Up, 5), testInstance(1, OutOfService, 6)
@@ -190,28 +197,29 @@
 	core.replaceList(eureka, older, newer, testInstance(2, Up, 1))
 	core.wantState(older.Addr, Draining, "OUT_OF_SERVICE")
 	if len(core.endpoints) != 2 {
-		t.Errorf("endpoints %v", core.endpoints)
+		t.Errorf("got the endpoints %v, want 2", core.endpoints)
 	}
 }
 
-// A MODIFIED for an unknown instance adds it; a DELETED for one does nothing.
+// A modification of an unknown instance adds the instance; a deletion of an unknown instance has no
+// effect.
 func TestUnknownInstance(t *testing.T) {
 	core := newFakeCore(t, Config{})
 	core.replaceList(eureka, testInstances(2, Up)...)
 	core.put(eureka, testInstance(7, Up, 1))
 	core.wantState("10.0.0.7:80", Ready, "UP")
 	if got := core.endpointAt("10.0.0.7:80"); got.StartedAt != core.now {
-		t.Errorf("one that came after the first list started at %v, want now", got.StartedAt)
+		t.Errorf("instance listed after the first list: got the start %v, want now", got.StartedAt)
 	}
 	core.delete(eureka, "unknown")
 	if core.set.Ready() != 3 {
-		t.Errorf("%d ready", core.set.Ready())
+		t.Errorf("got %d ready endpoints, want 3", core.set.Ready())
 	}
 }
 
-// Where sources disagree the stricter status wins, and a tombstone of one source makes an
-// endpoint drain that another one lists.
-func TestStricterSourceWins(t *testing.T) {
+// If sources disagree, the strictest status applies. A tombstone of one source makes an endpoint
+// drain that another source still lists.
+func TestStrictestSourceApplies(t *testing.T) {
 	core := newFakeCore(t, Config{})
 	core.replaceList(platform, testInstances(3, Up)...)
 	core.replaceList(eureka, testInstances(3, Up)...)
@@ -220,16 +228,16 @@
 	core.put(platform, testInstance(2, Down, 2))
 	core.wantState("10.0.0.2:80", Draining, "DOWN by platform")
 	core.delete(eureka, "i0")
-	core.wantState("10.0.0.0:80", Draining, "deleted by eureka, though UP by platform")
+	core.wantState("10.0.0.0:80", Draining, "deleted by eureka, but UP by platform")
 	core.advance(DefaultTombstoneLifetime + time.Second)
 	core.wantState("10.0.0.0:80", Ready, "UP by platform")
 	if len(core.removed) > 0 {
-		t.Errorf("%v were removed", core.removed)
+		t.Errorf("got the removed endpoints %v, want none", core.removed)
 	}
 }
 
-// An endpoint that flaps drains until its penalty has decayed, unless there is no other. Its
-// drains are never delayed.
+// An endpoint that flaps drains until its penalty has decayed, unless no other endpoint is Ready.
+// Damping never delays a drain.
 func TestFlapDamping(t *testing.T) {
 	core := newFakeCore(t, Config{})
 	core.replaceList(eureka, testInstances(3, Up)...)
@@ -257,28 +265,29 @@
 		flap(2)
 	}
 	if core.set.Ready() == 0 {
-		t.Error("all flap, and none is ready")
+		t.Error("all endpoints flap: got no ready endpoint, want at least one")
 	}
 	core.advance(time.Minute * 2)
 	if core.set.Ready() != 3 {
-		t.Errorf("%d ready at the end", core.set.Ready())
+		t.Errorf("got %d ready endpoints after the penalties decayed, want 3", core.set.Ready())
 	}
 }
 
+// A list with more than MaxNodes instances is rejected and the previous list stays in use.
 func TestTooLongListIsRejected(t *testing.T) {
 	core := newFakeCore(t, Config{MaxNodes: 3})
 	core.replaceList(eureka, testInstances(3, Up)...)
 	_, err := core.set.ReplaceList(core.now, eureka, "r1", testInstances(4, OutOfService))
 	var tooLong *ListTooLongError
 	if !errors.As(err, &tooLong) || tooLong.Source != "eureka" || tooLong.Instances != 4 || tooLong.Max != 3 {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want a ListTooLongError for 4 instances of eureka, maximum 3", err)
 	}
 	if core.set.Ready() != 3 {
-		t.Errorf("%d are ready, want 3", core.set.Ready())
+		t.Errorf("got %d ready endpoints, want 3", core.set.Ready())
 	}
 }
 
-// An instance gets another address: the endpoint at the old one is removed.
+// If the address of an instance changes, the endpoint at the old address is removed.
 func TestAddressChange(t *testing.T) {
 	core := newFakeCore(t, Config{})
 	core.replaceList(eureka, testInstances(3, Up)...)
@@ -289,13 +298,14 @@
 	core.wantState("10.0.0.99:80", Ready, "UP")
 }
 
+// New returns an error for a field that is out of bounds and for a Set without sources.
 func TestConfig(t *testing.T) {
 	for name, c := range map[string]Config{"loss": {MaxLoss: 1}, "negative": {LossHold: -1}} {
 		if _, err := New(c, Source{"a", false}); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: New returned no error", name)
 		}
 	}
 	if _, err := New(Config{}); !errors.Is(err, ErrNoSource) {
-		t.Errorf("without a source: error %v", err)
+		t.Errorf("without a source: got error %v, want ErrNoSource", err)
 	}
 }
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// model is the reference: a plain form of the design's table that evaluates everything anew
-// each time. It has no flap damping, no stale updates and no processes; where damping makes
-// the Set more careful, the Set may drain what the model has ready.
+// model is a reference implementation of the rule table in the design document that evaluates all
+// records for each query. It has no flap damping, no stale updates and no processes. Because of flap
+// damping, the Set may drain an endpoint that is Ready in the model.
 type model struct {
 	now            time.Duration
 	records        [2]map[string]*modelRecord // by source and instance ID
@@ -24,7 +24,7 @@
 	instance Instance
 	deleted  bool
 	held     bool
-	since    time.Duration
+	since    time.Duration // when the record became deleted or held
 }
 
 func newModel() *model {
@@ -35,6 +35,7 @@
 	return m
 }
 
+// live returns the number of live records of a source.
 func (m *model) live(source int) int {
 	n := 0
 	for _, rec := range m.records[source] {
@@ -106,7 +107,7 @@
 	}
 }
 
-// state is what the table has for an address.
+// state returns the state that the rule table gives the endpoint at an address.
 func (m *model) state(addr string) State {
 	anyPresent, anyTombstone, strictest := false, false, Up
 	for source := range m.records {
@@ -133,8 +134,8 @@
 	return Ready
 }
 
-// Random events: the view follows the model except where damping drains an endpoint, no key
-// is used twice, and neither silence nor disappearance empties the view.
+// After random events the view must equal the model, except for endpoints that flap damping drains.
+// No key may be used twice, and neither silence nor disappearing instances may empty the view.
 func TestAgainstModel(t *testing.T) {
 	seeds := 300
 	first := uint64(1)
@@ -147,15 +148,15 @@
 	}
 	for seed := first; seed < first+uint64(seeds); seed++ {
 		if !t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) { runAgainstModel(t, seed) }) {
-			t.Fatalf("run it again with MEMBERSHIP_SEED=%d", seed)
+			t.Fatalf("to reproduce the failure, set MEMBERSHIP_SEED=%d", seed)
 		}
 	}
 }
 
-// modelInstances is how many instances the random events are about.
+// modelInstances is the number of instances in the random events.
 const modelInstances = 12
 
-// modelRun drives a Set and the model with the same random events.
+// modelRun applies the same random events to a Set and to the model.
 type modelRun struct {
 	rng   *rand.Rand
 	core  *fakeCore
@@ -207,7 +208,7 @@
 		status = Status(run.rng.IntN(5))
 	}
 	instance := testInstance(run.rng.IntN(modelInstances), status, run.dirty)
-	instance.StartedAt = time.Minute // known: an unknown start has tests of its own
+	instance.StartedAt = time.Minute // known; other tests cover unknown starts
 	return instance
 }
 
@@ -216,8 +217,8 @@
 	for id := range modelInstances {
 		if run.rng.IntN(4) > 0 {
 			instance := run.randomInstance()
-			same := testInstance(id, instance.Status, instance.Dirty)
-			instance.ID, instance.Name, instance.Addr = same.ID, same.Name, same.Addr
+			identity := testInstance(id, instance.Status, instance.Dirty)
+			instance.ID, instance.Name, instance.Addr = identity.ID, identity.Name, identity.Addr
 			list = append(list, instance)
 		}
 	}
@@ -227,6 +228,7 @@
 	return list
 }
 
+// compare checks the state of each endpoint against the model.
 func (run *modelRun) compare(t *testing.T, step int) {
 	t.Helper()
 	set := run.core.set
@@ -240,10 +242,10 @@
 		suppressed := set.endpoints[addr] != nil && set.endpoints[addr].suppressed
 		damped := want == Ready && got.State == Draining && suppressed
 		if got.State != want && !damped {
-			t.Fatalf("step %d: %s is in state %d (%s), by the model in %d", step, addr, got.State, got.Reason, want)
+			t.Fatalf("step %d: %s: got state %d (%s), want %d as in the model", step, addr, got.State, got.Reason, want)
 		}
 	}
 	if modelReady > 0 && set.Ready() == 0 {
-		t.Fatalf("step %d: no endpoint is ready, by the model %d are", step, modelReady)
+		t.Fatalf("step %d: got no ready endpoint, the model has %d", step, modelReady)
 	}
 }
--- a/membership/processes.go
+++ b/membership/processes.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// An endpoint is an address. Several processes may serve it one after the other, each known by its
-// source, its instance ID and its start. When the process changes, the old one is Removed and
-// the new one gets a key of its own: requests in flight count for the old one, slow start
-// begins anew, and the new one belongs to no cell for Config.NewProcessPeriod, as it lacks the
-// keys that the old one had received.
+// An endpoint is an address. Several processes may serve an address one after the other. A process
+// is identified by its source, its instance ID and its start time. When the process at an address
+// changes, the old process is Removed and the new process gets its own key. Requests in flight then
+// count for the old process, slow start begins again, and the new process belongs to no cell for
+// Config.NewProcessPeriod, because it lacks the idempotency keys that the old process received.
 
-// endpoint is an address with the records of all sources for it.
+// endpoint is an address with the records that all sources have for this address.
 type endpoint struct {
 	addr    string
 	records []*record
 
-	process         process // the one that key names
+	process         process // the process that key identifies
 	key             string
 	hadProcess      bool
-	newProcessUntil time.Duration // no cell before then
+	newProcessUntil time.Duration // the endpoint belongs to no cell before this time
 
 	published   Change
-	isPublished bool // published is in the view
-	changed     bool // it is in Set.changed
+	isPublished bool // whether published is in the view
+	changed     bool // whether the endpoint is in Set.changed
 
-	penalty          float64 // as of penaltyUpdatedAt
+	penalty          float64 // value at penaltyUpdatedAt
 	penaltyUpdatedAt time.Duration
 	suppressed       bool
 }
 
-// process identifies a process of a source. The start distinguishes two of the same ID where
-// it is known.
+// process identifies a process of a source. The start time, if known, distinguishes two processes
+// with the same instance ID.
 type process struct {
 	source    *source
 	id        string
 	startedAt time.Duration
 }
 
+// process returns the identity of the record's process.
 func (rec *record) process() process {
 	return process{source: rec.source, id: rec.ID, startedAt: rec.StartedAt}
 }
@@ -53,7 +54,7 @@
 	ep.records = append(ep.records, rec)
 }
 
-// detach takes a record off the endpoint at addr, if there is one.
+// detach removes a record from the endpoint at addr, if there is one.
 func (s *Set) detach(rec *record, addr string) {
 	if ep := s.endpoints[addr]; ep != nil {
 		ep.records = slices.DeleteFunc(ep.records, func(other *record) bool { return other == rec })
@@ -61,8 +62,8 @@
 	}
 }
 
-// newestRecord returns the record of a source for its latest process at the endpoint, nil if
-// it has none, and whether the source has a tombstone there.
+// newestRecord returns the record of the latest process that a source has at the endpoint, or nil
+// if there is none, and whether the source has a tombstone at the endpoint.
 func (ep *endpoint) newestRecord(src *source) (newest *record, hasTombstone bool) {
 	for _, rec := range ep.records {
 		switch {
@@ -76,8 +77,8 @@
 	return newest, hasTombstone
 }
 
-// isNewer reports whether a is the later process of two records that one source has for an
-// address. The other one is a lease that has not run out yet.
+// isNewer reports whether record a belongs to a later process than record b, where both records are
+// from one source and for one address. The earlier record is a lease that has not expired yet.
 func isNewer(a, b *record) bool {
 	aHeld, bHeld := a.state == recordHeld, b.state == recordHeld
 	switch {
@@ -91,8 +92,8 @@
 	return a.ID > b.ID
 }
 
-// processIsCurrent reports whether the endpoint's process is still the latest one at its
-// address by any source.
+// processIsCurrent reports whether at least one source still lists the endpoint's process as its
+// latest process at the address.
 func (s *Set) processIsCurrent(ep *endpoint) bool {
 	for _, src := range s.sources {
 		if rec, _ := ep.newestRecord(src); rec != nil && rec.process() == ep.process {
@@ -102,10 +103,10 @@
 	return false
 }
 
-// replaceProcess gives the endpoint to the process of rec, under a new key.
+// replaceProcess makes the process of rec the endpoint's process, under a new key.
 func (s *Set) replaceProcess(now time.Duration, ep *endpoint, rec *record, changes []Change) []Change {
 	if ep.isPublished {
-		changes = s.publishRemoval(ep, "another process is at its address", changes)
+		changes = s.publishRemoval(ep, "another process runs at this address", changes)
 	}
 	isFirst := !ep.hadProcess
 	ep.hadProcess = true
@@ -118,7 +119,7 @@
 	}
 	ep.published = Change{StartedAt: rec.StartedAt}
 	if rec.StartedAt == 0 && (!isFirst || rec.source.hasList) {
-		ep.published.StartedAt = now // it came after the first list, so it is new
+		ep.published.StartedAt = now // appeared after the first list, so the process is new
 	}
 	return changes
 }
--- a/membership/sources.go
+++ b/membership/sources.go
@@ -7,20 +7,20 @@
 
 // Source describes a source of instances.
 type Source struct {
-	Name   string // for operators
-	Polled bool   // it is polled regularly, so it is silent after Config.SilentAfter without a response
+	Name   string // shown to operators
+	Polled bool   // polled regularly, so the source counts as silent after Config.SilentAfter without a response
 }
 
-// SourceState is the state of a source as operators see it.
+// SourceState is the state of a source as shown to operators.
 type SourceState struct {
 	Name           string        `json:"Name"`
-	Live           int           `json:"Live"`   // instances in its list
-	Held           int           `json:"Lost"`   // instances that it lost with too many others
-	LastResponseAt time.Duration `json:"Heard"`  // Unix time of its last response; 0: never
-	Reason         string        `json:"Reason"` // why its list is held; empty where it is not
+	Live           int           `json:"Live"`   // number of instances in its list
+	Held           int           `json:"Lost"`   // number of held instances: lost, but kept in the view
+	LastResponseAt time.Duration `json:"Heard"`  // Unix time of its last response; 0: no response yet
+	Reason         string        `json:"Reason"` // why its list or some instances are held; empty if none are
 }
 
-// Sources returns the state of each source, by index.
+// Sources returns the state of each source, in the order of the sources that were passed to New.
 func (s *Set) Sources() []SourceState {
 	var states []SourceState
 	for _, src := range s.sources {
@@ -35,25 +35,25 @@
 	return states
 }
 
-// recordState is what a source's list says of a record.
+// recordState is the state of a record in the list of its source.
 type recordState uint8
 
 const (
-	recordNew     recordState = iota // made for the instance that is being applied
+	recordNew     recordState = iota // created for the instance that is being applied
 	recordLive                       // in the list
-	recordHeld                       // no longer in the list; held, as too many were lost with it
-	recordDeleted                    // removed; remembered as a tombstone
+	recordHeld                       // no longer in the list; held, because too many instances were lost
+	recordDeleted                    // removed; kept as a tombstone
 	recordStates
 )
 
-// record is what one source has of one instance.
+// record is the state of one instance according to one source.
 type record struct {
 	Instance
 	source           *source
 	state            recordState
-	stateSince       time.Duration // of recordHeld and recordDeleted
-	staleUpdate      *Instance     // the last update that looks older than Instance; nil: none
-	staleUpdateSince time.Duration // when the first of them came since an update was applied
+	stateSince       time.Duration // when the state became recordHeld or recordDeleted
+	staleUpdate      *Instance     // the latest update that looks older than Instance; nil: none
+	staleUpdateSince time.Duration // when the first stale update since the last applied update arrived
 }
 
 // source is the list and the state of one source.
@@ -62,17 +62,17 @@
 	polled         bool
 	records        map[string]*record // by instance ID
 	recordCount    [recordStates]int
-	replica        string // the server that the last list or delta came from
-	hasList        bool   // its first list has been applied
+	replica        string // name of the server that sent the last list or delta
+	hasList        bool   // whether its first list has been applied
 	lastResponseAt time.Duration
 	hasResponded   bool
 	silent         bool
-	reason         string // why its list is held; empty where it is not
+	reason         string // why its list or some instances are held; empty if none are
 
 	lossWindowStart time.Duration
-	lossBaseline    int // live records at lossWindowStart
+	lossBaseline    int // number of live records at lossWindowStart
 
-	statusReasons [OutOfService + 1]string // by status; made once, as thousands of endpoints share them
+	statusReasons [OutOfService + 1]string // by status; built once, because thousands of endpoints share them
 }
 
 func newSource(config Source) *source {
@@ -83,6 +83,7 @@
 	return src
 }
 
+// markResponded records a response of the source, which is then no longer silent.
 func (src *source) markResponded(now time.Duration) {
 	src.lastResponseAt, src.hasResponded = now, true
 	if src.silent {
@@ -90,13 +91,15 @@
 	}
 }
 
+// markSilentIfDue marks a polled source silent that has not responded for silentAfter. A source that
+// never responded is not marked.
 func (src *source) markSilentIfDue(now, silentAfter time.Duration) {
 	if !src.polled || !src.hasResponded || src.silent {
 		return
 	}
 	if silence := now - src.lastResponseAt; silence >= silentAfter {
 		src.silent = true
-		src.reason = fmt.Sprintf("silent for %v: its last list is held", silence)
+		src.reason = fmt.Sprintf("silent for %v: its last list stays in use", silence)
 	}
 }
 
@@ -118,8 +121,8 @@
 	delete(src.records, rec.ID)
 }
 
-// applyInstance applies an instance that its source lists, unless it is older than what is
-// held. One without ID or address is ignored.
+// applyInstance applies an instance that its source lists, unless the update is older than the
+// current record. An instance without ID or address is ignored.
 func (s *Set) applyInstance(now time.Duration, src *source, replica string, update *Instance) {
 	if update.ID == "" || update.Addr == "" {
 		return
--- a/membership/view.go
+++ b/membership/view.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// State is what may be done with an endpoint.
+// State says whether an endpoint may receive requests.
 type State int
 
 // The states of an endpoint.
 const (
-	Removed  State = iota // it is no longer in the view
-	Draining              // it gets no new requests
-	Ready
+	Removed  State = iota // no longer in the view
+	Draining              // receives no new requests
+	Ready                 // may receive requests
 )
 
-// String returns the state as operators see it.
+// String returns the name of the state that is shown to operators.
 func (s State) String() string { return [...]string{"gone", "draining", "ready"}[s] }
 
 // Change is the new state of one endpoint in the view.
 type Change struct {
-	Key         string        `json:"Key"` // names this process at this address; never used for another
+	Key         string        `json:"Key"` // identifies this process at this address; never used for another process
 	Name        string        `json:"Name"`
 	Addr        string        `json:"Addr"`
 	Zone        string        `json:"Site"`
@@ -33,15 +33,16 @@
 	Weight      float64       `json:"Weight"`
 	StartedAt   time.Duration `json:"Started"` // Unix time; 0: not known
 	State       State         `json:"State"`
-	Reason      string        `json:"Reason"` // why it is in that state
+	Reason      string        `json:"Reason"` // why the endpoint is in this state
 }
 
-// maxKeptCapacity bounds the capacity of Set.changed that is kept from one event to the next,
-// in endpoints.
+// maxKeptCapacity is the maximum capacity of Set.changed, in endpoints, that is kept from one event
+// to the next.
 const maxKeptCapacity = 256
 
-// markChanged has the endpoint at addr evaluated when the current event ends. Set.changed is
-// no map, as clearing one costs as much as the most entries that it ever had.
+// markChanged marks the endpoint at addr, so that it is evaluated when the current event ends.
+// Set.changed is a slice because the cost of clearing a map depends on the largest number of
+// entries that the map ever had.
 func (s *Set) markChanged(addr string) {
 	if ep := s.endpoints[addr]; ep != nil && !ep.changed {
 		ep.changed = true
@@ -49,7 +50,8 @@
 	}
 }
 
-// collectChanges evaluates the marked endpoints, by address, and returns their changes.
+// collectChanges evaluates the marked endpoints in the order of their addresses and returns their
+// changes.
 func (s *Set) collectChanges(now time.Duration) []Change {
 	if len(s.changed) == 0 {
 		return nil
@@ -67,7 +69,7 @@
 	return s.reuseSuppressed(now, changes)
 }
 
-// reuseSuppressed makes a suppressed endpoint Ready where none is.
+// reuseSuppressed makes a suppressed endpoint Ready if no endpoint is Ready.
 func (s *Set) reuseSuppressed(now time.Duration, changes []Change) []Change {
 	if s.readyCount > 0 {
 		return changes
@@ -80,16 +82,16 @@
 	return changes
 }
 
-// updateView evaluates an endpoint and appends what has changed of it.
+// updateView evaluates an endpoint and appends its changes to changes.
 func (s *Set) updateView(now time.Duration, ep *endpoint, changes []Change) []Change {
-	best, status, reason := s.combineSources(ep)
-	if best == nil {
+	primary, status, reason := s.combineSources(ep)
+	if primary == nil {
 		return s.removeEndpoint(ep, reason, changes)
 	}
 	if !ep.isPublished || !s.processIsCurrent(ep) {
-		changes = s.replaceProcess(now, ep, best, changes)
+		changes = s.replaceProcess(now, ep, primary, changes)
 	}
-	change := s.describe(now, ep, best)
+	change := s.describe(now, ep, primary)
 	s.updatePenalty(now, ep, status)
 	change.State, change.Reason = s.stateOf(ep, status, reason)
 	if ep.isPublished && equalButReason(ep.published, change) {
@@ -99,10 +101,10 @@
 	return s.publish(ep, change, changes)
 }
 
-// combineSources returns the record that describes an endpoint, nil if no source lists it; the
-// strictest status of all sources; and the reason for it. A tombstone counts as OutOfService
-// where every other source has it Up.
-func (s *Set) combineSources(ep *endpoint) (best *record, status Status, reason string) {
+// combineSources returns the record that describes an endpoint, or nil if no source lists it; the
+// strictest status of all sources; and the reason for that status. If a source has a tombstone for
+// the endpoint and every other source reports it as Up, the status is OutOfService.
+func (s *Set) combineSources(ep *endpoint) (primary *record, status Status, reason string) {
 	var strictest *record
 	tombstoneReason := ""
 	for _, src := range s.sources {
@@ -111,48 +113,48 @@
 		case rec == nil && hasTombstone:
 			tombstoneReason = "deleted by " + src.name
 		case rec == nil:
-		case best == nil:
-			best, strictest = rec, rec
+		case primary == nil:
+			primary, strictest = rec, rec
 		case rec.Status > strictest.Status:
 			strictest = rec
 		}
 	}
-	if best == nil {
-		return nil, Unknown, cmp.Or(tombstoneReason, "no source lists it")
+	if primary == nil {
+		return nil, Unknown, cmp.Or(tombstoneReason, "no source lists this endpoint")
 	}
 	if tombstoneReason != "" && strictest.Status == Up {
-		return best, OutOfService, tombstoneReason + ", though " + strictest.statusReason()
+		return primary, OutOfService, tombstoneReason + ", but " + strictest.statusReason()
 	}
-	return best, strictest.Status, strictest.statusReason()
+	return primary, strictest.Status, strictest.statusReason()
 }
 
-// statusReason says which source reports the record's status, and whether it is held.
+// statusReason returns a text with the record's status, its source and, if the record is held, why.
 func (rec *record) statusReason() string {
 	reason := rec.source.statusReasons[rec.Status]
 	switch {
 	case rec.state == recordHeld:
-		reason += ", which lost it with too many others: held"
+		reason += ", held because its source lost too many instances at once"
 	case rec.source.silent:
-		reason += ", which is silent: held"
+		reason += ", held because its source is silent"
 	}
 	return reason
 }
 
-// describe returns an endpoint's Change without its state, from the record that describes it.
-func (s *Set) describe(now time.Duration, ep *endpoint, best *record) Change {
+// describe returns the Change of an endpoint without its state and reason, from its primary record.
+func (s *Set) describe(now time.Duration, ep *endpoint, primary *record) Change {
 	change := Change{
 		Key:         ep.key,
-		Name:        best.Name,
+		Name:        primary.Name,
 		Addr:        ep.addr,
-		Zone:        best.Zone,
-		MachineType: best.MachineType,
-		Cell:        best.Cell,
-		Protocol:    best.Protocol,
-		Weight:      best.Weight,
+		Zone:        primary.Zone,
+		MachineType: primary.MachineType,
+		Cell:        primary.Cell,
+		Protocol:    primary.Protocol,
+		Weight:      primary.Weight,
 		StartedAt:   ep.published.StartedAt,
 	}
-	if best.StartedAt > 0 {
-		change.StartedAt = best.StartedAt
+	if primary.StartedAt > 0 {
+		change.StartedAt = primary.StartedAt
 	}
 	if now < ep.newProcessUntil {
 		change.Cell = ""
@@ -161,13 +163,14 @@
 	return change
 }
 
+// equalButReason reports whether two changes differ at most in their reasons.
 func equalButReason(a, b Change) bool {
 	a.Reason = b.Reason
 	return a == b
 }
 
-// removeEndpoint takes an endpoint that no source lists out of the view, and forgets it once
-// it has no tombstone either.
+// removeEndpoint removes an endpoint that no source lists from the view, and deletes it once it has
+// no tombstone left.
 func (s *Set) removeEndpoint(ep *endpoint, reason string, changes []Change) []Change {
 	if ep.isPublished {
 		changes = s.publishRemoval(ep, reason, changes)
@@ -179,7 +182,7 @@
 	return changes
 }
 
-// publishRemoval appends the removal of the endpoint's process.
+// publishRemoval removes the endpoint's process from the view and appends the removal to changes.
 func (s *Set) publishRemoval(ep *endpoint, reason string, changes []Change) []Change {
 	removal := Change{Key: ep.key, Name: ep.published.Name, Addr: ep.addr, State: Removed, Reason: reason}
 	changes = s.publish(ep, removal, changes)
@@ -187,7 +190,7 @@
 	return changes
 }
 
-// publish records the change as the endpoint's state in the view and appends it.
+// publish stores the change as the endpoint's state in the view and appends it to changes.
 func (s *Set) publish(ep *endpoint, change Change, changes []Change) []Change {
 	if ep.isReady() {
 		s.readyCount--
@@ -199,5 +202,5 @@
 	return append(changes, change)
 }
 
-// isReady reports whether the view has the endpoint as Ready.
+// isReady reports whether the endpoint is Ready in the view.
 func (ep *endpoint) isReady() bool { return ep.isPublished && ep.published.State == Ready }
