--- a/membership/config.go
+++ b/membership/config.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The defaults of Config.
+// The default values of the fields of Config.
 const (
 	DefaultMaxLoss           = 0.3
 	DefaultLossWindow        = time.Minute
@@ -19,49 +19,52 @@
 	DefaultMaxNodes          = 20000
 )
 
-// Config holds the bounds of a Set. A field that is zero takes its default.
+// Config contains the limits and periods of a Set. A field that is zero takes its default value.
 type Config struct {
-	// MaxLoss is the share of a source's instances, from 0 to below 1, that may disappear
-	// within LossWindow. Instances of a greater loss are held. Default: 0.3.
+	// MaxLoss is the maximum share of a source's instances, at least 0 and below 1, that may be
+	// removed within LossWindow. If the source loses more, the instances are held: they stay in
+	// the view with their last status. Default: 0.3.
 	MaxLoss float64
 
-	// LossWindow is the time in which the losses of a source are summed. Default: 1 min.
+	// LossWindow is the period over which the losses of a source are summed. Default: 1 min.
 	LossWindow time.Duration
 
-	// LossHold is how long an instance of a greater loss is held before it is removed. It is
-	// removed only while its source responds and lists some other instance, so an empty list
-	// removes none. Default: 10 min.
+	// LossHold is how long an instance is held after a loss above MaxLoss before it is removed.
+	// The instance is removed only while its source responds and lists at least one other
+	// instance, so an empty list never removes an instance. Default: 10 min.
 	LossHold time.Duration
 
-	// SilentAfter is how long a polled source may be without a response before it is silent.
-	// The list of a silent source is held, however long. Default: 90 s.
+	// SilentAfter is how long a polled source may fail to respond before it counts as silent.
+	// The list of a silent source is kept until the source responds again, without a time limit.
+	// Default: 90 s.
 	SilentAfter time.Duration
 
-	// TombstoneLifetime is how long a removed instance is remembered, so that an older list
-	// does not bring it back. While another source lists its address, the endpoint drains for
-	// as long. Default: 1 min.
+	// TombstoneLifetime is how long the tombstone of a removed instance is kept, so that an older
+	// list does not add the instance again. If another source still lists the address, the
+	// endpoint drains for this time. Default: 1 min.
 	TombstoneLifetime time.Duration
 
 	// StaleUpdateHold is how long a source must repeat an update that looks older than the
-	// one that is held before it is applied. Default: 30 s.
+	// current record before the update is applied. Default: 30 s.
 	StaleUpdateHold time.Duration
 
-	// NewProcessPeriod is how long a new process at an address that another one had belongs
-	// to no cell. Default: 30 s.
+	// NewProcessPeriod is how long a new process belongs to no cell if another process served
+	// its address before. Default: 30 s.
 	NewProcessPeriod time.Duration
 
-	// MaxNodes bounds the instances in one list of a source. A longer list is rejected and the
-	// previous one stays. Default: 20,000.
+	// MaxNodes is the maximum number of instances in one list of a source. A longer list is
+	// rejected and the previous list stays in use. Default: 20,000.
 	MaxNodes int
 }
 
-// ErrNoSource is New's error where it is given no source.
-var ErrNoSource = errors.New("membership: no source")
+// ErrNoSource is the error that New returns if it is called without a source.
+var ErrNoSource = errors.New("membership: at least one source is required")
 
-// withDefaults returns the configuration with its zero fields set, or what is wrong with it.
+// withDefaults returns the configuration with the default values of its zero fields, or an error if
+// a field is out of bounds.
 func (c Config) withDefaults() (Config, error) {
 	if math.IsNaN(c.MaxLoss) || c.MaxLoss < 0 || c.MaxLoss >= 1 {
-		return c, fmt.Errorf("membership: MaxLoss is %v, a share under 1 is needed", c.MaxLoss)
+		return c, fmt.Errorf("membership: MaxLoss must be at least 0 and below 1, got %v", c.MaxLoss)
 	}
 	if c.MaxLoss == 0 {
 		c.MaxLoss = DefaultMaxLoss
@@ -81,7 +84,7 @@
 		{&c.NewProcessPeriod, DefaultNewProcessPeriod},
 	} {
 		if *period.field < 0 {
-			return c, fmt.Errorf("membership: a time of %v is negative", *period.field)
+			return c, fmt.Errorf("membership: a duration must not be negative, got %v", *period.field)
 		}
 		if *period.field == 0 {
 			*period.field = period.defaultValue
--- a/membership/instance.go
+++ b/membership/instance.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Status is the state of an instance as a source reports it, in Eureka's words. A greater
-// status is a stricter one: of two, the greater one applies.
+// Status is the state of an instance as a source reports it, with the statuses of Eureka. A greater
+// value is a stricter status: if two statuses differ, the greater one applies.
 type Status int
 
-// The statuses. Any other word of a source is Unknown.
+// The statuses, from the least to the most strict. A status that is not listed here is Unknown.
 const (
 	Up Status = iota
 	Starting
@@ -15,26 +15,26 @@
 	OutOfService
 )
 
-// String returns the status in Eureka's words.
+// String returns the name that Eureka uses for the status.
 func (s Status) String() string {
 	return [...]string{"UP", "STARTING", "UNKNOWN", "DOWN", "OUT_OF_SERVICE"}[s]
 }
 
 // Instance is one instance as a source reports it.
 type Instance struct {
-	ID          string // unique in its source; an instance without one is ignored
-	Name        string // for operators and for the patterns of pools
+	ID          string // unique within its source; an instance without an ID is ignored
+	Name        string // shown to operators and matched by the patterns of pools
 	Addr        string // IP address and port; identifies an endpoint across sources
-	Status      Status // with an override applied
+	Status      Status // with any override applied
 	Zone        string
 	MachineType string
-	Cell        string // empty: it shares its keys with no other
+	Cell        string // empty: shares its idempotency keys with no other instance
 	Protocol    string
 	Weight      float64
-	StartedAt   time.Duration // Unix time of its process's start; 0: not known
-	// Dirty and Updated order the updates of one instance: Dirty is a time by its own clock,
-	// Updated one by its registry's. They are compared with nothing else, as either clock may
-	// be wrong.
+	StartedAt   time.Duration // Unix time at which its process started; 0: not known
+	// Dirty and Updated order the updates of one instance. Dirty is a time from the clock of the
+	// instance, Updated a time from the clock of its registry. They are never compared with any
+	// other time, because either clock may be wrong.
 	Dirty, Updated int64
 }
 
@@ -43,11 +43,11 @@
 
 // The operations of a Delta.
 const (
-	Put    Op = iota // registered or modified: the two are handled alike
-	Delete           // deregistered
+	Put    Op = iota // the instance was registered or modified; both are handled in the same way
+	Delete           // the instance was deregistered
 )
 
-// Delta is one change of a source's list.
+// Delta is one change to a source's list.
 type Delta struct {
 	Op Op
 	Instance
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,13 +1,15 @@
-// Package membership decides which endpoints a sidecar has and what it may do with each. It
-// merges the lists of any number of sources (a registry, the platform's discovery, a static
-// list) into one view and protects that view: a source can't empty it by silence or by losing
-// many instances at once, an update that is older than the one held does not replace it, and
-// an endpoint that a source takes out of service drains at once.
+// Package membership decides which endpoints a sidecar has and whether each of them may receive
+// requests. It merges the lists of any number of sources (a registry, the platform's discovery, a
+// static list) into one view and protects that view against faults of the sources. A source cannot
+// empty the view by not responding or by losing many instances at once. An update that is older
+// than the current record does not replace the record. An endpoint that a source takes out of
+// service drains immediately.
 //
-// A Set is a single-threaded state machine without goroutine, clock or I/O: the caller passes
-// the time with each event and gets the changes that follow. The rules stand as a table in
-// docs/design/membership.md; each is in a file of its own: staleness.go, loss_protection.go,
-// tombstones.go, flap_damping.go, processes.go, and view.go, which combines the sources.
+// A Set is a single-threaded state machine without goroutines, clock or I/O: the caller passes
+// the current time with each event and gets the resulting changes. The table in
+// docs/design/membership.md lists the rules. Each rule has its own file: staleness.go,
+// loss_protection.go, tombstones.go, flap_damping.go, processes.go, and view.go, which combines
+// the sources.
 package membership
 
 import (
@@ -16,23 +18,24 @@
 	"time"
 )
 
-// Set is the merged view. It is not safe for concurrent use, and no method blocks.
+// Set is the merged view of several sources. It is not safe for concurrent use, and no method
+// blocks.
 //
-// The time that its methods take is a Unix time that must not go backwards from one call to
-// the next. A source is given by its index among those that New was given. The changes that a
-// method returns are in order, and Set does not keep the slice.
+// The methods take the current time as a Unix time, which must not go backwards from one call to
+// the next. A source is identified by its index in the sources that were passed to New. The
+// changes that a method returns are in order, and the Set does not retain the slice.
 type Set struct {
 	cfg          Config
 	sources      []*source
 	endpoints    map[string]*endpoint // by address
-	processCount int                  // processes so far; makes the keys unique
-	changed      []*endpoint          // to be evaluated when the current event ends
-	timers       map[string]bool      // addresses of endpoints at which some period runs
+	processCount int                  // number of processes seen so far; makes the keys unique
+	changed      []*endpoint          // endpoints to be evaluated when the current event ends
+	timers       map[string]bool      // addresses of the endpoints with at least one pending timer
 	readyCount   int
 }
 
-// New returns an empty Set of the given sources. Its error is ErrNoSource or names the field
-// of cfg that is out of bounds.
+// New returns an empty Set with the given sources. It returns ErrNoSource if there are none, and
+// an error if a field of cfg is out of bounds.
 func New(cfg Config, sources ...Source) (*Set, error) {
 	if len(sources) == 0 {
 		return nil, ErrNoSource
@@ -48,22 +51,22 @@
 	return set, nil
 }
 
-// ListTooLongError is the error for a list of more than Config.MaxNodes instances.
+// ListTooLongError is the error for a list with more than Config.MaxNodes instances.
 type ListTooLongError struct {
 	Source    string
-	Instances int // in the list
-	Max       int
+	Instances int // number of instances in the list
+	Max       int // Config.MaxNodes
 }
 
-// Error names the source and both numbers.
+// Error returns a text with the source, the number of instances and the maximum.
 func (e *ListTooLongError) Error() string {
-	return fmt.Sprintf("%s: a list of %d instances, %d at most", e.Source, e.Instances, e.Max)
+	return fmt.Sprintf("%s: list has %d instances, maximum is %d", e.Source, e.Instances, e.Max)
 }
 
-// ReplaceList applies a complete list of a source; replica names the one of its servers that
-// it came from. Instances that the Set has from the source and that are absent from the list have
-// disappeared: Config.MaxLoss says which of them are removed and which held. The error is a
-// *ListTooLongError; nothing of the list is applied then.
+// ReplaceList applies a complete list from a source. replica names the server of the source that
+// the list came from. Instances that the Set has from the source and that are absent from the list
+// are lost: they are removed, or held if more are lost than Config.MaxLoss allows. The error is a
+// *ListTooLongError; the list is then not applied at all.
 func (s *Set) ReplaceList(now time.Duration, sourceIndex int, replica string, list []Instance) ([]Change, error) {
 	src := s.sources[sourceIndex]
 	if len(list) > s.cfg.MaxNodes {
@@ -82,8 +85,9 @@
 	return changes, nil
 }
 
-// ApplyDelta applies changes of a source's list in their order; replica names the one of its
-// servers that they came from. Its cost is that of the changes, not of the list.
+// ApplyDelta applies changes to a source's list, in order. replica names the server of the source
+// that the changes came from. The cost depends on the number of changes, not on the length of the
+// list.
 func (s *Set) ApplyDelta(now time.Duration, sourceIndex int, replica string, deltas []Delta) []Change {
 	src := s.sources[sourceIndex]
 	src.markResponded(now)
@@ -99,13 +103,14 @@
 	return s.collectChanges(now)
 }
 
-// SourceResponded notes that a source responded and nothing in its list has changed.
+// SourceResponded records that a source responded and that its list has not changed.
 func (s *Set) SourceResponded(now time.Duration, sourceIndex int) []Change {
 	s.sources[sourceIndex].markResponded(now)
 	return s.collectChanges(now)
 }
 
-// Tick ends what is due by time: it marks sources silent and ends the periods of endpoints.
+// Tick applies everything that is due at the time now: it marks sources silent and expires the
+// timers of endpoints.
 func (s *Set) Tick(now time.Duration) []Change {
 	for _, src := range s.sources {
 		src.markSilentIfDue(now, s.cfg.SilentAfter)
@@ -121,7 +126,7 @@
 	return s.collectChanges(now)
 }
 
-// expirePeriods ends the periods that are due at one endpoint.
+// expirePeriods applies the timers of one endpoint that are due.
 func (s *Set) expirePeriods(now time.Duration, ep *endpoint) {
 	pending := ep.suppressed || now < ep.newProcessUntil
 	for _, rec := range slices.Clone(ep.records) {
@@ -138,9 +143,9 @@
 	}
 }
 
-// HasTimers reports whether some period runs. Tick is due about every second then, and
-// otherwise as often as a silent source is to be noticed.
+// HasTimers reports whether any timer is pending. The caller should then call Tick about every
+// second, and otherwise as often as a silent source should be detected.
 func (s *Set) HasTimers() bool { return len(s.timers) > 0 }
 
-// Ready returns how many endpoints are Ready.
+// Ready returns the number of endpoints that are Ready.
 func (s *Set) Ready() int { return s.readyCount }
--- a/membership/staleness.go
+++ b/membership/staleness.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Because of a replica that lags, or of a clock that was set back, a source may report an update
-// of an instance that is older than the one the Set has. It is deferred, with two
-// exceptions. A stricter status of the same registration applies at once, as no drain may be
-// missed because of a clock. And an update that the source repeats for Config.StaleUpdateHold
-// applies then, as the clock was probably set back.
+// A source may report an update of an instance that is older than the current record, because a
+// replica lags or because a clock was set back. Such an update is deferred, with two exceptions.
+// A stricter status of the same registration applies immediately, because no drain may be missed
+// because of a wrong clock. An update that the source repeats for Config.StaleUpdateHold applies
+// after that time, because the clock was probably set back.
 
-// deferStaleUpdate reports whether an update is not to be applied now because it is older than
-// what is held. It keeps the update for expireStaleUpdate.
+// deferStaleUpdate reports whether an update must not be applied now because it is older than the
+// current record. In that case it stores the update for expireStaleUpdate.
 func (s *Set) deferStaleUpdate(now time.Duration, replica string, rec *record, update *Instance) bool {
 	if !isOlder(rec, replica, update) || isStricterStatus(rec, update) {
 		return false
@@ -18,16 +18,16 @@
 		rec.staleUpdateSince = now
 		s.timers[rec.Addr] = true
 	}
-	kept := *update
-	rec.staleUpdate = &kept
+	deferred := *update
+	rec.staleUpdate = &deferred
 	return now-rec.staleUpdateSince < s.cfg.StaleUpdateHold
 }
 
-// isOlder reports whether an update precedes what is held. The updates of one replica are in
-// order, so the registry's clock counts only where the last update came from another replica.
+// isOlder reports whether an update precedes the current record. The updates of one replica are in
+// order, so the registry's clock is compared only if the last update came from another replica.
 func isOlder(rec *record, replica string, update *Instance) bool {
 	if rec.state == recordDeleted && update.Dirty <= rec.Dirty {
-		return true // only a new registration ends a tombstone
+		return true // only a new registration replaces a tombstone
 	}
 	if update.Dirty != rec.Dirty {
 		return update.Dirty < rec.Dirty
@@ -35,13 +35,15 @@
 	return update.Updated < rec.Updated && replica != rec.source.replica
 }
 
-// isStricterStatus reports whether an update of the same registration has a stricter status.
+// isStricterStatus reports whether an update belongs to the same registration as the record and has
+// a stricter status.
 func isStricterStatus(rec *record, update *Instance) bool {
 	return rec.state != recordDeleted && update.Dirty == rec.Dirty && update.Status > rec.Status
 }
 
-// expireStaleUpdate applies a record's deferred update once Config.StaleUpdateHold has passed,
-// and reports whether it still waits for that. It goes on waiting while its source is silent.
+// expireStaleUpdate applies the deferred update of a record once Config.StaleUpdateHold has passed,
+// and reports whether the update is still deferred. The update stays deferred while its source is
+// silent.
 func (s *Set) expireStaleUpdate(now time.Duration, rec *record) (pending bool) {
 	if rec.staleUpdate == nil {
 		return false
@@ -54,7 +56,7 @@
 	}
 	update := *rec.staleUpdate
 	rec.staleUpdate = nil
-	rec.Dirty, rec.Updated = update.Dirty, update.Updated // later updates are compared with these
+	rec.Dirty, rec.Updated = update.Dirty, update.Updated // later updates are compared with these times
 	s.applyInstance(now, rec.source, rec.source.replica, &update)
 	return false
 }
--- a/membership/tombstones.go
+++ b/membership/tombstones.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// A removed instance is remembered for Config.TombstoneLifetime. Until then an update that is
-// not newer than it does not bring it back, and an endpoint that another source still lists
-// drains.
+// A removed instance is kept as a tombstone for Config.TombstoneLifetime. During this time an update
+// that is not newer than the tombstone does not add the instance again, and the endpoint drains if
+// another source still lists it.
 
 // markDeleted turns a live or held record into a tombstone.
 func (s *Set) markDeleted(now time.Duration, rec *record) {
@@ -14,8 +14,8 @@
 	s.timers[rec.Addr] = true
 }
 
-// expireRecord forgets a tombstone, or removes a held instance, whose time has passed. It
-// reports whether the record still has such a time before it.
+// expireRecord deletes a tombstone after its lifetime, and turns a held instance that is due for
+// removal into a tombstone. It reports whether the record still has a pending timer.
 func (s *Set) expireRecord(now time.Duration, rec *record) (pending bool) {
 	switch rec.state {
 	case recordDeleted:
