--- a/internal/registry/platform/hedged_call.go
+++ b/internal/registry/platform/hedged_call.go
@@ -47,14 +47,14 @@
 				return nil, result.err
 			}
 		case <-ctx.Done():
-			calls.cancelAllBut(noCall)
+			calls.cancelAllBut(noCallID)
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// noCall is an ID that a schedule never assigns to a call.
-const noCall resolver.CallID = 0
+// noCallID is an ID that a schedule never assigns to a call.
+const noCallID resolver.CallID = 0
 
 // hedgedCall is a set of calls for the same URL, of which the first successful response is used.
 // Each call has its own connection, so that canceling the call frees its resources immediately.
--- a/internal/registry/platform/stream.go
+++ b/internal/registry/platform/stream.go
@@ -59,7 +59,7 @@
 	n, err := s.body.Read(b)
 	s.bytesRead += int64(n)
 	if n > 0 {
-		s.noteData(b[:n])
+		s.handleData(b[:n])
 	}
 	if err == nil && s.bytesRead-s.messageEnd > maxMessageBytes {
 		err = fmt.Errorf("message is longer than %d bytes", maxMessageBytes)
@@ -70,7 +70,7 @@
 	return n, err
 }
 
-func (s *stream) noteData(data []byte) {
+func (s *stream) handleData(data []byte) {
 	blank := isBlank(data)
 	if blank && s.inMessage {
 		return
--- a/membership/flap_damping.go
+++ b/membership/flap_damping.go
@@ -48,14 +48,14 @@
 		return Draining, reason
 	case !ep.suppressed:
 		return Ready, reason
-	case !s.anotherReady(ep):
+	case !s.hasOtherReady(ep):
 		return Ready, "flaps, but no other endpoint is ready; " + reason
 	}
 	return Draining, "flaps: drained until its flap penalty has decayed; " + reason
 }
 
-// anotherReady reports whether any endpoint other than ep is Ready.
-func (s *Set) anotherReady(ep *endpoint) bool {
+// hasOtherReady reports whether any endpoint other than ep is Ready.
+func (s *Set) hasOtherReady(ep *endpoint) bool {
 	others := s.readyCount
 	if ep.isReady() {
 		others--
--- a/membership/members.go
+++ b/membership/members.go
@@ -36,14 +36,14 @@
 		member.Reason = "no source lists this endpoint any longer"
 	}
 	for _, rec := range ep.records {
-		member.Claims = append(member.Claims, rec.describe())
+		member.Claims = append(member.Claims, rec.claim())
 	}
 	slices.Sort(member.Claims)
 	return member
 }
 
-// describe returns the claim of the record: its source, instance ID and status.
-func (rec *record) describe() string {
+// claim returns the source, instance ID and status of the record as one text, for Member.Claims.
+func (rec *record) claim() string {
 	status := rec.Status.String()
 	switch rec.state {
 	case recordDeleted:
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -121,13 +121,13 @@
 			delete(s.timers, addr)
 			continue
 		}
-		s.expirePeriods(now, ep)
+		s.expireTimers(now, ep)
 	}
 	return s.collectChanges(now)
 }
 
-// expirePeriods applies the timers of one endpoint that are due.
-func (s *Set) expirePeriods(now time.Duration, ep *endpoint) {
+// expireTimers applies the timers of one endpoint that are due.
+func (s *Set) expireTimers(now time.Duration, ep *endpoint) {
 	pending := ep.suppressed || now < ep.newProcessUntil
 	for _, rec := range slices.Clone(ep.records) {
 		if s.expireRecord(now, rec) {
--- a/membership/sources.go
+++ b/membership/sources.go
@@ -43,7 +43,7 @@
 	recordLive                       // in the list
 	recordHeld                       // no longer in the list; held, because too many instances were lost
 	recordDeleted                    // removed; kept as a tombstone
-	recordStates
+	recordStateCount                 // number of states
 )
 
 // record is the state of one instance according to one source.
@@ -61,7 +61,7 @@
 	name           string
 	polled         bool
 	records        map[string]*record // by instance ID
-	recordCount    [recordStates]int
+	recordCount    [recordStateCount]int
 	replica        string // name of the server that sent the last list or delta
 	hasList        bool   // whether its first list has been applied
 	lastResponseAt time.Duration
--- a/membership/view.go
+++ b/membership/view.go
@@ -36,9 +36,9 @@
 	Reason      string        `json:"Reason"` // why the endpoint is in this state
 }
 
-// maxKeptCapacity is the maximum capacity of Set.changed, in endpoints, that is kept from one event
-// to the next.
-const maxKeptCapacity = 256
+// maxRetainedCapacity is the maximum capacity of Set.changed, in endpoints, that is retained from one
+// event to the next.
+const maxRetainedCapacity = 256
 
 // markChanged marks the endpoint at addr, so that it is evaluated when the current event ends.
 // Set.changed is a slice because the cost of clearing a map depends on the largest number of
@@ -63,7 +63,7 @@
 		changes = s.updateView(now, ep, changes)
 	}
 	s.changed = s.changed[:0]
-	if cap(s.changed) > maxKeptCapacity {
+	if cap(s.changed) > maxRetainedCapacity {
 		s.changed = nil
 	}
 	return s.reuseSuppressed(now, changes)
@@ -91,10 +91,10 @@
 	if !ep.isPublished || !s.processIsCurrent(ep) {
 		changes = s.replaceProcess(now, ep, primary, changes)
 	}
-	change := s.describe(now, ep, primary)
+	change := s.newChange(now, ep, primary)
 	s.updatePenalty(now, ep, status)
 	change.State, change.Reason = s.stateOf(ep, status, reason)
-	if ep.isPublished && equalButReason(ep.published, change) {
+	if ep.isPublished && equalExceptReason(ep.published, change) {
 		ep.published.Reason = change.Reason
 		return changes
 	}
@@ -140,8 +140,8 @@
 	return reason
 }
 
-// describe returns the Change of an endpoint without its state and reason, from its primary record.
-func (s *Set) describe(now time.Duration, ep *endpoint, primary *record) Change {
+// newChange returns the Change of an endpoint without its state and reason, from its primary record.
+func (s *Set) newChange(now time.Duration, ep *endpoint, primary *record) Change {
 	change := Change{
 		Key:         ep.key,
 		Name:        primary.Name,
@@ -163,8 +163,8 @@
 	return change
 }
 
-// equalButReason reports whether two changes differ at most in their reasons.
-func equalButReason(a, b Change) bool {
+// equalExceptReason reports whether two changes differ at most in their reasons.
+func equalExceptReason(a, b Change) bool {
 	a.Reason = b.Reason
 	return a == b
 }
