--- a/membership/sources.go
+++ b/membership/sources.go
@@ -39,11 +39,11 @@
 type recordState uint8
 
 const (
-	recordNew     recordState = iota // created for the instance that is being applied
-	recordLive                       // in the list
-	recordHeld                       // no longer in the list; held, because too many instances were lost
-	recordDeleted                    // removed; kept as a tombstone
-	recordStateCount                 // number of states
+	recordNew        recordState = iota // created for the instance that is being applied
+	recordLive                          // in the list
+	recordHeld                          // no longer in the list; held, because too many instances were lost
+	recordDeleted                       // removed; kept as a tombstone
+	recordStateCount                    // number of states
 )
 
 // record is the state of one instance according to one source.
