--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -7,16 +7,16 @@
 	"mothridge/policy"
 )
 
-// attempt is one attempt of a request. Its fields do not change once it is started.
+// attempt is one attempt of a request. Its fields do not change after startAttempt has returned.
 type attempt struct {
 	request  *Request
-	number   int    // in the order of the request's attempts, from 0
-	endpoint string // its name; empty: it was removed before the attempt
+	number   int    // index among the request's attempts, from 0
+	endpoint string // endpoint name; empty if the endpoint was removed before the attempt
 	cancel   context.CancelFunc
 }
 
-// startAttempt starts the next attempt of a request: see policy.Host.Send. It runs in a goroutine,
-// which ends at the latest with the attempt's context; nothing waits for it.
+// startAttempt starts the next attempt of a request: see policy.Host.Send. The attempt runs in its own
+// goroutine, which ends no later than the attempt's context. No other goroutine waits for it.
 func (c *Core) startAttempt(id policy.RequestID, to policy.EndpointID, timeout, writeWithin time.Duration) {
 	request := c.requests.byID[id]
 	if request == nil {
@@ -41,8 +41,9 @@
 	go c.runAttempt(ctx, a, endpoint.upstream, message)
 }
 
-// attemptDeadline returns when an attempt is cancelled: when its client stops waiting, or after the
-// timeout if that is earlier; 0: no timeout of its own.
+// attemptDeadline returns the time at which an attempt is cancelled: the request's deadline, or the end
+// of the attempt's timeout if that is earlier. A timeout of 0 means that the attempt has no timeout of
+// its own.
 func attemptDeadline(request *Request, timeout time.Duration) time.Time {
 	if timeout == 0 {
 		return request.Deadline
@@ -54,8 +55,8 @@
 	return deadline
 }
 
-// attemptMessage returns the attempt's copy of the request's message. writeWithin is the time from
-// Core.now on in which its last byte must be written; 0: no bound.
+// attemptMessage returns the attempt's copy of the request's message. writeWithin is the time, counted
+// from Core.now, within which the last byte of the attempt must be written; 0 means no bound.
 func (c *Core) attemptMessage(a *attempt, endpoint *endpointState, writeWithin time.Duration) *Message {
 	message := a.request.Message
 	message.guard = &attemptGuard{
@@ -71,7 +72,7 @@
 	return &message
 }
 
-// runAttempt performs an attempt and posts its end.
+// runAttempt performs an attempt and posts its result to the event loop.
 func (c *Core) runAttempt(ctx context.Context, a *attempt, upstream Upstream, message *Message) {
 	defer a.cancel()
 	result, response := upstream.RoundTrip(ctx, message)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,30 +1,31 @@
 // Package core runs the event loop that owns the decision module, policy.Balancer.
 //
-// Listeners convert what they read to a Request and submit it; an Upstream performs the attempts at an
-// endpoint by its transport's protocol; discovery sources pass an EndpointUpdate. The package itself
-// knows no protocol.
+// Listeners convert the data that they read to a Request and submit it. An Upstream performs the attempts
+// at an endpoint with its transport's protocol. Discovery sources pass an EndpointUpdate. The package
+// itself does not depend on any protocol.
 //
 // # Event loop
 //
-// Everything that happens is an event (events.go): a request was received, a client disconnected, an
-// attempt ended, a probe was completed, the endpoint list changed, the timer fired. Any goroutine posts
-// events; Core.Run handles them one by one, passes them to the Balancer and performs the actions
-// that it decides on (host.go). The loop never waits for I/O: attempts and probes run in goroutines of
-// their own, whose ends are events again.
+// The loop processes events (events.go): a request was received, a client disconnected, an attempt ended,
+// a probe was completed, the endpoint list changed, the timer fired. Any goroutine may post events.
+// Core.Run handles the events one by one, passes them to the Balancer and performs the actions that the
+// Balancer decides on (host.go). The loop never waits for I/O: each attempt and each probe runs in its
+// own goroutine, which posts an event when the attempt or probe has ended.
 //
 // # State
 //
 // The event loop owns the Balancer, its timer (event_loop.go), the requests (request_registry.go) and
-// the endpoint list (endpoint_table.go); no lock guards them. What other goroutines read is atomic or has a
-// lock of its own: the Request-Ids in use, the counts (state.go, invariants.go), the history of a request
-// (request_history.go) and the pauses of the process (pause_detection.go).
+// the endpoint list (endpoint_table.go); no lock guards them. State that other goroutines read is atomic
+// or has its own lock: the Request-Ids in use, the counts (state.go, invariants.go), the history of a
+// request (request_history.go) and the pauses of the process (pause_detection.go).
 //
-// # Way of a request
+// # Request lifecycle
 //
-// Core.Submit posts requestReceived, which registers the request and passes it to the Balancer. That
-// queues it or starts an attempt (attempts.go), whose transport consults the guard right before it
-// writes (guard.go) and ends with attemptEnded. The Balancer then retries or rejects the request, or it
-// was served. Request.Respond is called once, unless the client disconnected first.
+// Core.Submit posts requestReceived. Its handler registers the request and passes it to the Balancer. The
+// Balancer queues the request or starts an attempt (attempts.go). The attempt's transport calls the guard
+// right before it writes (guard.go), and the attempt ends with the event attemptEnded. If the attempt
+// did not serve the request, the Balancer retries, rejects or fails the request. The Core calls
+// Request.Respond once, unless the client disconnected first.
 package core
 
 import (
@@ -35,45 +36,47 @@
 	"mothridge/policy"
 )
 
-// eventBacklog is how many events may wait for the event loop before Core.Submit and the like block.
+// eventBacklog is how many events may wait for the event loop before Core.Submit and the other methods
+// that post events block.
 const eventBacklog = 1024
 
 // Config configures a Core.
 type Config struct {
 	Policy      policy.Config
-	Seed        uint64                  // of the Balancer's random decisions
-	Zones       []string                // zones with a number in Policy, by that number
-	Cached      *EndpointUpdate         // the last known endpoint list; nil: none
-	NewUpstream func(Endpoint) Upstream // called on the event loop: it must not do I/O
-
-	// DrainGrace is how long after the update that an endpoint is draining an attempt may start
-	// before the invariant checks report it; the guard allows none. 0: DefaultDrainGrace.
+	Seed        uint64                  // seed of the Balancer's random decisions
+	Zones       []string                // zones that Policy refers to by their index in this list
+	Cached      *EndpointUpdate         // the last known endpoint list; nil if there is none
+	NewUpstream func(Endpoint) Upstream // called on the event loop, so it must not do I/O
+
+	// DrainGrace is how long an attempt may still start after an update has marked its endpoint as
+	// draining. The invariant checks report an attempt that starts later. The guard allows no grace:
+	// it prevents each such attempt. 0 means DefaultDrainGrace.
 	DrainGrace time.Duration
 
 	// OnResponse, if set, is called with each response on the event loop, so it must not block.
-	// latency counts from when the request was received by the Core.
+	// latency is the time since the Core received the request.
 	OnResponse func(class int, result Result, latency time.Duration)
 }
 
-// Core is the event loop and what it owns. Its methods may be called from any goroutine; Run must be
-// called once.
+// Core is the event loop and the state that the loop owns. Its methods may be called from any goroutine;
+// Run must be called once.
 type Core struct {
-	// Not changed after New.
+	// Fields that do not change after New.
 	config  Config
 	clock   clock
-	events  chan event    // to the event loop
-	done    chan struct{} // closed once Run has returned: nothing waits for the event loop then
+	events  chan event    // events posted to the event loop
+	done    chan struct{} // closed once Run has returned, so that no goroutine waits for the event loop any longer
 	watches chan struct{} // see WatchRequests
 
-	// Event loop only; New uses them before Run.
+	// Fields used only by the event loop, and by New before Run.
 	balancer    *policy.Balancer
-	now         time.Duration // on the Balancer's clock, when the present event began
+	now         time.Duration // when the current event began, on the Balancer's clock
 	timer       balancerTimer
-	localEvents []event         // posted by the event loop itself, which must not wait for the channel
-	requests    requestRegistry // any goroutine may use its ids
+	localEvents []event         // posted by the event loop itself, which must not block on its own channel
+	requests    requestRegistry // any goroutine may use requests.ids
 	endpoints   endpointTable
 
-	// Any goroutine.
+	// Fields that any goroutine may use.
 	ready      atomic.Bool
 	pauses     pauseDetector
 	outcomes   outcomeCounters
@@ -83,7 +86,7 @@
 
 var _ Handler = (*Core)(nil)
 
-// New returns a Core, which handles nothing before Run. An error names the unusable field of
+// New returns a Core, which handles no event before Run is called. An error names the invalid field of
 // Config.Policy.
 func New(config Config) (*Core, error) {
 	config.DrainGrace = cmp.Or(config.DrainGrace, DefaultDrainGrace)
@@ -118,23 +121,24 @@
 // Abandon reports that the client of a request has disconnected: see Handler.
 func (c *Core) Abandon(request *Request) { c.post(clientDisconnected{request}) }
 
-// HasRequest reports whether a request with that Request-Id is being handled.
+// HasRequest reports whether a request with the given Request-Id is being handled.
 func (c *Core) HasRequest(id string) bool { return c.requests.ids.contain(id) }
 
 // Ready reports whether an endpoint list is known.
 func (c *Core) Ready() bool { return c.ready.Load() }
 
-// Update passes a change of the endpoint list. It may block while the event loop is busy.
+// Update passes a change of the endpoint list to the event loop. Update may block while the loop is busy.
 func (c *Core) Update(update EndpointUpdate) { c.post(endpointsUpdated{update}) }
 
-// UpdateFailed reports that a call for the endpoint list failed or its watch ended. It may block
-// while the event loop is busy.
+// UpdateFailed reports that a call for the endpoint list failed or that its watch ended. UpdateFailed
+// may block while the event loop is busy.
 func (c *Core) UpdateFailed() { c.post(endpointUpdateFailed{}) }
 
-// WatchRequests returns the channel on which the Balancer requests a watch of the endpoint list, if
-// policy.Config.WatchOnRequest is set. At most one request is pending.
+// WatchRequests returns the channel on which the Core forwards the Balancer's requests to watch the
+// endpoint list. The Balancer sends them only if policy.Config.WatchOnRequest is set. At most one request
+// is pending.
 func (c *Core) WatchRequests() <-chan struct{} { return c.watches }
 
-// Shutdown completes all requests now and rejects those that follow. It may block while the event
+// Shutdown completes all requests immediately and rejects later ones. Shutdown may block while the event
 // loop is busy, and does not wait for the responses.
 func (c *Core) Shutdown() { c.post(shutdownRequested{}) }
--- a/internal/core/endpoint_table.go
+++ b/internal/core/endpoint_table.go
@@ -9,16 +9,17 @@
 	"mothridge/policy"
 )
 
-// endpointState is what the Core keeps of an endpoint in the list. Event loop only, but for closedAt.
+// endpointState is the Core's state of an endpoint in the list. Only the event loop uses it, except for
+// closedAt.
 type endpointState struct {
 	id        policy.EndpointID
-	entry     Endpoint // as of the last update
+	entry     Endpoint // entry in the last update
 	upstream  Upstream
-	startedAt time.Duration // on the Balancer's clock; 0: long ago
-	probes    []*probe      // with no result reported yet, in the order the Balancer requested them
+	startedAt time.Duration // start of the process on the Balancer's clock; 0: long ago
+	probes    []*probe      // probes without a reported result, in the order in which the Balancer requested them
 
-	// closedAt is when it began to drain or was removed, on the Balancer's clock; 0: it is up. The
-	// guard reads it from the goroutines of attempts.
+	// closedAt is when the endpoint began to drain or was removed, on the Balancer's clock; 0 if the
+	// endpoint is ready. The guard reads closedAt from the goroutines of attempts.
 	closedAt atomic.Int64
 }
 
@@ -27,14 +28,14 @@
 	e.closedAt.CompareAndSwap(0, int64(now))
 }
 
-// endpointTable holds the endpoint list and the endpoints' upstreams. Event loop only.
+// endpointTable holds the endpoint list and the endpoints' upstreams. Only the event loop uses it.
 type endpointTable struct {
 	byName      map[string]*endpointState
 	byID        map[policy.EndpointID]*endpointState
 	lastID      policy.EndpointID
 	zones       zoneNumbers
 	newUpstream func(Endpoint) Upstream
-	discovered  bool // there was an update other than the cached list
+	discovered  bool // an update other than the cached list has been applied
 }
 
 func newEndpointTable(zones []string, newUpstream func(Endpoint) Upstream) endpointTable {
@@ -46,8 +47,8 @@
 	}
 }
 
-// updateEndpoints applies an update of the endpoint list and passes it to the Balancer. An endpoint
-// that it removes stays known until the Balancer has handled the update.
+// updateEndpoints applies an update of the endpoint list and passes the update to the Balancer. An
+// endpoint that the update removes stays in the table until the Balancer has handled the update.
 func (c *Core) updateEndpoints(kind policy.UpdateKind, update EndpointUpdate) {
 	confirmedAt := time.Duration(0)
 	if !update.ConfirmedAt.IsZero() {
@@ -72,9 +73,10 @@
 	}
 }
 
-// merge adds and changes endpoints as the entries of an update say, and returns these for the
-// Balancer. Unusable entries are logged and ignored. For a complete list it also returns the names of
-// the usable entries. The cost of a delta depends on its own length, not on the list's.
+// merge adds and changes endpoints according to the entries of an update, and returns the endpoints in
+// the Balancer's form. It logs and ignores unusable entries. For a complete list, merge also returns the
+// names of the usable entries. The cost of a delta depends on the length of the delta, not on the length
+// of the list.
 func (t *endpointTable) merge(
 	entries []Endpoint, complete bool, now, confirmedAt time.Duration,
 ) (merged []policy.Endpoint, present map[string]bool) {
@@ -101,8 +103,9 @@
 	return merged, present
 }
 
-// upsert adds or changes the endpoint of an entry, and returns it for the Balancer; false: the
-// entry is unusable. confirmedAt is EndpointUpdate.ConfirmedAt on the Balancer's clock; 0: unknown.
+// upsert adds or changes the endpoint of an entry, and returns the endpoint in the Balancer's form. It
+// returns false if the entry is unusable. confirmedAt is EndpointUpdate.ConfirmedAt on the Balancer's
+// clock; 0 if unknown.
 func (t *endpointTable) upsert(entry Endpoint, now, confirmedAt time.Duration) (policy.Endpoint, bool) {
 	if entry.Name == "" {
 		return policy.Endpoint{}, false
@@ -113,7 +116,7 @@
 		if endpoint == nil || entry.Health == Ready {
 			return policy.Endpoint{}, false
 		}
-		entry.Addr = endpoint.entry.Addr // it gets no new attempts: its address does not matter
+		entry.Addr = endpoint.entry.Addr // the endpoint receives no new attempts, so its address does not matter
 	}
 	if endpoint == nil {
 		endpoint = t.add(entry)
@@ -131,7 +134,7 @@
 	return t.policyEndpoint(endpoint), true
 }
 
-// add adds the endpoint of an entry to the table, without the entry itself.
+// add adds an endpoint for the entry to the table. The caller sets the endpoint's field entry.
 func (t *endpointTable) add(entry Endpoint) *endpointState {
 	t.lastID++
 	endpoint := &endpointState{id: t.lastID, upstream: t.newUpstream(entry)}
@@ -140,14 +143,15 @@
 	return endpoint
 }
 
-// movedOrRestarted reports whether connections to the endpoint lead to another process than the
-// entry describes.
+// movedOrRestarted reports whether the entry describes another process than the one that existing
+// connections to the endpoint lead to.
 func (e *endpointState) movedOrRestarted(entry Endpoint) bool {
 	return e.entry.Addr != entry.Addr || e.entry.StartedAt != entry.StartedAt
 }
 
-// updateStart computes the endpoint's start on the Balancer's clock. Once it is computed it stays
-// until an entry has another start. appeared says that the list before did not have the endpoint.
+// updateStart computes the endpoint's start time on the Balancer's clock. The computed time is kept until
+// an entry has a different start time. appeared reports that the previous list did not contain the
+// endpoint.
 func (e *endpointState) updateStart(entry Endpoint, appeared bool, now, confirmedAt time.Duration) {
 	sameStart := e.entry.StartedAt == entry.StartedAt
 	if sameStart && e.startedAt != 0 {
@@ -163,10 +167,10 @@
 	})
 }
 
-// policyEndpoint returns the endpoint as the Balancer sees it.
+// policyEndpoint returns the endpoint in the Balancer's form.
 func (t *endpointTable) policyEndpoint(endpoint *endpointState) policy.Endpoint {
 	entry := &endpoint.entry
-	cell := -int(endpoint.id) // shared with no other endpoint
+	cell := -int(endpoint.id) // unique cell, shared with no other endpoint
 	if entry.Cell != nil {
 		cell = *entry.Cell
 	}
@@ -180,7 +184,8 @@
 	}
 }
 
-// forPolicy returns the Balancer's value for a state; unknown ones mean no new attempts.
+// forPolicy returns the Balancer's value for a state. An unknown state becomes policy.Draining, so that the
+// endpoint receives no new attempts.
 func (h Health) forPolicy() policy.Health {
 	switch h {
 	case Ready:
@@ -197,7 +202,8 @@
 	return err == nil
 }
 
-// removeAbsent removes the endpoints that a complete list does not have, or has as removed.
+// removeAbsent removes the endpoints that a complete list does not contain or lists as removed. present
+// holds the names of the list's usable entries.
 func (t *endpointTable) removeAbsent(present map[string]bool, now time.Duration) {
 	for name, endpoint := range t.byName {
 		if endpoint.entry.Health == Removed || !present[name] {
@@ -206,7 +212,7 @@
 	}
 }
 
-// removeNamed removes the endpoints of a delta's entries that are removed.
+// removeNamed removes the endpoints that a delta lists as removed.
 func (t *endpointTable) removeNamed(entries []Endpoint, now time.Duration) {
 	for _, entry := range entries {
 		endpoint := t.byName[entry.Name]
--- a/internal/core/endpoint_table_test.go
+++ b/internal/core/endpoint_table_test.go
@@ -19,7 +19,7 @@
 	}})
 	endpoints := core.endpoints.byName
 	if len(endpoints) != 2 || endpoints["s-1"] == nil || endpoints["s-3"] == nil {
-		t.Errorf("endpoints %v, want s-1 and s-3", endpoints)
+		t.Errorf("got endpoints %v, want s-1 and s-3", endpoints)
 	}
 }
 
@@ -28,7 +28,7 @@
 	upsert := func(entry Endpoint) policy.Endpoint {
 		endpoint, usable := core.endpoints.upsert(entry, core.now, 0)
 		if !usable {
-			t.Fatalf("%+v was ignored", entry)
+			t.Fatalf("entry %+v was ignored, want a policy endpoint", entry)
 		}
 		return endpoint
 	}
@@ -37,30 +37,31 @@
 	first := upsert(entry)
 	want := policy.Endpoint{ID: first.ID, Cell: 3, Health: policy.Ready, Weight: 1.5}
 	if first != want {
-		t.Errorf("endpoint %+v, want %+v", first, want)
+		t.Errorf("got endpoint %+v, want %+v", first, want)
 	}
 	entry.Addr, entry.Health = "127.0.0.1:8", Draining
 	moved := upsert(entry)
 	if moved.ID != first.ID || moved.Health != policy.Draining || core.endpoints.byName["s-1"].entry.Addr != entry.Addr {
-		t.Errorf("at another address it is %+v, was %+v", moved, first)
+		t.Errorf("after a change of address: got %+v, before %+v; want the same ID, draining, at the new address",
+			moved, first)
 	}
 	entry.Health = Health(99)
 	if unknown := upsert(entry); unknown.Health != policy.Draining {
-		t.Errorf("unknown health gives %v", unknown.Health)
+		t.Errorf("unknown health: got %v, want draining", unknown.Health)
 	}
 	entry.Health, entry.Addr = Removed, ""
 	if removed := upsert(entry); removed.ID != first.ID || removed.Health != policy.Removed {
-		t.Errorf("removed without an address gives %+v", removed)
+		t.Errorf("removed entry without an address: got %+v, want the same ID, removed", removed)
 	}
 	second := upsert(Endpoint{Name: "s-2", Addr: "127.0.0.1:9", Zone: "elsewhere", Health: Ready})
 	third := upsert(Endpoint{Name: "s-3", Addr: "127.0.0.1:9", Zone: "elsewhere", Health: Ready})
 	if second.ID == first.ID || second.Zone == 0 || second.Zone != third.Zone || second.Cell == third.Cell {
-		t.Errorf("endpoints %+v and %+v", second, third)
+		t.Errorf("got endpoints %+v and %+v, want new IDs, one new zone and different cells", second, third)
 	}
 }
 
-// An endpoint that started shortly before this process needs a slow start: its start must be a
-// positive time on the Balancer's clock.
+// An endpoint that started shortly before this process needs slow start. The Balancer skips slow start if
+// the start time on its clock is not positive.
 func TestStartBeforeThisProcess(t *testing.T) {
 	core := newTestCore(t)
 	startedAt := time.Duration(time.Now().Add(-2 * time.Second).UnixNano())
@@ -68,11 +69,14 @@
 	endpoint, usable := core.endpoints.upsert(entry, core.now, 0)
 	age := core.clock.now() - endpoint.StartedAt
 	if !usable || endpoint.StartedAt <= 0 || age < time.Second || age > peertest.WaitTimeout {
-		t.Errorf("started at %v, %v ago on the Balancer's clock", endpoint.StartedAt, age)
+		t.Errorf("got start time %v, %v ago on the Balancer's clock; want a positive time about 2 s ago",
+			endpoint.StartedAt, age)
 	}
 }
 
-func TestStartAheadOfTheClockStays(t *testing.T) {
+// A reported start time in the future is limited to the present, and a later update with the same report
+// does not move it.
+func TestFutureStartTimeIsStable(t *testing.T) {
 	core := newTestCore(t)
 	startedAt := time.Duration(time.Now().Add(time.Hour).UnixNano())
 	entry := Endpoint{Name: "s-2", Addr: "127.0.0.1:7", Health: Ready, StartedAt: startedAt}
@@ -80,6 +84,7 @@
 	core.now = core.clock.now() + time.Second
 	again, _ := core.endpoints.upsert(entry, core.now, 0)
 	if first.StartedAt > core.now || again.StartedAt != first.StartedAt {
-		t.Errorf("a start ahead of the clock is %v and then %v", first.StartedAt, again.StartedAt)
+		t.Errorf("start time in the future: got %v, then %v; want the same time, at most the present",
+			first.StartedAt, again.StartedAt)
 	}
 }
--- a/internal/core/event_loop.go
+++ b/internal/core/event_loop.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// counterLogInterval is the time between two log lines with counters.
+// counterLogInterval is the interval at which the event loop logs its counters.
 const counterLogInterval = time.Minute
 
-// post passes an event to the event loop, from any other goroutine. It blocks while the loop is busy;
-// once Run has returned, events are dropped.
+// post passes an event to the event loop. Any goroutine but the event loop's own may call post. It blocks
+// while the loop is busy. Once Run has returned, post drops the event.
 func (c *Core) post(e event) {
 	select {
 	case c.events <- e:
@@ -17,8 +17,9 @@
 	}
 }
 
-// Run handles events until ctx ends. The caller owns its goroutine. Run starts those of attempts and
-// probes and does not wait for them: they end with their contexts and the transports' bounds.
+// Run handles events until ctx ends. It runs on the caller's goroutine. Run starts the goroutines of
+// attempts and probes and does not wait for them: these goroutines end when their contexts end or the
+// transports' time limits are reached.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.done)
 	logTicker := time.NewTicker(counterLogInterval)
@@ -41,14 +42,14 @@
 	}
 }
 
-// startIteration sets the time of the next event.
+// startIteration sets Core.now for the next event and reports the iteration to the pause detector.
 func (c *Core) startIteration() {
 	now := time.Now()
 	c.now = c.clock.at(now)
 	c.pauses.iterationStarted(now.Sub(c.clock.startedAt))
 }
 
-// handleLocalEvents handles the events that the loop posted itself, until none follows.
+// handleLocalEvents handles the events that the loop itself posted, including those posted meanwhile.
 func (c *Core) handleLocalEvents() {
 	for len(c.localEvents) > 0 {
 		e := c.localEvents[0]
@@ -63,24 +64,24 @@
 	}
 }
 
-// balancerTimer is the Balancer's one timer. Event loop only.
+// balancerTimer is the Balancer's only timer. Only the event loop uses it.
 type balancerTimer struct {
 	*time.Timer
-	dueAt time.Duration // on the Balancer's clock; 0: not set
+	dueAt time.Duration // on the Balancer's clock; 0 if the timer is not set
 }
 
 func newBalancerTimer() balancerTimer {
-	return balancerTimer{Timer: time.NewTimer(time.Hour)} // until the Balancer sets it
+	return balancerTimer{Timer: time.NewTimer(time.Hour)} // arbitrary delay until the Balancer sets the timer
 }
 
-// set sets the timer to fire after a time from now.
+// set sets the timer to fire after the given delay from now.
 func (t *balancerTimer) set(now, after time.Duration) {
 	t.dueAt = now + after
 	t.Reset(after)
 }
 
-// due reports whether a timer that has fired is due. One that fired early is set again: the Balancer
-// would ignore the call and set no other.
+// due reports whether a timer that has fired is due. A timer that fired early is set again, because the
+// Balancer would ignore the early call and would not set another timer.
 func (t *balancerTimer) due(now time.Duration) bool {
 	if t.dueAt == 0 {
 		return false
--- a/internal/core/event_loop_test.go
+++ b/internal/core/event_loop_test.go
@@ -7,21 +7,22 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// A timer that fires early must not be lost: the Balancer would ignore it and never set another.
+// A timer that fires early must be set again: the Balancer ignores an early call and sets no other timer,
+// so its timer would never fire again.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	core := newTestCore(t)
-	dueAt := core.timer.dueAt // as the Balancer set it at its start
+	dueAt := core.timer.dueAt // set by the Balancer when it started
 	core.now = dueAt - time.Millisecond
 	core.timerFired()
 	if dueAt == 0 || core.timer.dueAt != dueAt {
-		t.Fatal("an early timer is no longer set")
+		t.Fatal("timer fired early and was not set again")
 	}
-	for core.now < dueAt { // it was set for the rest of the invented time, so it is early again
+	for core.now < dueAt { // core.now was ahead of the real time, so the timer fires early again
 		peertest.Await(t, "the timer", core.timer.C)
 		core.now = core.clock.now()
 		core.timerFired()
 	}
 	if core.timer.dueAt <= dueAt {
-		t.Error("the Balancer was not called: it would have set a later time")
+		t.Error("the timer was not set to a later time, want the Balancer to be called and to set one")
 	}
 }
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -6,9 +6,9 @@
 	"mothridge/policy"
 )
 
-// event is what other goroutines pass to the event loop with Core.post.
+// event is a message to the event loop. Other goroutines send it with Core.post.
 type event interface {
-	// handle is called on the event loop, with Core.now set. It must not block.
+	// handle is called on the event loop, after Core.now is set. It must not block.
 	handle(c *Core)
 }
 
@@ -18,7 +18,7 @@
 func (e requestReceived) handle(c *Core) {
 	request := e.request
 	if !c.requests.add(request) {
-		// Two requests under one Request-Id might take effect twice.
+		// Two requests with the same Request-Id could take effect twice if both were handled.
 		request.completed = true
 		request.Respond(Response{Result: Duplicate})
 		return
@@ -48,11 +48,11 @@
 	c.balancer.ClientDisconnected(c.now, request.policyID)
 }
 
-// attemptEnded is posted by an attempt's goroutine, and by the event loop for one that it did not start.
+// attemptEnded is posted by an attempt's goroutine, or by the event loop for an attempt that it did not start.
 type attemptEnded struct {
 	attempt  *attempt
 	result   policy.AttemptResult
-	response *Response // if result is policy.Served
+	response *Response // set only if result is policy.Served
 }
 
 func (e attemptEnded) handle(c *Core) {
@@ -64,7 +64,7 @@
 	if e.result == policy.Served {
 		c.respond(request.policyID, *e.response)
 	}
-	c.requests.removeIfDone(request) // whatever the result: it may come after the client disconnected
+	c.requests.removeIfDone(request) // for any result, as the client may have disconnected before the attempt ended
 	c.balancer.AttemptEnded(c.now, policy.AttemptOutcome{
 		ID:        request.policyID,
 		Attempt:   e.attempt.number,
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// attemptGuard is what the guard and the invariant checks know of an attempt. Transports use it
-// through its Message: they call Message.AllowSend right before the first byte and
-// Message.SendCompleted after the last, each from any goroutine.
+// attemptGuard holds the data that the guard and the invariant checks need about an attempt. Transports
+// use it through the attempt's Message: they call Message.AllowSend right before the first byte and
+// Message.SendCompleted after the last byte, each from any goroutine.
 //
-// AllowSend is the guard: after the Balancer has decided, connections take time to open, clients
-// disconnect and endpoints drain. SendCompleted checks that the guard works: it counts broken
-// invariants (invariants.go) and changes nothing else.
+// AllowSend is the guard. It is needed because connections take time to open, and clients may disconnect
+// and endpoints may start draining after the Balancer has decided. SendCompleted checks that the guard
+// works: it counts broken invariants (invariants.go), records the write and changes nothing else.
 type attemptGuard struct {
 	core      *Core
 	request   *Request
 	endpoint  *endpointState
-	number    int         // of the attempt, from 0
-	prevented atomic.Bool // already counted
+	number    int         // number of the attempt, from 0
+	prevented atomic.Bool // the prevented attempt has been counted
 }
 
-// preventReason says why an attempt may not be started.
+// preventReason is the reason why an attempt must not be started.
 type preventReason int
 
-// The reasons, each counted in the field of PreventedSends that it is given here.
+// The reasons. The comment of each reason names the field of PreventedSends that counts it.
 const (
 	notPrevented              preventReason = iota
 	preventDraining                         // Draining
@@ -33,18 +33,18 @@
 	preventReasonCount
 )
 
-// PreventedSends counts attempts that the guard kept from being started, by reason.
+// PreventedSends counts the attempts that the guard prevented, by reason.
 type PreventedSends struct {
 	Draining    uint64 `metric:"draining"` // the endpoint is draining or was removed
 	ClientGone  uint64 `metric:"left"`     // the client has disconnected
-	Responded   uint64 `metric:"answered"` // the request has its response
+	Responded   uint64 `metric:"answered"` // the request already has its response
 	DedupWindow uint64 `metric:"window"`   // the deduplication window of an earlier attempt has ended
 }
 
-// preventedCounters counts by preventReason.
+// preventedCounters counts prevented attempts by preventReason.
 type preventedCounters [preventReasonCount]atomic.Uint64
 
-// PreventedSends returns the counts since the start. It may be called from any goroutine.
+// PreventedSends returns the counts since the Core was created. It may be called from any goroutine.
 func (c *Core) PreventedSends() PreventedSends {
 	return PreventedSends{
 		Draining:    c.prevented[preventDraining].Load(),
@@ -54,9 +54,9 @@
 	}
 }
 
-// AllowSend reports whether the attempt may still be started. Transports call it right before they
-// write the first byte, from any goroutine. An attempt that it forbids ends as policy.NotSent. It
-// may be called more than once; a prevented attempt is counted once.
+// AllowSend reports whether the attempt may still be started. Transports call AllowSend right before they
+// write the first byte, from any goroutine. If AllowSend returns false, the attempt must end as
+// policy.NotSent. AllowSend may be called more than once; a prevented attempt is counted once.
 func (m *Message) AllowSend(now time.Time) bool {
 	reason := m.preventSend(now)
 	if reason == notPrevented {
@@ -68,7 +68,7 @@
 	return false
 }
 
-// preventSend returns the reason for which the attempt may not be started now, if there is one.
+// preventSend returns the reason why the attempt must not be started now, or notPrevented.
 func (m *Message) preventSend(now time.Time) preventReason {
 	if !m.WriteDeadline.IsZero() && !now.Before(m.WriteDeadline) {
 		return preventDedupWindow
@@ -84,7 +84,8 @@
 	return notPrevented
 }
 
-// preventSend returns the reason that the endpoint or the request gives.
+// preventSend returns the reason that results from the state of the endpoint or of the request, or
+// notPrevented.
 func (g *attemptGuard) preventSend() preventReason {
 	if g.endpoint.closedAt.Load() != 0 {
 		return preventDraining
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -7,8 +7,8 @@
 	"mothridge/policy"
 )
 
-// guardedMessage returns the message of an attempt, as a transport has it, of a request whose class
-// has an idempotency and a deduplication window of 1 s.
+// guardedMessage returns an attempt's message, as passed to a transport. The class of its request has the
+// given idempotency and a deduplication window of 1 s.
 func guardedMessage(t *testing.T, idempotency policy.Idempotency) (*Core, *Message) {
 	t.Helper()
 	core := newTestCore(t, upEndpoint("s-1", "127.0.0.1:7"))
@@ -18,8 +18,9 @@
 	return core, &Message{guard: guard}
 }
 
-// What happened since the Balancer decided keeps an attempt from being started; the invariant checks
-// report one that is started nevertheless.
+// The guard prevents an attempt whose endpoint, client, request or write deadline no longer allows it,
+// although the Balancer has decided to start it. The invariant checks report an attempt that is started
+// nevertheless.
 func TestGuardAndInvariantChecks(t *testing.T) {
 	now := time.Now()
 	longAgo := now.Add(-time.Minute)
@@ -94,15 +95,15 @@
 				tt.before(core, message)
 			}
 			if got, want := message.AllowSend(now), tt.prevented == (PreventedSends{}); got != want {
-				t.Errorf("AllowSend is %v, want %v", got, want)
+				t.Errorf("AllowSend: got %v, want %v", got, want)
 			}
-			message.AllowSend(now) // counted once
+			message.AllowSend(now) // a second call is not counted again
 			if got := core.PreventedSends(); got != tt.prevented {
-				t.Errorf("prevented %+v, want %+v", got, tt.prevented)
+				t.Errorf("prevented sends: got %+v, want %+v", got, tt.prevented)
 			}
 			message.SendCompleted(now, tt.statedTimeout)
 			if got := core.Violations(); got != tt.violations {
-				t.Errorf("violations %+v, want %+v", got, tt.violations)
+				t.Errorf("violations: got %+v, want %+v", got, tt.violations)
 			}
 		})
 	}
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -9,8 +9,8 @@
 	"mothridge/policy"
 )
 
-// newTestCore returns a Core that does not run, with these endpoints cached and a class of each
-// idempotency. Tests call its event handlers themselves.
+// newTestCore returns a Core that does not run, with the given endpoints as its cached list and one class
+// for each kind of idempotency. Tests call the event handlers directly.
 func newTestCore(t *testing.T, endpoints ...Endpoint) *Core {
 	t.Helper()
 	core, err := New(Config{
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -6,8 +6,8 @@
 	"mothridge/policy"
 )
 
-// balancerHost performs the actions that the Balancer decides on. The Balancer alone calls it, on the
-// event loop.
+// balancerHost performs the actions that the Balancer decides on. Only the Balancer calls its methods, on
+// the event loop.
 type balancerHost struct{ core *Core }
 
 var _ policy.Host = balancerHost{}
@@ -17,7 +17,7 @@
 	h.core.startAttempt(id, to, timeout, writeWithin)
 }
 
-// Reject responds that a retry is harmless after retryAfter.
+// Reject responds that the request may safely be retried, preferably after retryAfter.
 func (h balancerHost) Reject(id policy.RequestID, retryAfter time.Duration) {
 	h.core.recordUnserved(id, "refused")
 	h.core.respond(id, Response{Result: Rejected, RetryAfter: retryAfter})
@@ -41,12 +41,13 @@
 	}
 }
 
-// SetTimer sets the one timer; the Balancer sets it again only to an earlier time.
+// SetTimer sets the Balancer's only timer. While the timer is set, the Balancer sets it again only to an
+// earlier time.
 func (h balancerHost) SetTimer(after time.Duration) {
 	h.core.timer.set(h.core.now, after)
 }
 
-// Probe requests an endpoint's health and load.
+// Probe starts a probe of an endpoint's health and load.
 func (h balancerHost) Probe(to policy.EndpointID) {
 	h.core.startProbe(to)
 }
@@ -55,6 +56,6 @@
 func (h balancerHost) RequestWatch() {
 	select {
 	case h.core.watches <- struct{}{}:
-	default: // one is pending
+	default: // a request is already pending
 	}
 }
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -8,39 +8,41 @@
 	"mothridge/policy"
 )
 
-// DefaultDrainGrace is used where Config.DrainGrace is 0.
+// DefaultDrainGrace is used if Config.DrainGrace is 0.
 const DefaultDrainGrace = time.Second
 
 // Tolerances of the invariant checks.
 const (
-	// clientDisconnectTolerance is how long after its client disconnected an attempt may start.
+	// clientDisconnectTolerance is how long after the completion of its request an attempt may start: after
+	// the client disconnected or the response was sent.
 	clientDisconnectTolerance = 100 * time.Millisecond
-	// timeoutTolerance is how much more time than its client has an upstream may be given.
+	// timeoutTolerance is how much the timeout sent to an upstream may exceed the client's remaining time.
 	timeoutTolerance = 150 * time.Millisecond
-	// schedulingTolerance is added to each bound, as the process may be held up between reading its
+	// schedulingTolerance is added to each bound because the process may be delayed between reading its
 	// clock and writing.
 	schedulingTolerance = 150 * time.Millisecond
 )
 
-// Violations counts broken invariants. All counts should stay 0.
+// Violations counts invariant violations. All counts should stay 0.
 type Violations struct {
-	// An attempt started later than Config.DrainGrace after its endpoint began to drain.
+	// Attempts that started later than Config.DrainGrace after their endpoint began to drain.
 	SentToDraining uint64 `metric:"sent_to_draining"`
-	// An attempt started after its client had disconnected.
+	// Attempts that started after their client had disconnected.
 	SentAfterClientGone uint64 `metric:"sent_for_left"`
-	// An attempt started after its request had its response.
+	// Attempts that started after their request had its response.
 	SentAfterResponse uint64 `metric:"sent_after_answer"`
-	// A request that is not idempotent was retried though an earlier attempt may have run.
+	// Retries of requests that are not idempotent although an earlier attempt may have been executed.
 	RetriedNotIdempotent uint64 `metric:"repeated_unsafe"`
-	// A request that is idempotent by its key was retried after the deduplication window.
+	// Retries of requests that are idempotent by their key after the deduplication window had ended.
 	RetriedAfterDedupWindow uint64 `metric:"repeated_too_late"`
-	// An upstream was given more time than its client had left.
+	// Attempts whose stated timeout was longer than their client's remaining time.
 	TimeoutTooLong uint64 `metric:"deadline_too_long"`
-	// A request got a second response.
+	// Requests that got a second response.
 	RespondedTwice uint64 `metric:"answered_twice"`
 }
 
-// invariantCounters counts violations. The event loop and the goroutines of attempts add to it.
+// invariantCounters counts invariant violations. The event loop and the goroutines of attempts increment
+// the counters.
 type invariantCounters struct {
 	startedWhileDraining    atomic.Uint64
 	startedAfterDisconnect  atomic.Uint64
@@ -51,7 +53,7 @@
 	respondedTwice          atomic.Uint64
 }
 
-// Violations returns the counts since the start. It may be called from any goroutine.
+// Violations returns the counts since the Core was created. It may be called from any goroutine.
 func (c *Core) Violations() Violations {
 	counters := &c.invariants
 	return Violations{
@@ -65,15 +67,15 @@
 	}
 }
 
-// reportViolation counts and logs a broken invariant. The rule is the count's name in metrics.
+// reportViolation counts and logs an invariant violation. rule is the name of the count in metrics.
 func reportViolation(count *atomic.Uint64, rule, requestID string) {
 	count.Add(1)
 	slog.Error("a rule was broken", "rule", rule, "request", requestID)
 }
 
 // SendCompleted records that the last byte of an attempt was written, and checks the invariants.
-// statedTimeout is the time that the upstream was given for its response; 0: none was stated.
-// Transports call it once for each attempt, from any goroutine.
+// statedTimeout is the timeout that the attempt stated to the upstream; 0 if it stated none. Transports
+// call SendCompleted once for each attempt, from any goroutine.
 func (m *Message) SendCompleted(now time.Time, statedTimeout time.Duration) {
 	guard := m.guard
 	if guard == nil {
@@ -84,7 +86,8 @@
 	guard.checkAndRecordWrite(now)
 }
 
-// checkEndpoint reports an attempt at an endpoint that has been draining for too long.
+// checkEndpoint reports an attempt at an endpoint that has been draining for longer than
+// Config.DrainGrace.
 func (g *attemptGuard) checkEndpoint(now time.Time) {
 	closedAt := time.Duration(g.endpoint.closedAt.Load())
 	if closedAt == 0 {
@@ -96,7 +99,7 @@
 	}
 }
 
-// checkTimeout reports an upstream that was given more time than its client waits.
+// checkTimeout reports an attempt whose stated timeout exceeds the client's remaining time.
 func (g *attemptGuard) checkTimeout(now time.Time, statedTimeout time.Duration) {
 	remaining := max(g.request.Deadline.Sub(now), 0)
 	if statedTimeout > remaining+timeoutTolerance+schedulingTolerance {
@@ -104,7 +107,7 @@
 	}
 }
 
-// checkAndRecordWrite checks an attempt against the request's history and adds it to that.
+// checkAndRecordWrite checks an attempt against the request's history and adds the attempt to the history.
 func (g *attemptGuard) checkAndRecordWrite(now time.Time) {
 	history := &g.request.history
 	history.mu.Lock()
@@ -128,7 +131,7 @@
 	}
 }
 
-// checkRetry reports a retry that the idempotency of the request's class forbids after an earlier attempt.
+// checkRetry reports a retry that the idempotency of the request's class forbids after the earlier attempt.
 func (g *attemptGuard) checkRetry(now time.Time, earlier attemptWrite) {
 	class := &g.core.config.Policy.Classes[g.request.Class]
 	switch {
--- a/internal/core/pause_detection.go
+++ b/internal/core/pause_detection.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// minPause is the least time without an iteration of the event loop that counts as a pause of the
-	// process. The Balancer's timer fires at least every 100 ms, also without any load.
+	// minPause is the shortest time without an iteration of the event loop that counts as a pause of the
+	// process. The Balancer's timer fires at least every 100 ms, even without load.
 	minPause = 300 * time.Millisecond
-	// catchUpGrace is how long after a pause bytes may be read that were received during it.
+	// catchUpGrace is how long after a pause the process may still read bytes that arrived during the pause.
 	catchUpGrace = 100 * time.Millisecond
 )
 
-// pauseDetector notices that the process did not run: it was stopped, or got no processor time.
-// The event loop reports its iterations; any goroutine may call earliestArrival.
+// pauseDetector detects pauses of the process, during which the process was stopped or got no processor
+// time. The event loop reports its iterations; any goroutine may call earliestArrival.
 type pauseDetector struct {
-	startedAt       time.Time    // when the Core was made
-	lastIterationAt atomic.Int64 // nanoseconds since startedAt; 0: none yet
+	startedAt       time.Time    // when the Core was created
+	lastIterationAt atomic.Int64 // nanoseconds since startedAt; 0 before the first iteration
 	lastPause       atomic.Pointer[eventLoopPause]
 }
 
-// eventLoopPause is a time in which the event loop did not run.
+// eventLoopPause is an interval in which the event loop did not run.
 type eventLoopPause struct{ from, until time.Time }
 
-// iterationStarted records an iteration of the event loop, at a time since startedAt.
+// iterationStarted records an iteration of the event loop. sinceStart is the time since startedAt.
 func (d *pauseDetector) iterationStarted(sinceStart time.Duration) {
 	last := time.Duration(d.lastIterationAt.Swap(int64(sinceStart)))
 	if last <= 0 || sinceStart-last < minPause {
@@ -38,8 +38,8 @@
 	slog.Warn("the process did not run", "for", sinceStart-last)
 }
 
-// earliestArrival returns the earliest time at which bytes that were read at now may have been
-// received: during a pause they wait in the kernel.
+// earliestArrival returns the earliest time at which bytes that the process read at now may have arrived.
+// Bytes that arrive during a pause wait in the kernel.
 func (d *pauseDetector) earliestArrival(now time.Time) time.Time {
 	sinceStart := time.Duration(d.lastIterationAt.Load())
 	if sinceStart == 0 {
@@ -47,7 +47,7 @@
 	}
 	lastIterationAt := d.startedAt.Add(sinceStart)
 	if now.Sub(lastIterationAt) >= minPause {
-		return lastIterationAt // the pause is ending: the event loop has yet to run
+		return lastIterationAt // the process has resumed, but the event loop has not run yet
 	}
 	pause := d.lastPause.Load()
 	if pause != nil && now.Sub(pause.until) < catchUpGrace {
@@ -56,9 +56,10 @@
 	return now
 }
 
-// EarliestArrival returns the earliest time at which bytes that were read at now may have been
-// received. It is earlier than now after a pause of the process, in which they may have waited.
-// Listeners count a client's timeout from it, from any goroutine.
+// EarliestArrival returns the earliest time at which bytes that a listener read at now may have arrived.
+// That time is before now if the process was paused shortly before, because the bytes may have waited in
+// the kernel during the pause. Listeners count a client's timeout from the returned time. They may call
+// EarliestArrival from any goroutine.
 func (c *Core) EarliestArrival(now time.Time) time.Time {
 	return c.pauses.earliestArrival(now)
 }
--- a/internal/core/pause_detection_test.go
+++ b/internal/core/pause_detection_test.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
+// A client's timeout must not start late because the process was paused when the request arrived.
 func TestEarliestArrival(t *testing.T) {
 	startedAt := time.Now()
 	const second = time.Second
 	for _, tt := range []struct {
 		name       string
-		iterations []time.Duration // since the start
+		iterations []time.Duration // times since startedAt
 		readAt     time.Duration
 		want       time.Duration
 	}{
 		{name: "no iteration yet", readAt: second, want: second},
 		{
-			name:       "the first iteration ends no pause",
+			name:       "first iteration is not the end of a pause",
 			iterations: []time.Duration{second},
 			readAt:     second,
 			want:       second,
 		},
 		{
-			name:       "event loop runs",
+			name:       "no pause",
 			iterations: []time.Duration{second},
 			readAt:     second + minPause - 1,
 			want:       second + minPause - 1,
 		},
 		{
-			name:       "event loop has yet to run after a pause",
+			name:       "pause has ended, event loop has not run yet",
 			iterations: []time.Duration{second},
 			readAt:     second + minPause,
 			want:       second,
@@ -40,13 +41,13 @@
 			want:       second,
 		},
 		{
-			name:       "after a pause",
+			name:       "after the grace time that follows a pause",
 			iterations: []time.Duration{second, 3 * second},
 			readAt:     3*second + catchUpGrace,
 			want:       3*second + catchUpGrace,
 		},
 		{
-			name:       "after a silence that is too short for a pause",
+			name:       "after an interval too short for a pause",
 			iterations: []time.Duration{second, second + minPause - 1},
 			readAt:     second + minPause,
 			want:       second + minPause,
@@ -59,7 +60,7 @@
 			}
 			got := detector.earliestArrival(startedAt.Add(tt.readAt)).Sub(startedAt)
 			if got != tt.want {
-				t.Errorf("earliest arrival %v after the start, want %v", got, tt.want)
+				t.Errorf("earliest arrival since startedAt: got %v, want %v", got, tt.want)
 			}
 		})
 	}
--- a/internal/core/probes.go
+++ b/internal/core/probes.go
@@ -7,7 +7,7 @@
 	"mothridge/policy"
 )
 
-// probe is a health check of an endpoint that the Balancer requested.
+// probe is a health check that the Balancer requested for an endpoint.
 type probe struct {
 	endpoint  *endpointState
 	completed bool
@@ -15,8 +15,8 @@
 	err       error
 }
 
-// startProbe probes an endpoint in a goroutine, which ends within the transport's bound on probes;
-// nothing waits for it. An endpoint that was removed is not probed.
+// startProbe starts a probe of an endpoint in its own goroutine, which ends within the transport's time
+// limit for probes. No other goroutine waits for it. An endpoint that was removed is not probed.
 func (c *Core) startProbe(id policy.EndpointID) {
 	endpoint := c.endpoints.byID[id]
 	if endpoint == nil {
@@ -31,8 +31,9 @@
 	}()
 }
 
-// reportProbeResults passes an endpoint's results to the Balancer in the order in which it
-// requested the probes, as it matches them by that: a result waits for those before it.
+// reportProbeResults passes an endpoint's probe results to the Balancer in the order in which the Balancer
+// requested the probes, because the Balancer matches results to requests by their order. A result is
+// therefore kept until all earlier probes have completed.
 func (c *Core) reportProbeResults(endpoint *endpointState) {
 	for len(endpoint.probes) > 0 && endpoint.probes[0].completed {
 		p := endpoint.probes[0]
--- a/internal/core/probes_test.go
+++ b/internal/core/probes_test.go
@@ -6,7 +6,8 @@
 	"mothridge/policy"
 )
 
-// The Balancer matches an endpoint's probe results to its requests by their order.
+// The Balancer matches an endpoint's probe results to its probe requests by their order. A probe that
+// completes before an earlier probe must not be reported first.
 func TestProbeResultsKeepTheirOrder(t *testing.T) {
 	core := newTestCore(t, upEndpoint("s-1", "127.0.0.1:7"))
 	endpoint := core.endpoints.byName["s-1"]
@@ -14,10 +15,10 @@
 	endpoint.probes = []*probe{first, second}
 	probeCompleted{probe: second, load: policy.LoadReport{InFlight: 1}}.handle(core)
 	if len(endpoint.probes) != 2 {
-		t.Fatal("the second result was delivered before the first")
+		t.Fatal("the second probe's result was reported before the first, want it to be kept")
 	}
 	probeCompleted{probe: first, load: policy.LoadReport{InFlight: -1}, err: ErrNotSent}.handle(core)
 	if len(endpoint.probes) != 0 {
-		t.Errorf("%d results are not delivered", len(endpoint.probes))
+		t.Errorf("got %d unreported probe results, want 0", len(endpoint.probes))
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -6,62 +6,62 @@
 	"mothridge/policy"
 )
 
-// ResponseMargin is subtracted from a client's timeout by listeners: the client counts it from
-// when it sends the request, the listener from when it reads the request.
+// ResponseMargin is the time that listeners subtract from a client's timeout. The client counts its timeout
+// from when it sends the request, but the listener counts it from when the listener reads the request.
 const ResponseMargin = 5 * time.Millisecond
 
-// Request is a client's request. Its listener sets the exported fields; each Handler that it
-// passes may wrap Respond before it calls the next one; only package quotas sets OnClientGone. From
-// Submit to the Core on, nothing changes them.
+// Request is a client's request. Its listener sets the exported fields, except for OnClientGone, which only
+// package quotas sets. Each Handler in the chain may wrap Respond before it calls the next Handler. No
+// exported field changes after the request was submitted to the Core.
 type Request struct {
 	Message
-	ID           string        // Request-Id: while it is in use, another request with it is a Duplicate
+	ID           string        // Request-Id; while in use, another request with this ID is a Duplicate
 	Class        int           // index into policy.Config.Classes
 	Tenant       int           // index into policy.Config.Tenants
-	ClientRetry  bool          // known to be a retry of the client's own
-	ExpectedWork time.Duration // estimate; 0: unknown
+	ClientRetry  bool          // whether the request is known to be the client's own retry
+	ExpectedWork time.Duration // estimated work; 0 if unknown
 	Deadline     time.Time     // when the client stops waiting
 
-	// Respond receives the one response. The Core calls it on the event loop: it must not block.
+	// Respond receives the only response. The Core calls Respond on the event loop, so it must not block.
 	Respond func(Response)
-	// OnClientGone, if set, is called by the Handler that set it once the client has disconnected
-	// before its response. The Core does not call it.
+	// OnClientGone, if set, is called when the client disconnects before its response. The Handler that set
+	// OnClientGone calls it; the Core does not.
 	OnClientGone func()
 
 	history requestHistory
 
-	// Event loop only.
-	policyID     policy.RequestID // its number in the Balancer; 0: not registered
+	// Fields used only by the event loop.
+	policyID     policy.RequestID // the request's ID in the Balancer; 0 if not registered
 	receivedAt   time.Duration    // on the Balancer's clock
-	completed    bool             // it has its response, or its client has disconnected
-	attempts     []*attempt       // by number
+	completed    bool             // the request has its response, or its client has disconnected
+	attempts     []*attempt       // by attempt number
 	inFlight     int              // attempts that have not ended
-	lastTimedOut bool             // the attempt that ended last timed out
+	lastTimedOut bool             // whether the attempt that ended last timed out
 }
 
-// ranOutOfTime reports whether a request that fails does so because its deadline passed: the Balancer
-// may notice that before the attempt in flight ends with policy.TimedOut.
+// ranOutOfTime reports whether a failing request fails because its deadline has passed. The Balancer may
+// fail the request at its deadline before the attempt in flight ends with policy.TimedOut, so an attempt
+// in flight also means that the deadline has passed.
 func (r *Request) ranOutOfTime() bool {
 	return r.lastTimedOut || r.inFlight > 0
 }
 
-// Handler takes requests from listeners: the Core, or what precedes it in the chain (plug-ins,
-// quotas). Its methods may be called from any goroutine.
+// Handler handles the requests of listeners. The Core is a Handler, and so are the stages before it in the
+// chain (plug-ins, quotas). The methods may be called from any goroutine.
 type Handler interface {
-	// Submit starts the handling of a request. Request.Respond is called once, possibly before
-	// Submit returns, unless Abandon is called first. Submit may block while the event loop is
-	// busy.
+	// Submit starts the handling of a request. The Handler calls Request.Respond once, possibly before
+	// Submit returns, unless Abandon is called first. Submit may block while the event loop is busy.
 	Submit(*Request)
-	// Abandon reports that the client of a submitted request has disconnected. Respond may
-	// have been called nevertheless.
+	// Abandon reports that the client of a submitted request has disconnected. The Handler may have
+	// called Respond already.
 	Abandon(*Request)
-	// HasRequest reports whether a request with that Request-Id is being handled.
+	// HasRequest reports whether a request with the given Request-Id is being handled.
 	HasRequest(id string) bool
 	// Ready reports whether an endpoint list is known.
 	Ready() bool
 }
 
-// IndexByName returns the index of each name, as Request.Class and Request.Tenant need it.
+// IndexByName returns the index of each name. Request.Class and Request.Tenant are such indexes.
 func IndexByName(names []string) map[string]int {
 	indexes := make(map[string]int, len(names))
 	for i, name := range names {
--- a/internal/core/request_history.go
+++ b/internal/core/request_history.go
@@ -7,25 +7,26 @@
 	"mothridge/policy"
 )
 
-// requestHistory records what the guard and the invariant checks need to know of a request: whether
-// it is completed, and which attempts were written. The event loop and the goroutines of attempts
-// use it; mu guards all fields but responded.
+// requestHistory records the data that the guard and the invariant checks need about a request: whether
+// the request is completed, and which attempts were written. The event loop and the goroutines of
+// attempts use it. mu guards all fields except responded.
 type requestHistory struct {
 	mu                 sync.Mutex
-	completedAt        time.Time // when it got its response or its client disconnected; zero: neither
-	clientDisconnected bool      // its client disconnected first
+	completedAt        time.Time // when the request got its response or its client disconnected; zero if neither
+	clientDisconnected bool      // the client disconnected before the response
 	writes             []attemptWrite
-	responded          bool // event loop only
+	responded          bool // used only by the event loop
 }
 
 // attemptWrite is an attempt whose last byte was written.
 type attemptWrite struct {
-	attempt     int // its number
+	attempt     int // number of the attempt
 	at          time.Time
-	notExecuted bool // its result proves that it did not run
+	notExecuted bool // the result proves that the attempt was not executed
 }
 
-// complete records that no further attempt may be started. Only the first call counts.
+// complete records that the request is completed, so that no further attempt may be started. Only the
+// first call has an effect.
 func (h *requestHistory) complete(now time.Time, clientDisconnected bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -35,7 +36,7 @@
 	}
 }
 
-// state reports whether the request is completed and whether that is because its client disconnected.
+// state reports whether the request is completed and whether the reason is that its client disconnected.
 func (h *requestHistory) state() (completed, clientDisconnected bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -53,7 +54,7 @@
 	}
 }
 
-// provesNotExecuted reports whether a result rules out that the attempt ran.
+// provesNotExecuted reports whether a result proves that the attempt was not executed.
 func provesNotExecuted(result policy.AttemptResult) bool {
 	return result == policy.Rejected || result == policy.ConnectionFailed || result == policy.NotSent
 }
--- a/internal/core/request_registry.go
+++ b/internal/core/request_registry.go
@@ -6,8 +6,9 @@
 	"mothridge/policy"
 )
 
-// requestRegistry holds each request until it is completed and its last attempt has ended. Its
-// Request-Id is in use until it is completed. Event loop only, but for ids.contain.
+// requestRegistry holds each request until the request is completed and its last attempt has ended. A
+// Request-Id is in use until its request is completed. Only the event loop uses the registry, except for
+// ids.contain.
 type requestRegistry struct {
 	ids    requestIDs
 	lastID policy.RequestID
@@ -21,7 +22,7 @@
 	}
 }
 
-// add registers a request and numbers it. It reports false if its Request-Id is in use.
+// add registers a request and assigns its policyID. It returns false if the Request-Id is in use.
 func (r *requestRegistry) add(request *Request) bool {
 	if !r.ids.reserve(request.ID) {
 		return false
@@ -46,14 +47,14 @@
 	}
 }
 
-// requestIDs is the set of Request-Ids in use. The event loop alone changes it; any goroutine may
-// call contain, so that listeners need not read the body of a duplicate request.
+// requestIDs is the set of Request-Ids in use. Only the event loop changes the set. Any goroutine may call
+// contain, so that listeners can reject a duplicate request without reading its body.
 type requestIDs struct {
 	mu       sync.Mutex
 	reserved map[string]bool
 }
 
-// reserve reports whether the ID was free, and puts it in use.
+// reserve adds the ID to the set. It returns false if the ID is already in use.
 func (r *requestIDs) reserve(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/core/response.go
+++ b/internal/core/response.go
@@ -6,16 +6,16 @@
 	"mothridge/policy"
 )
 
-// Result says how a request ended towards its client.
+// Result is the outcome of a request as reported to its client.
 type Result int
 
-// The results. Only Served has a body.
+// The results. Only a response with the result Served has a body.
 const (
-	Served    Result = iota // an upstream's response
-	Rejected                // a retry is harmless, best after Response.RetryAfter
-	Failed                  // it may have taken effect
-	TimedOut                // the same, because the deadline passed
-	Duplicate               // not handled: another request with its Request-Id is
+	Served    Result = iota // the response of an upstream
+	Rejected                // the request may safely be retried, preferably after Response.RetryAfter
+	Failed                  // the request may have taken effect
+	TimedOut                // the deadline passed; the request may have taken effect
+	Duplicate               // not handled, because another request with the same Request-Id is being handled
 )
 
 // String returns the result's name in metrics.
@@ -26,20 +26,20 @@
 	return []string{"served", "refused", "failed", "timed_out", "duplicate"}
 }
 
-// Response is what a client gets.
+// Response is the response to a client.
 type Response struct {
 	Result Result
-	Fields map[string][]string // if Served: by canonical name; the listener may change them
-	Body   []byte              // if Served
-	// DelimitedByClose says that the upstream ended the body of a Served response by closing its
-	// connection in order, without a length. It is complete only as far as that can be relied on,
-	// so a listener ends its response the same way.
+	Fields map[string][]string // header fields by canonical name, if Served; the listener may change them
+	Body   []byte              // set only if Served
+	// DelimitedByClose reports that the upstream stated no length for the body of a Served response and
+	// ended the body by closing its connection in order. Such a close does not prove that the body is
+	// complete, so the listener must end its own response in the same way.
 	DelimitedByClose bool
-	RetryAfter       time.Duration // if Rejected: how long the client should wait
-	Detail           string        // if Rejected: the reason in one line, where a Handler before the Core gives one
+	RetryAfter       time.Duration // if Rejected: how long the client should wait before a retry
+	Detail           string        // if Rejected: the reason in one line, if a Handler before the Core provides it
 }
 
-// respond completes a request with a response, unless it is completed.
+// respond completes a request with a response, unless the request is already completed.
 func (c *Core) respond(id policy.RequestID, response Response) {
 	request := c.requests.byID[id]
 	if request == nil || request.completed {
--- a/internal/core/response_test.go
+++ b/internal/core/response_test.go
@@ -8,6 +8,8 @@
 	"mothridge/policy"
 )
 
+// The Balancer may report more than one outcome for a request, and the client may disconnect after its
+// response. The client must still get only the first response, and the Request-Id must become free.
 func TestExactlyOneResponse(t *testing.T) {
 	core := newTestCore(t)
 	responses := make(chan Response, 1)
@@ -20,14 +22,16 @@
 	clientDisconnected{request}.handle(core)
 	response := peertest.Await(t, "the response", responses)
 	if response.Result != Failed || len(responses) > 0 {
-		t.Errorf("result %v, and %d more responses", response.Result, len(responses))
+		t.Errorf("got result %v and %d more responses, want failed and 0", response.Result, len(responses))
 	}
 	if len(core.requests.byID) > 0 || core.HasRequest(request.ID) {
-		t.Errorf("%d requests remain, Request-Id in use: %v", len(core.requests.byID), core.HasRequest(request.ID))
+		t.Errorf("got %d registered requests, Request-Id in use: %v; want 0 and false",
+			len(core.requests.byID), core.HasRequest(request.ID))
 	}
 }
 
-// A response that follows the disconnection of its client is dropped, and the request removed.
+// A response that arrives after its client has disconnected must be dropped, and the request must be removed
+// from the registry.
 func TestRequestIsRemovedAfterLateResponse(t *testing.T) {
 	core := newTestCore(t, upEndpoint("s-1", "127.0.0.1:7"))
 	responses := make(chan Response, 1)
@@ -42,12 +46,12 @@
 	clientDisconnected{request}.handle(core)
 	attemptEnded{attempt: request.attempts[0], result: policy.Served, response: &Response{}}.handle(core)
 	if len(core.requests.byID) > 0 || len(responses) > 0 {
-		t.Errorf("%d requests remain, %d responses", len(core.requests.byID), len(responses))
+		t.Errorf("got %d registered requests and %d responses, want 0 and 0", len(core.requests.byID), len(responses))
 	}
 }
 
-// At the deadline the Balancer may fail a request before its attempt has timed out: the result is a
-// time-out in either case.
+// At the deadline the Balancer may fail a request while its attempt is still in flight. The result must be
+// TimedOut, as if the attempt had timed out first.
 func TestTimeoutIsReportedWhileAttemptIsInFlight(t *testing.T) {
 	core := newTestCore(t)
 	for want, request := range map[Result]*Request{
@@ -59,7 +63,7 @@
 		core.requests.add(request)
 		balancerHost{core}.Fail(request.policyID)
 		if response := peertest.Await(t, "the response", responses); response.Result != want {
-			t.Errorf("%s: result %v, want %v", request.ID, response.Result, want)
+			t.Errorf("%s: got result %v, want %v", request.ID, response.Result, want)
 		}
 	}
 }
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -12,17 +12,17 @@
 
 var errStopped = errors.New("the event loop has stopped")
 
-// State is a snapshot for operators.
+// State is a snapshot of the Core's state for operators.
 type State struct {
 	Counters  policy.Counters
-	Requests  int   // being handled, those with an attempt in flight after their completion included
-	Endpoints int   // in the list
-	SlotsFree []int // by tenant
-	QueueFree []int // by tenant
+	Requests  int   // being handled, including completed requests with an attempt in flight
+	Endpoints int   // number of endpoints in the list
+	SlotsFree []int // free slots by tenant
+	QueueFree []int // free queue places by tenant
 }
 
-// State returns a snapshot that the event loop takes. It blocks until then, at most until ctx ends;
-// it returns ctx's error then, and another one once Run has returned.
+// State returns a snapshot that the event loop takes. It blocks until the snapshot is available. If ctx
+// ends first, State returns ctx's error; if Run has returned, State returns a different error.
 func (c *Core) State(ctx context.Context) (State, error) {
 	state := make(chan State, 1)
 	select {
@@ -42,7 +42,7 @@
 	}
 }
 
-// state takes a snapshot. Event loop only.
+// state takes a snapshot. Only the event loop may call it.
 func (c *Core) state() State {
 	s := State{
 		Counters:  c.balancer.Counters(),
@@ -56,13 +56,14 @@
 	return s
 }
 
-// outcomeCounters counts how requests and attempts ended. The event loop adds, any goroutine reads.
+// outcomeCounters counts how requests and attempts ended. Only the event loop increments the counters; any
+// goroutine may read them.
 type outcomeCounters struct {
 	unserved [policy.ReasonCount]atomic.Uint64 // rejected or failed requests, by policy.Reason
 	attempts [policy.NotSent + 1]atomic.Uint64 // by policy.AttemptResult
 }
 
-// recordUnserved counts and logs the Balancer's reason to reject or fail a request.
+// recordUnserved counts and logs the Balancer's reason for rejecting or failing a request.
 func (c *Core) recordUnserved(id policy.RequestID, how string) {
 	reason := c.balancer.Reason()
 	c.outcomes.unserved[reason].Add(1)
@@ -83,13 +84,14 @@
 	}
 }
 
-// debugEnabled reports whether debug lines are logged; their attributes cost an allocation otherwise.
+// debugEnabled reports whether debug messages are logged. Callers check it first because the attributes of a
+// debug message cost an allocation even if the message is not logged.
 func debugEnabled() bool {
 	return slog.Default().Enabled(context.Background(), slog.LevelDebug)
 }
 
-// RejectionsByReason returns how many requests were rejected or failed, by policy.Reason, without
-// those reasons that did not occur. It may be called from any goroutine.
+// RejectionsByReason returns how many requests were rejected or failed, by the name of the policy.Reason.
+// Reasons with a count of 0 are omitted. It may be called from any goroutine.
 func (c *Core) RejectionsByReason() map[string]uint64 {
 	counts := make(map[string]uint64)
 	for reason := range c.outcomes.unserved {
@@ -100,8 +102,8 @@
 	return counts
 }
 
-// AttemptsByResult returns how many attempts have ended, by policy.AttemptResult. It may be called
-// from any goroutine.
+// AttemptsByResult returns how many attempts have ended, by the name of the policy.AttemptResult. It may be
+// called from any goroutine.
 func (c *Core) AttemptsByResult() map[string]uint64 {
 	counts := make(map[string]uint64)
 	for result := range c.outcomes.attempts {
@@ -110,7 +112,7 @@
 	return counts
 }
 
-// logCounters logs the counts since the start. Event loop only.
+// logCounters logs the counts since the Core was created. Only the event loop may call it.
 func (c *Core) logCounters() {
 	slog.Info("counters", counterAttributes(c.balancer.Counters())...)
 	slog.Info("checks", counterAttributes(c.Violations())...)
--- a/internal/core/upstream.go
+++ b/internal/core/upstream.go
@@ -7,25 +7,25 @@
 	"mothridge/policy"
 )
 
-// ErrNotSent is returned by transports that wrote nothing, for a reason on this side:
-// Message.AllowSend forbade it, or this machine lacks a resource.
+// ErrNotSent is returned by transports that wrote nothing for a local reason: Message.AllowSend returned
+// false, or this machine lacks a resource.
 var ErrNotSent = errors.New("not sent")
 
-// Upstream is the process at an endpoint, as the transport of its protocol reaches it. Its methods may
-// be called concurrently.
+// Upstream is the process at an endpoint, reached through the transport of the endpoint's protocol. Its
+// methods may be called concurrently.
 type Upstream interface {
-	// RoundTrip performs one attempt and blocks until it has ended or ctx has. It returns a
-	// response with policy.Served and only then. Results that rule out that the attempt ran
+	// RoundTrip performs one attempt and blocks until the attempt or ctx has ended. It returns a response
+	// if and only if the result is policy.Served. A result that means that the attempt was not executed
 	// (policy.Rejected, policy.ConnectionFailed, policy.NotSent) must be certain.
 	//
-	// It must call Message.AllowSend right before it writes the first byte, and
-	// Message.SendCompleted after the last.
+	// RoundTrip must call Message.AllowSend right before it writes the first byte, and
+	// Message.SendCompleted after it has written the last byte.
 	RoundTrip(ctx context.Context, message *Message) (policy.AttemptResult, *Response)
-	// Probe checks the upstream's health and returns its load. It blocks for a bounded time that
-	// the transport chooses. ErrNotSent, wrapped or not, means that this machine could not
-	// send the probe; any other error counts against the upstream.
+	// Probe checks the upstream's health and returns its load. It blocks for a bounded time that the
+	// transport chooses. ErrNotSent, wrapped or not, means that this machine could not send the probe; any
+	// other error counts as a failure of the upstream.
 	Probe(ctx context.Context) (policy.LoadReport, error)
-	// Retire reports that the process has stopped or moved: no open connection may be used for
-	// another process at its address.
+	// Retire reports that the process has stopped, restarted or moved. The transport must not use its open
+	// connections for another process at the same address.
 	Retire()
 }
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -2,12 +2,12 @@
 
 import "maps"
 
-// zoneNumbers maps zones to the numbers that the Balancer knows them by. Configured zones have
-// their index in the configuration; others are numbered as they appear, and no number is used twice.
-// Event loop only.
+// zoneNumbers maps zones to the numbers that the Balancer uses for them. The number of a configured zone is
+// its index in the configuration. Other zones are numbered in the order in which they appear, and no number
+// is used twice. Only the event loop uses zoneNumbers.
 type zoneNumbers struct {
 	byName     map[string]int
-	configured int // numbers below this are never forgotten
+	configured int // number of configured zones, which are never removed
 	next       int
 }
 
@@ -19,7 +19,7 @@
 	}
 }
 
-// number returns the zone's number; a zone that has none gets the next one.
+// number returns the zone's number. A zone without a number gets the next number.
 func (z *zoneNumbers) number(zone string) int {
 	number, known := z.byName[zone]
 	if !known {
@@ -30,7 +30,7 @@
 	return number
 }
 
-// removeUnused forgets the zones that are neither configured nor in use by an endpoint.
+// removeUnused removes the zones that are neither configured nor in use by an endpoint.
 func (z *zoneNumbers) removeUnused(endpoints map[string]*endpointState) {
 	if len(z.byName) <= z.configured+len(endpoints) {
 		return
