--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Send starts an attempt at an endpoint. A timeout of 0 is the client's own.
+// Send starts an attempt at an endpoint. A timeout of 0 means the client's own timeout.
 func (p *Reply) Send(instance, requestID uint32, to Endpoint, timeout time.Duration) {
 	start := p.beginRecord(ActionSend, instance)
 	p.u32(requestID)
@@ -11,7 +11,7 @@
 	p.endRecord(start)
 }
 
-// Cancel stops waiting for an attempt.
+// Cancel cancels an attempt.
 func (p *Reply) Cancel(instance, requestID uint32, attempt uint8) {
 	start := p.beginRecord(ActionCancel, instance)
 	p.u32(requestID)
@@ -19,7 +19,7 @@
 	p.endRecord(start)
 }
 
-// Reject answers a request that never ran; the client may retry after that time.
+// Reject responds that the request was not executed. The client may retry the request after retryAfter.
 func (p *Reply) Reject(instance, requestID uint32, retryAfter time.Duration) {
 	start := p.beginRecord(ActionReject, instance)
 	p.u32(requestID)
@@ -27,14 +27,14 @@
 	p.endRecord(start)
 }
 
-// Fail answers a request that may have run.
+// Fail responds that the request failed and may have been executed.
 func (p *Reply) Fail(instance, requestID uint32) {
 	start := p.beginRecord(ActionFail, instance)
 	p.u32(requestID)
 	p.endRecord(start)
 }
 
-// SetTimer requests an EventTimerFired with that token. A timer cannot be stopped.
+// SetTimer requests an EventTimerFired with the given token after the delay. A timer cannot be stopped.
 func (p *Reply) SetTimer(instance uint32, delay time.Duration, token uint64) {
 	start := p.beginRecord(ActionSetTimer, instance)
 	p.duration(delay)
@@ -49,7 +49,7 @@
 	p.endRecord(start)
 }
 
-// Watch starts or ends a subscription to changes of the endpoints.
+// Watch starts or ends a watch of the endpoint list.
 func (p *Reply) Watch(instance uint32, on bool) {
 	start := p.beginRecord(ActionWatch, instance)
 	if on {
@@ -60,15 +60,15 @@
 	p.endRecord(start)
 }
 
-// Log writes a line to the simulator's report. It is cut after 65,535 bytes.
+// Log writes a line to the simulator's report. The line is truncated to 65,535 bytes.
 func (p *Reply) Log(instance uint32, line string) {
 	start := p.beginRecord(ActionLog, instance)
 	p.text(line)
 	p.endRecord(start)
 }
 
-// Fault reports that the decision code has failed, which ends the simulation. The text is
-// cut after 65,535 bytes.
+// Fault reports that the decision code has failed, which ends the simulation. The text is truncated to
+// 65,535 bytes.
 func (p *Reply) Fault(instance uint32, text string) {
 	start := p.beginRecord(ActionFault, instance)
 	p.text(text)
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -8,24 +8,23 @@
 )
 
 const (
-	endpointSize  = 6  // four bytes of address, two of port
+	endpointSize  = 6  // bytes of an Endpoint: four of the address, two of the port
 	listEntrySize = 23 // bytes of a ListEntry
-	// maxLoadValues is how many values a load report has at most.
+	// maxLoadValues is the maximum number of values that a LoadReport keeps.
 	maxLoadValues = 4
 )
 
-// Endpoint is an endpoint's address and port: the six bytes of the wire, the first byte
-// lowest.
+// Endpoint is an endpoint's address and port: the six bytes of the wire format as a little-endian number.
 type Endpoint uint64
 
 // LoadReport is an endpoint's load report.
 type LoadReport struct {
-	Count  int                    // 0 where there is none
-	Values [maxLoadValues]float32 // by the columns of the settings
+	Count  int                    // number of values; 0 if there is no report
+	Values [maxLoadValues]float32 // in the order of the columns in the settings
 }
 
-// Policy returns the report as package policy has it, by the column of the requests in
-// flight (settings.InFlightColumn). InFlight is -1 where the report does not have it.
+// Policy converts the report to the type of package policy. inFlightColumn is the column of the number of
+// requests in flight (settings.InFlightColumn). InFlight is -1 if the report does not contain that column.
 func (r LoadReport) Policy(inFlightColumn int) policy.LoadReport {
 	if inFlightColumn < 0 || inFlightColumn >= r.Count {
 		return policy.LoadReport{InFlight: -1}
@@ -33,7 +32,7 @@
 	return policy.LoadReport{InFlight: float64(r.Values[inFlightColumn])}
 }
 
-// ListEntry is one endpoint of a list.
+// ListEntry is one entry of an endpoint list.
 type ListEntry struct {
 	Endpoint    Endpoint
 	Zone        uint8
@@ -41,28 +40,28 @@
 	Cell        uint16
 	Health      Health
 	Weight      float64
-	StartedAt   time.Duration // by the batches' clock; 0: long ago
+	StartedAt   time.Duration // on the clock of the batches; 0: long ago
 }
 
 // Request is a client's request.
 type Request struct {
 	ID           uint32
 	Flags        RequestFlags
-	AffinityKey  uint64 // requests that concern the same thing share it; 0: none
+	AffinityKey  uint64 // shared by requests for the same object; 0: none
 	Tenant       uint32
-	Timeout      time.Duration // until the client gives up
-	ExpectedWork time.Duration // valid with FlagExpectedWork
+	Timeout      time.Duration // until the client stops waiting
+	ExpectedWork time.Duration // valid only with FlagExpectedWork
 	Class        uint8
 }
 
-// AttemptEnded is the end of an attempt.
+// AttemptEnded is the event that an attempt has ended.
 type AttemptEnded struct {
 	RequestID  uint32
-	Attempt    uint8 // the request's attempts are numbered from 0
+	Attempt    uint8 // number of the attempt among the request's attempts, from 0
 	Endpoint   Endpoint
 	Result     Result
-	Elapsed    time.Duration // since it was started
-	Completed  bool          // the client has its answer
+	Elapsed    time.Duration // since the attempt was started
+	Completed  bool          // the client has its response
 	LoadReport LoadReport
 }
 
@@ -70,26 +69,27 @@
 type ProbeEnded struct {
 	Endpoint   Endpoint
 	Result     Result
-	Elapsed    time.Duration // since it was started
+	Elapsed    time.Duration // since the probe was started
 	LoadReport LoadReport
 }
 
-// EndpointUpdate refers an instance to a list of endpoints.
+// EndpointUpdate is an update of an instance's endpoints. It refers to a list that was sent before.
 type EndpointUpdate struct {
 	Kind    UpdateKind
 	Version uint32
-	List    uint16 // number of the EndpointList; not used by UpdateFailed
+	List    uint16 // number of the endpoint list; not used by UpdateFailed
 }
 
-// Instance decodes the instance that an event is for. EventEndpointList has none.
+// Instance decodes the number of the instance that an event is addressed to. EventEndpointList is not addressed
+// to an instance.
 func (r Record) Instance() (uint32, error) {
 	f := r.fields()
 	instance := f.u32()
 	return instance, f.err(r.Code)
 }
 
-// InstanceStarted decodes the seed and the settings of an instance that starts. The
-// settings are valid as long as the Batch.
+// InstanceStarted decodes the seed and the settings of an instance that starts. The settings are valid as
+// long as the Batch.
 func (r Record) InstanceStarted() (seed uint64, settings []byte, err error) {
 	f := r.instanceFields()
 	seed = f.u64()
@@ -97,14 +97,13 @@
 	return seed, settings, f.err(r.Code)
 }
 
-// EndpointList decodes a list of endpoints and its number, by which EndpointUpdate refers
-// to it.
+// EndpointList decodes an endpoint list and its number. EndpointUpdate refers to the list by that number.
 func (r Record) EndpointList() (number uint16, entries []ListEntry, err error) {
 	f := r.fields()
 	number = f.u16()
 	count := f.u32()
 	if f.cutOff || uint64(count)*listEntrySize > uint64(len(f.rest)) {
-		return 0, nil, fmt.Errorf("record %d: %d list lines claimed, %d bytes left", r.Code, count, len(f.rest))
+		return 0, nil, fmt.Errorf("record %d: list has %d entries, but only %d bytes remain", r.Code, count, len(f.rest))
 	}
 	entries = make([]ListEntry, count)
 	for i := range entries {
@@ -125,7 +124,7 @@
 	}
 }
 
-// EndpointUpdate decodes an update of an instance's endpoints.
+// EndpointUpdate decodes an update of an instance's endpoint list.
 func (r Record) EndpointUpdate() (EndpointUpdate, error) {
 	f := r.instanceFields()
 	update := EndpointUpdate{Kind: UpdateKind(f.u8()), Version: f.u32(), List: f.u16()}
@@ -147,7 +146,7 @@
 	return request, f.err(r.Code)
 }
 
-// AttemptEnded decodes the end of an attempt.
+// AttemptEnded decodes the result of an attempt.
 func (r Record) AttemptEnded() (AttemptEnded, error) {
 	f := r.instanceFields()
 	ended := AttemptEnded{
@@ -174,7 +173,7 @@
 	return ended, f.err(r.Code)
 }
 
-// RequestID decodes the request of EventClientDisconnected or EventResponseStarted.
+// RequestID decodes the request's ID from EventClientDisconnected or EventResponseStarted.
 func (r Record) RequestID() (uint32, error) {
 	f := r.instanceFields()
 	id := f.u32()
--- a/internal/wire/form_test.go
+++ b/internal/wire/form_test.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// Records that the protocol page shows no example of.
+// Covers records for which the protocol page has no example.
 func TestDecodeStartAndStop(t *testing.T) {
 	record := firstRecord(t, `4c04 15000000 03000000 efcdab8967452301 05000000 613d310a62`)
 	seed, settings, err := record.InstanceStarted()
 	if err != nil || record.Code != EventInstanceStarted || seed != 0x0123456789abcdef || string(settings) != "a=1\nb" {
-		t.Errorf("code %d, seed %x, settings %q, error %v", record.Code, seed, settings, err)
+		t.Errorf("got code %d, seed %x, settings %q, error %v; want 1100, 123456789abcdef, \"a=1\\nb\", no error",
+			record.Code, seed, settings, err)
 	}
 	record = firstRecord(t, `fc03 04000000 07000000`)
 	if instance, err := record.Instance(); err != nil || record.Code != EventInstanceStopped || instance != 7 {
-		t.Errorf("code %d, instance %d, error %v", record.Code, instance, err)
+		t.Errorf("got code %d, instance %d, error %v; want code 1020, instance 7, no error", record.Code, instance, err)
 	}
 	record = firstRecord(t, `0604 17000000 03000000 c4913a5d 0000000000005440 01 0a124a07 931f`)
 	if id, err := record.RequestID(); err != nil || record.Code != EventResponseStarted || id != 0x5d3a91c4 {
-		t.Errorf("code %d, request %x, error %v", record.Code, id, err)
+		t.Errorf("got code %d, request %x, error %v; want code 1030, request 5d3a91c4, no error", record.Code, id, err)
 	}
 }
 
@@ -33,10 +34,10 @@
 		ID: 0x5d3a91c4, Flags: 6, AffinityKey: 0x91f03b7c55d20a64, Tenant: 2, Timeout: 240 * time.Millisecond, Class: 5,
 	}
 	if err != nil || request != want {
-		t.Errorf("request %+v, error %v, want %+v", request, err, want)
+		t.Errorf("got request %+v, error %v; want %+v, no error", request, err, want)
 	}
 	if request.Flags&FlagClientRetry == 0 || request.Flags&FlagExpectedWork != 0 {
-		t.Errorf("flags %b, want a retry without expected work", request.Flags)
+		t.Errorf("got flags %b, want FlagClientRetry set and FlagExpectedWork not set", request.Flags)
 	}
 }
 
@@ -47,13 +48,13 @@
 		EventRequestReceived: 1080, EventClientDisconnected: 1090, EventInstanceStarted: 1100,
 	} {
 		if uint16(code) != want {
-			t.Errorf("event code %d, want %d", code, want)
+			t.Errorf("got event code %d, want %d", code, want)
 		}
 	}
 }
 
-// Durations that are 0 or negative, all bytes of an endpoint, and texts that are cut to
-// what their length's two bytes can say.
+// Covers durations that are 0 or negative, all six bytes of an endpoint, an Endpoint whose two highest bytes
+// must not be written, and a text that is truncated because its length is written in two bytes.
 func TestEncodeBoundsOfFields(t *testing.T) {
 	var reply Reply
 	reply.Begin(0xfffffffe)
@@ -67,12 +68,12 @@
 		4c04 05000000 01000000 00
 		0604 09000000 01000000 ffffffff ff`
 	if got := reply.Bytes(); !bytes.Equal(got, unhex(t, want)) {
-		t.Errorf("reply %s", hex.EncodeToString(got))
+		t.Errorf("got reply %s, which differs from the expected frame", hex.EncodeToString(got))
 	}
 	reply.Begin(1)
 	reply.Log(1, strings.Repeat("x", 70_000))
 	got := reply.Bytes()
 	if head := got[12:24]; len(got) != 24+65535 || !bytes.Equal(head, unhex(t, "3804 05000100 01000000 ffff")) {
-		t.Errorf("long text: %d bytes, %x", len(got), head)
+		t.Errorf("long text: got %d bytes, record starts with %x; want 65559 bytes and a record size of 65541", len(got), head)
 	}
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,9 +1,9 @@
-// Package wire encodes and decodes the simulator's binary protocol. A frame of events, a
-// Batch, is answered by a frame of actions, a Reply; both consist of records.
+// Package wire encodes and decodes the simulator's binary protocol. The simulator sends a frame of events,
+// called Batch. The program responds with a frame of actions, called Reply. Both consist of records.
 //
-// All numbers are little-endian, without padding. Times are milliseconds as f64; this
-// package gives and takes durations. names.go lists the simulator's names beside the
-// program's.
+// All numbers are little-endian, without padding. On the wire, times are milliseconds as f64; the functions
+// of this package return and accept durations. names.go lists the simulator's names next to the program's
+// names.
 package wire
 
 import (
@@ -20,33 +20,33 @@
 const (
 	batchHeaderSize  = 20 // u32 number, u32 records, u32 body size, f64 clock
 	recordHeaderSize = 6  // u16 code, u32 size of the fields
-	// maxBodySize bounds the body of a batch. Real ones run to megabytes; a larger size
-	// is that of a broken stream.
+	// maxBodySize is the maximum size of a batch's body in bytes. Real bodies have up to several megabytes, so a
+	// size above this maximum indicates a corrupt stream.
 	maxBodySize = 1 << 28
-	// readChunkSize is how much of a body is allocated before its bytes arrive.
+	// readChunkSize is how many bytes of a body are allocated before they arrive.
 	readChunkSize = 1 << 20
 )
 
-// Batch is one frame of events, which all happen at its clock's time.
+// Batch is one frame of events. All its events happen at the time Clock.
 type Batch struct {
 	Number  uint32
 	Records uint32
 	Clock   time.Duration
-	Body    []byte // the records, for Next; valid until the next ReadBatch
+	Body    []byte // the encoded records, to be read with Next; valid until the next ReadBatch
 }
 
 // Reader reads batches from a stream. It is not safe for concurrent use.
 type Reader struct {
 	stream io.Reader
 	header [batchHeaderSize]byte
-	body   []byte // reused by each batch
+	body   []byte // reused for each batch
 }
 
-// NewReader returns a Reader of a stream, which should be buffered.
+// NewReader returns a Reader that reads from stream. The stream should be buffered.
 func NewReader(stream io.Reader) *Reader { return &Reader{stream: stream} }
 
-// ReadBatch reads the next frame. It blocks until the frame is there. It returns io.EOF
-// where the stream ends between two frames; a frame that is cut off is another error.
+// ReadBatch reads the next frame. It blocks until the whole frame has arrived. ReadBatch returns io.EOF if
+// the stream ends between two frames, and a different error if a frame is truncated.
 func (r *Reader) ReadBatch() (Batch, error) {
 	if _, err := io.ReadFull(r.stream, r.header[:]); err != nil {
 		if errors.Is(err, io.EOF) {
@@ -73,17 +73,17 @@
 	clock := math.Float64frombits(binary.LittleEndian.Uint64(header[12:]))
 	switch {
 	case math.IsNaN(clock) || math.IsInf(clock, 0):
-		return Batch{}, 0, fmt.Errorf("batch %d: clock is not a number", number)
+		return Batch{}, 0, fmt.Errorf("batch %d: clock must be a finite number", number)
 	case size > maxBodySize:
-		return Batch{}, 0, fmt.Errorf("batch %d: %d bytes claimed, at most %d are taken", number, size, maxBodySize)
+		return Batch{}, 0, fmt.Errorf("batch %d: body size is %d bytes, must be at most %d", number, size, maxBodySize)
 	case uint64(records)*recordHeaderSize > uint64(size):
-		return Batch{}, 0, fmt.Errorf("batch %d: %d records cannot fit into %d bytes", number, records, size)
+		return Batch{}, 0, fmt.Errorf("batch %d: %d records do not fit into a body of %d bytes", number, records, size)
 	}
 	return Batch{Number: number, Records: records, Clock: settings.Millis(clock)}, size, nil
 }
 
-// readBody fills r.body with size bytes. The buffer grows with what really arrives, so
-// that a wrong size in a short stream does not cause a large allocation.
+// readBody fills r.body with size bytes. The buffer grows as the bytes arrive, so that a wrong size in a
+// short stream does not cause a large allocation.
 func (r *Reader) readBody(size int) error {
 	r.body = r.body[:0]
 	for len(r.body) < size {
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -1,9 +1,9 @@
 package wire
 
-// The simulator's names stand in this file alone, in the last column of each table,
-// beside the term that the program uses.
+// This file is the only one that contains the simulator's names. In each table, the last column is the
+// simulator's name for the program's term in the same line.
 
-// EventCode is the code of a record of a Batch.
+// EventCode is the code of a record in a Batch.
 type EventCode uint16
 
 // The events.
@@ -21,7 +21,7 @@
 	EventInstanceStarted    EventCode = 1100 // OpenInstance
 )
 
-// ActionCode is the code of a record of a Reply.
+// ActionCode is the code of a record in a Reply.
 type ActionCode uint16
 
 // The actions.
@@ -37,7 +37,7 @@
 	ActionWatch    ActionCode = 1100 // Tail
 )
 
-// Result is how an attempt or a probe ended.
+// Result is the result of an attempt or a probe.
 type Result uint16
 
 // The results.
@@ -52,27 +52,27 @@
 	ResultNotSent          Result = 307 // moot
 )
 
-// UpdateKind says what an EndpointUpdate brings.
+// UpdateKind is the kind of an EndpointUpdate.
 type UpdateKind uint8
 
 // The kinds of an endpoint update.
 const (
 	UpdateFull   UpdateKind = 1 // full: the complete list
 	UpdateDelta  UpdateKind = 2 // delta: changed entries only
-	UpdateCached UpdateKind = 3 // cached: the list that the instance held last
-	UpdateFailed UpdateKind = 4 // failed: no list, the watch failed or broke
+	UpdateCached UpdateKind = 3 // cached: the last list that the instance had
+	UpdateFailed UpdateKind = 4 // failed: no list, because the watch failed or was interrupted
 )
 
-// RequestFlags are the bits of a Request.
+// RequestFlags is the bit set of a Request's flags.
 type RequestFlags uint16
 
-// The bits that are used.
+// The flags that the program uses.
 const (
 	FlagExpectedWork RequestFlags = 1 // cost hint: ExpectedWork is valid
 	FlagClientRetry  RequestFlags = 2 // repeat: the client's own retry
 )
 
-// Health is the state of an endpoint in a list.
+// Health is the state of an endpoint in an endpoint list.
 type Health uint8
 
 // The states of an endpoint.
@@ -84,7 +84,7 @@
 
 // The fields of the records and of a list's entries:
 //
-//	ours                       theirs
+//	program                    simulator
 //	instance                   i
 //	RequestID                  job
 //	Request.Flags              bits
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -9,41 +9,40 @@
 	"mothridge/internal/settings"
 )
 
-// Record is one record of a batch. A method for each kind of event decodes its fields;
-// the caller chooses it by Code. Fields that a later version added at the end are
-// ignored.
+// Record is one record of a batch. For each kind of event there is a method that decodes its fields; the
+// caller chooses the method by Code. Fields that a later version of the protocol appends are ignored.
 type Record struct {
 	Code   EventCode
 	Fields []byte // valid as long as the Batch
 }
 
-// Next cuts the next record off a body and returns what is left of it.
+// Next returns the first record of a body and the rest of the body.
 func Next(body []byte) (Record, []byte, error) {
 	if len(body) < recordHeaderSize {
-		return Record{}, nil, fmt.Errorf("record header cut off: %d bytes left", len(body))
+		return Record{}, nil, fmt.Errorf("record header is truncated: only %d bytes remain", len(body))
 	}
 	record := Record{Code: EventCode(binary.LittleEndian.Uint16(body))}
 	size := binary.LittleEndian.Uint32(body[2:])
 	body = body[recordHeaderSize:]
 	if uint64(size) > uint64(len(body)) {
-		return Record{}, nil, fmt.Errorf("record %d: %d bytes claimed, %d left", record.Code, size, len(body))
+		return Record{}, nil, fmt.Errorf("record %d: size is %d bytes, but only %d bytes remain", record.Code, size, len(body))
 	}
 	record.Fields = body[:size]
 	return record, body[size:], nil
 }
 
-// fieldReader takes the fields off a record in their order. After a field that is cut off
-// every further one is zero.
+// fieldReader reads the fields of a record in order. After a truncated field, every further field is zero.
 type fieldReader struct {
 	rest   []byte
-	offset int // of the next field, from the first one
+	offset int // offset of the next field from the first field, in bytes
 	cutOff bool
 }
 
-// fields starts at a record's first field.
+// fields returns a reader that starts at the record's first field.
 func (r Record) fields() fieldReader { return fieldReader{rest: r.Fields} }
 
-// instanceFields starts after the instance, the first field of most records.
+// instanceFields returns a reader that starts after the instance number, which is the first field of most
+// records.
 func (r Record) instanceFields() fieldReader {
 	f := r.fields()
 	f.u32()
@@ -105,7 +104,7 @@
 	return Endpoint(binary.LittleEndian.Uint64(padded[:]))
 }
 
-// loadReport reads a count and that many values, and keeps the first maxLoadValues.
+// loadReport reads the number of values and the values, and keeps the first maxLoadValues values.
 func (f *fieldReader) loadReport() LoadReport {
 	var report LoadReport
 	count := int(f.u8())
@@ -120,11 +119,11 @@
 	return report
 }
 
-// err names the field that was cut off by its offset in the record, as the protocol
-// counts; nil if there is none.
+// err returns an error with the offset of the truncated field, or nil if no field was truncated. As in the
+// protocol, the offset is counted from the start of the record, including its header.
 func (f *fieldReader) err(code EventCode) error {
 	if f.cutOff {
-		return fmt.Errorf("record %d: the field at byte %d is cut off", code, recordHeaderSize+f.offset)
+		return fmt.Errorf("record %d: the field at byte %d is truncated", code, recordHeaderSize+f.offset)
 	}
 	return nil
 }
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -8,39 +8,39 @@
 
 const replyHeaderSize = 12 // u32 batch number, u32 body size, u32 records
 
-// Reply builds the frame that answers a batch. Begin comes first, then a method for each
-// action in their order, then Bytes. The zero value is ready for Begin; it is not safe
-// for concurrent use.
+// Reply builds the frame that responds to a batch. Call Begin, then one method for each action, in the order
+// of the actions, then Bytes. The zero value is ready to use. A Reply is not safe for concurrent use.
 type Reply struct {
 	frame   []byte
 	records uint32
 }
 
-// Begin discards what the reply holds and starts the answer to the batch of that number.
+// Begin discards the content of the reply and starts the reply to the batch with the given number.
 func (p *Reply) Begin(batch uint32) {
 	p.frame = append(p.frame[:0], make([]byte, replyHeaderSize)...)
 	binary.LittleEndian.PutUint32(p.frame, batch)
 	p.records = 0
 }
 
-// Bytes completes the frame and returns it; it is valid until the next Begin.
+// Bytes completes the frame and returns it. The returned slice is valid until the next Begin.
 func (p *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(p.frame[4:], uint32(len(p.frame)-replyHeaderSize))
 	binary.LittleEndian.PutUint32(p.frame[8:], p.records)
 	return p.frame
 }
 
-// beginRecord writes a record's header and its first field. The fields that follow are
-// ended by endRecord, which takes the same start.
+// beginRecord writes a record's header and its first field, the instance. The caller then writes the other
+// fields and passes start to endRecord.
 func (p *Reply) beginRecord(code ActionCode, instance uint32) (start int) {
 	start = len(p.frame)
 	p.records++
 	p.u16(uint16(code))
-	p.u32(0) // the size, which endRecord sets
+	p.u32(0) // placeholder for the size, which endRecord sets
 	p.u32(instance)
 	return start
 }
 
+// endRecord sets the size of the record that begins at start.
 func (p *Reply) endRecord(start int) {
 	size := len(p.frame) - start - recordHeaderSize
 	binary.LittleEndian.PutUint32(p.frame[start+2:], uint32(size))
@@ -52,7 +52,7 @@
 func (p *Reply) u64(v uint64)  { p.frame = binary.LittleEndian.AppendUint64(p.frame, v) }
 func (p *Reply) f64(v float64) { p.u64(math.Float64bits(v)) }
 
-// duration writes milliseconds, as the inverse of settings.Millis.
+// duration writes d in milliseconds. It is the inverse of settings.Millis.
 func (p *Reply) duration(d time.Duration) { p.f64(float64(d) / 1e6) }
 
 func (p *Reply) endpoint(endpoint Endpoint) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// text writes a text's length and as much of the text as the length can say.
+// text writes the length of a text and the text, truncated to the largest length that a u16 can hold.
 func (p *Reply) text(text string) {
 	text = text[:min(len(text), math.MaxUint16)]
 	p.u16(uint16(len(text)))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -21,7 +21,7 @@
 	return decoded
 }
 
-// firstRecord cuts the record off that the hexadecimal text begins with.
+// firstRecord returns the first record of a body that is given in hexadecimal.
 func firstRecord(t testing.TB, text string) Record {
 	t.Helper()
 	record, _, err := Next(unhex(t, text))
@@ -31,7 +31,7 @@
 	return record
 }
 
-// The records are examples of the protocol page.
+// The records are the examples of the protocol page.
 func TestReadBatch(t *testing.T) {
 	reader := NewReader(bytes.NewReader(unhex(t, `0c000000 03000000 4d000000 00000000206ec040
 		3804 27000000 03000000 c4913a5d 0100 640ad2557c3bf091 00000000 0000000000006e40 0000000000002840 00
@@ -39,7 +39,7 @@
 		4204 08000000 05000000 192b6f0e`)))
 	batch, err := reader.ReadBatch()
 	if err != nil || batch.Number != 12 || batch.Records != 3 || batch.Clock != 8412250*time.Microsecond {
-		t.Fatalf("batch %+v, error %v", batch, err)
+		t.Fatalf("got batch %+v, error %v; want batch 12 with 3 records at 8412.25 ms, no error", batch, err)
 	}
 	record, rest, err := Next(batch.Body)
 	if err != nil {
@@ -51,19 +51,20 @@
 		Timeout: 240 * time.Millisecond, ExpectedWork: 12 * time.Millisecond,
 	}
 	if err != nil || request != want {
-		t.Fatalf("request %+v, error %v, want %+v", request, err, want)
+		t.Fatalf("got request %+v, error %v; want %+v, no error", request, err, want)
 	}
 	record, rest, _ = Next(rest)
 	if token, err := record.TimerToken(); err != nil || token != 77 {
-		t.Fatalf("token %d, error %v", token, err)
+		t.Fatalf("got token %d, error %v; want 77, no error", token, err)
 	}
 	record, rest, _ = Next(rest)
 	id, err := record.RequestID()
 	if instance, _ := record.Instance(); err != nil || id != 0x0e6f2b19 || instance != 5 || len(rest) != 0 {
-		t.Fatalf("request %x of instance %d, error %v, %d bytes left", id, instance, err, len(rest))
+		t.Fatalf("got request %x of instance %d, error %v, %d bytes left; want e6f2b19 of 5, no error, 0 bytes",
+			id, instance, err, len(rest))
 	}
 	if _, err := reader.ReadBatch(); !errors.Is(err, io.EOF) {
-		t.Fatalf("end of input gives %v", err)
+		t.Fatalf("end of input: got error %v, want io.EOF", err)
 	}
 }
 
@@ -72,32 +73,32 @@
 		0a124a07 931f 00 00 0000 01 0000803f 0000000000000000
 		0a9011f2 bc1f 00 00 0000 01 0000c03f 0000000000d4b740`).EndpointList()
 	if err != nil || number != 0 || len(entries) != 2 {
-		t.Fatalf("list %d, %d entries, error %v", number, len(entries), err)
+		t.Fatalf("got list %d, %d entries, error %v; want list 0, 2 entries, no error", number, len(entries), err)
 	}
 	if e := entries[1]; e.Health != HealthReady || e.Weight != 1.5 || e.StartedAt != 6100*time.Millisecond {
-		t.Fatalf("entry %+v", e)
+		t.Fatalf("got entry %+v, want a ready entry with weight 1.5, started at 6.1 s", e)
 	}
 	ended, err := firstRecord(t,
 		"2404 1b000000 03000000 c4913a5d 00 0a124a07 931f 6400 0000000000803240 01 00").AttemptEnded()
 	if err != nil || ended.Result != ResultServed || !ended.Completed || ended.Elapsed != 18500*time.Microsecond ||
 		ended.Endpoint != entries[0].Endpoint {
-		t.Fatalf("attempt %+v, error %v", ended, err)
+		t.Fatalf("got attempt %+v, error %v; want it served, completed, 18.5 ms, at the first endpoint", ended, err)
 	}
 	probe, err := firstRecord(t, `e803 25000000 03000000 0a9011f2 bc1f 6400 666666666666f63f
 		04 0000003f0000684100000c430000e040`).ProbeEnded()
 	if err != nil || probe.Endpoint != entries[1].Endpoint || probe.Result != ResultServed {
-		t.Fatalf("probe %+v, error %v", probe, err)
+		t.Fatalf("got probe %+v, error %v; want it served by the second entry's endpoint", probe, err)
 	}
 	report := probe.LoadReport
 	if report.Count != 4 || report.Values[3] != 7 || report.Policy(3).InFlight != 7 {
-		t.Fatalf("load report %+v", report)
+		t.Fatalf("got load report %+v, want 4 values, the last one 7 requests in flight", report)
 	}
 	if report.Policy(-1).InFlight != -1 || (LoadReport{}).Policy(3).InFlight != -1 {
-		t.Fatal("an absent number of requests in flight is not unknown")
+		t.Fatal("load report without a number of requests in flight: InFlight is not -1")
 	}
 	update, err := firstRecord(t, "1a04 0b000000 03000000 03 29000000 0700").EndpointUpdate()
 	if want := (EndpointUpdate{Kind: UpdateCached, Version: 41, List: 7}); err != nil || update != want {
-		t.Fatalf("update %+v, error %v, want %+v", update, err, want)
+		t.Fatalf("got update %+v, error %v; want %+v, no error", update, err, want)
 	}
 }
 
@@ -126,15 +127,15 @@
 		1a04 0a000000 03000000 0a124a07 931f
 		4204 18000000 03000000 1200 696e646578206f7574206f662072616e6765`)
 	if got := reply.Bytes(); !bytes.Equal(got, want) {
-		t.Fatalf("reply\n%x\nwant\n%x", got, want)
+		t.Fatalf("got reply\n%x\nwant\n%x", got, want)
 	}
 	reply.Begin(1)
 	if got := reply.Bytes(); !bytes.Equal(got, unhex(t, "01000000 00000000 00000000")) {
-		t.Fatalf("empty reply %x", got)
+		t.Fatalf("got empty reply %x, want 010000000000000000000000", got)
 	}
 }
 
-// frame returns a batch whose header may contradict its body.
+// frame encodes a batch whose header may contradict its body.
 func frame(records, size uint32, clock float64, body string) []byte {
 	encoded := binary.LittleEndian.AppendUint32(nil, 1)
 	encoded = binary.LittleEndian.AppendUint32(encoded, records)
@@ -145,47 +146,47 @@
 
 func TestMalformedFrames(t *testing.T) {
 	for name, input := range map[string][]byte{
-		"header cut off":        {1, 2, 3},
-		"body cut off":          frame(1, 100, 0, "short"),
+		"truncated header":      {1, 2, 3},
+		"truncated body":        frame(1, 100, 0, "short"),
 		"oversized":             frame(1, 1<<31, 0, ""),
-		"large and cut off":     frame(1, maxBodySize, 0, "short"),
+		"large and truncated":   frame(1, maxBodySize, 0, "short"),
 		"more records than fit": frame(100, 6, 0, "abcdef"),
 		"clock not a number":    frame(0, 0, math.NaN(), ""),
 	} {
 		if _, err := NewReader(bytes.NewReader(input)).ReadBatch(); err == nil || errors.Is(err, io.EOF) {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: got error %v, want an error other than io.EOF", name, err)
 		}
 	}
 }
 
 func TestMalformedRecords(t *testing.T) {
 	for name, input := range map[string]string{
-		"record header cut off": "e803",
-		"record longer than it": "e803 ff000000 03000000",
+		"truncated record header": "e803",
+		"size beyond the body":    "e803 ff000000 03000000",
 	} {
 		if _, _, err := Next(unhex(t, input)); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: got no error, want an error", name)
 		}
 	}
 	short := Record{Code: EventRequestReceived, Fields: []byte{1, 0, 0, 0, 9}}
 	if _, err := short.RequestReceived(); err == nil {
-		t.Error("fields cut off: no error")
+		t.Error("truncated fields: got no error, want an error")
 	}
 	huge := Record{Code: EventEndpointList, Fields: []byte{0, 0, 255, 255, 255, 255}}
 	if _, _, err := huge.EndpointList(); err == nil {
-		t.Error("list of four thousand million lines: no error")
+		t.Error("list of 4,294,967,295 entries: got no error, want an error")
 	}
 	longer := Record{Code: EventTimerFired, Fields: append(make([]byte, 12), "a field of a later version"...)}
 	if _, err := longer.TimerToken(); err != nil {
-		t.Errorf("added fields: %v", err)
+		t.Errorf("appended field: got error %v, want none", err)
 	}
 }
 
-func TestCutOffFieldIsNamedByItsOffset(t *testing.T) {
+func TestTruncatedFieldErrorContainsOffset(t *testing.T) {
 	for size, want := range map[int]string{2: "byte 6 ", 6: "byte 10 ", 9: "byte 14 "} {
 		_, err := Record{Code: EventRequestReceived, Fields: make([]byte, size)}.RequestReceived()
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%d bytes of fields: error %v, want it to name %q", size, err, want)
+			t.Errorf("%d bytes of fields: got error %v, want an error that contains %q", size, err, want)
 		}
 	}
 }
