--- a/resolver/golden_test.go
+++ b/resolver/golden_test.go
@@ -13,13 +13,13 @@
 
 const goldenSteps = 30_000
 
-// digestOfSteps returns the digest of all steps of a Schedule whose calls take random times,
-// and how many calls were answered, failed and were canceled.
+// digestOfSteps returns the digest of all steps of a Schedule whose calls take random times, and the numbers
+// of calls that were answered, failed and were cancelled.
 func digestOfSteps(config resolver.Config, seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	schedule, digest := resolver.New(config, seed), golden.NewDigest()
 	now, meanSeconds := time.Duration(0), 1.0
-	answered, failed, canceled := 0, 0, 0
+	answered, failed, cancelled := 0, 0, 0
 	endAt := make(map[resolver.CallID]time.Duration)
 	for i := range goldenSteps {
 		if i%50 == 0 {
@@ -31,7 +31,7 @@
 		for _, id := range step.Cancel {
 			digest.Numbers('g', int64(id))
 			delete(endAt, id)
-			canceled++
+			cancelled++
 		}
 		if step.Start {
 			endAt[step.Call] = now + time.Duration(rng.ExpFloat64()*meanSeconds*float64(time.Second))
@@ -59,10 +59,11 @@
 			answered++
 		}
 	}
-	return fmt.Sprintf("%s %d", digest, []int{answered, failed, canceled})
+	return fmt.Sprintf("%s %d", digest, []int{answered, failed, cancelled})
 }
 
-// firstToEnd returns the first call that ends by a time; 0: none does.
+// firstToEnd returns the call that ends first, if it ends no later than the time by; otherwise 0. Of two calls
+// that end at the same time, firstToEnd returns the call with the lower ID.
 func firstToEnd(endAt map[resolver.CallID]time.Duration, by time.Duration) resolver.CallID {
 	first := resolver.CallID(0)
 	for id, at := range endAt {
@@ -74,7 +75,7 @@
 	return first
 }
 
-// The calls stay as they were recorded. Record them anew with
+// The steps of a Schedule must equal the recorded steps. Record the steps again with
 //
 //	go test ./resolver -run Golden -update
 func TestGoldenSteps(t *testing.T) {
--- a/resolver/resolver.go
+++ b/resolver/resolver.go
@@ -1,11 +1,12 @@
-// Package resolver decides when a sidecar calls discovery and which calls it cancels.
+// Package resolver decides when a sidecar calls the discovery service and which calls it cancels.
 //
-// A call without a response is either slow or lost, and only a response shows which. To
-// cancel it too early is to fail with any discovery that is slower than the timeout. To wait
-// for it is to miss a discovery that was down and is back, which does not respond to calls from
-// before. A Schedule therefore hedges: it keeps two calls, of which the older one has a timeout
-// that grows and the newer one is replaced at intervals. The number of calls stays bounded: two
-// at a time, and one start for each interval, which grows while there is no response.
+// A call without a response is either slow or lost, and the sidecar cannot tell which before a response
+// arrives. If the sidecar cancels calls too early, it never gets a response from a service that is slower
+// than the timeout. If it only waits, it does not notice that a service was down and has recovered, because
+// the recovered service does not respond to earlier calls. A Schedule therefore hedges: it keeps up to two
+// calls. The older call has a timeout that grows, and the newer call is replaced at intervals. The number
+// of calls is bounded: at most two run at a time, and one starts in each interval, which grows while there
+// is no response.
 //
 // The package has no clock, no goroutine and no I/O.
 package resolver
@@ -15,33 +16,33 @@
 	"time"
 )
 
-// maxCalls is how many calls of a Schedule run at a time.
+// maxCalls is the maximum number of calls of a Schedule that run at the same time.
 const maxCalls = 2
 
-// CallID identifies a call of a Schedule. The first one is 1.
+// CallID identifies a call of a Schedule. The first call has the ID 1.
 type CallID int
 
-// call is a call without a response.
+// call is a running call, which has no response yet.
 type call struct {
 	id        CallID
 	startedAt time.Duration
 }
 
-// Schedule decides on the calls for one list. It is made by New, is not safe for concurrent
-// use, and no method blocks. The times that its methods take are of any one clock that does
-// not go backwards.
+// Schedule decides when the calls for one endpoint list start and which calls are cancelled. Create a
+// Schedule with New. It is not safe for concurrent use, and no method blocks. The times that are passed to
+// the methods must come from a single clock that does not go backwards.
 type Schedule struct {
 	config      Config
 	rng         *rand.Rand
 	hasList     bool
 	lastID      CallID
-	calls       []call        // in the order of their starts, at most maxCalls
-	hedgeAfter  time.Duration // without jitter
+	calls       []call        // in the order in which they started, at most maxCalls
+	hedgeAfter  time.Duration // present interval between calls, without jitter
 	callTimeout time.Duration
-	nextStartAt time.Duration // of a further call, while there is one
+	nextStartAt time.Duration // when the next call may start, while a call is running
 }
 
-// New returns a Schedule without calls. Two Schedules of the same seed draw the same jitter.
+// New returns a Schedule without calls. Two Schedules with the same seed use the same jitter.
 func New(config Config, seed uint64) *Schedule {
 	return &Schedule{
 		config:      config,
@@ -51,18 +52,18 @@
 	}
 }
 
-// SetHasList sets whether the sidecar has a list, which may be out of date.
+// SetHasList sets whether the sidecar has a list. The list may be outdated.
 func (s *Schedule) SetHasList(hasList bool) { s.hasList = hasList }
 
-// Step is what the caller is to do now.
+// Step describes the actions that the caller must perform now.
 type Step struct {
-	Cancel []CallID
-	Start  bool          // a call with the ID Call
-	Call   CallID        // where Start is set
-	Wait   time.Duration // until Next is due, if no call responds or fails before
+	Cancel []CallID      // calls to cancel
+	Start  bool          // start a call with the ID Call
+	Call   CallID        // valid only if Start is set
+	Wait   time.Duration // time until the next call of Next, unless a call responds or fails earlier
 }
 
-// Next returns what to do at a time.
+// Next returns the actions that are due at the time now.
 func (s *Schedule) Next(now time.Duration) Step {
 	if len(s.calls) > 0 && now < s.nextStartAt {
 		return Step{Wait: s.nextStartAt - now}
@@ -82,7 +83,8 @@
 	return step
 }
 
-// cancelOne removes one of two calls: the older one after its timeout, else the newer one.
+// cancelOne removes one of the two calls and returns its ID. It removes the older call if the timeout of that
+// call has passed, otherwise the newer call.
 func (s *Schedule) cancelOne(now time.Duration) CallID {
 	older, newer := s.calls[0], s.calls[1]
 	if now-older.startedAt < s.callTimeout {
@@ -101,15 +103,15 @@
 	return s.config.HedgeAfterWithoutList
 }
 
-// jitteredHedgeAfter returns the time until the next call starts.
+// jitteredHedgeAfter returns the time until the next call starts, shortened by the jitter.
 func (s *Schedule) jitteredHedgeAfter() time.Duration {
 	wait := min(s.hedgeAfter, s.maxHedgeAfter())
 	return wait - time.Duration(s.config.Jitter*s.rng.Float64()*float64(wait))
 }
 
-// CallAnswered notes that the response to a call has started; the caller cancels all others. The
-// next call is hedged after half as long again as this one took to respond, or HedgeAfter if
-// that is longer.
+// CallAnswered records that the response to a call has started. The caller must cancel all other calls. The
+// next call is hedged after 1.5 times the response time of the answered call, or after HedgeAfter if that
+// is longer.
 func (s *Schedule) CallAnswered(now time.Duration, id CallID) {
 	for _, answered := range s.calls {
 		if answered.id == id {
@@ -120,7 +122,7 @@
 	s.calls, s.callTimeout = nil, s.config.CallTimeout
 }
 
-// CallFailed notes that a call failed, and reports whether another one is still running.
+// CallFailed records that a call has failed, and reports whether another call is still running.
 func (s *Schedule) CallFailed(id CallID) bool {
 	for i, failed := range s.calls {
 		if failed.id == id {
@@ -131,5 +133,5 @@
 	return len(s.calls) > 0
 }
 
-// CancelAll notes that the caller cancelled all calls.
+// CancelAll records that the caller has cancelled all calls.
 func (s *Schedule) CancelAll() { s.calls = nil }
--- a/resolver/resolver_test.go
+++ b/resolver/resolver_test.go
@@ -9,15 +9,16 @@
 
 // service is a discovery service in simulated time.
 type service struct {
-	responseTime func(startedAt time.Duration) time.Duration // of a call that starts at a time
+	responseTime func(startedAt time.Duration) time.Duration // response time of a call that starts at startedAt
 }
 
+// constant returns a service with the same response time for all calls.
 func constant(responseTime time.Duration) service {
 	return service{func(time.Duration) time.Duration { return responseTime }}
 }
 
-// run lets a Schedule call the service until its first response, and returns the time of that,
-// -1 if none came before the limit, and how many calls were started.
+// run performs the calls of a Schedule until the first response. It returns the time of that response, or -1
+// if there was none before the limit, and the number of calls that were started.
 func (svc service) run(t *testing.T, schedule *Schedule, limit time.Duration) (answeredAt time.Duration, calls int) {
 	t.Helper()
 	responseAt := make(map[CallID]time.Duration)
@@ -31,7 +32,7 @@
 			responseAt[step.Call] = now + svc.responseTime(now)
 		}
 		if len(responseAt) > maxCalls || len(responseAt) == 0 {
-			t.Fatalf("%d calls at once", len(responseAt))
+			t.Fatalf("got %d calls at a time, want 1 to 2", len(responseAt))
 		}
 		next := now + step.Wait
 		first := CallID(0)
@@ -45,7 +46,7 @@
 			return responseAt[first], calls
 		}
 		if step.Wait <= 0 {
-			t.Fatal("no time passes")
+			t.Fatal("step has no wait, want a positive wait")
 		}
 		now = next
 	}
@@ -58,10 +59,10 @@
 	return schedule
 }
 
-// A service of any response time up to the longest timeout gets a response through: in its
-// response time where that is within the timeout of the first call, and within thrice that in
-// any case.
-func TestSlowServiceAnswers(t *testing.T) {
+// A Schedule that cancels calls too early would never get a response from a slow service. A response must
+// arrive for each response time up to the longest timeout: after exactly the response time if that is within
+// the timeout of the first call, otherwise within three times the response time plus the longest timeout.
+func TestSlowServiceResponds(t *testing.T) {
 	responseTimes := []time.Duration{
 		0, 1200 * time.Millisecond, 3500 * time.Millisecond, 7 * time.Second, 20 * time.Second, 50 * time.Second,
 	}
@@ -72,7 +73,7 @@
 					at, calls := constant(responseTime).run(t, newSchedule(config, hasList, seed), 5*time.Minute)
 					delayed := responseTime <= config.CallTimeout && at != responseTime
 					if at < 0 || delayed || at > 3*responseTime+config.MaxCallTimeout {
-						t.Errorf("%s, has list %v, %v: answered at %v after %d calls (seed %d)",
+						t.Errorf("%s, has list %v, response time %v: got first response at %v after %d calls (seed %d)",
 							name, hasList, responseTime, at, calls, seed)
 					}
 				}
@@ -81,9 +82,9 @@
 	}
 }
 
-// A service that was down for any time, and lost the calls from before, answers again within
-// what the rule on drains leaves.
-func TestReturnOfServiceIsNoticedInTime(t *testing.T) {
+// A service that was down has lost all earlier calls. After the service has recovered, a call must get its
+// response within the time that the rule on drains allows: 2 s for pushed lists, 8 s for polled lists.
+func TestServiceRecoveryIsNoticedInTime(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		config       Config
@@ -107,14 +108,15 @@
 				}}
 				at, _ := svc.run(t, newSchedule(tt.config, true, seed), time.Hour)
 				if at < returnAt || at > returnAt+tt.within {
-					t.Fatalf("back at %v, answered at %v (seed %d)", returnAt, at, seed)
+					t.Fatalf("service recovered at %v: got first response at %v, which is too late or too early (seed %d)",
+						returnAt, at, seed)
 				}
 			}
 		})
 	}
 }
 
-// While no call is answered the calls stay few.
+// A Schedule must not overload a service that does not respond: the number of calls is bounded.
 func TestCallsAreBounded(t *testing.T) {
 	for _, tt := range []struct {
 		config   Config
@@ -124,7 +126,7 @@
 		t.Run(fmt.Sprint(tt.config.HedgeAfter, tt.hasList), func(t *testing.T) {
 			schedule := newSchedule(tt.config, tt.hasList, 1)
 			if _, calls := constant(time.Hour).run(t, schedule, 10*time.Minute); calls > tt.maxCalls {
-				t.Errorf("%d calls", calls)
+				t.Errorf("got %d calls in 10 minutes, want at most maxCalls of the test case", calls)
 			}
 		})
 	}
@@ -135,6 +137,6 @@
 	first := schedule.Next(0)
 	second := schedule.Next(first.Wait)
 	if !second.Start || !schedule.CallFailed(second.Call) || schedule.CallFailed(first.Call) {
-		t.Error("a failed call is taken for the last one, or the last one is not")
+		t.Error("CallFailed: want true for the first of two calls that fail and false for the last")
 	}
 }
