--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -9,10 +9,10 @@
 	"mothridge/policy"
 )
 
-// host holds the instances of this process and what they share.
+// host holds the instances of this process and the state that they share.
 type host struct {
 	reply     wire.Reply
-	lists     map[uint16][]policy.Endpoint // by number, which is used again
+	lists     map[uint16][]policy.Endpoint // by list number; a later list may reuse the number
 	instances map[uint32]*instance
 }
 
@@ -20,8 +20,8 @@
 	return &host{lists: make(map[uint16][]policy.Endpoint), instances: make(map[uint32]*instance)}
 }
 
-// answer hands the events of a batch to their instances, in order, and returns the reply.
-// It is valid until the next call.
+// answer passes the events of a batch to their instances, in order, and returns the encoded reply. The
+// returned slice is valid until the next call.
 func (h *host) answer(batch wire.Batch) ([]byte, error) {
 	h.reply.Begin(batch.Number)
 	body := batch.Body
@@ -36,12 +36,13 @@
 		}
 	}
 	if len(body) > 0 {
-		return nil, fmt.Errorf("%d bytes behind the last record", len(body))
+		return nil, fmt.Errorf("%d bytes follow the last record", len(body))
 	}
 	return h.reply.Bytes(), nil
 }
 
-// event handles one event. A code of a later version is ignored.
+// event handles one event. An event code that the program does not know is ignored, as a later version of
+// the protocol may have added it.
 func (h *host) event(now time.Duration, record wire.Record) error {
 	if record.Code == wire.EventEndpointList {
 		return h.endpointList(record)
@@ -64,8 +65,8 @@
 	}
 }
 
-// instanceEvent hands an event to its instance. One that is not running may take no
-// action.
+// instanceEvent passes an event to its instance. It ignores events for an instance that is not running, as
+// such an instance must not perform any action.
 func (h *host) instanceEvent(now time.Duration, number uint32, record wire.Record) error {
 	i := h.instances[number]
 	if i == nil || i.balancer == nil {
@@ -74,7 +75,7 @@
 	return i.event(now, record)
 }
 
-// forInstance reports whether an event is for an instance and is of use to it.
+// forInstance reports whether an event is addressed to an instance and is one that the instance handles.
 func forInstance(code wire.EventCode) bool {
 	switch code {
 	case wire.EventInstanceStarted, wire.EventInstanceStopped, wire.EventEndpointUpdate,
@@ -86,7 +87,7 @@
 	}
 }
 
-// endpointList keeps a list for the updates that refer to it.
+// endpointList stores an endpoint list for later updates that refer to it by its number.
 func (h *host) endpointList(record wire.Record) error {
 	number, entries, err := record.EndpointList()
 	if err != nil {
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// start starts an instance anew.
+// start starts an instance. It replaces the instance that had the same number before.
 func (h *host) start(now time.Duration, number uint32, record wire.Record) error {
 	seed, text, err := record.InstanceStarted()
 	if err != nil {
--- a/cmd/simulator-adapter/instance.go
+++ b/cmd/simulator-adapter/instance.go
@@ -8,17 +8,17 @@
 	"mothridge/policy"
 )
 
-// countersInterval is how often an instance's counters are logged.
+// countersInterval is the interval at which an instance's counters are logged, in simulated time.
 const countersInterval = 10 * time.Second
 
-// instance is one sidecar. It is its Balancer's policy.Host: it adds the actions to the
-// reply.
+// instance is one simulated sidecar. It is the policy.Host of its Balancer and appends the Balancer's actions
+// to the reply.
 type instance struct {
 	host           *host
 	number         uint32
-	inFlightColumn int              // in load reports; -1: they do not have it
-	balancer       *policy.Balancer // nil before it has started and after a panic
-	nextCountersAt time.Duration    // 0 before the first event
+	inFlightColumn int              // column of the requests in flight in load reports; -1 if there is none
+	balancer       *policy.Balancer // nil before the instance has started and after a panic
+	nextCountersAt time.Duration    // when the counters are logged next; 0 before the first event
 }
 
 var _ policy.Host = (*instance)(nil)
@@ -28,31 +28,31 @@
 	i.host.reply.Send(i.number, uint32(id), wire.Endpoint(to), timeout)
 }
 
-// Reject answers a request that never ran.
+// Reject responds that the request was not executed.
 func (i *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
 	i.host.reply.Reject(i.number, uint32(id), retryAfter)
 }
 
-// Fail answers a request that may have run.
+// Fail responds that the request failed and may have been executed.
 func (i *instance) Fail(id policy.RequestID) { i.host.reply.Fail(i.number, uint32(id)) }
 
-// Cancel stops waiting for an attempt.
+// Cancel cancels an attempt.
 func (i *instance) Cancel(id policy.RequestID, attempt int) {
 	i.host.reply.Cancel(i.number, uint32(id), uint8(attempt))
 }
 
-// SetTimer requests a TimerFired. The balancer ignores one that it no longer needs, so
-// that all have the same token.
+// SetTimer requests an EventTimerFired after the delay. All timers have the same token, because the Balancer
+// ignores a call of TimerFired that is not due.
 func (i *instance) SetTimer(delay time.Duration) { i.host.reply.SetTimer(i.number, delay, 0) }
 
-// Probe requests a health check.
+// Probe requests a health check of an endpoint.
 func (i *instance) Probe(to policy.EndpointID) { i.host.reply.Probe(i.number, wire.Endpoint(to)) }
 
-// RequestWatch subscribes to changes of the endpoints.
+// RequestWatch starts a watch of the endpoint list.
 func (i *instance) RequestWatch() { i.host.reply.Watch(i.number, true) }
 
-// reportPanic runs a call into the balancer. A panic is reported as a fault and stops the
-// instance.
+// reportPanic runs a function that calls the Balancer. It reports a panic to the simulator as a fault and
+// stops the instance.
 func (i *instance) reportPanic(call func() error) (err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -63,14 +63,14 @@
 	return call()
 }
 
-// event hands one event to the balancer.
+// event passes one event to the Balancer.
 func (i *instance) event(now time.Duration, record wire.Record) error {
 	i.logCounters(now)
 	return i.reportPanic(func() error { return i.dispatch(now, record) })
 }
 
-// logCounters logs the counters at their interval, for the first time an interval after
-// the first event.
+// logCounters logs the Balancer's counters once per countersInterval. The first time is one interval after
+// the instance's first event.
 func (i *instance) logCounters(now time.Duration) {
 	if now < i.nextCountersAt {
 		return
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// endpointUpdate looks the list up when the update comes: a later list may have the same
-// number.
+// endpointUpdate passes an update of the endpoint list to the Balancer. It looks up the list when the update
+// arrives, because a later list may reuse the same number.
 func (i *instance) endpointUpdate(now time.Duration, record wire.Record) error {
 	update, err := record.EndpointUpdate()
 	if err != nil {
@@ -164,7 +164,7 @@
 	}
 	kind, known := updateKind(update.Kind)
 	if !known {
-		return nil // a kind of a later version
+		return nil // unknown kind, possibly of a later version of the protocol
 	}
 	if kind == policy.FailedUpdate {
 		i.balancer.EndpointsUpdated(now, kind, nil)
@@ -172,7 +172,7 @@
 	}
 	list, found := i.host.lists[update.List]
 	if !found {
-		return fmt.Errorf("instance %d: list %d was never sent", i.number, update.List)
+		return fmt.Errorf("instance %d: endpoint list %d must be sent before an update refers to it", i.number, update.List)
 	}
 	i.balancer.EndpointsUpdated(now, kind, list)
 	return nil
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,6 +1,6 @@
-// Simulator-adapter runs the decisions of package policy on the simulator's wire. It
-// hosts many instances, each a policy.Balancer of its own, on standard input and output.
-// It decides nothing itself.
+// Simulator-adapter connects package policy to the simulator. It reads events of the simulator's wire protocol
+// from standard input and writes actions to standard output. One process hosts many instances, and each
+// instance has its own policy.Balancer. The adapter itself makes no decisions.
 package main
 
 import (
@@ -16,15 +16,15 @@
 )
 
 const (
-	// gcPercent lets the heap, which is small, grow ninefold before it is collected. That
-	// costs little memory and keeps the time of a batch even.
+	// gcPercent lets the heap grow to nine times its live size before a garbage collection. The heap is small,
+	// so this costs little memory, and fewer collections keep the processing time of batches even.
 	gcPercent = 800
-	// readBufferSize is the buffer of standard input, in bytes.
+	// readBufferSize is the size of the buffer of standard input, in bytes.
 	readBufferSize = 1 << 16
 )
 
 func main() {
-	runtime.GOMAXPROCS(1) // batches are answered one at a time
+	runtime.GOMAXPROCS(1) // batches are processed one at a time
 	debug.SetGCPercent(gcPercent)
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
@@ -32,7 +32,7 @@
 	}
 }
 
-// serve answers batches until the input ends.
+// serve reads batches from in and writes the replies to out until in ends.
 func serve(in io.Reader, out io.Writer) error {
 	h := newHost()
 	reader := wire.NewReader(bufio.NewReaderSize(in, readBufferSize))
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -24,7 +24,7 @@
 period_ms=5
 `
 
-// record encodes one event from its fields.
+// record encodes one event with the given fields.
 func record(code wire.EventCode, fields ...any) []byte {
 	var encoded bytes.Buffer
 	for _, field := range fields {
@@ -46,9 +46,10 @@
 
 func instanceStopped(instance uint32) []byte { return record(wire.EventInstanceStopped, instance) }
 
-// endpointAddress is 10.0.0.last, port 80.
+// endpointAddress returns the encoded address 10.0.0.last with port 80.
 func endpointAddress(last byte) []byte { return []byte{10, 0, 0, last, 80, 0} }
 
+// endpointList encodes a list of ready endpoints with the addresses 10.0.0.N for each N in addresses.
 func endpointList(number uint16, addresses ...byte) []byte {
 	fields := []any{number, uint32(len(addresses))}
 	for _, last := range addresses {
@@ -68,12 +69,14 @@
 		uint16(0), uint64(0), uint32(0), timeout, expectedWork, uint8(0))
 }
 
+// attemptServed encodes the event that an attempt at endpoint 10.0.0.last was served after 5 ms.
 func attemptServed(instance, id uint32, attempt, last byte) []byte {
 	const elapsed = 5.0 // milliseconds
 	return record(wire.EventAttemptEnded, instance, id, attempt,
 		endpointAddress(last), wire.ResultServed, elapsed, uint8(1), uint8(0))
 }
 
+// batch encodes a batch whose events happen at the time clock, in milliseconds.
 func batch(number uint32, clock float64, records ...[]byte) []byte {
 	body := slices.Concat(records...)
 	encoded := binary.LittleEndian.AppendUint32(nil, number)
@@ -83,16 +86,16 @@
 	return append(encoded, body...)
 }
 
-const replyHeaderSize = 12 // bytes; the size of the body is at byte 4
+const replyHeaderSize = 12 // bytes; the size of the body is at byte offset 4
 
 // action is one action of a reply.
 type action struct {
 	code     wire.ActionCode
 	instance uint32
-	fields   string // what follows
+	fields   string // the fields after the instance
 }
 
-// actions serves a stream of batches and returns the actions of all replies.
+// actions passes a stream of batches to serve and returns the actions of all replies.
 func actions(t *testing.T, in []byte) []action {
 	t.Helper()
 	var out bytes.Buffer
@@ -116,7 +119,7 @@
 	return all
 }
 
-// only returns the actions of one code and instance.
+// only returns the actions with the given code and instance.
 func only(all []action, code wire.ActionCode, instance uint32) []action {
 	return slices.DeleteFunc(slices.Clone(all), func(a action) bool {
 		return a.code != code || a.instance != instance
@@ -127,10 +130,12 @@
 	var out bytes.Buffer
 	err := serve(bytes.NewReader(slices.Concat(batch(1, 0), batch(2, 5))), &out)
 	if err != nil || out.Len() != 2*replyHeaderSize {
-		t.Fatalf("%d bytes, error %v; want two empty replies", out.Len(), err)
+		t.Fatalf("got %d bytes, error %v; want two empty replies, no error", out.Len(), err)
 	}
 }
 
+// Two lists in the same batch may have the same number. An update must use the list that was sent last before
+// the update.
 func TestListIsResolvedInEventOrder(t *testing.T) {
 	all := actions(t, batch(1, 0,
 		instanceStarted(1, 5), endpointList(3, 77), endpointUpdate(1, wire.UpdateCached, 3), requestReceived(1, 100),
@@ -138,14 +143,16 @@
 	for instance, want := range map[uint32]byte{1: 77, 2: 88} {
 		sends := only(all, wire.ActionSend, instance)
 		if len(sends) != 1 || sends[0].fields[7] != want {
-			t.Errorf("instance %d: sends %v, want one to .%d", instance, sends, want)
+			t.Errorf("instance %d: got sends %v, want one to 10.0.0.%d", instance, sends, want)
 		}
 		if len(only(all, wire.ActionWatch, instance)) != 1 {
-			t.Errorf("instance %d did not request its list", instance)
+			t.Errorf("instance %d: want exactly one watch of the endpoint list", instance)
 		}
 	}
 }
 
+// An instance that is stopped and started in the same batch must ignore the events in between, and the result
+// of an attempt from before the restart.
 func TestRestartInOneBatch(t *testing.T) {
 	update := endpointUpdate(1, wire.UpdateCached, 0)
 	all := actions(t, slices.Concat(
@@ -155,23 +162,26 @@
 		batch(4, 15, instanceStopped(1), requestReceived(1, 103))))
 	sends := only(all, wire.ActionSend, 1)
 	if len(sends) != 2 {
-		t.Fatalf("%d sends, want one before and one after the restart, none while it was down", len(sends))
+		t.Fatalf("got %d sends, want one before and one after the restart, none while the instance was stopped", len(sends))
 	}
 }
 
-func TestInstancesTogetherAndApartActAlike(t *testing.T) {
+// Instances in one process share the reply and the lists. An instance must perform the same actions as in a
+// process of its own.
+func TestInstancesAreIndependent(t *testing.T) {
 	together := actions(t, steadyLoad(1, 2))
 	for _, instance := range []uint32{1, 2} {
 		apart := actions(t, steadyLoad(instance))
 		own := slices.DeleteFunc(slices.Clone(together), func(a action) bool { return a.instance != instance })
 		if !slices.Equal(apart, own) || len(own) < 60 {
-			t.Fatalf("instance %d: %d actions together, %d apart, or they differ", instance, len(own), len(apart))
+			t.Fatalf("instance %d: got %d actions in a shared process and %d alone; want the same actions, at least 60",
+				instance, len(own), len(apart))
 		}
 	}
 }
 
-// steadyLoad is a request for each instance in each of 60 batches; clients disconnect
-// four batches later.
+// steadyLoad encodes 60 batches at intervals of 10 ms. Each batch has a request for each instance, whose client
+// disconnects four batches later.
 func steadyLoad(instances ...uint32) []byte {
 	var stream []byte
 	for n := range uint32(60) {
@@ -199,32 +209,33 @@
 		requestReceived(1, 100), requestReceived(44, 100)))
 	unknownInstance := func(a action) bool { return a.instance == 44 }
 	if len(only(all, wire.ActionSend, 1)) != 1 || slices.ContainsFunc(all, unknownInstance) {
-		t.Fatalf("actions %v", all)
+		t.Fatalf("got actions %v, want one send by instance 1 and no action by instance 44", all)
 	}
 }
 
-func TestMalformedInputEndsWithAnError(t *testing.T) {
+// A malformed batch must end serve with an error that is a single line.
+func TestMalformedInputReturnsError(t *testing.T) {
 	started := instanceStarted(1, 5)
 	withSettings := func(text string) []byte {
 		return batch(1, 0, record(wire.EventInstanceStarted, uint32(1), uint64(1), uint32(len(text)), text))
 	}
 	for name, in := range map[string][]byte{
-		"cut off":               batch(1, 0, started)[:30],
-		"list never sent":       batch(1, 0, started, endpointUpdate(1, wire.UpdateFull, 9)),
-		"record shorter":        batch(1, 0, started, record(wire.EventRequestReceived, uint32(1), uint32(3))),
-		"unusable settings":     withSettings("balancers=0"),
-		"settings without sign": withSettings("abc"),
-		"bytes left over": append(
+		"truncated batch":    batch(1, 0, started)[:30],
+		"list never sent":    batch(1, 0, started, endpointUpdate(1, wire.UpdateFull, 9)),
+		"truncated record":   batch(1, 0, started, record(wire.EventRequestReceived, uint32(1), uint32(3))),
+		"invalid settings":   withSettings("balancers=0"),
+		"settings without =": withSettings("abc"),
+		"bytes after the last record": append(
 			binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, 1), 3), 0, 0, 0, 0, 1, 2, 3),
 	} {
 		err := serve(bytes.NewReader(in), io.Discard)
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one plain line", name, err)
+			t.Errorf("%s: got error %v, want an error of one line", name, err)
 		}
 	}
 }
 
-func TestPanicIsReportedAsAFault(t *testing.T) {
+func TestPanicIsReportedAsFault(t *testing.T) {
 	h := newHost()
 	h.reply.Begin(1)
 	i := &instance{host: h, number: 4}
@@ -234,6 +245,6 @@
 	record, _, err := wire.Next(h.reply.Bytes()[replyHeaderSize:])
 	if err != nil || wire.ActionCode(record.Code) != wire.ActionFault ||
 		!strings.Contains(string(record.Fields), "index out of range") {
-		t.Fatalf("record %+v, error %v", record, err)
+		t.Fatalf("got record %+v, error %v; want ActionFault with the panic's text, no error", record, err)
 	}
 }
--- a/cmd/simulator-adapter/translate.go
+++ b/cmd/simulator-adapter/translate.go
@@ -5,6 +5,7 @@
 	"mothridge/policy"
 )
 
+// request converts a request to the type of package policy.
 func request(received wire.Request) policy.Request {
 	r := policy.Request{
 		ID:          policy.RequestID(received.ID),
@@ -19,7 +20,8 @@
 	return r
 }
 
-// attemptResult takes an unknown result for a server error: the request may have run.
+// attemptResult converts a result to the type of package policy. An unknown result becomes a server error,
+// because the request may have been executed.
 func attemptResult(result wire.Result) policy.AttemptResult {
 	switch result {
 	case wire.ResultServed:
@@ -41,6 +43,7 @@
 	}
 }
 
+// updateKind converts the kind of an update to the type of package policy. known is false for an unknown kind.
 func updateKind(kind wire.UpdateKind) (result policy.UpdateKind, known bool) {
 	switch kind {
 	case wire.UpdateFull:
@@ -56,6 +59,7 @@
 	}
 }
 
+// endpoints converts the entries of a list to the type of package policy.
 func endpoints(entries []wire.ListEntry) []policy.Endpoint {
 	list := make([]policy.Endpoint, len(entries))
 	for i, entry := range entries {
@@ -71,7 +75,8 @@
 	return list
 }
 
-// health takes an unknown state for draining, in which an endpoint gets no new requests.
+// health converts a state to the type of package policy. An unknown state becomes draining, in which an
+// endpoint receives no new requests.
 func health(state wire.Health) policy.Health {
 	switch state {
 	case wire.HealthReady:
--- a/cmd/simulator-adapter/translate_test.go
+++ b/cmd/simulator-adapter/translate_test.go
@@ -21,7 +21,7 @@
 		999:                         policy.ServerError,
 	} {
 		if got := attemptResult(result); got != want {
-			t.Errorf("result %d becomes %v, want %v", result, got, want)
+			t.Errorf("result %d: got %v, want %v", result, got, want)
 		}
 	}
 }
@@ -34,11 +34,11 @@
 		wire.UpdateFailed: policy.FailedUpdate,
 	} {
 		if got, known := updateKind(kind); got != want || !known {
-			t.Errorf("kind %d becomes %v (known: %v), want %v", kind, got, known, want)
+			t.Errorf("kind %d: got %v (known: %v), want %v (known: true)", kind, got, known, want)
 		}
 	}
 	if _, known := updateKind(99); known {
-		t.Error("kind 99 is known")
+		t.Error("kind 99: got known, want unknown")
 	}
 }
 
@@ -46,12 +46,12 @@
 	received := wire.Request{ID: 7, Class: 1, Tenant: 2, Timeout: time.Second, ExpectedWork: time.Millisecond, Flags: 4}
 	want := policy.Request{ID: 7, Class: 1, Tenant: 2, Timeout: time.Second}
 	if got := request(received); got != want {
-		t.Errorf("without flags: %+v, want %+v", got, want)
+		t.Errorf("without flags: got %+v, want %+v", got, want)
 	}
 	received.Flags |= wire.FlagClientRetry | wire.FlagExpectedWork
 	want.ClientRetry, want.ExpectedWork = true, time.Millisecond
 	if got := request(received); got != want {
-		t.Errorf("with flags: %+v, want %+v", got, want)
+		t.Errorf("with flags: got %+v, want %+v", got, want)
 	}
 }
 
@@ -62,11 +62,11 @@
 	})
 	first := policy.Endpoint{ID: 9, Zone: 1, Cell: 3, Health: policy.Ready, Weight: 2.5, StartedAt: time.Second}
 	if got[0] != first {
-		t.Errorf("endpoint %+v, want %+v", got[0], first)
+		t.Errorf("got endpoint %+v, want %+v", got[0], first)
 	}
 	for i, want := range []policy.Health{policy.Ready, policy.Removed, policy.Draining, policy.Draining} {
 		if got[i].Health != want {
-			t.Errorf("endpoint %d is %v, want %v", i, got[i].Health, want)
+			t.Errorf("endpoint %d: got health %v, want %v", i, got[i].Health, want)
 		}
 	}
 }
