--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -169,13 +169,13 @@
 // Instances in one process share the reply and the lists. An instance must perform the same actions as in a
 // process of its own.
 func TestInstancesAreIndependent(t *testing.T) {
-	together := actions(t, steadyLoad(1, 2))
+	inSharedProcess := actions(t, steadyLoad(1, 2))
 	for _, instance := range []uint32{1, 2} {
-		apart := actions(t, steadyLoad(instance))
-		own := slices.DeleteFunc(slices.Clone(together), func(a action) bool { return a.instance != instance })
-		if !slices.Equal(apart, own) || len(own) < 60 {
+		inOwnProcess := actions(t, steadyLoad(instance))
+		own := slices.DeleteFunc(slices.Clone(inSharedProcess), func(a action) bool { return a.instance != instance })
+		if !slices.Equal(inOwnProcess, own) || len(own) < 60 {
 			t.Fatalf("instance %d: got %d actions in a shared process and %d alone; want the same actions, at least 60",
-				instance, len(own), len(apart))
+				instance, len(own), len(inOwnProcess))
 		}
 	}
 }
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -64,12 +64,12 @@
 }
 
 // recordUnserved counts and logs the Balancer's reason for rejecting or failing a request.
-func (c *Core) recordUnserved(id policy.RequestID, how string) {
+func (c *Core) recordUnserved(id policy.RequestID, outcome string) {
 	reason := c.balancer.Reason()
 	c.outcomes.unserved[reason].Add(1)
 	if request := c.requests.byID[id]; request != nil && debugEnabled() {
 		slog.Debug("request given up",
-			"request", request.ID, "how", how, "reason", reason.String(), "attempts", len(request.attempts))
+			"request", request.ID, "how", outcome, "reason", reason.String(), "attempts", len(request.attempts))
 	}
 }
 
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -16,55 +16,55 @@
 }
 
 // Begin discards the content of the reply and starts the reply to the batch with the given number.
-func (p *Reply) Begin(batch uint32) {
-	p.frame = append(p.frame[:0], make([]byte, replyHeaderSize)...)
-	binary.LittleEndian.PutUint32(p.frame, batch)
-	p.records = 0
+func (r *Reply) Begin(batch uint32) {
+	r.frame = append(r.frame[:0], make([]byte, replyHeaderSize)...)
+	binary.LittleEndian.PutUint32(r.frame, batch)
+	r.records = 0
 }
 
 // Bytes completes the frame and returns it. The returned slice is valid until the next Begin.
-func (p *Reply) Bytes() []byte {
-	binary.LittleEndian.PutUint32(p.frame[4:], uint32(len(p.frame)-replyHeaderSize))
-	binary.LittleEndian.PutUint32(p.frame[8:], p.records)
-	return p.frame
+func (r *Reply) Bytes() []byte {
+	binary.LittleEndian.PutUint32(r.frame[4:], uint32(len(r.frame)-replyHeaderSize))
+	binary.LittleEndian.PutUint32(r.frame[8:], r.records)
+	return r.frame
 }
 
 // beginRecord writes a record's header and its first field, the instance. The caller then writes the other
 // fields and passes start to endRecord.
-func (p *Reply) beginRecord(code ActionCode, instance uint32) (start int) {
-	start = len(p.frame)
-	p.records++
-	p.u16(uint16(code))
-	p.u32(0) // placeholder for the size, which endRecord sets
-	p.u32(instance)
+func (r *Reply) beginRecord(code ActionCode, instance uint32) (start int) {
+	start = len(r.frame)
+	r.records++
+	r.u16(uint16(code))
+	r.u32(0) // placeholder for the size, which endRecord sets
+	r.u32(instance)
 	return start
 }
 
 // endRecord sets the size of the record that begins at start.
-func (p *Reply) endRecord(start int) {
-	size := len(p.frame) - start - recordHeaderSize
-	binary.LittleEndian.PutUint32(p.frame[start+2:], uint32(size))
+func (r *Reply) endRecord(start int) {
+	size := len(r.frame) - start - recordHeaderSize
+	binary.LittleEndian.PutUint32(r.frame[start+2:], uint32(size))
 }
 
-func (p *Reply) u8(v uint8)    { p.frame = append(p.frame, v) }
-func (p *Reply) u16(v uint16)  { p.frame = binary.LittleEndian.AppendUint16(p.frame, v) }
-func (p *Reply) u32(v uint32)  { p.frame = binary.LittleEndian.AppendUint32(p.frame, v) }
-func (p *Reply) u64(v uint64)  { p.frame = binary.LittleEndian.AppendUint64(p.frame, v) }
-func (p *Reply) f64(v float64) { p.u64(math.Float64bits(v)) }
+func (r *Reply) u8(v uint8)    { r.frame = append(r.frame, v) }
+func (r *Reply) u16(v uint16)  { r.frame = binary.LittleEndian.AppendUint16(r.frame, v) }
+func (r *Reply) u32(v uint32)  { r.frame = binary.LittleEndian.AppendUint32(r.frame, v) }
+func (r *Reply) u64(v uint64)  { r.frame = binary.LittleEndian.AppendUint64(r.frame, v) }
+func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
 
 // duration writes d in milliseconds. It is the inverse of settings.Millis.
-func (p *Reply) duration(d time.Duration) { p.f64(float64(d) / 1e6) }
+func (r *Reply) duration(d time.Duration) { r.f64(float64(d) / 1e6) }
 
-func (p *Reply) endpoint(endpoint Endpoint) {
+func (r *Reply) endpoint(endpoint Endpoint) {
 	for range endpointSize {
-		p.u8(byte(endpoint))
+		r.u8(byte(endpoint))
 		endpoint >>= 8
 	}
 }
 
 // text writes the length of a text and the text, truncated to the largest length that a u16 can hold.
-func (p *Reply) text(text string) {
+func (r *Reply) text(text string) {
 	text = text[:min(len(text), math.MaxUint16)]
-	p.u16(uint16(len(text)))
-	p.frame = append(p.frame, text...)
+	r.u16(uint16(len(text)))
+	r.frame = append(r.frame, text...)
 }
--- a/resolver/resolver_test.go
+++ b/resolver/resolver_test.go
@@ -19,7 +19,7 @@
 
 // run performs the calls of a Schedule until the first response. It returns the time of that response, or -1
 // if there was none before the limit, and the number of calls that were started.
-func (svc service) run(t *testing.T, schedule *Schedule, limit time.Duration) (answeredAt time.Duration, calls int) {
+func (svc service) run(t *testing.T, schedule *Schedule, limit time.Duration) (respondedAt time.Duration, calls int) {
 	t.Helper()
 	responseAt := make(map[CallID]time.Duration)
 	for now := time.Duration(0); now < limit; {
@@ -70,11 +70,11 @@
 		for _, hasList := range []bool{true, false} {
 			for _, responseTime := range responseTimes {
 				for seed := range uint64(20) {
-					at, calls := constant(responseTime).run(t, newSchedule(config, hasList, seed), 5*time.Minute)
-					delayed := responseTime <= config.CallTimeout && at != responseTime
-					if at < 0 || delayed || at > 3*responseTime+config.MaxCallTimeout {
+					respondedAt, calls := constant(responseTime).run(t, newSchedule(config, hasList, seed), 5*time.Minute)
+					delayed := responseTime <= config.CallTimeout && respondedAt != responseTime
+					if respondedAt < 0 || delayed || respondedAt > 3*responseTime+config.MaxCallTimeout {
 						t.Errorf("%s, has list %v, response time %v: got first response at %v after %d calls (seed %d)",
-							name, hasList, responseTime, at, calls, seed)
+							name, hasList, responseTime, respondedAt, calls, seed)
 					}
 				}
 			}
@@ -99,17 +99,17 @@
 		t.Run(tt.name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 0))
 			for seed := range uint64(300) {
-				returnAt := time.Duration(rng.Int64N(int64(3 * time.Minute)))
+				recoveredAt := time.Duration(rng.Int64N(int64(3 * time.Minute)))
 				svc := service{func(startedAt time.Duration) time.Duration {
-					if startedAt < returnAt {
+					if startedAt < recoveredAt {
 						return time.Hour
 					}
 					return tt.responseTime
 				}}
-				at, _ := svc.run(t, newSchedule(tt.config, true, seed), time.Hour)
-				if at < returnAt || at > returnAt+tt.within {
+				respondedAt, _ := svc.run(t, newSchedule(tt.config, true, seed), time.Hour)
+				if respondedAt < recoveredAt || respondedAt > recoveredAt+tt.within {
 					t.Fatalf("service recovered at %v: got first response at %v, which is too late or too early (seed %d)",
-						returnAt, at, seed)
+						recoveredAt, respondedAt, seed)
 				}
 			}
 		})
