--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -62,11 +62,11 @@
 // Run must be called once.
 type Core struct {
 	// Fields that do not change after New.
-	config  Config
-	clock   clock
-	events  chan event    // events posted to the event loop
-	done    chan struct{} // closed once Run has returned, so that no goroutine waits for the event loop any longer
-	watches chan struct{} // see WatchRequests
+	config        Config
+	clock         clock
+	events        chan event    // events posted to the event loop
+	done          chan struct{} // closed once Run has returned, so that no goroutine waits for the event loop
+	watchRequests chan struct{} // see WatchRequests
 
 	// Fields used only by the event loop, and by New before Run.
 	balancer    *policy.Balancer
@@ -92,15 +92,15 @@
 	config.DrainGrace = cmp.Or(config.DrainGrace, DefaultDrainGrace)
 	startedAt := time.Now()
 	c := &Core{
-		config:    config,
-		clock:     clock{startedAt: startedAt},
-		events:    make(chan event, eventBacklog),
-		done:      make(chan struct{}),
-		watches:   make(chan struct{}, 1),
-		requests:  newRequestRegistry(),
-		timer:     newBalancerTimer(),
-		endpoints: newEndpointTable(config.Zones, config.NewUpstream),
-		pauses:    pauseDetector{startedAt: startedAt},
+		config:        config,
+		clock:         clock{startedAt: startedAt},
+		events:        make(chan event, eventBacklog),
+		done:          make(chan struct{}),
+		watchRequests: make(chan struct{}, 1),
+		requests:      newRequestRegistry(),
+		timer:         newBalancerTimer(),
+		endpoints:     newEndpointTable(config.Zones, config.NewUpstream),
+		pauses:        pauseDetector{startedAt: startedAt},
 	}
 	balancer, err := policy.New(config.Policy, config.Seed, balancerHost{core: c})
 	if err != nil {
@@ -122,7 +122,7 @@
 func (c *Core) Abandon(request *Request) { c.post(clientDisconnected{request}) }
 
 // HasRequest reports whether a request with the given Request-Id is being handled.
-func (c *Core) HasRequest(id string) bool { return c.requests.ids.contain(id) }
+func (c *Core) HasRequest(id string) bool { return c.requests.ids.contains(id) }
 
 // Ready reports whether an endpoint list is known.
 func (c *Core) Ready() bool { return c.ready.Load() }
@@ -137,7 +137,7 @@
 // WatchRequests returns the channel on which the Core forwards the Balancer's requests to watch the
 // endpoint list. The Balancer sends them only if policy.Config.WatchOnRequest is set. At most one request
 // is pending.
-func (c *Core) WatchRequests() <-chan struct{} { return c.watches }
+func (c *Core) WatchRequests() <-chan struct{} { return c.watchRequests }
 
 // Shutdown completes all requests immediately and rejects later ones. Shutdown may block while the event
 // loop is busy, and does not wait for the responses.
--- a/internal/core/endpoint_table.go
+++ b/internal/core/endpoint_table.go
@@ -10,7 +10,7 @@
 )
 
 // endpointState is the Core's state of an endpoint in the list. Only the event loop uses it, except for
-// closedAt.
+// unavailableSince.
 type endpointState struct {
 	id        policy.EndpointID
 	entry     Endpoint // entry in the last update
@@ -18,14 +18,14 @@
 	startedAt time.Duration // start of the process on the Balancer's clock; 0: long ago
 	probes    []*probe      // probes without a reported result, in the order in which the Balancer requested them
 
-	// closedAt is when the endpoint began to drain or was removed, on the Balancer's clock; 0 if the
-	// endpoint is ready. The guard reads closedAt from the goroutines of attempts.
-	closedAt atomic.Int64
+	// unavailableSince is when the endpoint began to drain or was removed, on the Balancer's clock; 0 if the
+	// endpoint is ready. The guard reads unavailableSince from the goroutines of attempts.
+	unavailableSince atomic.Int64
 }
 
-// close records that no further attempt may be started at the endpoint.
-func (e *endpointState) close(now time.Duration) {
-	e.closedAt.CompareAndSwap(0, int64(now))
+// markUnavailable records that no further attempt may be started at the endpoint.
+func (e *endpointState) markUnavailable(now time.Duration) {
+	e.unavailableSince.CompareAndSwap(0, int64(now))
 }
 
 // endpointTable holds the endpoint list and the endpoints' upstreams. Only the event loop uses it.
@@ -127,9 +127,9 @@
 	endpoint.updateStart(entry, appeared, now, confirmedAt)
 	endpoint.entry = entry
 	if entry.Health == Ready {
-		endpoint.closedAt.Store(0)
+		endpoint.unavailableSince.Store(0)
 	} else {
-		endpoint.close(now)
+		endpoint.markUnavailable(now)
 	}
 	return t.policyEndpoint(endpoint), true
 }
@@ -178,15 +178,15 @@
 		ID:        endpoint.id,
 		Zone:      t.zones.number(entry.Zone),
 		Cell:      cell,
-		Health:    entry.Health.forPolicy(),
+		Health:    entry.Health.toPolicy(),
 		Weight:    entry.Weight,
 		StartedAt: endpoint.startedAt,
 	}
 }
 
-// forPolicy returns the Balancer's value for a state. An unknown state becomes policy.Draining, so that the
+// toPolicy returns the Balancer's value for a state. An unknown state becomes policy.Draining, so that the
 // endpoint receives no new attempts.
-func (h Health) forPolicy() policy.Health {
+func (h Health) toPolicy() policy.Health {
 	switch h {
 	case Ready:
 		return policy.Ready
@@ -225,6 +225,6 @@
 func (t *endpointTable) remove(endpoint *endpointState, now time.Duration) {
 	delete(t.byName, endpoint.entry.Name)
 	delete(t.byID, endpoint.id)
-	endpoint.close(now)
+	endpoint.markUnavailable(now)
 	endpoint.upstream.Retire()
 }
--- a/internal/core/endpoint_table_test.go
+++ b/internal/core/endpoint_table_test.go
@@ -13,9 +13,9 @@
 	core.updateEndpoints(policy.FullUpdate, EndpointUpdate{Complete: true, Endpoints: []Endpoint{
 		{},
 		{Addr: "127.0.0.1:7", Health: Ready},
-		upEndpoint("s-2", "nowhere"),
-		upEndpoint("s-1", "127.0.0.1:7"),
-		upEndpoint("s-3", "127.0.0.1:8"),
+		readyEndpoint("s-2", "nowhere"),
+		readyEndpoint("s-1", "127.0.0.1:7"),
+		readyEndpoint("s-3", "127.0.0.1:8"),
 	}})
 	endpoints := core.endpoints.byName
 	if len(endpoints) != 2 || endpoints["s-1"] == nil || endpoints["s-3"] == nil {
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -58,7 +58,7 @@
 // write the first byte, from any goroutine. If AllowSend returns false, the attempt must end as
 // policy.NotSent. AllowSend may be called more than once; a prevented attempt is counted once.
 func (m *Message) AllowSend(now time.Time) bool {
-	reason := m.preventSend(now)
+	reason := m.findPreventReason(now)
 	if reason == notPrevented {
 		return true
 	}
@@ -68,13 +68,13 @@
 	return false
 }
 
-// preventSend returns the reason why the attempt must not be started now, or notPrevented.
-func (m *Message) preventSend(now time.Time) preventReason {
+// findPreventReason returns the reason why the attempt must not be started now, or notPrevented.
+func (m *Message) findPreventReason(now time.Time) preventReason {
 	if !m.WriteDeadline.IsZero() && !now.Before(m.WriteDeadline) {
 		return preventDedupWindow
 	}
 	if m.guard != nil {
-		if reason := m.guard.preventSend(); reason != notPrevented {
+		if reason := m.guard.findPreventReason(); reason != notPrevented {
 			return reason
 		}
 	}
@@ -84,10 +84,10 @@
 	return notPrevented
 }
 
-// preventSend returns the reason that results from the state of the endpoint or of the request, or
+// findPreventReason returns the reason that results from the state of the endpoint or of the request, or
 // notPrevented.
-func (g *attemptGuard) preventSend() preventReason {
-	if g.endpoint.closedAt.Load() != 0 {
+func (g *attemptGuard) findPreventReason() preventReason {
+	if g.endpoint.unavailableSince.Load() != 0 {
 		return preventDraining
 	}
 	completed, clientDisconnected := g.request.history.state()
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -11,7 +11,7 @@
 // given idempotency and a deduplication window of 1 s.
 func guardedMessage(t *testing.T, idempotency policy.Idempotency) (*Core, *Message) {
 	t.Helper()
-	core := newTestCore(t, upEndpoint("s-1", "127.0.0.1:7"))
+	core := newTestCore(t, readyEndpoint("s-1", "127.0.0.1:7"))
 	core.config.Policy.Classes = []policy.Class{{Idempotency: idempotency, DedupWindow: time.Second}}
 	request := &Request{ID: "r", Deadline: time.Now().Add(time.Second)}
 	guard := &attemptGuard{core: core, request: request, endpoint: core.endpoints.byName["s-1"]}
@@ -36,7 +36,7 @@
 		{
 			name: "draining",
 			before: func(core *Core, m *Message) {
-				m.guard.endpoint.close(core.clock.at(longAgo))
+				m.guard.endpoint.markUnavailable(core.clock.at(longAgo))
 			},
 			prevented:  PreventedSends{Draining: 1},
 			violations: Violations{SentToDraining: 1},
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func upEndpoint(name, address string) Endpoint {
+func readyEndpoint(name, address string) Endpoint {
 	return Endpoint{Name: name, Addr: address, Zone: "a", Health: Ready, Weight: 1}
 }
 
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -27,7 +27,7 @@
 func (h balancerHost) Fail(id policy.RequestID) {
 	h.core.recordUnserved(id, "failed")
 	result := Failed
-	if request := h.core.requests.byID[id]; request != nil && request.ranOutOfTime() {
+	if request := h.core.requests.byID[id]; request != nil && request.timedOut() {
 		result = TimedOut
 	}
 	h.core.respond(id, Response{Result: result})
@@ -55,7 +55,7 @@
 // RequestWatch requests a watch of the endpoint list: see Core.WatchRequests.
 func (h balancerHost) RequestWatch() {
 	select {
-	case h.core.watches <- struct{}{}:
+	case h.core.watchRequests <- struct{}{}:
 	default: // a request is already pending
 	}
 }
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -89,11 +89,11 @@
 // checkEndpoint reports an attempt at an endpoint that has been draining for longer than
 // Config.DrainGrace.
 func (g *attemptGuard) checkEndpoint(now time.Time) {
-	closedAt := time.Duration(g.endpoint.closedAt.Load())
-	if closedAt == 0 {
+	unavailableSince := time.Duration(g.endpoint.unavailableSince.Load())
+	if unavailableSince == 0 {
 		return
 	}
-	drainingFor := g.core.clock.at(now) - closedAt
+	drainingFor := g.core.clock.at(now) - unavailableSince
 	if drainingFor > g.core.config.DrainGrace+schedulingTolerance {
 		reportViolation(&g.core.invariants.startedWhileDraining, "sent_to_draining", g.request.ID)
 	}
--- a/internal/core/probes_test.go
+++ b/internal/core/probes_test.go
@@ -9,7 +9,7 @@
 // The Balancer matches an endpoint's probe results to its probe requests by their order. A probe that
 // completes before an earlier probe must not be reported first.
 func TestProbeResultsKeepTheirOrder(t *testing.T) {
-	core := newTestCore(t, upEndpoint("s-1", "127.0.0.1:7"))
+	core := newTestCore(t, readyEndpoint("s-1", "127.0.0.1:7"))
 	endpoint := core.endpoints.byName["s-1"]
 	first, second := &probe{endpoint: endpoint}, &probe{endpoint: endpoint}
 	endpoint.probes = []*probe{first, second}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -39,10 +39,10 @@
 	lastTimedOut bool             // whether the attempt that ended last timed out
 }
 
-// ranOutOfTime reports whether a failing request fails because its deadline has passed. The Balancer may
+// timedOut reports whether a failing request fails because its deadline has passed. The Balancer may
 // fail the request at its deadline before the attempt in flight ends with policy.TimedOut, so an attempt
 // in flight also means that the deadline has passed.
-func (r *Request) ranOutOfTime() bool {
+func (r *Request) timedOut() bool {
 	return r.lastTimedOut || r.inFlight > 0
 }
 
--- a/internal/core/request_registry.go
+++ b/internal/core/request_registry.go
@@ -8,7 +8,7 @@
 
 // requestRegistry holds each request until the request is completed and its last attempt has ended. A
 // Request-Id is in use until its request is completed. Only the event loop uses the registry, except for
-// ids.contain.
+// ids.contains.
 type requestRegistry struct {
 	ids    requestIDs
 	lastID policy.RequestID
@@ -48,7 +48,7 @@
 }
 
 // requestIDs is the set of Request-Ids in use. Only the event loop changes the set. Any goroutine may call
-// contain, so that listeners can reject a duplicate request without reading its body.
+// contains, so that listeners can reject a duplicate request without reading its body.
 type requestIDs struct {
 	mu       sync.Mutex
 	reserved map[string]bool
@@ -71,7 +71,7 @@
 	delete(r.reserved, id)
 }
 
-func (r *requestIDs) contain(id string) bool {
+func (r *requestIDs) contains(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reserved[id]
--- a/internal/core/response_test.go
+++ b/internal/core/response_test.go
@@ -33,7 +33,7 @@
 // A response that arrives after its client has disconnected must be dropped, and the request must be removed
 // from the registry.
 func TestRequestIsRemovedAfterLateResponse(t *testing.T) {
-	core := newTestCore(t, upEndpoint("s-1", "127.0.0.1:7"))
+	core := newTestCore(t, readyEndpoint("s-1", "127.0.0.1:7"))
 	responses := make(chan Response, 1)
 	request := &Request{
 		ID:       "x",
