--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -20,18 +20,18 @@
 	return &host{lists: make(map[uint16][]policy.Endpoint), instances: make(map[uint32]*instance)}
 }
 
-// answer passes the events of a batch to their instances, in order, and returns the encoded reply. The
+// handleBatch passes the events of a batch to their instances, in order, and returns the encoded reply. The
 // returned slice is valid until the next call.
-func (h *host) answer(batch wire.Batch) ([]byte, error) {
+func (h *host) handleBatch(batch wire.Batch) ([]byte, error) {
 	h.reply.Begin(batch.Number)
 	body := batch.Body
 	for range batch.Records {
-		record, rest, err := wire.Next(body)
+		record, rest, err := wire.NextRecord(body)
 		if err != nil {
 			return nil, err
 		}
 		body = rest
-		if err := h.event(batch.Clock, record); err != nil {
+		if err := h.handleEvent(batch.Clock, record); err != nil {
 			return nil, err
 		}
 	}
@@ -41,13 +41,13 @@
 	return h.reply.Bytes(), nil
 }
 
-// event handles one event. An event code that the program does not know is ignored, as a later version of
-// the protocol may have added it.
-func (h *host) event(now time.Duration, record wire.Record) error {
+// handleEvent handles one event. It ignores an unknown event code, as a later version of the protocol may have
+// added the code.
+func (h *host) handleEvent(now time.Duration, record wire.Record) error {
 	if record.Code == wire.EventEndpointList {
-		return h.endpointList(record)
+		return h.storeEndpointList(record)
 	}
-	if !forInstance(record.Code) {
+	if !isInstanceEvent(record.Code) {
 		return nil
 	}
 	number, err := record.Instance()
@@ -56,27 +56,27 @@
 	}
 	switch record.Code {
 	case wire.EventInstanceStarted:
-		return h.start(now, number, record)
+		return h.startInstance(now, number, record)
 	case wire.EventInstanceStopped:
 		delete(h.instances, number)
 		return nil
 	default:
-		return h.instanceEvent(now, number, record)
+		return h.handleInstanceEvent(now, number, record)
 	}
 }
 
-// instanceEvent passes an event to its instance. It ignores events for an instance that is not running, as
+// handleInstanceEvent passes an event to its instance. It ignores events for an instance that is not running, as
 // such an instance must not perform any action.
-func (h *host) instanceEvent(now time.Duration, number uint32, record wire.Record) error {
+func (h *host) handleInstanceEvent(now time.Duration, number uint32, record wire.Record) error {
 	i := h.instances[number]
 	if i == nil || i.balancer == nil {
 		return nil
 	}
-	return i.event(now, record)
+	return i.handleEvent(now, record)
 }
 
-// forInstance reports whether an event is addressed to an instance and is one that the instance handles.
-func forInstance(code wire.EventCode) bool {
+// isInstanceEvent reports whether an event is addressed to an instance and is one that the instance handles.
+func isInstanceEvent(code wire.EventCode) bool {
 	switch code {
 	case wire.EventInstanceStarted, wire.EventInstanceStopped, wire.EventEndpointUpdate,
 		wire.EventRequestReceived, wire.EventAttemptEnded, wire.EventResponseStarted,
@@ -87,18 +87,18 @@
 	}
 }
 
-// endpointList stores an endpoint list for later updates that refer to it by its number.
-func (h *host) endpointList(record wire.Record) error {
+// storeEndpointList stores an endpoint list for later updates that refer to it by its number.
+func (h *host) storeEndpointList(record wire.Record) error {
 	number, entries, err := record.EndpointList()
 	if err != nil {
 		return err
 	}
-	h.lists[number] = endpoints(entries)
+	h.lists[number] = policyEndpoints(entries)
 	return nil
 }
 
-// start starts an instance. It replaces the instance that had the same number before.
-func (h *host) start(now time.Duration, number uint32, record wire.Record) error {
+// startInstance starts an instance. It replaces the instance that had the same number before.
+func (h *host) startInstance(now time.Duration, number uint32, record wire.Record) error {
 	seed, text, err := record.InstanceStarted()
 	if err != nil {
 		return err
--- a/cmd/simulator-adapter/instance.go
+++ b/cmd/simulator-adapter/instance.go
@@ -63,8 +63,8 @@
 	return call()
 }
 
-// event passes one event to the Balancer.
-func (i *instance) event(now time.Duration, record wire.Record) error {
+// handleEvent passes one event to the Balancer.
+func (i *instance) handleEvent(now time.Duration, record wire.Record) error {
 	i.logCounters(now)
 	return i.reportPanic(func() error { return i.dispatch(now, record) })
 }
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	i.balancer.RequestReceived(now, request(received))
+	i.balancer.RequestReceived(now, policyRequest(received))
 	return nil
 }
 
@@ -120,7 +120,7 @@
 	i.balancer.AttemptEnded(now, policy.AttemptOutcome{
 		ID:        policy.RequestID(ended.RequestID),
 		Attempt:   int(ended.Attempt),
-		Result:    attemptResult(ended.Result),
+		Result:    policyAttemptResult(ended.Result),
 		Completed: ended.Completed,
 	})
 	return nil
@@ -150,7 +150,7 @@
 		return err
 	}
 	healthy := ended.Result == wire.ResultServed
-	report := ended.LoadReport.Policy(i.inFlightColumn)
+	report := ended.LoadReport.ToPolicy(i.inFlightColumn)
 	i.balancer.ProbeCompleted(now, policy.EndpointID(ended.Endpoint), healthy, report)
 	return nil
 }
@@ -162,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	kind, known := updateKind(update.Kind)
+	kind, known := policyUpdateKind(update.Kind)
 	if !known {
 		return nil // unknown kind, possibly of a later version of the protocol
 	}
@@ -172,7 +172,7 @@
 	}
 	list, found := i.host.lists[update.List]
 	if !found {
-		return fmt.Errorf("instance %d: endpoint list %d must be sent before an update refers to it", i.number, update.List)
+		return fmt.Errorf("instance %d: endpoint list %d must be sent before its update", i.number, update.List)
 	}
 	i.balancer.EndpointsUpdated(now, kind, list)
 	return nil
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -44,7 +44,7 @@
 		if err != nil {
 			return err
 		}
-		reply, err := h.answer(batch)
+		reply, err := h.handleBatch(batch)
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", batch.Number, err)
 		}
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -12,7 +12,7 @@
 	"mothridge/internal/wire"
 )
 
-const someSettings = `balancers=2
+const testSettings = `balancers=2
 caps.may_cancel=true
 caps.most_tries=3
 classes.count=1
@@ -24,8 +24,8 @@
 period_ms=5
 `
 
-// record encodes one event with the given fields.
-func record(code wire.EventCode, fields ...any) []byte {
+// encodeRecord encodes one event with the given fields.
+func encodeRecord(code wire.EventCode, fields ...any) []byte {
 	var encoded bytes.Buffer
 	for _, field := range fields {
 		if text, ok := field.(string); ok {
@@ -41,10 +41,12 @@
 }
 
 func instanceStarted(instance uint32, seed uint64) []byte {
-	return record(wire.EventInstanceStarted, instance, seed, uint32(len(someSettings)), someSettings)
+	return encodeRecord(wire.EventInstanceStarted, instance, seed, uint32(len(testSettings)), testSettings)
 }
 
-func instanceStopped(instance uint32) []byte { return record(wire.EventInstanceStopped, instance) }
+func instanceStopped(instance uint32) []byte {
+	return encodeRecord(wire.EventInstanceStopped, instance)
+}
 
 // endpointAddress returns the encoded address 10.0.0.last with port 80.
 func endpointAddress(last byte) []byte { return []byte{10, 0, 0, last, 80, 0} }
@@ -56,28 +58,28 @@
 		fields = append(fields, endpointAddress(last),
 			uint8(0), uint8(0), uint16(0), wire.HealthReady, float32(1), float64(0))
 	}
-	return record(wire.EventEndpointList, fields...)
+	return encodeRecord(wire.EventEndpointList, fields...)
 }
 
 func endpointUpdate(instance uint32, kind wire.UpdateKind, list uint16) []byte {
-	return record(wire.EventEndpointUpdate, instance, kind, uint32(1), list)
+	return encodeRecord(wire.EventEndpointUpdate, instance, kind, uint32(1), list)
 }
 
 func requestReceived(instance, id uint32) []byte {
 	const timeout, expectedWork = 800.0, 0.0 // milliseconds
-	return record(wire.EventRequestReceived, instance, id,
+	return encodeRecord(wire.EventRequestReceived, instance, id,
 		uint16(0), uint64(0), uint32(0), timeout, expectedWork, uint8(0))
 }
 
 // attemptServed encodes the event that an attempt at endpoint 10.0.0.last was served after 5 ms.
 func attemptServed(instance, id uint32, attempt, last byte) []byte {
 	const elapsed = 5.0 // milliseconds
-	return record(wire.EventAttemptEnded, instance, id, attempt,
+	return encodeRecord(wire.EventAttemptEnded, instance, id, attempt,
 		endpointAddress(last), wire.ResultServed, elapsed, uint8(1), uint8(0))
 }
 
-// batch encodes a batch whose events happen at the time clock, in milliseconds.
-func batch(number uint32, clock float64, records ...[]byte) []byte {
+// encodeBatch encodes a batch whose events happen at the time clock, in milliseconds.
+func encodeBatch(number uint32, clock float64, records ...[]byte) []byte {
 	body := slices.Concat(records...)
 	encoded := binary.LittleEndian.AppendUint32(nil, number)
 	encoded = binary.LittleEndian.AppendUint32(encoded, uint32(len(records)))
@@ -95,8 +97,8 @@
 	fields   string // the fields after the instance
 }
 
-// actions passes a stream of batches to serve and returns the actions of all replies.
-func actions(t *testing.T, in []byte) []action {
+// replyActions passes a stream of batches to serve and returns the actions of all replies.
+func replyActions(t *testing.T, in []byte) []action {
 	t.Helper()
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(in), &out); err != nil {
@@ -106,7 +108,7 @@
 	for replies := out.Bytes(); len(replies) > 0; {
 		end := replyHeaderSize + binary.LittleEndian.Uint32(replies[4:])
 		for body := replies[replyHeaderSize:end]; len(body) > 0; {
-			record, rest, err := wire.Next(body)
+			record, rest, err := wire.NextRecord(body)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -119,8 +121,8 @@
 	return all
 }
 
-// only returns the actions with the given code and instance.
-func only(all []action, code wire.ActionCode, instance uint32) []action {
+// filterActions returns the actions with the given code and instance.
+func filterActions(all []action, code wire.ActionCode, instance uint32) []action {
 	return slices.DeleteFunc(slices.Clone(all), func(a action) bool {
 		return a.code != code || a.instance != instance
 	})
@@ -128,7 +130,7 @@
 
 func TestEmptyBatchesAndEndOfInput(t *testing.T) {
 	var out bytes.Buffer
-	err := serve(bytes.NewReader(slices.Concat(batch(1, 0), batch(2, 5))), &out)
+	err := serve(bytes.NewReader(slices.Concat(encodeBatch(1, 0), encodeBatch(2, 5))), &out)
 	if err != nil || out.Len() != 2*replyHeaderSize {
 		t.Fatalf("got %d bytes, error %v; want two empty replies, no error", out.Len(), err)
 	}
@@ -137,15 +139,15 @@
 // Two lists in the same batch may have the same number. An update must use the list that was sent last before
 // the update.
 func TestListIsResolvedInEventOrder(t *testing.T) {
-	all := actions(t, batch(1, 0,
+	all := replyActions(t, encodeBatch(1, 0,
 		instanceStarted(1, 5), endpointList(3, 77), endpointUpdate(1, wire.UpdateCached, 3), requestReceived(1, 100),
 		instanceStarted(2, 6), endpointList(3, 88), endpointUpdate(2, wire.UpdateCached, 3), requestReceived(2, 200)))
 	for instance, want := range map[uint32]byte{1: 77, 2: 88} {
-		sends := only(all, wire.ActionSend, instance)
+		sends := filterActions(all, wire.ActionSend, instance)
 		if len(sends) != 1 || sends[0].fields[7] != want {
 			t.Errorf("instance %d: got sends %v, want one to 10.0.0.%d", instance, sends, want)
 		}
-		if len(only(all, wire.ActionWatch, instance)) != 1 {
+		if len(filterActions(all, wire.ActionWatch, instance)) != 1 {
 			t.Errorf("instance %d: want exactly one watch of the endpoint list", instance)
 		}
 	}
@@ -155,23 +157,24 @@
 // of an attempt from before the restart.
 func TestRestartInOneBatch(t *testing.T) {
 	update := endpointUpdate(1, wire.UpdateCached, 0)
-	all := actions(t, slices.Concat(
-		batch(1, 0, instanceStarted(1, 5), endpointList(0, 7), update, requestReceived(1, 100)),
-		batch(2, 5, instanceStopped(1), requestReceived(1, 101), instanceStarted(1, 6), update, requestReceived(1, 102)),
-		batch(3, 10, attemptServed(1, 100, 0, 7)),
-		batch(4, 15, instanceStopped(1), requestReceived(1, 103))))
-	sends := only(all, wire.ActionSend, 1)
+	all := replyActions(t, slices.Concat(
+		encodeBatch(1, 0, instanceStarted(1, 5), endpointList(0, 7), update, requestReceived(1, 100)),
+		encodeBatch(2, 5, instanceStopped(1), requestReceived(1, 101),
+			instanceStarted(1, 6), update, requestReceived(1, 102)),
+		encodeBatch(3, 10, attemptServed(1, 100, 0, 7)),
+		encodeBatch(4, 15, instanceStopped(1), requestReceived(1, 103))))
+	sends := filterActions(all, wire.ActionSend, 1)
 	if len(sends) != 2 {
-		t.Fatalf("got %d sends, want one before and one after the restart, none while the instance was stopped", len(sends))
+		t.Fatalf("got %d sends, want one before and one after the restart, none while stopped", len(sends))
 	}
 }
 
 // Instances in one process share the reply and the lists. An instance must perform the same actions as in a
 // process of its own.
 func TestInstancesAreIndependent(t *testing.T) {
-	inSharedProcess := actions(t, steadyLoad(1, 2))
+	inSharedProcess := replyActions(t, steadyLoad(1, 2))
 	for _, instance := range []uint32{1, 2} {
-		inOwnProcess := actions(t, steadyLoad(instance))
+		inOwnProcess := replyActions(t, steadyLoad(instance))
 		own := slices.DeleteFunc(slices.Clone(inSharedProcess), func(a action) bool { return a.instance != instance })
 		if !slices.Equal(inOwnProcess, own) || len(own) < 60 {
 			t.Fatalf("instance %d: got %d actions in a shared process and %d alone; want the same actions, at least 60",
@@ -192,23 +195,23 @@
 				records = append(records, instanceStarted(i, uint64(i)), endpointList(list, 1, 2, 3, 4),
 					endpointUpdate(i, wire.UpdateFull, list))
 			}
-			records = append(records, requestReceived(i, 1000*i+n), record(wire.EventTimerFired, i, uint64(0)))
+			records = append(records, requestReceived(i, 1000*i+n), encodeRecord(wire.EventTimerFired, i, uint64(0)))
 			if n > 4 {
-				records = append(records, record(wire.EventClientDisconnected, i, 1000*i+n-4))
+				records = append(records, encodeRecord(wire.EventClientDisconnected, i, 1000*i+n-4))
 			}
 		}
-		stream = append(stream, batch(n, float64(10*n), records...)...)
+		stream = append(stream, encodeBatch(n, float64(10*n), records...)...)
 	}
 	return stream
 }
 
 func TestUnknownRecordsAreIgnored(t *testing.T) {
-	all := actions(t, batch(1, 0, record(4711, uint32(9), "anything"), instanceStarted(1, 5),
-		record(wire.EventPeerMessage, uint32(1), uint32(2), uint16(0)), endpointList(0, 7),
+	all := replyActions(t, encodeBatch(1, 0, encodeRecord(4711, uint32(9), "anything"), instanceStarted(1, 5),
+		encodeRecord(wire.EventPeerMessage, uint32(1), uint32(2), uint16(0)), endpointList(0, 7),
 		endpointUpdate(1, 99, 0), endpointUpdate(1, wire.UpdateCached, 0),
 		requestReceived(1, 100), requestReceived(44, 100)))
 	unknownInstance := func(a action) bool { return a.instance == 44 }
-	if len(only(all, wire.ActionSend, 1)) != 1 || slices.ContainsFunc(all, unknownInstance) {
+	if len(filterActions(all, wire.ActionSend, 1)) != 1 || slices.ContainsFunc(all, unknownInstance) {
 		t.Fatalf("got actions %v, want one send by instance 1 and no action by instance 44", all)
 	}
 }
@@ -217,12 +220,12 @@
 func TestMalformedInputReturnsError(t *testing.T) {
 	started := instanceStarted(1, 5)
 	withSettings := func(text string) []byte {
-		return batch(1, 0, record(wire.EventInstanceStarted, uint32(1), uint64(1), uint32(len(text)), text))
+		return encodeBatch(1, 0, encodeRecord(wire.EventInstanceStarted, uint32(1), uint64(1), uint32(len(text)), text))
 	}
 	for name, in := range map[string][]byte{
-		"truncated batch":    batch(1, 0, started)[:30],
-		"list never sent":    batch(1, 0, started, endpointUpdate(1, wire.UpdateFull, 9)),
-		"truncated record":   batch(1, 0, started, record(wire.EventRequestReceived, uint32(1), uint32(3))),
+		"truncated batch":    encodeBatch(1, 0, started)[:30],
+		"list never sent":    encodeBatch(1, 0, started, endpointUpdate(1, wire.UpdateFull, 9)),
+		"truncated record":   encodeBatch(1, 0, started, encodeRecord(wire.EventRequestReceived, uint32(1), uint32(3))),
 		"invalid settings":   withSettings("balancers=0"),
 		"settings without =": withSettings("abc"),
 		"bytes after the last record": append(
@@ -242,7 +245,7 @@
 	if err := i.reportPanic(func() error { panic("index out of range") }); err != nil {
 		t.Fatal(err)
 	}
-	record, _, err := wire.Next(h.reply.Bytes()[replyHeaderSize:])
+	record, _, err := wire.NextRecord(h.reply.Bytes()[replyHeaderSize:])
 	if err != nil || wire.ActionCode(record.Code) != wire.ActionFault ||
 		!strings.Contains(string(record.Fields), "index out of range") {
 		t.Fatalf("got record %+v, error %v; want ActionFault with the panic's text, no error", record, err)
--- a/cmd/simulator-adapter/translate.go
+++ b/cmd/simulator-adapter/translate.go
@@ -5,8 +5,8 @@
 	"mothridge/policy"
 )
 
-// request converts a request to the type of package policy.
-func request(received wire.Request) policy.Request {
+// policyRequest converts a request to the type of package policy.
+func policyRequest(received wire.Request) policy.Request {
 	r := policy.Request{
 		ID:          policy.RequestID(received.ID),
 		Class:       int(received.Class),
@@ -20,9 +20,9 @@
 	return r
 }
 
-// attemptResult converts a result to the type of package policy. An unknown result becomes a server error,
-// because the request may have been executed.
-func attemptResult(result wire.Result) policy.AttemptResult {
+// policyAttemptResult converts a result to the type of package policy. An unknown result becomes a server
+// error, because the request may have been executed.
+func policyAttemptResult(result wire.Result) policy.AttemptResult {
 	switch result {
 	case wire.ResultServed:
 		return policy.Served
@@ -43,8 +43,9 @@
 	}
 }
 
-// updateKind converts the kind of an update to the type of package policy. known is false for an unknown kind.
-func updateKind(kind wire.UpdateKind) (result policy.UpdateKind, known bool) {
+// policyUpdateKind converts the kind of an update to the type of package policy. known is false for an unknown
+// kind.
+func policyUpdateKind(kind wire.UpdateKind) (result policy.UpdateKind, known bool) {
 	switch kind {
 	case wire.UpdateFull:
 		return policy.FullUpdate, true
@@ -59,15 +60,15 @@
 	}
 }
 
-// endpoints converts the entries of a list to the type of package policy.
-func endpoints(entries []wire.ListEntry) []policy.Endpoint {
+// policyEndpoints converts the entries of a list to the type of package policy.
+func policyEndpoints(entries []wire.ListEntry) []policy.Endpoint {
 	list := make([]policy.Endpoint, len(entries))
 	for i, entry := range entries {
 		list[i] = policy.Endpoint{
 			ID:        policy.EndpointID(entry.Endpoint),
 			Zone:      int(entry.Zone),
 			Cell:      int(entry.Cell),
-			Health:    health(entry.Health),
+			Health:    policyHealth(entry.Health),
 			Weight:    entry.Weight,
 			StartedAt: entry.StartedAt,
 		}
@@ -75,9 +76,9 @@
 	return list
 }
 
-// health converts a state to the type of package policy. An unknown state becomes draining, in which an
+// policyHealth converts a state to the type of package policy. An unknown state becomes draining, in which an
 // endpoint receives no new requests.
-func health(state wire.Health) policy.Health {
+func policyHealth(state wire.Health) policy.Health {
 	switch state {
 	case wire.HealthReady:
 		return policy.Ready
--- a/cmd/simulator-adapter/translate_test.go
+++ b/cmd/simulator-adapter/translate_test.go
@@ -8,7 +8,7 @@
 	"mothridge/policy"
 )
 
-func TestAttemptResult(t *testing.T) {
+func TestPolicyAttemptResult(t *testing.T) {
 	for result, want := range map[wire.Result]policy.AttemptResult{
 		wire.ResultServed:           policy.Served,
 		wire.ResultServerError:      policy.ServerError,
@@ -20,43 +20,43 @@
 		wire.ResultNotSent:          policy.NotSent,
 		999:                         policy.ServerError,
 	} {
-		if got := attemptResult(result); got != want {
+		if got := policyAttemptResult(result); got != want {
 			t.Errorf("result %d: got %v, want %v", result, got, want)
 		}
 	}
 }
 
-func TestUpdateKind(t *testing.T) {
+func TestPolicyUpdateKind(t *testing.T) {
 	for kind, want := range map[wire.UpdateKind]policy.UpdateKind{
 		wire.UpdateFull:   policy.FullUpdate,
 		wire.UpdateDelta:  policy.DeltaUpdate,
 		wire.UpdateCached: policy.CachedUpdate,
 		wire.UpdateFailed: policy.FailedUpdate,
 	} {
-		if got, known := updateKind(kind); got != want || !known {
+		if got, known := policyUpdateKind(kind); got != want || !known {
 			t.Errorf("kind %d: got %v (known: %v), want %v (known: true)", kind, got, known, want)
 		}
 	}
-	if _, known := updateKind(99); known {
+	if _, known := policyUpdateKind(99); known {
 		t.Error("kind 99: got known, want unknown")
 	}
 }
 
-func TestRequest(t *testing.T) {
+func TestPolicyRequest(t *testing.T) {
 	received := wire.Request{ID: 7, Class: 1, Tenant: 2, Timeout: time.Second, ExpectedWork: time.Millisecond, Flags: 4}
 	want := policy.Request{ID: 7, Class: 1, Tenant: 2, Timeout: time.Second}
-	if got := request(received); got != want {
+	if got := policyRequest(received); got != want {
 		t.Errorf("without flags: got %+v, want %+v", got, want)
 	}
 	received.Flags |= wire.FlagClientRetry | wire.FlagExpectedWork
 	want.ClientRetry, want.ExpectedWork = true, time.Millisecond
-	if got := request(received); got != want {
+	if got := policyRequest(received); got != want {
 		t.Errorf("with flags: got %+v, want %+v", got, want)
 	}
 }
 
-func TestEndpoints(t *testing.T) {
-	got := endpoints([]wire.ListEntry{
+func TestPolicyEndpoints(t *testing.T) {
+	got := policyEndpoints([]wire.ListEntry{
 		{Endpoint: 9, Zone: 1, Cell: 3, Health: wire.HealthReady, Weight: 2.5, StartedAt: time.Second},
 		{Health: wire.HealthRemoved}, {Health: wire.HealthDraining}, {Health: 77},
 	})
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -23,9 +23,9 @@
 	Values [maxLoadValues]float32 // in the order of the columns in the settings
 }
 
-// Policy converts the report to the type of package policy. inFlightColumn is the column of the number of
+// ToPolicy converts the report to the type of package policy. inFlightColumn is the column of the number of
 // requests in flight (settings.InFlightColumn). InFlight is -1 if the report does not contain that column.
-func (r LoadReport) Policy(inFlightColumn int) policy.LoadReport {
+func (r LoadReport) ToPolicy(inFlightColumn int) policy.LoadReport {
 	if inFlightColumn < 0 || inFlightColumn >= r.Count {
 		return policy.LoadReport{InFlight: -1}
 	}
@@ -93,7 +93,7 @@
 func (r Record) InstanceStarted() (seed uint64, settings []byte, err error) {
 	f := r.instanceFields()
 	seed = f.u64()
-	settings = f.take(int(f.u32()))
+	settings = f.readBytes(int(f.u32()))
 	return seed, settings, f.err(r.Code)
 }
 
@@ -102,8 +102,8 @@
 	f := r.fields()
 	number = f.u16()
 	count := f.u32()
-	if f.cutOff || uint64(count)*listEntrySize > uint64(len(f.rest)) {
-		return 0, nil, fmt.Errorf("record %d: list has %d entries, but only %d bytes remain", r.Code, count, len(f.rest))
+	if f.truncated || uint64(count)*listEntrySize > uint64(len(f.rest)) {
+		return 0, nil, fmt.Errorf("record %d: list has %d entries, but %d bytes remain", r.Code, count, len(f.rest))
 	}
 	entries = make([]ListEntry, count)
 	for i := range entries {
--- a/internal/wire/form_test.go
+++ b/internal/wire/form_test.go
@@ -67,13 +67,14 @@
 		e803 16000000 01000000 02000000 010203040506 fca9f1d24d6250bf
 		4c04 05000000 01000000 00
 		0604 09000000 01000000 ffffffff ff`
-	if got := reply.Bytes(); !bytes.Equal(got, unhex(t, want)) {
+	if got := reply.Bytes(); !bytes.Equal(got, decodeHex(t, want)) {
 		t.Errorf("got reply %s, which differs from the expected frame", hex.EncodeToString(got))
 	}
 	reply.Begin(1)
 	reply.Log(1, strings.Repeat("x", 70_000))
 	got := reply.Bytes()
-	if head := got[12:24]; len(got) != 24+65535 || !bytes.Equal(head, unhex(t, "3804 05000100 01000000 ffff")) {
-		t.Errorf("long text: got %d bytes, record starts with %x; want 65559 bytes and a record size of 65541", len(got), head)
+	if head := got[12:24]; len(got) != 24+65535 || !bytes.Equal(head, decodeHex(t, "3804 05000100 01000000 ffff")) {
+		t.Errorf("long text: got %d bytes, record starts with %x; want 65559 bytes, record size 65541",
+			len(got), head)
 	}
 }
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -16,8 +16,8 @@
 	Fields []byte // valid as long as the Batch
 }
 
-// Next returns the first record of a body and the rest of the body.
-func Next(body []byte) (Record, []byte, error) {
+// NextRecord returns the first record of a body and the rest of the body.
+func NextRecord(body []byte) (Record, []byte, error) {
 	if len(body) < recordHeaderSize {
 		return Record{}, nil, fmt.Errorf("record header is truncated: only %d bytes remain", len(body))
 	}
@@ -25,7 +25,7 @@
 	size := binary.LittleEndian.Uint32(body[2:])
 	body = body[recordHeaderSize:]
 	if uint64(size) > uint64(len(body)) {
-		return Record{}, nil, fmt.Errorf("record %d: size is %d bytes, but only %d bytes remain", record.Code, size, len(body))
+		return Record{}, nil, fmt.Errorf("record %d: size is %d bytes, but %d remain", record.Code, size, len(body))
 	}
 	record.Fields = body[:size]
 	return record, body[size:], nil
@@ -33,9 +33,9 @@
 
 // fieldReader reads the fields of a record in order. After a truncated field, every further field is zero.
 type fieldReader struct {
-	rest   []byte
-	offset int // offset of the next field from the first field, in bytes
-	cutOff bool
+	rest      []byte
+	offset    int // offset of the next field from the first field, in bytes
+	truncated bool
 }
 
 // fields returns a reader that starts at the record's first field.
@@ -49,9 +49,9 @@
 	return f
 }
 
-func (f *fieldReader) take(size int) []byte {
-	if f.cutOff || size < 0 || size > len(f.rest) {
-		f.cutOff = true
+func (f *fieldReader) readBytes(size int) []byte {
+	if f.truncated || size < 0 || size > len(f.rest) {
+		f.truncated = true
 		return nil
 	}
 	field := f.rest[:size]
@@ -61,28 +61,28 @@
 }
 
 func (f *fieldReader) u8() uint8 {
-	if field := f.take(1); field != nil {
+	if field := f.readBytes(1); field != nil {
 		return field[0]
 	}
 	return 0
 }
 
 func (f *fieldReader) u16() uint16 {
-	if field := f.take(2); field != nil {
+	if field := f.readBytes(2); field != nil {
 		return binary.LittleEndian.Uint16(field)
 	}
 	return 0
 }
 
 func (f *fieldReader) u32() uint32 {
-	if field := f.take(4); field != nil {
+	if field := f.readBytes(4); field != nil {
 		return binary.LittleEndian.Uint32(field)
 	}
 	return 0
 }
 
 func (f *fieldReader) u64() uint64 {
-	if field := f.take(8); field != nil {
+	if field := f.readBytes(8); field != nil {
 		return binary.LittleEndian.Uint64(field)
 	}
 	return 0
@@ -95,7 +95,7 @@
 func (f *fieldReader) duration() time.Duration { return settings.Millis(f.f64()) }
 
 func (f *fieldReader) endpoint() Endpoint {
-	field := f.take(endpointSize)
+	field := f.readBytes(endpointSize)
 	if field == nil {
 		return 0
 	}
@@ -108,7 +108,7 @@
 func (f *fieldReader) loadReport() LoadReport {
 	var report LoadReport
 	count := int(f.u8())
-	field := f.take(4 * count)
+	field := f.readBytes(4 * count)
 	if field == nil {
 		return report
 	}
@@ -122,7 +122,7 @@
 // err returns an error with the offset of the truncated field, or nil if no field was truncated. As in the
 // protocol, the offset is counted from the start of the record, including its header.
 func (f *fieldReader) err(code EventCode) error {
-	if f.cutOff {
+	if f.truncated {
 		return fmt.Errorf("record %d: the field at byte %d is truncated", code, recordHeaderSize+f.offset)
 	}
 	return nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-func unhex(t testing.TB, text string) []byte {
+func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	decoded, err := hex.DecodeString(strings.NewReplacer(" ", "", "\n", "", "\t", "").Replace(text))
 	if err != nil {
@@ -24,7 +24,7 @@
 // firstRecord returns the first record of a body that is given in hexadecimal.
 func firstRecord(t testing.TB, text string) Record {
 	t.Helper()
-	record, _, err := Next(unhex(t, text))
+	record, _, err := NextRecord(decodeHex(t, text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 
 // The records are the examples of the protocol page.
 func TestReadBatch(t *testing.T) {
-	reader := NewReader(bytes.NewReader(unhex(t, `0c000000 03000000 4d000000 00000000206ec040
+	reader := NewReader(bytes.NewReader(decodeHex(t, `0c000000 03000000 4d000000 00000000206ec040
 		3804 27000000 03000000 c4913a5d 0100 640ad2557c3bf091 00000000 0000000000006e40 0000000000002840 00
 		2e04 0c000000 03000000 4d00000000000000
 		4204 08000000 05000000 192b6f0e`)))
@@ -41,7 +41,7 @@
 	if err != nil || batch.Number != 12 || batch.Records != 3 || batch.Clock != 8412250*time.Microsecond {
 		t.Fatalf("got batch %+v, error %v; want batch 12 with 3 records at 8412.25 ms, no error", batch, err)
 	}
-	record, rest, err := Next(batch.Body)
+	record, rest, err := NextRecord(batch.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,11 +53,11 @@
 	if err != nil || request != want {
 		t.Fatalf("got request %+v, error %v; want %+v, no error", request, err, want)
 	}
-	record, rest, _ = Next(rest)
+	record, rest, _ = NextRecord(rest)
 	if token, err := record.TimerToken(); err != nil || token != 77 {
 		t.Fatalf("got token %d, error %v; want 77, no error", token, err)
 	}
-	record, rest, _ = Next(rest)
+	record, rest, _ = NextRecord(rest)
 	id, err := record.RequestID()
 	if instance, _ := record.Instance(); err != nil || id != 0x0e6f2b19 || instance != 5 || len(rest) != 0 {
 		t.Fatalf("got request %x of instance %d, error %v, %d bytes left; want e6f2b19 of 5, no error, 0 bytes",
@@ -90,10 +90,10 @@
 		t.Fatalf("got probe %+v, error %v; want it served by the second entry's endpoint", probe, err)
 	}
 	report := probe.LoadReport
-	if report.Count != 4 || report.Values[3] != 7 || report.Policy(3).InFlight != 7 {
+	if report.Count != 4 || report.Values[3] != 7 || report.ToPolicy(3).InFlight != 7 {
 		t.Fatalf("got load report %+v, want 4 values, the last one 7 requests in flight", report)
 	}
-	if report.Policy(-1).InFlight != -1 || (LoadReport{}).Policy(3).InFlight != -1 {
+	if report.ToPolicy(-1).InFlight != -1 || (LoadReport{}).ToPolicy(3).InFlight != -1 {
 		t.Fatal("load report without a number of requests in flight: InFlight is not -1")
 	}
 	update, err := firstRecord(t, "1a04 0b000000 03000000 03 29000000 0700").EndpointUpdate()
@@ -116,7 +116,7 @@
 	reply.Watch(3, true)
 	reply.Probe(3, to)
 	reply.Fault(3, "index out of range")
-	want := unhex(t, `0c000000 bf000000 09000000
+	want := decodeHex(t, `0c000000 bf000000 09000000
 		e803 16000000 03000000 c4913a5d 0a124a07 931f 0000000000005440
 		1004 14000000 03000000 0000000000407f40 4d00000000000000
 		3804 17000000 03000000 1100 74776f2073657276657273206b6e6f776e
@@ -130,13 +130,13 @@
 		t.Fatalf("got reply\n%x\nwant\n%x", got, want)
 	}
 	reply.Begin(1)
-	if got := reply.Bytes(); !bytes.Equal(got, unhex(t, "01000000 00000000 00000000")) {
+	if got := reply.Bytes(); !bytes.Equal(got, decodeHex(t, "01000000 00000000 00000000")) {
 		t.Fatalf("got empty reply %x, want 010000000000000000000000", got)
 	}
 }
 
-// frame encodes a batch whose header may contradict its body.
-func frame(records, size uint32, clock float64, body string) []byte {
+// encodeBatch encodes a batch whose header may contradict its body.
+func encodeBatch(records, size uint32, clock float64, body string) []byte {
 	encoded := binary.LittleEndian.AppendUint32(nil, 1)
 	encoded = binary.LittleEndian.AppendUint32(encoded, records)
 	encoded = binary.LittleEndian.AppendUint32(encoded, size)
@@ -147,11 +147,11 @@
 func TestMalformedFrames(t *testing.T) {
 	for name, input := range map[string][]byte{
 		"truncated header":      {1, 2, 3},
-		"truncated body":        frame(1, 100, 0, "short"),
-		"oversized":             frame(1, 1<<31, 0, ""),
-		"large and truncated":   frame(1, maxBodySize, 0, "short"),
-		"more records than fit": frame(100, 6, 0, "abcdef"),
-		"clock not a number":    frame(0, 0, math.NaN(), ""),
+		"truncated body":        encodeBatch(1, 100, 0, "short"),
+		"oversized":             encodeBatch(1, 1<<31, 0, ""),
+		"large and truncated":   encodeBatch(1, maxBodySize, 0, "short"),
+		"more records than fit": encodeBatch(100, 6, 0, "abcdef"),
+		"clock not a number":    encodeBatch(0, 0, math.NaN(), ""),
 	} {
 		if _, err := NewReader(bytes.NewReader(input)).ReadBatch(); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("%s: got error %v, want an error other than io.EOF", name, err)
@@ -164,7 +164,7 @@
 		"truncated record header": "e803",
 		"size beyond the body":    "e803 ff000000 03000000",
 	} {
-		if _, _, err := Next(unhex(t, input)); err == nil {
+		if _, _, err := NextRecord(decodeHex(t, input)); err == nil {
 			t.Errorf("%s: got no error, want an error", name)
 		}
 	}
@@ -192,15 +192,15 @@
 }
 
 func FuzzReader(f *testing.F) {
-	f.Add(frame(1, 10, 1, "\x2e\x04\x04\x00\x00\x00\x01\x00\x00\x00"))
-	f.Add(frame(0, 0, 0, ""))
+	f.Add(encodeBatch(1, 10, 1, "\x2e\x04\x04\x00\x00\x00\x01\x00\x00\x00"))
+	f.Add(encodeBatch(0, 0, 0, ""))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		batch, err := NewReader(bytes.NewReader(data)).ReadBatch()
 		if err != nil {
 			return
 		}
 		for body := batch.Body; len(body) > 0; {
-			record, rest, err := Next(body)
+			record, rest, err := NextRecord(body)
 			if err != nil {
 				return
 			}
--- a/resolver/resolver_test.go
+++ b/resolver/resolver_test.go
@@ -12,14 +12,16 @@
 	responseTime func(startedAt time.Duration) time.Duration // response time of a call that starts at startedAt
 }
 
-// constant returns a service with the same response time for all calls.
-func constant(responseTime time.Duration) service {
+// fixedResponseTime returns a service with the same response time for all calls.
+func fixedResponseTime(responseTime time.Duration) service {
 	return service{func(time.Duration) time.Duration { return responseTime }}
 }
 
-// run performs the calls of a Schedule until the first response. It returns the time of that response, or -1
-// if there was none before the limit, and the number of calls that were started.
-func (svc service) run(t *testing.T, schedule *Schedule, limit time.Duration) (respondedAt time.Duration, calls int) {
+// callUntilResponse performs the calls of a Schedule until the first response. It returns the time of that
+// response, or -1 if there was none before the limit, and the number of calls that were started.
+func (svc service) callUntilResponse(
+	t *testing.T, schedule *Schedule, limit time.Duration,
+) (respondedAt time.Duration, calls int) {
 	t.Helper()
 	responseAt := make(map[CallID]time.Duration)
 	for now := time.Duration(0); now < limit; {
@@ -70,7 +72,8 @@
 		for _, hasList := range []bool{true, false} {
 			for _, responseTime := range responseTimes {
 				for seed := range uint64(20) {
-					respondedAt, calls := constant(responseTime).run(t, newSchedule(config, hasList, seed), 5*time.Minute)
+					respondedAt, calls := fixedResponseTime(responseTime).callUntilResponse(
+						t, newSchedule(config, hasList, seed), 5*time.Minute)
 					delayed := responseTime <= config.CallTimeout && respondedAt != responseTime
 					if respondedAt < 0 || delayed || respondedAt > 3*responseTime+config.MaxCallTimeout {
 						t.Errorf("%s, has list %v, response time %v: got first response at %v after %d calls (seed %d)",
@@ -106,9 +109,9 @@
 					}
 					return tt.responseTime
 				}}
-				respondedAt, _ := svc.run(t, newSchedule(tt.config, true, seed), time.Hour)
+				respondedAt, _ := svc.callUntilResponse(t, newSchedule(tt.config, true, seed), time.Hour)
 				if respondedAt < recoveredAt || respondedAt > recoveredAt+tt.within {
-					t.Fatalf("service recovered at %v: got first response at %v, which is too late or too early (seed %d)",
+					t.Fatalf("service recovered at %v: got first response at %v, too early or too late (seed %d)",
 						recoveredAt, respondedAt, seed)
 				}
 			}
@@ -125,7 +128,7 @@
 	}{{ForPushedLists(), true, 601}, {ForPolledLists(), true, 175}, {ForPolledLists(), false, 40}} {
 		t.Run(fmt.Sprint(tt.config.HedgeAfter, tt.hasList), func(t *testing.T) {
 			schedule := newSchedule(tt.config, tt.hasList, 1)
-			if _, calls := constant(time.Hour).run(t, schedule, 10*time.Minute); calls > tt.maxCalls {
+			if _, calls := fixedResponseTime(time.Hour).callUntilResponse(t, schedule, 10*time.Minute); calls > tt.maxCalls {
 				t.Errorf("got %d calls in 10 minutes, want at most maxCalls of the test case", calls)
 			}
 		})
