--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -205,6 +205,8 @@
 	return stream
 }
 
+// Events and update kinds of a later protocol version, and events for an unknown instance, must not end the
+// program or cause an action.
 func TestUnknownRecordsAreIgnored(t *testing.T) {
 	all := replyActions(t, encodeBatch(1, 0, encodeRecord(4711, uint32(9), "anything"), instanceStarted(1, 5),
 		encodeRecord(wire.EventPeerMessage, uint32(1), uint32(2), uint16(0)), endpointList(0, 7),
--- a/internal/core/endpoint_table_test.go
+++ b/internal/core/endpoint_table_test.go
@@ -8,6 +8,8 @@
 	"mothridge/policy"
 )
 
+// An entry without a name or with an invalid address must not reach the table, where it would get an upstream
+// without a usable address. The other entries of the update must still be applied.
 func TestUnusableEntriesAreIgnored(t *testing.T) {
 	core := newTestCore(t)
 	core.updateEndpoints(policy.FullUpdate, EndpointUpdate{Complete: true, Endpoints: []Endpoint{
@@ -23,6 +25,8 @@
 	}
 }
 
+// An endpoint must keep its ID when it moves, drains or is removed, and endpoints without a cell must not share
+// one.
 func TestEntriesBecomePolicyEndpoints(t *testing.T) {
 	core := newTestCore(t)
 	upsert := func(entry Endpoint) policy.Endpoint {
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -27,7 +27,7 @@
 const (
 	notPrevented              preventReason = iota
 	preventDraining                         // Draining
-	preventClientDisconnected               // ClientGone
+	preventClientDisconnected               // ClientDisconnected
 	preventCompleted                        // Responded
 	preventDedupWindow                      // DedupWindow
 	preventReasonCount
@@ -35,10 +35,10 @@
 
 // PreventedSends counts the attempts that the guard prevented, by reason.
 type PreventedSends struct {
-	Draining    uint64 `metric:"draining"` // the endpoint is draining or was removed
-	ClientGone  uint64 `metric:"left"`     // the client has disconnected
-	Responded   uint64 `metric:"answered"` // the request already has its response
-	DedupWindow uint64 `metric:"window"`   // the deduplication window of an earlier attempt has ended
+	Draining           uint64 `metric:"draining"` // the endpoint is draining or was removed
+	ClientDisconnected uint64 `metric:"left"`     // the client has disconnected
+	Responded          uint64 `metric:"answered"` // the request already has its response
+	DedupWindow        uint64 `metric:"window"`   // the deduplication window of an earlier attempt has ended
 }
 
 // preventedCounters counts prevented attempts by preventReason.
@@ -47,10 +47,10 @@
 // PreventedSends returns the counts since the Core was created. It may be called from any goroutine.
 func (c *Core) PreventedSends() PreventedSends {
 	return PreventedSends{
-		Draining:    c.prevented[preventDraining].Load(),
-		ClientGone:  c.prevented[preventClientDisconnected].Load(),
-		Responded:   c.prevented[preventCompleted].Load(),
-		DedupWindow: c.prevented[preventDedupWindow].Load(),
+		Draining:           c.prevented[preventDraining].Load(),
+		ClientDisconnected: c.prevented[preventClientDisconnected].Load(),
+		Responded:          c.prevented[preventCompleted].Load(),
+		DedupWindow:        c.prevented[preventDedupWindow].Load(),
 	}
 }
 
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -44,8 +44,8 @@
 		{
 			name:       "client disconnected",
 			before:     func(_ *Core, m *Message) { m.guard.request.history.complete(longAgo, true) },
-			prevented:  PreventedSends{ClientGone: 1},
-			violations: Violations{SentAfterClientGone: 1},
+			prevented:  PreventedSends{ClientDisconnected: 1},
+			violations: Violations{SentAfterDisconnect: 1},
 		},
 		{
 			name:       "response given",
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -28,7 +28,7 @@
 	// Attempts that started later than Config.DrainGrace after their endpoint began to drain.
 	SentToDraining uint64 `metric:"sent_to_draining"`
 	// Attempts that started after their client had disconnected.
-	SentAfterClientGone uint64 `metric:"sent_for_left"`
+	SentAfterDisconnect uint64 `metric:"sent_for_left"`
 	// Attempts that started after their request had its response.
 	SentAfterResponse uint64 `metric:"sent_after_answer"`
 	// Retries of requests that are not idempotent although an earlier attempt may have been executed.
@@ -44,9 +44,9 @@
 // invariantCounters counts invariant violations. The event loop and the goroutines of attempts increment
 // the counters.
 type invariantCounters struct {
-	startedWhileDraining    atomic.Uint64
-	startedAfterDisconnect  atomic.Uint64
-	startedAfterResponse    atomic.Uint64
+	sentToDraining          atomic.Uint64
+	sentAfterDisconnect     atomic.Uint64
+	sentAfterResponse       atomic.Uint64
 	retriedNotIdempotent    atomic.Uint64
 	retriedAfterDedupWindow atomic.Uint64
 	timeoutTooLong          atomic.Uint64
@@ -57,9 +57,9 @@
 func (c *Core) Violations() Violations {
 	counters := &c.invariants
 	return Violations{
-		SentToDraining:          counters.startedWhileDraining.Load(),
-		SentAfterClientGone:     counters.startedAfterDisconnect.Load(),
-		SentAfterResponse:       counters.startedAfterResponse.Load(),
+		SentToDraining:          counters.sentToDraining.Load(),
+		SentAfterDisconnect:     counters.sentAfterDisconnect.Load(),
+		SentAfterResponse:       counters.sentAfterResponse.Load(),
 		RetriedNotIdempotent:    counters.retriedNotIdempotent.Load(),
 		RetriedAfterDedupWindow: counters.retriedAfterDedupWindow.Load(),
 		TimeoutTooLong:          counters.timeoutTooLong.Load(),
@@ -95,7 +95,7 @@
 	}
 	drainingFor := g.core.clock.at(now) - unavailableSince
 	if drainingFor > g.core.config.DrainGrace+schedulingTolerance {
-		reportViolation(&g.core.invariants.startedWhileDraining, "sent_to_draining", g.request.ID)
+		reportViolation(&g.core.invariants.sentToDraining, "sent_to_draining", g.request.ID)
 	}
 }
 
@@ -125,9 +125,9 @@
 		return
 	}
 	if clientDisconnected {
-		reportViolation(&g.core.invariants.startedAfterDisconnect, "sent_for_left", g.request.ID)
+		reportViolation(&g.core.invariants.sentAfterDisconnect, "sent_for_left", g.request.ID)
 	} else {
-		reportViolation(&g.core.invariants.startedAfterResponse, "sent_after_answer", g.request.ID)
+		reportViolation(&g.core.invariants.sentAfterResponse, "sent_after_answer", g.request.ID)
 	}
 }
 
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -32,7 +32,7 @@
 	Number  uint32
 	Records uint32
 	Clock   time.Duration
-	Body    []byte // the encoded records, to be read with Next; valid until the next ReadBatch
+	Body    []byte // the encoded records, to be read with NextRecord; valid until the next ReadBatch
 }
 
 // Reader reads batches from a stream. It is not safe for concurrent use.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -159,6 +159,8 @@
 	}
 }
 
+// A wrong size or count in a record must cause an error, not a panic or a large allocation. A field that a later
+// version of the protocol has appended must be ignored.
 func TestMalformedRecords(t *testing.T) {
 	for name, input := range map[string]string{
 		"truncated record header": "e803",
