--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -9,10 +9,10 @@
 	"mothridge/policy"
 )
 
-// host holds the instances of this process and what they share.
+// host holds the instances of this process and the state that they share.
 type host struct {
 	reply     wire.Reply
-	lists     map[uint16][]policy.Endpoint // by number, which is used again
+	lists     map[uint16][]policy.Endpoint // by list number; a later list may reuse the number
 	instances map[uint32]*instance
 }
 
@@ -20,33 +20,34 @@
 	return &host{lists: make(map[uint16][]policy.Endpoint), instances: make(map[uint32]*instance)}
 }
 
-// answer hands the events of a batch to their instances, in order, and returns the reply.
-// It is valid until the next call.
-func (h *host) answer(batch wire.Batch) ([]byte, error) {
+// handleBatch passes the events of a batch to their instances, in order, and returns the encoded reply. The
+// returned slice is valid until the next call.
+func (h *host) handleBatch(batch wire.Batch) ([]byte, error) {
 	h.reply.Begin(batch.Number)
 	body := batch.Body
 	for range batch.Records {
-		record, rest, err := wire.Next(body)
+		record, rest, err := wire.NextRecord(body)
 		if err != nil {
 			return nil, err
 		}
 		body = rest
-		if err := h.event(batch.Clock, record); err != nil {
+		if err := h.handleEvent(batch.Clock, record); err != nil {
 			return nil, err
 		}
 	}
 	if len(body) > 0 {
-		return nil, fmt.Errorf("%d bytes behind the last record", len(body))
+		return nil, fmt.Errorf("%d bytes follow the last record", len(body))
 	}
 	return h.reply.Bytes(), nil
 }
 
-// event handles one event. A code of a later version is ignored.
-func (h *host) event(now time.Duration, record wire.Record) error {
+// handleEvent handles one event. It ignores an unknown event code, as a later version of the protocol may have
+// added the code.
+func (h *host) handleEvent(now time.Duration, record wire.Record) error {
 	if record.Code == wire.EventEndpointList {
-		return h.endpointList(record)
+		return h.storeEndpointList(record)
 	}
-	if !forInstance(record.Code) {
+	if !isInstanceEvent(record.Code) {
 		return nil
 	}
 	number, err := record.Instance()
@@ -55,27 +56,27 @@
 	}
 	switch record.Code {
 	case wire.EventInstanceStarted:
-		return h.start(now, number, record)
+		return h.startInstance(now, number, record)
 	case wire.EventInstanceStopped:
 		delete(h.instances, number)
 		return nil
 	default:
-		return h.instanceEvent(now, number, record)
+		return h.handleInstanceEvent(now, number, record)
 	}
 }
 
-// instanceEvent hands an event to its instance. One that is not running may take no
-// action.
-func (h *host) instanceEvent(now time.Duration, number uint32, record wire.Record) error {
+// handleInstanceEvent passes an event to its instance. It ignores events for an instance that is not running, as
+// such an instance must not perform any action.
+func (h *host) handleInstanceEvent(now time.Duration, number uint32, record wire.Record) error {
 	i := h.instances[number]
 	if i == nil || i.balancer == nil {
 		return nil
 	}
-	return i.event(now, record)
+	return i.handleEvent(now, record)
 }
 
-// forInstance reports whether an event is for an instance and is of use to it.
-func forInstance(code wire.EventCode) bool {
+// isInstanceEvent reports whether an event is addressed to an instance and is one that the instance handles.
+func isInstanceEvent(code wire.EventCode) bool {
 	switch code {
 	case wire.EventInstanceStarted, wire.EventInstanceStopped, wire.EventEndpointUpdate,
 		wire.EventRequestReceived, wire.EventAttemptEnded, wire.EventResponseStarted,
@@ -86,18 +87,18 @@
 	}
 }
 
-// endpointList keeps a list for the updates that refer to it.
-func (h *host) endpointList(record wire.Record) error {
+// storeEndpointList stores an endpoint list for later updates that refer to it by its number.
+func (h *host) storeEndpointList(record wire.Record) error {
 	number, entries, err := record.EndpointList()
 	if err != nil {
 		return err
 	}
-	h.lists[number] = endpoints(entries)
+	h.lists[number] = policyEndpoints(entries)
 	return nil
 }
 
-// start starts an instance anew.
-func (h *host) start(now time.Duration, number uint32, record wire.Record) error {
+// startInstance starts an instance. It replaces the instance that had the same number before.
+func (h *host) startInstance(now time.Duration, number uint32, record wire.Record) error {
 	seed, text, err := record.InstanceStarted()
 	if err != nil {
 		return err
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -7,19 +7,20 @@
 	"mothridge/policy"
 )
 
-// guardedMessage returns the message of an attempt, as a transport has it, of a request whose class
-// has an idempotency and a deduplication window of 1 s.
+// guardedMessage returns an attempt's message, as passed to a transport. The class of its request has the
+// given idempotency and a deduplication window of 1 s.
 func guardedMessage(t *testing.T, idempotency policy.Idempotency) (*Core, *Message) {
 	t.Helper()
-	core := newTestCore(t, upEndpoint("s-1", "127.0.0.1:7"))
+	core := newTestCore(t, readyEndpoint("s-1", "127.0.0.1:7"))
 	core.config.Policy.Classes = []policy.Class{{Idempotency: idempotency, DedupWindow: time.Second}}
 	request := &Request{ID: "r", Deadline: time.Now().Add(time.Second)}
 	guard := &attemptGuard{core: core, request: request, endpoint: core.endpoints.byName["s-1"]}
 	return core, &Message{guard: guard}
 }
 
-// What happened since the Balancer decided keeps an attempt from being started; the invariant checks
-// report one that is started nevertheless.
+// The guard prevents an attempt whose endpoint, client, request or write deadline no longer allows it,
+// although the Balancer has decided to start it. The invariant checks report an attempt that is started
+// nevertheless.
 func TestGuardAndInvariantChecks(t *testing.T) {
 	now := time.Now()
 	longAgo := now.Add(-time.Minute)
@@ -35,7 +36,7 @@
 		{
 			name: "draining",
 			before: func(core *Core, m *Message) {
-				m.guard.endpoint.close(core.clock.at(longAgo))
+				m.guard.endpoint.markUnavailable(core.clock.at(longAgo))
 			},
 			prevented:  PreventedSends{Draining: 1},
 			violations: Violations{SentToDraining: 1},
@@ -43,8 +44,8 @@
 		{
 			name:       "client disconnected",
 			before:     func(_ *Core, m *Message) { m.guard.request.history.complete(longAgo, true) },
-			prevented:  PreventedSends{ClientGone: 1},
-			violations: Violations{SentAfterClientGone: 1},
+			prevented:  PreventedSends{ClientDisconnected: 1},
+			violations: Violations{SentAfterDisconnect: 1},
 		},
 		{
 			name:       "response given",
@@ -94,15 +95,15 @@
 				tt.before(core, message)
 			}
 			if got, want := message.AllowSend(now), tt.prevented == (PreventedSends{}); got != want {
-				t.Errorf("AllowSend is %v, want %v", got, want)
+				t.Errorf("AllowSend: got %v, want %v", got, want)
 			}
-			message.AllowSend(now) // counted once
+			message.AllowSend(now) // a second call is not counted again
 			if got := core.PreventedSends(); got != tt.prevented {
-				t.Errorf("prevented %+v, want %+v", got, tt.prevented)
+				t.Errorf("prevented sends: got %+v, want %+v", got, tt.prevented)
 			}
 			message.SendCompleted(now, tt.statedTimeout)
 			if got := core.Violations(); got != tt.violations {
-				t.Errorf("violations %+v, want %+v", got, tt.violations)
+				t.Errorf("violations: got %+v, want %+v", got, tt.violations)
 			}
 		})
 	}
