--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,4 +1,5 @@
-// Events in: the Balancer, and the way of each event through the decisions.
+// The Balancer and its event methods. Each method updates the state and then calls the decisions
+// that the event can change.
 
 package policy
 
@@ -9,46 +10,47 @@
 )
 
 const (
-	busyInterval = 10 * time.Millisecond  // between two checks of the open requests
-	idleInterval = 100 * time.Millisecond // between two timers when none is open
+	busyInterval = 10 * time.Millisecond  // time between two checks of the open requests
+	idleInterval = 100 * time.Millisecond // time between two timers while no request is open
 )
 
-// Balancer makes the decisions of one sidecar.
+// Balancer makes the decisions of one sidecar. Its methods must not be called concurrently.
 type Balancer struct {
 	cfg          Config
 	host         Host
 	random       *rand.Rand
 	counters     Counters
-	reason       Reason        // of the rejection or failure under way
-	timerAt      time.Duration // earliest timer that is set; 0: none
+	reason       Reason        // passed by the call of Host.Reject or Host.Fail in progress
+	timerAt      time.Duration // time of the earliest timer that is set; 0 if none is set
 	shuttingDown bool
 
 	classes         []classState
-	smoothedLatency time.Duration // of all classes
-	meanObjective   float64       // latency objective, in seconds, mean of the classes
+	smoothedLatency time.Duration // of served attempts of all classes
+	meanObjective   float64       // mean latency objective of the classes, in seconds
 
 	requests         map[RequestID]*requestState
-	open             []*requestState // in order of arrival; TimerFired removes the completed ones
+	open             []*requestState // in order of arrival; TimerFired removes completed requests
 	load             recentLoad
-	requestsReceived int // without those that are not acceptable
+	requestsReceived int // number of requests received, except invalid requests
 
-	bulkheads     []bulkhead // by tenant
-	firstBulkhead int        // whose queue was dispatched first the last time
-	totalSlots    int        // of all bulkheads
-	totalShare    float64    // of all tenants
-	totalQuota    float64    // of all tenants, in requests a second of the fleet
-	fleetInFlight float64    // attempts of the fleet in flight while traffic is at the quotas
+	bulkheads     []bulkhead // indexed by tenant
+	firstBulkhead int        // index of the bulkhead whose queue dispatchQueued handled first last time
+	totalSlots    int        // slots of all bulkheads
+	totalShare    float64    // sum of Tenant.Share of all tenants
+	totalQuota    float64    // sum of Tenant.Quota of all tenants, in requests per second of the fleet
+	fleetInFlight float64    // expected attempts in flight of the fleet while all tenants use their full quotas
 
-	endpoints     []*endpointState // in the order in which the list first named them
+	endpoints     []*endpointState // in the order in which they first appeared in the list
 	endpointsByID map[EndpointID]*endpointState
-	justStarted   []*endpointState // of the update under way
+	justStarted   []*endpointState // endpoints that the update in progress reports as just started
 	weights       endpointWeights
-	lowTraffic    bool          // too little own traffic to learn the state of endpoints from it
-	nextWatchAt   time.Duration // next watch request; 0: none is due
-	watchFailures int           // in a row
+	lowTraffic    bool          // the balancer's own traffic is too low to show the state of the endpoints
+	nextWatchAt   time.Duration // time of the next watch request; 0 if none is scheduled
+	watchFailures int           // consecutive failed watch requests
 }
 
-// New makes a Balancer, or an error that names the unusable field. Same seed and events give same actions.
+// New returns a Balancer, or an error that names the invalid field of the configuration. A Balancer with the
+// same configuration and seed that receives the same events takes the same actions.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -74,7 +76,7 @@
 	return b, nil
 }
 
-// Start must be the first event.
+// Start begins the operation of the Balancer. The program must call it before any other event method.
 func (b *Balancer) Start(now time.Duration) {
 	if b.cfg.WatchOnRequest {
 		b.requestWatch(now)
@@ -82,9 +84,10 @@
 	b.setTimer(now, idleInterval)
 }
 
-// RequestReceived takes a request. It is answered exactly once before its timeout is up: by the AttemptEnded
-// that completes it, or by Host.Reject or Host.Fail, maybe from within this call. One whose ID is still held
-// is ignored; one with an unknown class or tenant, or with no time left, is rejected at once.
+// RequestReceived handles a request from a client. The request is answered exactly once, before its timeout
+// expires: by the AttemptEnded event that completes it, or by Host.Reject or Host.Fail, possibly from within
+// this call. A request with the ID of another request that is not finished is ignored. A request with an
+// unknown class or tenant, or without time left, is rejected at once, as is any request after Shutdown.
 func (b *Balancer) RequestReceived(now time.Duration, received Request) {
 	if _, held := b.requests[received.ID]; held {
 		return
@@ -102,7 +105,8 @@
 	b.admit(now, request)
 }
 
-// AttemptEnded takes the end of an attempt. An unknown attempt, or one that has ended before, is ignored.
+// AttemptEnded handles the end of an attempt. The outcome of an unknown attempt, or of an attempt that has
+// already ended, is ignored.
 func (b *Balancer) AttemptEnded(now time.Duration, outcome AttemptOutcome) {
 	request := b.requests[outcome.ID]
 	if request == nil || !request.isInFlight(outcome.Attempt) {
@@ -125,14 +129,15 @@
 	b.dispatchQueued(now)
 }
 
-// ResponseStarted says that the client is getting the response: no retry and no other answer from then on.
+// ResponseStarted handles the start of the response to the client. From then on the request is neither
+// retried nor rejected or failed.
 func (b *Balancer) ResponseStarted(id RequestID) {
 	if request := b.requests[id]; request != nil {
 		request.streaming = true
 	}
 }
 
-// ClientDisconnected says that the client no longer waits: the request gets no answer.
+// ClientDisconnected handles the disconnect of a client that no longer waits. The request gets no response.
 func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	if request := b.requests[id]; request != nil && !request.completed {
 		b.complete(request)
@@ -140,7 +145,7 @@
 	}
 }
 
-// EndpointsUpdated takes an update of the endpoint list.
+// EndpointsUpdated handles an update of the endpoint list, or a failed watch.
 func (b *Balancer) EndpointsUpdated(now time.Duration, kind UpdateKind, entries []Endpoint) {
 	if kind == FailedUpdate {
 		b.watchFailed(now)
@@ -153,7 +158,8 @@
 	b.dispatchQueued(now)
 }
 
-// ProbeCompleted takes the result of a probe: whether the endpoint is fine, and its load report, if any.
+// ProbeCompleted handles the result of a probe: ok says whether the endpoint is healthy, and report is its
+// load report, with a negative number if the probe returned no load report.
 func (b *Balancer) ProbeCompleted(now time.Duration, id EndpointID, ok bool, report LoadReport) {
 	endpoint := b.endpointsByID[id]
 	if endpoint == nil {
@@ -166,22 +172,24 @@
 		return
 	}
 	if !ok {
-		b.recordFailure(now, endpoint) // only a served attempt ends the ejection
+		b.recordFailure(now, endpoint) // a successful probe does not end an ejection; only a served attempt does
 	}
 	b.onProbeResult(now, endpoint, ok, report)
 }
 
-// ProbeNotSent says that a probe failed for a reason of this machine, not of the endpoint.
+// ProbeNotSent handles a probe that failed for a reason on this machine, which says nothing about the
+// endpoint.
 func (b *Balancer) ProbeNotSent(now time.Duration, id EndpointID) {
 	if endpoint := b.endpointsByID[id]; endpoint != nil && len(endpoint.probeWaiters) > 0 {
 		b.onProbeResult(now, endpoint, false, unknownLoad)
 	}
 }
 
-// TimerFired says that a timer of Host.SetTimer is due. A call without a timer is harmless.
+// TimerFired handles a timer set by Host.SetTimer that is due. A call before the earliest timer is due has
+// no effect.
 func (b *Balancer) TimerFired(now time.Duration) {
 	if now < b.timerAt {
-		return // superseded: the next timer is still to come
+		return // a superseded timer: the timer that is set is due later
 	}
 	if b.watchDue(now) {
 		b.requestWatch(now)
@@ -195,7 +203,8 @@
 	b.setTimer(now, idleInterval)
 }
 
-// Shutdown answers all requests that are held and not streaming, and rejects all later ones.
+// Shutdown rejects or fails all open requests whose responses have not started, and rejects all requests
+// that arrive later.
 func (b *Balancer) Shutdown() {
 	b.shuttingDown = true
 	for _, request := range b.open {
@@ -224,7 +233,8 @@
 	b.open = slices.DeleteFunc(b.open, func(request *requestState) bool { return request.completed })
 }
 
-// waitMustEnd says that the deadline has come, or that the request waits and no attempt is of use any more.
+// waitMustEnd reports whether a request must be rejected or failed now: its deadline has passed, or it waits
+// without an attempt in flight and a further attempt could not start in time or is not allowed.
 func (b *Balancer) waitMustEnd(now time.Duration, request *requestState) bool {
 	if now >= request.deadline {
 		return true
@@ -232,6 +242,6 @@
 	if request.inFlight > 0 {
 		return false
 	}
-	nextCheck := now + 2*max(busyInterval, b.cfg.EventResolution) // at the latest
+	nextCheck := now + 2*max(busyInterval, b.cfg.EventResolution) // latest time of the next check
 	return nextCheck > request.deadline || now >= request.startDeadline() || !request.mayRunAgain(now)
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -3,35 +3,35 @@
 // request is rejected or failed.
 //
 // A Balancer is a deterministic state machine: it starts no goroutine, reads no clock and
-// does no I/O. The program that embeds it calls one method for each event and passes the
-// time; the Balancer acts through the Host that it was given. The methods must be called
-// from one goroutine at a time. Times are durations since any moment that the program
-// chooses, and must not decrease from call to call.
+// does no I/O. The program that embeds the Balancer calls one method for each event and passes
+// the current time. The Balancer acts by calling the methods of the Host that New received. The
+// methods of a Balancer must not be called concurrently. Times are durations since a moment that
+// the program chooses, and must not decrease from call to call.
 //
-// Each file holds one concern. The interface:
+// Each file covers one concern. The files of the interface are:
 //
 //	config.go             configuration
-//	events.go             what the events bring: requests, attempts' results, endpoints
-//	host.go               actions out
-//	reason.go             why a request was given up
+//	events.go             data of the events: requests, results of attempts, endpoints, load reports
+//	host.go               the interface through which the Balancer acts
+//	reason.go             why a request was rejected or failed
 //	stats.go              counters and free capacity, for logs and metrics
 //
-// The decisions, which deploy/balancer.toml lists:
+// The files with the decisions, which deploy/balancer.toml lists, are:
 //
-//	balancer.go           events in: each event's way through the decisions
-//	admission.go          on arrival: which requests are accepted, and their timings
+//	balancer.go           the Balancer and its event methods, which call the decisions
+//	admission.go          which requests are admitted on arrival, and their deadlines
 //	load_shedding.go      which requests are rejected while too few succeed
 //	bulkhead.go           slots and queue of each tenant
-//	selection.go          smooth weighted round robin of the endpoints
-//	concurrency_limit.go  how many attempts an endpoint may hold
-//	load_report.go        how full an endpoint may be by what it reports
-//	probing.go            probes before dispatch, where traffic is low
-//	slow_start.go         spaced sends to an endpoint that has just started
-//	outlier_detection.go  ejection of endpoints that fail, and their trial requests
-//	guard.go              the rules that every attempt has to pass
-//	retry.go              further attempts, or how a request ends without one
-//	request.go            what is known of a request and its attempts
-//	endpoint_list.go      requests for the endpoint list, and its updates
+//	selection.go          choice of an endpoint by smooth weighted round robin
+//	concurrency_limit.go  how many attempts of this balancer an endpoint may have in flight
+//	load_report.go        limit on the load that an endpoint reports
+//	probing.go            probes before dispatch while traffic is low
+//	slow_start.go         minimum interval between attempts at an endpoint that has just started
+//	outlier_detection.go  ejection of failing endpoints, and their trial requests
+//	guard.go              the rules that every attempt must satisfy
+//	retry.go              whether a request is retried, and the response if it is not
+//	request.go            the state of a request and its attempts
+//	endpoint_list.go      watch requests, updates of the endpoint list, state of an endpoint
 //	weights.go            sums of the endpoints' weights
 //	start_time.go         when an endpoint last started
 package policy
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,11 +1,11 @@
-// What the events bring: requests, results of attempts, entries of the endpoint list and
-// load reports. The methods that take them are in balancer.go.
+// The data of events: requests, results of attempts, entries of the endpoint list and load
+// reports. The event methods of the Balancer are in balancer.go.
 
 package policy
 
 import "time"
 
-// RequestID names a request. The program picks it and never uses one twice.
+// RequestID identifies a request. The program chooses the ID and never uses it for two requests.
 type RequestID uint64
 
 // Request is one client request.
@@ -13,36 +13,37 @@
 	ID           RequestID
 	Class        int           // index into Config.Classes
 	Tenant       int           // index into Config.Tenants
-	Timeout      time.Duration // until the client gives up
-	ExpectedWork time.Duration // 0 where unknown
-	ClientRetry  bool          // marked by the client as a retry of its own
+	Timeout      time.Duration // time until the client gives up
+	ExpectedWork time.Duration // time that the endpoint is expected to work on the request; 0 if unknown
+	ClientRetry  bool          // the client marked the request as a retry
 }
 
-// AttemptOutcome is the end of one attempt.
+// AttemptOutcome describes the end of one attempt.
 type AttemptOutcome struct {
 	ID        RequestID
-	Attempt   int // numbered from 0 in the order of Host.Send for this request
+	Attempt   int // numbered from 0 in the order of the calls of Host.Send for this request
 	Result    AttemptResult
-	Completed bool // the client has its answer, or waits for none any more
+	Completed bool // the client has its response, or no longer waits for a response
 }
 
-// AttemptResult says how an attempt ended.
+// AttemptResult is how an attempt ended.
 type AttemptResult int
 
-// The results of an attempt. Rejected, ConnectionFailed and NotSent prove that it never
-// ran; after any other one, and after one not named here, it may have run.
+// The results of an attempt. Rejected, ConnectionFailed and NotSent prove that the endpoint did not
+// run the request and never will. After any other result, including a value that is not listed here,
+// the request may have run.
 const (
-	Served           AttemptResult = iota
-	ServerError                    // an error in response
-	Rejected                       // by the endpoint, before it ran
-	TimedOut                       // no response within its timeout
-	ConnectionFailed               // no connection, or it broke before the request was complete
-	ConnectionReset                // the connection broke later
-	Cancelled                      // by Host.Cancel
-	NotSent                        // for a reason of this machine
+	Served           AttemptResult = iota // the endpoint responded without an error
+	ServerError                           // the endpoint responded with an error
+	Rejected                              // the endpoint rejected the request before running it
+	TimedOut                              // no response arrived within the timeout of the attempt
+	ConnectionFailed                      // no connection, or it failed before the request was fully sent
+	ConnectionReset                       // the connection failed after the request was fully sent
+	Cancelled                             // ended by Host.Cancel
+	NotSent                               // not sent for a reason on this machine
 )
 
-// resultNames appear in logs and metrics.
+// resultNames are the names of the results in logs and metrics.
 var resultNames = [...]string{
 	Served:           "served",
 	ServerError:      "errored",
@@ -62,12 +63,12 @@
 	return resultNames[result]
 }
 
-// provesNotRun says that the endpoint has not started the request and never will.
+// provesNotRun reports whether the result proves that the endpoint has not run the request and never will.
 func (result AttemptResult) provesNotRun() bool {
 	return result == Rejected || result == ConnectionFailed || result == NotSent
 }
 
-// EndpointID names an endpoint; it stays the same when the endpoint restarts.
+// EndpointID identifies an endpoint. An endpoint keeps its ID when it restarts.
 type EndpointID uint64
 
 // Health is the state of an endpoint in the list.
@@ -75,38 +76,38 @@
 
 // The states of an endpoint.
 const (
-	Removed  Health = iota // gets nothing more and is forgotten
-	Draining               // finishes its requests and gets nothing more
-	Ready
+	Removed  Health = iota // gets no further attempts and is removed from the list
+	Draining               // finishes the requests in flight and gets no further attempts
+	Ready                  // may get attempts
 )
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID        EndpointID
 	Zone      int
-	Cell      int // endpoints of a cell drop repeats of each other's requests: ScopeCell
+	Cell      int // endpoints of one cell drop repeats of each other's requests (ScopeCell)
 	Health    Health
-	Weight    float64       // nominal size, relative to other endpoints; unless above 0 it counts as 1
-	StartedAt time.Duration // the last start, on the balancer's clock; 0 means long ago
+	Weight    float64       // size relative to other endpoints; counts as 1 unless finite and above 0
+	StartedAt time.Duration // time of the last start, on the balancer's clock; 0 means long ago
 }
 
-// UpdateKind says how the entries of an update of the list apply.
+// UpdateKind is how the entries of an update apply to the endpoint list.
 type UpdateKind int
 
-// The kinds of updates.
+// The kinds of updates of the endpoint list.
 const (
-	FullUpdate   UpdateKind = iota // all endpoints; one that is absent is removed
-	DeltaUpdate                    // only changed entries
-	CachedUpdate                   // all endpoints as last known, maybe outdated
-	FailedUpdate                   // a call failed or the watch ended; no entries
+	FullUpdate   UpdateKind = iota // all endpoints; an endpoint without an entry is removed
+	DeltaUpdate                    // changed endpoints only
+	CachedUpdate                   // all endpoints from a cache, possibly outdated
+	FailedUpdate                   // the watch request failed or the watch ended; no entries
 )
 
-// LoadReport is what an endpoint reports of itself. A negative number is unknown.
+// LoadReport is the load that an endpoint reports about itself. A negative number means unknown.
 type LoadReport struct {
-	InFlight float64 // requests that it holds, of all balancers
+	InFlight float64 // requests of all balancers that the endpoint is processing
 }
 
-// unknownLoad is the report of a probe that brought none.
+// unknownLoad stands for the load report of a probe that returned no load report.
 var unknownLoad = LoadReport{InFlight: -1}
 
 func (report LoadReport) known() bool { return report.InFlight >= 0 }
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -2,24 +2,24 @@
 
 package policy
 
-// Reason says why a request was rejected or failed.
+// Reason is the reason why a request was rejected or failed.
 type Reason int
 
-// The reasons.
+// The reasons for which a request is rejected or failed.
 const (
-	NoReason          Reason = iota
-	InvalidRequest           // unknown class or tenant, or no time left
-	TooLate                  // a response would come too late to have a value
-	LoadShedding             // too few recent requests met their objective
-	QueueFull                // and so are the slots of the bulkhead
-	AttemptsExhausted        // all attempts were used
-	RetryNotAllowed          // an attempt may have run and must not run again
-	QueueTimeout             // no slot or endpoint was free in time
-	ShuttingDown             // no request is accepted any more
-	ReasonCount              // the number of reasons
+	NoReason          Reason = iota // no request is being rejected or failed
+	InvalidRequest                  // the class or tenant is unknown, or no time is left
+	TooLate                         // a response would arrive too late to have a value
+	LoadShedding                    // too few recent requests met their latency objective
+	QueueFull                       // all slots of the bulkhead are in use and its queue is full
+	AttemptsExhausted               // all attempts are used, or the probes returned no result in time
+	RetryNotAllowed                 // an earlier attempt may have run, and the request must not run again
+	QueueTimeout                    // no slot or no endpoint became available in time
+	ShuttingDown                    // the Balancer accepts no requests after Shutdown
+	ReasonCount                     // the number of reasons
 )
 
-// reasonNames appear in logs and metrics.
+// reasonNames are the names of the reasons in logs and metrics.
 var reasonNames = [ReasonCount]string{
 	NoReason:          "none",
 	InvalidRequest:    "unknown_class",
@@ -35,6 +35,6 @@
 // String returns the name of the reason in logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Reason returns why the request is given up for which Host.Reject or Host.Fail is being
-// called. It is meant to be called from within those two.
+// Reason returns the reason for the call of Host.Reject or Host.Fail in progress. Host may call
+// Reason from within those two methods only.
 func (b *Balancer) Reason() Reason { return b.reason }
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,4 +1,5 @@
-// What is known of a request until its last attempt has ended. Times are on the balancer's clock.
+// The state of a request, which the Balancer keeps until the last attempt of the request has ended. Times
+// are on the balancer's clock.
 
 package policy
 
@@ -7,51 +8,54 @@
 	"time"
 )
 
-// classState is a class and what was learnt of it.
+// classState is a class with the latencies and timeouts observed in its requests.
 type classState struct {
 	Class
-	smoothedLatency time.Duration // of attempts that were served
-	usualTimeout    time.Duration // the longest of the recent requests
+	smoothedLatency time.Duration // of served attempts
+	usualTimeout    time.Duration // longest timeout of recent requests; decays
 }
 
-// requestState is a request that is held. It uses a slot while an attempt is in flight or it awaits probes.
+// requestState is a request that is not finished. The request uses a slot of its bulkhead while an attempt
+// is in flight or while the request waits for the results of probes.
 type requestState struct {
 	id       RequestID
 	class    *classState
 	bulkhead *bulkhead
 
-	deadline    time.Duration // the client gives up
-	usefulUntil time.Duration // a later response has no value, and attempts are given up
-	objectiveAt time.Duration // an earlier response has its full value
+	deadline    time.Duration // time at which the client gives up
+	usefulUntil time.Duration // a later response has no value, so attempts time out then
+	objectiveAt time.Duration // a response before this time has its full value
 
 	attempts  []attempt
-	inFlight  int  // attempts that have not ended
-	streaming bool // the response is being passed on to the client
-	completed bool // it has its answer or needs none; held until its attempts have ended
+	inFlight  int  // number of attempts that have not ended
+	streaming bool // the response to the client has started
+	completed bool // answered, or no answer is needed; kept until its attempts have ended
 
 	shed           bool    // rejected by load shedding
-	shedPreference float64 // how readily, relative to other requests
+	shedPreference float64 // how likely the request is to be shed, relative to other requests
 
 	awaitingProbes bool
-	probed         []*endpointState // all candidates so far
-	pendingProbes  int              // probes of the last candidates without a result
-	bestProbed     *endpointState   // the least loaded of the last candidates that responded, or nil
-	bestProbedLoad float64          // requests in flight there, for each unit of weight
-	probeDeadline  time.Duration    // when to dispatch to the best so far
+	probed         []*endpointState // all candidates probed so far
+	pendingProbes  int              // probes of the latest candidates that have no result yet
+	bestProbed     *endpointState   // least loaded of the latest candidates that responded, or nil
+	bestProbedLoad float64          // requests in flight at bestProbed per unit of weight
+	probeDeadline  time.Duration    // time at which to dispatch to the best candidate so far
 }
 
+// attempt is one attempt of a request.
 type attempt struct {
 	endpoint  *endpointState
 	startedAt time.Duration
 	ended     bool
-	neverRan  bool // proven by its result
+	neverRan  bool // its result proves that the endpoint did not run the request
 }
 
-// isInFlight says that an attempt of this number has started and not ended.
+// isInFlight reports whether the attempt with this number has started and not ended.
 func (r *requestState) isInFlight(number int) bool {
 	return number >= 0 && number < len(r.attempts) && !r.attempts[number].ended
 }
 
+// releaseAttempt marks an attempt as ended and frees its slot.
 func (r *requestState) releaseAttempt(a *attempt, result AttemptResult) {
 	a.ended = true
 	a.neverRan = result.provesNotRun()
@@ -60,7 +64,7 @@
 	r.bulkhead.inUse--
 }
 
-// firstThatMayHaveRun returns the first attempt that may have run or still may, or nil.
+// firstThatMayHaveRun returns the first attempt that may have run or may still run, or nil if there is none.
 func (r *requestState) firstThatMayHaveRun() *attempt {
 	for i := range r.attempts {
 		if !r.attempts[i].neverRan {
@@ -70,11 +74,11 @@
 	return nil
 }
 
-// hasUsed says that the request was attempted at an endpoint or probed for there.
+// hasUsed reports whether the request has had an attempt at an endpoint or has probed the endpoint.
 func (r *requestState) hasUsed(endpoint *endpointState) bool {
 	attempted := func(a attempt) bool { return a.endpoint == endpoint }
 	return slices.ContainsFunc(r.attempts, attempted) || slices.Contains(r.probed, endpoint)
 }
 
-// answered says that the request has its answer, or the answer has started.
+// answered reports whether the request is completed or its response has started.
 func (r *requestState) answered() bool { return r.completed || r.streaming }
