--- a/policy/config.go
+++ b/policy/config.go
@@ -1,5 +1,5 @@
-// The configuration: classes of requests, tenants, the fleet, and what the deployment
-// allows. Each cost is a share of the value of a served request, which is 1.
+// The configuration of a Balancer: classes of requests, tenants, the fleet, and the features that
+// the deployment allows. Each cost is a fraction of the value of a served request, which is 1.
 
 package policy
 
@@ -10,143 +10,154 @@
 	"time"
 )
 
-// Config holds the settings of a Balancer, which never change. New returns an error
-// for a value outside of its bounds.
+// Config holds the settings of a Balancer, which do not change after New. New returns an error
+// if a value is outside its bounds.
 type Config struct {
-	// FleetSize is the number of balancers that send to the same endpoints, this one
-	// included; at least 1. Budgets of the fleet are split evenly by it.
+	// FleetSize is the number of balancers that send to the same endpoints, including this
+	// balancer; at least 1. Each balancer gets an equal part of a budget of the whole fleet.
 	FleetSize int
 
-	// Zone is the zone of this balancer. Endpoints there are preferred where
-	// CrossZoneCost is above 0.
+	// Zone is the zone of this balancer. If CrossZoneCost is above 0, endpoints of this zone
+	// are preferred.
 	Zone int
 
-	// Classes are the kinds of requests, by the index that Request.Class names; at least one.
+	// Classes are the kinds of requests; at least one. Request.Class is an index into Classes.
 	Classes []Class
 
-	// Tenants are the customers, by the index that Request.Tenant names. Each has a
-	// bulkhead of its own. Empty means one tenant, number 0, without a quota.
+	// Tenants are the customers. Request.Tenant is an index into Tenants. Each tenant has its
+	// own bulkhead. Empty means a single tenant with index 0 and without a quota.
 	Tenants []Tenant
 
-	// Slots is about the number of attempts in flight of all bulkheads together, as each
-	// tenant's share is rounded up. 0 derives it from quotas and latency objectives, or
-	// without quotas from the first endpoint list.
+	// Slots is the approximate number of attempts in flight that all bulkheads together allow;
+	// the exact number is higher because each tenant's share is rounded up. 0 derives the
+	// number from the quotas and latency objectives, or, without quotas, from the first
+	// endpoint list. Must not be negative.
 	Slots int
 
-	// MaxAttempts bounds the attempts for one request, the first included; at least 1.
+	// MaxAttempts is the maximum number of attempts for one request, including the first
+	// attempt; at least 1.
 	MaxAttempts int
 
-	// CancelAllowed permits Host.Cancel. Without it attempts that are no longer needed run on.
+	// CancelAllowed permits calls of Host.Cancel. If false, attempts that are no longer needed
+	// continue until they end.
 	CancelAllowed bool
 
-	// ProbesAllowed permits probes before dispatch, which are used where traffic is low. Without
-	// it traffic never counts as low, so that there is no load shedding and no subset of
-	// preferred endpoints either.
+	// ProbesAllowed permits probes before dispatch, which are used while traffic is low. If
+	// false, traffic never counts as low, so load shedding and the subset of preferred
+	// endpoints are disabled too.
 	ProbesAllowed bool
 
-	// ProbeLoadReports says that probes bring load reports. Requests then cause
-	// regular probes also where traffic is not low.
+	// ProbeLoadReports says that the response to a probe contains a load report. Requests
+	// then trigger regular probes also while traffic is not low.
 	ProbeLoadReports bool
 
-	// MaxRetryAfter bounds the pause that Host.Reject recommends.
+	// MaxRetryAfter is the maximum pause that Host.Reject recommends to the client.
 	MaxRetryAfter time.Duration
 
-	// ClientsMarkRetries says that Request.ClientRetry is set on every retry by a client.
-	// Without it a timeout shorter than usual counts as the sign of a retry.
+	// ClientsMarkRetries says that Request.ClientRetry is set on every retry by a client. If
+	// false, every request whose timeout is shorter than usual counts as a client's retry.
 	ClientsMarkRetries bool
 
-	// EventResolution is the shortest time between two events that the program passes
-	// on. A timer may fire that much late, which deadlines allow for.
+	// EventResolution is the shortest time between two events that the program delivers to
+	// the Balancer. A timer may fire late by this time, and deadlines allow for that delay.
 	EventResolution time.Duration
 
-	// WatchOnRequest says that the endpoint list comes only after Host.RequestWatch.
+	// WatchOnRequest says that the program delivers the endpoint list only after a call of
+	// Host.RequestWatch.
 	WatchOnRequest bool
 
-	// WatchRequestWithin is how long a watch request may be silent before a change
-	// counts as known to this balancer. A silent one is repeated sooner; 0 means not
-	// known, and a default applies.
+	// WatchRequestWithin is how long a watch request may stay without a response before this
+	// balancer is expected to know of a change. The Balancer repeats a watch request without
+	// a response before that time is over. 0 means unknown; the Balancer then repeats the
+	// request after a default time.
 	WatchRequestWithin time.Duration
 
-	// SlowStartInitialShare is the share of its capacity that an endpoint has right
-	// after a start; between 0 and 1.
+	// SlowStartInitialShare is the fraction of its full capacity that an endpoint has right
+	// after its start; between 0 and 1.
 	SlowStartInitialShare float64
 
-	// SlowStartDuration is the time from a start to full capacity, which grows evenly.
-	// Within it, sends to the endpoint are spaced; 0 switches slow start off.
+	// SlowStartDuration is the time from the start of an endpoint to its full capacity. The
+	// capacity grows linearly. During this time there is a minimum interval between attempts
+	// at the endpoint. 0 disables slow start.
 	SlowStartDuration time.Duration
 
-	// SlowStartOverloadFactor is the multiple of its capacity at that moment that a
-	// starting endpoint bears from the fleet. A value below 1 counts as 1.
+	// SlowStartOverloadFactor is the load from the whole fleet that an endpoint in slow start
+	// can handle, as a multiple of its current capacity. A value below 1 counts as 1.
 	SlowStartOverloadFactor float64
 
-	// ProbeCost is the cost of one probe. Requests are probed for only while the loss
-	// without probes is expected to be higher.
+	// ProbeCost is the cost of one probe. Endpoints are probed before dispatch only while the
+	// expected loss without probes is higher than the cost of the probes.
 	ProbeCost float64
 
-	// CrossZoneCost is the cost of an attempt to another zone. Above 0, endpoints of
-	// other zones are used only when none of the own zone can take the request.
+	// CrossZoneCost is the cost of an attempt at an endpoint of another zone. If it is above
+	// 0, endpoints of other zones are used only when no endpoint of the balancer's own zone
+	// can take the request.
 	CrossZoneCost float64
 }
 
 // Class describes one kind of request.
 type Class struct {
-	// LatencyObjective is the time within which a response has its full value; above 0.
+	// LatencyObjective is the latency up to which a response has its full value; above 0.
 	LatencyObjective time.Duration
 
-	// ObjectiveStretch extends the objective by this multiple of Request.ExpectedWork.
+	// ObjectiveStretch is the multiple of Request.ExpectedWork that is added to the latency
+	// objective of a request.
 	ObjectiveStretch float64
 
-	// Deadline is how long a client waits in all, its own retries included; above 0.
+	// Deadline is how long a client waits in total, including its own retries; above 0.
 	Deadline time.Duration
 
-	// LateValueShare is the share of its value that a response after the objective
-	// keeps. At 0 an attempt is given up at the objective.
+	// LateValueShare is the fraction of its value that a response keeps if it arrives after
+	// the objective. At 0, attempts time out at the objective.
 	LateValueShare float64
 
-	// PriorityWeight is the value of a response; a higher one is shed less often.
+	// PriorityWeight is the value of a response. Requests of a class with a higher weight are
+	// shed less often.
 	PriorityWeight float64
 
-	// Idempotency says whether a request may run more than once.
+	// Idempotency says whether an endpoint may run a request more than once.
 	Idempotency Idempotency
 
-	// DedupScope is the group of endpoints that drops repeats; for IdempotentByKey only.
+	// DedupScope is the group of endpoints that drops repeats of a request. It applies to
+	// IdempotentByKey only.
 	DedupScope DedupScope
 
-	// DedupWindow is how long repeats are dropped, counted from the first send; for
-	// IdempotentByKey only.
+	// DedupWindow is how long the endpoints drop repeats of a request, counted from its first
+	// attempt. It applies to IdempotentByKey only.
 	DedupWindow time.Duration
 }
 
-// Idempotency says what a repeat of a request does.
+// Idempotency says whether a request may be sent again, and what happens to the repeat.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may run and be rejected any number of times
-	IdempotentByKey                    // repeats are dropped within DedupScope for DedupWindow
-	NotIdempotent                      // must never run twice
+	Idempotent      Idempotency = iota // may run any number of times, and may be rejected at any time
+	IdempotentByKey                    // endpoints of the DedupScope drop repeats during DedupWindow
+	NotIdempotent                      // must never run more than once
 )
 
-// DedupScope is the group of endpoints that drops repeats of a request with a key.
+// DedupScope is the group of endpoints that drops repeats of a request with an idempotency key.
 type DedupScope int
 
 // The scopes of deduplication.
 const (
 	ScopeAll  DedupScope = iota // all endpoints
-	ScopeZone                   // the endpoints of a zone
-	ScopeCell                   // the endpoints of a cell
+	ScopeZone                   // the endpoints of one zone
+	ScopeCell                   // the endpoints of one cell
 )
 
 // Tenant is one customer of the service.
 type Tenant struct {
-	// Share is its share of the slots, relative to the shares of the other tenants.
+	// Share is the tenant's share of the slots, relative to the shares of the other tenants.
 	Share float64
 
-	// Quota is the rate of requests, a second, that it may send through the fleet; 0 is unknown.
+	// Quota is the rate, in requests per second, that the tenant may send through the whole
+	// fleet; 0 means unknown.
 	Quota float64
 }
 
-// validate returns an error that names the first unusable field.
+// validate returns an error that names the first invalid field.
 func (cfg *Config) validate() error {
 	checks := []func() error{cfg.validateBounds, cfg.validateNumbers, cfg.validateClasses, cfg.validateTenants}
 	for _, check := range checks {
@@ -160,15 +171,16 @@
 func (cfg *Config) validateBounds() error {
 	switch {
 	case cfg.FleetSize < 1:
-		return fmt.Errorf("config: FleetSize is %d, at least 1 is needed", cfg.FleetSize)
+		return fmt.Errorf("config: FleetSize must be at least 1, got %d", cfg.FleetSize)
 	case len(cfg.Classes) == 0:
-		return errors.New("config: Classes is empty")
+		return errors.New("config: Classes must not be empty")
 	case cfg.MaxAttempts < 1:
-		return fmt.Errorf("config: MaxAttempts is %d, at least 1 is needed", cfg.MaxAttempts)
+		return fmt.Errorf("config: MaxAttempts must be at least 1, got %d", cfg.MaxAttempts)
 	case cfg.Slots < 0:
-		return fmt.Errorf("config: Slots is %d, it must not be negative", cfg.Slots)
+		return fmt.Errorf("config: Slots must not be negative, got %d", cfg.Slots)
 	case invalid(cfg.SlowStartInitialShare) || cfg.SlowStartInitialShare > 1:
-		return fmt.Errorf("config: SlowStartInitialShare is %v, a share is needed", cfg.SlowStartInitialShare)
+		return fmt.Errorf("config: SlowStartInitialShare must be between 0 and 1, got %v",
+			cfg.SlowStartInitialShare)
 	}
 	return nil
 }
@@ -187,7 +199,7 @@
 		{"SlowStartDuration", cfg.SlowStartDuration.Seconds()},
 	} {
 		if invalid(field.value) {
-			return fmt.Errorf("config: %s is %v, it must be a number and not negative", field.name, field.value)
+			return fmt.Errorf("config: %s must be finite and not negative, got %v", field.name, field.value)
 		}
 	}
 	return nil
@@ -196,12 +208,13 @@
 func (cfg *Config) validateClasses() error {
 	for i, class := range cfg.Classes {
 		if class.LatencyObjective <= 0 || class.Deadline <= 0 || class.DedupWindow < 0 {
-			return fmt.Errorf("config: Classes[%d]: LatencyObjective %v, Deadline %v or DedupWindow %v is unusable",
+			return fmt.Errorf(
+				"config: Classes[%d]: want LatencyObjective > 0, Deadline > 0 and DedupWindow >= 0, got %v, %v and %v",
 				i, class.LatencyObjective, class.Deadline, class.DedupWindow)
 		}
 		if invalid(class.ObjectiveStretch) || invalid(class.LateValueShare) || invalid(class.PriorityWeight) {
-			return fmt.Errorf("config: Classes[%d]: ObjectiveStretch, LateValueShare or PriorityWeight"+
-				" is negative or no number", i)
+			return fmt.Errorf("config: Classes[%d]: ObjectiveStretch, LateValueShare and PriorityWeight"+
+				" must be finite and not negative", i)
 		}
 	}
 	return nil
@@ -211,18 +224,18 @@
 	shares := 0.0
 	for i, tenant := range cfg.Tenants {
 		if invalid(tenant.Share) || invalid(tenant.Quota) {
-			return fmt.Errorf("config: Tenants[%d]: Share %v or Quota %v is negative or no number",
+			return fmt.Errorf("config: Tenants[%d]: Share and Quota must be finite and not negative, got %v and %v",
 				i, tenant.Share, tenant.Quota)
 		}
 		shares += tenant.Share
 	}
 	if len(cfg.Tenants) > 0 && (shares <= 0 || math.IsInf(shares, 0)) {
-		return fmt.Errorf("config: Tenants: the Share of all adds up to %v", shares)
+		return fmt.Errorf("config: Tenants: the sum of all Share values must be above 0 and finite, got %v", shares)
 	}
 	return nil
 }
 
-// invalid says that a number is negative, infinite or none.
+// invalid reports whether a number is negative, infinite or not a number (NaN).
 func invalid(number float64) bool {
 	return math.IsNaN(number) || math.IsInf(number, 0) || number < 0
 }
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// An operator who gets an error for an invalid configuration must learn which field to correct.
 func TestNewNamesTheUnusableField(t *testing.T) {
 	for field, spoil := range map[string]func(*Config){
 		"FleetSize":               func(c *Config) { c.FleetSize = 0 },
@@ -24,13 +25,13 @@
 		"LateValueShare":          func(c *Config) { c.Classes[0].LateValueShare = math.NaN() },
 		"Share":                   func(c *Config) { c.Tenants[1].Share = -0.1 },
 		"Quota":                   func(c *Config) { c.Tenants[1].Quota = math.NaN() },
-		"adds up to 0":            func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} },
-		"MaxRetryAfter":           func(c *Config) { c.MaxRetryAfter = -1 },
+		"the sum of all Share values must be above 0 and finite, got 0": func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} },
+		"MaxRetryAfter": func(c *Config) { c.MaxRetryAfter = -1 },
 	} {
 		cfg := testConfig()
 		spoil(&cfg)
 		if _, err := New(cfg, 1, newFakeHost()); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v does not name it", field, err)
+			t.Errorf("want an error that contains %q, got %v", field, err)
 		}
 	}
 }
