--- a/policy/bulkhead.go
+++ b/policy/bulkhead.go
@@ -1,6 +1,7 @@
-// Bulkheads isolate tenants from each other: each has slots, which attempts in flight and requests that
-// await probes use, and a short queue. This file decides their sizes, from quotas, objectives and shares,
-// and when a queued request is dispatched.
+// Bulkheads isolate tenants from each other. Each bulkhead has a number of slots and a short queue. An
+// attempt in flight uses a slot, and so does a request that waits for the results of probes. This file
+// decides the sizes of the bulkheads, based on quotas, latency objectives and shares, and when a
+// queued request is dispatched.
 
 package policy
 
@@ -12,19 +13,19 @@
 )
 
 const (
-	slotObjectiveShare  = 0.12 // of the latency objective: how long a request at the quota uses a slot
-	burstDeviations     = 2.0  // standard deviations of a Poisson count that slots are kept for
-	unevenTrafficFactor = 2.0  // one balancer may get this multiple of an even part of the traffic
-	slotsPerEndpoint    = 3.0  // where no quota is known
-	queuePerSlot        = 0.15 // queued requests: just enough to keep the slots in use
+	slotObjectiveShare  = 0.12 // slot time of a request at full quotas, as a share of the latency objective
+	burstDeviations     = 2.0  // extra slots, in standard deviations of a Poisson count
+	unevenTrafficFactor = 2.0  // a balancer may get this multiple of an equal part of the traffic
+	slotsPerEndpoint    = 3.0  // slots of the fleet per endpoint if no quota is known
+	queuePerSlot        = 0.15 // queue length per slot: just enough to keep the slots in use
 )
 
 // bulkhead holds the slots and the queue of one tenant.
 type bulkhead struct {
-	slots      int
-	inUse      int // slots; never more than there are
-	queueLimit int
-	queue      []*requestState // in order of arrival, but a request to be retried comes first
+	slots      int             // number of slots
+	inUse      int             // number of slots in use; at most slots
+	queueLimit int             // maximum length of the queue for new requests
+	queue      []*requestState // in order of arrival, except that requests to be retried come first
 }
 
 func (bh *bulkhead) full() bool      { return bh.inUse >= bh.slots }
@@ -39,9 +40,11 @@
 	}
 }
 
-// sizeBulkheads sets slots and queue limits. By Little's law the requests in flight are their rate times
-// the time that each uses a slot. That time is a small share of the objective, which leaves most of it for
-// attempts that go wrong. Without quotas the endpoint list is the guide. Config.Slots overrides both.
+// sizeBulkheads sets the slots and queue limits of all bulkheads. By Little's law, the number of
+// requests in flight is their rate multiplied by the time for which each uses a slot. That time is a
+// small share of the latency objective, which leaves most of the objective for failed attempts and
+// their retries. Without quotas, the number of slots depends on the number of endpoints. Config.Slots
+// overrides both.
 func (b *Balancer) sizeBulkheads() {
 	byQuota := b.totalQuota * b.meanObjective * slotObjectiveShare
 	b.fleetInFlight = cmp.Or(byQuota, slotsPerEndpoint*float64(len(b.endpoints)))
@@ -61,7 +64,8 @@
 	}
 }
 
-// dispatch starts an attempt, or probes for one, and says whether a slot and an endpoint were free for it.
+// dispatch starts an attempt, or probes candidates for an attempt. It reports whether a slot and an
+// endpoint were available.
 func (b *Balancer) dispatch(now time.Duration, request *requestState) bool {
 	if request.bulkhead.full() {
 		return false
@@ -77,8 +81,8 @@
 	return b.startAttempt(now, request, endpoint)
 }
 
-// dispatchQueued gives free slots to queued requests. As bulkheads compete for the endpoints' concurrency
-// limits, another one goes first each time.
+// dispatchQueued gives free slots to queued requests. Each call starts with the next bulkhead, because the
+// bulkheads compete for the concurrency limits of the endpoints.
 func (b *Balancer) dispatchQueued(now time.Duration) {
 	b.firstBulkhead = (b.firstBulkhead + 1) % len(b.bulkheads)
 	for i := range b.bulkheads {
@@ -86,14 +90,15 @@
 	}
 }
 
-// dispatchQueue skips a request that no endpoint can take now: it may be bound to few of them and must not
-// hold up the others.
+// dispatchQueue gives the free slots of one bulkhead to its queued requests. A request that no
+// endpoint can take now is skipped, because it may be restricted to a few endpoints and must not block
+// the other requests.
 func (b *Balancer) dispatchQueue(now time.Duration, bh *bulkhead) {
 	for next := 0; next < len(bh.queue) && !bh.full(); {
 		request := bh.queue[next]
 		switch {
 		case now >= request.startDeadline():
-			b.rejectOrFail(request, QueueTimeout) // which takes it out of the queue
+			b.rejectOrFail(request, QueueTimeout) // rejectOrFail removes the request from the queue
 		case b.dispatch(now, request):
 			bh.queue = slices.Delete(bh.queue, next, next+1)
 		default:
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -1,17 +1,18 @@
-// The guard: the rules that every attempt has to pass, whatever led to it. startAttempt is the only place
-// that starts one, and admitAttempt the only place that allows it.
+// The guard: the rules that every attempt must satisfy, whichever decision requested the attempt. Only
+// startAttempt starts attempts, and only admitAttempt decides whether the rules allow an attempt.
 //
-//  1. A request is answered exactly once, before its deadline, and not attempted afterwards.
-//  2. A request that is not idempotent never runs twice. One attempt is in flight at a time,
-//     and a further one needs proof that none has run, or endpoints that drop repeats.
+//  1. A request is answered exactly once, before its deadline, and gets no attempt afterwards.
+//  2. A request that is not idempotent never runs twice. At most one of its attempts is in flight
+//     at a time. A further attempt requires proof that no earlier attempt has run, or an endpoint
+//     that drops repeats of the request.
 //  3. An endpoint that is draining or removed gets no attempt.
-//  4. An endpoint that has just started gets no more from the fleet than it bears.
+//  4. An endpoint that has just started gets no more load from the whole fleet than it can handle.
 
 package policy
 
 import "time"
 
-// admitAttempt says whether the rules allow an attempt at an endpoint now.
+// admitAttempt reports whether the rules allow an attempt at an endpoint now.
 func (b *Balancer) admitAttempt(now time.Duration, request *requestState, endpoint *endpointState) bool {
 	switch {
 	case request.answered() || now >= request.deadline, // rule 1
@@ -24,7 +25,7 @@
 	return true
 }
 
-// startAttempt starts an attempt if the rules allow it, and says whether it did.
+// startAttempt starts an attempt if the rules allow it, and reports whether the attempt was started.
 func (b *Balancer) startAttempt(now time.Duration, request *requestState, endpoint *endpointState) bool {
 	if !b.admitAttempt(now, request, endpoint) {
 		return false
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -1,7 +1,8 @@
-// Load shedding rejects requests on arrival while few of the recent ones met their objective. Otherwise
-// clients' retries and requests without a waiting client keep endpoints overloaded, even at one slot for
-// each balancer. Only where traffic is low: else bulkheads bound the load. The inputs are recent requests, as
-// decayed counts, and priority weights.
+// Load shedding rejects requests on arrival while few of the recent requests met their latency
+// objective. Without load shedding, retries by clients and requests whose clients no longer wait would
+// keep the endpoints overloaded, even if each balancer had only one slot. Load shedding applies only
+// while traffic is low; otherwise the bulkheads limit the load. The decision depends on decayed counts
+// of recent requests and on the priority weights of the classes.
 
 package policy
 
@@ -11,18 +12,26 @@
 )
 
 const (
-	loadDecayTime     = 2 * time.Second // after it a request counts 1/e
-	alwaysAdmitted    = 0.5             // requests in any case: fewer say nothing about a rate
-	growthExponent    = 12.0            // of the success rate: growth needs nearly all to succeed
-	minPriorityWeight = 1e-9            // a lower one counts as this
+	loadDecayTime = 2 * time.Second // time constant: a request of this age counts 1/e
+
+	// alwaysAdmitted is a number of requests that are admitted in any case, because so few requests do
+	// not show a success rate.
+	alwaysAdmitted = 0.5
+
+	// growthExponent is the exponent of the success rate in the growth of the admitted load. It is high,
+	// so that the load grows only if nearly all requests succeed.
+	growthExponent = 12.0
+
+	minPriorityWeight = 1e-9 // a lower priority weight counts as this value
 )
 
-// recentLoad counts recent requests, but for those that a full bulkhead rejected: they used no endpoint.
+// recentLoad holds decayed counts of recent requests. Requests that a full bulkhead rejected are not counted,
+// because they used no endpoint.
 type recentLoad struct {
-	offered        float64
-	admitted       float64 // not shed
-	succeeded      float64 // served within their objective
-	shedPreference float64 // summed up for the offered ones
+	offered        float64 // admitted or shed
+	admitted       float64 // not shed, and attempted or probed for
+	succeeded      float64 // served within their latency objective
+	shedPreference float64 // sum of the shed preferences of the offered requests
 	decayedAt      time.Duration
 }
 
@@ -35,6 +44,7 @@
 	l.shedPreference *= factor
 }
 
+// record counts a completed request.
 func (l *recentLoad) record(request *requestState) {
 	usedEndpoints := len(request.attempts)+len(request.probed) > 0
 	if request.shed || usedEndpoints {
@@ -46,16 +56,18 @@
 	}
 }
 
-// admittedShare is the share of requests to admit; 1 or more admits all. As many as succeeded are admitted,
-// and up to as many again while nearly all succeed.
+// admittedShare returns the share of the offered requests to admit; 1 or more means all requests. The
+// number of admitted requests is about the number that succeeded, and up to twice that number while
+// nearly all succeed.
 func (l *recentLoad) admittedShare() float64 {
 	successRate := l.succeeded / max(l.admitted, l.succeeded, 1)
 	growth := 1 + math.Pow(successRate, growthExponent)
 	return (alwaysAdmitted + l.succeeded*growth) / (l.offered + alwaysAdmitted)
 }
 
-// mustShed draws whether to shed a request. A lower priority weight makes it likelier, relative to the mean
-// preference, so that the share that is admitted stays the same.
+// mustShed decides at random whether to shed a request. A request with a lower priority weight is shed with a
+// higher probability. The probability is relative to the mean shed preference, so that the total share of
+// admitted requests does not depend on the priority weights.
 func (b *Balancer) mustShed(now time.Duration, request *requestState) bool {
 	b.load.decay(now)
 	share := b.load.admittedShare()
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,12 +1,14 @@
-// Retries: whether a request gets a further attempt, and where that may run, or how it ends without one.
-// The inputs are the results of its attempts, the class's idempotency and the time left.
+// Retries: whether a request gets a further attempt and at which endpoints, and whether a request without a
+// further attempt is rejected or failed. The decisions depend on the results of the earlier attempts, the
+// idempotency of the class and the time left.
 
 package policy
 
 import "time"
 
-// retryOrFinish gives a request without an attempt in flight another one, or ends it. If none can start now
-// it goes to the front of the queue, even a full one, as it has waited.
+// retryOrFinish starts another attempt for a request without an attempt in flight, or rejects or fails
+// the request. If no attempt can start now, the request goes to the front of the queue, even if the
+// queue is full, because the request has already waited.
 func (b *Balancer) retryOrFinish(now time.Duration, request *requestState) {
 	if reason := b.noRetryReason(now, request); reason != NoReason {
 		b.rejectOrFail(request, reason)
@@ -17,8 +19,9 @@
 	}
 }
 
-// noRetryReason says why a request gets no further attempt, or NoReason. Candidates probed in vain count as
-// an attempt; while results of probes are still missing there is no time for other candidates.
+// noRetryReason returns why a request gets no further attempt, or NoReason if it may get one. Each set
+// of probed candidates counts as one attempt. If results of probes are still missing, the probes have
+// used up the time for other candidates.
 func (b *Balancer) noRetryReason(now time.Duration, request *requestState) Reason {
 	used := max(len(request.attempts), len(request.probed)/probesPerRequest)
 	switch {
@@ -32,19 +35,19 @@
 	return NoReason
 }
 
-// mayRunAgain says whether an attempt is allowed now at any endpoint.
+// mayRunAgain reports whether a further attempt is allowed now at some endpoint.
 func (r *requestState) mayRunAgain(now time.Duration) bool {
 	first := r.firstThatMayHaveRun()
 	return first == nil || r.class.repeatIsHarmless(now, first)
 }
 
-// mayRunAgainAt says whether an attempt is allowed now at this endpoint.
+// mayRunAgainAt reports whether a further attempt is allowed now at this endpoint.
 func (r *requestState) mayRunAgainAt(now time.Duration, endpoint *endpointState) bool {
 	first := r.firstThatMayHaveRun()
 	return first == nil || r.class.repeatIsHarmless(now, first) && r.class.dropsRepeat(endpoint, first.endpoint)
 }
 
-// repeatIsHarmless says whether a request may run again after an attempt that may have run.
+// repeatIsHarmless reports whether a request may be sent again after an attempt that may have run.
 func (c *classState) repeatIsHarmless(now time.Duration, first *attempt) bool {
 	switch c.Idempotency {
 	case Idempotent:
@@ -56,7 +59,8 @@
 	}
 }
 
-// dropsRepeat says whether an endpoint drops what has run at another one, or does not have to.
+// dropsRepeat reports whether an endpoint drops a request that has run at another endpoint, or need not drop
+// it because the request is idempotent.
 func (c *classState) dropsRepeat(endpoint, other *endpointState) bool {
 	if c.Idempotency == Idempotent || c.DedupScope == ScopeAll {
 		return true
@@ -65,7 +69,8 @@
 	return sameZone && (c.DedupScope == ScopeZone || endpoint.Cell == other.Cell)
 }
 
-// repeatWindow is the time for which a repeat is still dropped; 0 where none has to be, or none is.
+// repeatWindow returns the remaining time during which endpoints drop a repeat of the request. It
+// returns 0 if no attempt may have run or if the class has no deduplication.
 func (r *requestState) repeatWindow(now time.Duration) time.Duration {
 	first := r.firstThatMayHaveRun()
 	if first == nil || r.class.Idempotency != IdempotentByKey {
@@ -74,12 +79,13 @@
 	return first.startedAt + r.class.DedupWindow - now
 }
 
-// rejectOrFail is the only place that answers a held request: rejected if a retry by the client is harmless.
+// rejectOrFail rejects a request if a retry by the client is safe, and fails the request otherwise. No
+// other function answers a request that has a requestState. rejectUnheld rejects all other requests.
 func (b *Balancer) rejectOrFail(request *requestState, reason Reason) {
 	b.reason = reason
 	if request.clientRetryIsHarmless() {
 		b.counters.Rejected++
-		// Drawn from 1 to 2 smoothed latencies, so that clients do not retry in step.
+		// The pause is random, from 1 to 2 smoothed latencies, so that clients do not retry simultaneously.
 		pause := time.Duration((1 + b.random.Float64()) * float64(b.smoothedLatency))
 		b.host.Reject(request.id, min(b.cfg.MaxRetryAfter, pause))
 	} else {
@@ -89,7 +95,7 @@
 	b.complete(request)
 }
 
-// clientRetryIsHarmless says that a retry by the client may reach any endpoint.
+// clientRetryIsHarmless reports whether a retry by the client is safe at any endpoint.
 func (r *requestState) clientRetryIsHarmless() bool {
 	if r.firstThatMayHaveRun() == nil || r.class.Idempotency == Idempotent {
 		return true
@@ -97,7 +103,7 @@
 	return r.class.Idempotency == IdempotentByKey && r.class.DedupScope == ScopeAll
 }
 
-// complete closes a request that has its answer or needs none, and cancels its attempts.
+// complete ends a request that is answered or needs no answer, and cancels its attempts in flight.
 func (b *Balancer) complete(request *requestState) {
 	request.completed = true
 	b.load.record(request)
@@ -111,7 +117,7 @@
 	b.forgetIfIdle(request)
 }
 
-// forgetIfIdle forgets a completed request once it has no attempt in flight.
+// forgetIfIdle deletes a completed request if none of its attempts is in flight.
 func (b *Balancer) forgetIfIdle(request *requestState) {
 	if request.inFlight == 0 {
 		delete(b.requests, request.id)
