--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -1,5 +1,5 @@
-// The endpoint list: when it is requested, how its updates change the endpoints that attempts may go to,
-// and what is known of each endpoint.
+// The endpoint list: when a watch of the list is requested, how its updates change the endpoints that may get
+// attempts, and the state that the Balancer keeps for each endpoint.
 
 package policy
 
@@ -12,48 +12,51 @@
 )
 
 const (
-	// maxWatchBackoff: a change must take effect 8 s after it was available. A request may be given up after
-	// 3 s, this pause be drawn half as long again (backoff), and the next request be answered after 2 s.
+	// maxWatchBackoff bounds the pause after a failed watch request. A change must take effect within 8 s of
+	// being available. In the worst case a watch request fails after 3 s, the randomized pause is 1.5 times
+	// maxWatchBackoff (see backoff), and the next watch request gets its response after 2 s.
 	maxWatchBackoff = 3 * time.Second / 2
 
-	defaultWatchRepeat = 4 * time.Second // where Config.WatchRequestWithin is not set
-	// A silent request is repeated after 3/4 of Config.WatchRequestWithin.
+	// defaultWatchRepeat is the time after which a watch request without a response is repeated if
+	// Config.WatchRequestWithin is 0.
+	defaultWatchRepeat = 4 * time.Second
+	// If Config.WatchRequestWithin is set, a watch request without a response is repeated after 3/4 of it.
 	watchRepeatNumerator, watchRepeatDenominator = 3, 4
 )
 
-// endpointState is an endpoint of the list and what is known of it.
+// endpointState is an endpoint of the list with its observed state.
 type endpointState struct {
 	Endpoint
-	inFlight            int     // attempts of this balancer
-	currentWeight       float64 // in weighted round robin
-	inSubset            bool    // preferred where traffic is low
-	squaredLatencyRatio float64 // smoothed square of latency / objective
+	inFlight            int     // attempts of this balancer in flight
+	currentWeight       float64 // current weight of smooth weighted round robin
+	inSubset            bool    // the endpoint is preferred while traffic is low
+	squaredLatencyRatio float64 // smoothed square of latency divided by objective
 
-	reportedAt      time.Duration // last load report; 0: none
-	foreignInFlight float64       // requests of other balancers by that report
+	reportedAt      time.Duration // time of the last load report; 0 if there is none
+	foreignInFlight float64       // requests of other balancers in flight, according to that report
 
 	ejected             bool
-	consecutiveFailures int           // since the last response
-	pendingFailure      bool          // one failure, since the last response, that may be chance
-	lastErrorAt         time.Duration // last such failure
-	lastResponseAt      time.Duration // last attempt that was served, or when a restart became known
-	nextTrialAt         time.Duration
+	consecutiveFailures int           // number of failures since the last response
+	pendingFailure      bool          // one failure since the last response that may be accidental
+	lastErrorAt         time.Duration // time of the last failure that may be accidental
+	lastResponseAt      time.Duration // time at which an attempt was last served or a restart became known
+	nextTrialAt         time.Duration // earliest time of the next trial request
 
-	warmUntil           time.Duration // end of slow start
-	nextSlowStartSendAt time.Duration // in slow start: no attempt before this
+	warmUntil           time.Duration // time at which slow start ends
+	nextSlowStartSendAt time.Duration // earliest time of the next attempt in slow start
 
-	probeWaiters []*requestState // requests whose probes have no result yet, in order
+	probeWaiters []*requestState // requests whose probes have no result yet, in the order of the probes
 }
 
 func (e *endpointState) removed() bool { return e.Health == Removed }
 func (e *endpointState) healthy() bool { return e.Health == Ready && !e.ejected }
 
-// applyUpdate applies any update but a FailedUpdate.
+// applyUpdate applies an update of any kind except FailedUpdate.
 func (b *Balancer) applyUpdate(now time.Duration, kind UpdateKind, entries []Endpoint) {
 	b.weights.decayPeak(now)
 	if kind != DeltaUpdate {
 		for _, endpoint := range b.endpoints {
-			endpoint.Health = Removed // unless the list names it
+			endpoint.Health = Removed // unless the list contains it
 		}
 	}
 	removal := kind != DeltaUpdate
@@ -61,7 +64,7 @@
 		b.applyEntry(now, entry)
 		removal = removal || entry.Health == Removed
 	}
-	if removal { // attempts may still refer to what is removed
+	if removal { // attempts may still refer to a removed endpoint
 		b.endpoints = slices.DeleteFunc(b.endpoints, (*endpointState).removed)
 		maps.DeleteFunc(b.endpointsByID, func(_ EndpointID, e *endpointState) bool { return e.removed() })
 	}
@@ -76,6 +79,8 @@
 	b.updateLowTraffic()
 }
 
+// applyEntry adds or updates one endpoint. A start later than the known start begins a new slow start and
+// resets the failures of the endpoint.
 func (b *Balancer) applyEntry(now time.Duration, entry Endpoint) {
 	if usable := entry.Weight > 0 && !math.IsInf(entry.Weight, 0); !usable {
 		entry.Weight = 1
@@ -96,7 +101,8 @@
 	b.weights.add(endpoint)
 }
 
-// addEndpoint draws the current weight and the subset membership: balancers must not select in step.
+// addEndpoint adds an endpoint with a random current weight and random membership in the preferred subset, so
+// that the balancers of the fleet do not all select the same endpoint at the same time.
 func (b *Balancer) addEndpoint(entry Endpoint) *endpointState {
 	endpoint := &endpointState{}
 	endpoint.currentWeight = b.random.Float64() * entry.Weight
@@ -106,6 +112,7 @@
 	return endpoint
 }
 
+// requestWatch sends a watch request and schedules a repeat in case the request gets no response.
 func (b *Balancer) requestWatch(now time.Duration) {
 	interval := b.cfg.WatchRequestWithin * watchRepeatNumerator / watchRepeatDenominator
 	b.nextWatchAt = now + cmp.Or(interval, defaultWatchRepeat)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -1,6 +1,7 @@
-// Selection picks the endpoint for an attempt by smooth weighted round robin, as nginx does: a pick adds
-// its weight to the current weight of each candidate, takes the highest, and subtracts the sum of the
-// weights from it. The inputs are the weights of the endpoint list, scaled by the slow start factor.
+// Selection picks the endpoint for an attempt by the smooth weighted round robin algorithm of nginx. Each
+// pick adds the weight of each candidate to the candidate's current weight, picks the candidate with the
+// highest current weight, and subtracts the sum of the weights of all candidates from the current weight of
+// the picked candidate. The weights are those of the endpoint list, multiplied by the slow start factor.
 
 package policy
 
@@ -9,15 +10,17 @@
 	"time"
 )
 
+// selection is the result of a scan of the endpoints.
 type selection struct {
-	preferredOnly bool
-	best          *endpointState // the candidate of the highest current weight, or nil
-	totalWeight   float64        // of all candidates
-	skippedWeight float64        // highest current weight of an endpoint that was skipped
+	preferredOnly bool           // only preferred endpoints are candidates
+	best          *endpointState // candidate with the highest current weight, or nil if there is no candidate
+	totalWeight   float64        // sum of the weights of all candidates
+	skippedWeight float64        // highest current weight of a skipped endpoint, including its next increase
 }
 
-// selectEndpoint picks an endpoint for a request, or returns nil if none can take it now. Where crossing
-// zones has a cost, endpoints that are not preferred come second.
+// selectEndpoint picks an endpoint for a request, or returns nil if no endpoint can take the request now. If
+// attempts at other zones have a cost, an endpoint that is not preferred is picked only when no preferred
+// endpoint can take the request.
 func (b *Balancer) selectEndpoint(now time.Duration, request *requestState) *endpointState {
 	picked := selection{preferredOnly: b.cfg.CrossZoneCost > 0, skippedWeight: math.Inf(-1)}
 	picked = b.scanEndpoints(now, request, picked)
@@ -41,8 +44,9 @@
 	return picked.best
 }
 
-// scanEndpoints gives each candidate its weight. An endpoint that may take the request but is not in a state
-// to do so is skipped.
+// scanEndpoints adds the weight of each candidate to its current weight and finds the best candidate.
+// An endpoint is skipped if the rules allow the attempt but the endpoint is ejected, at its
+// concurrency limit, or full according to its load report.
 func (b *Balancer) scanEndpoints(now time.Duration, request *requestState, picked selection) selection {
 	for _, endpoint := range b.endpoints {
 		switch {
@@ -62,12 +66,14 @@
 	return picked
 }
 
-// preferred says that an endpoint is in the own zone and, where traffic is low, in this balancer's subset:
-// fewer connections are kept in use, and opening one has a cost.
+// preferred reports whether an endpoint is in the balancer's own zone and, while traffic is low, in the
+// balancer's subset. With a subset, fewer connections carry the traffic, so that connections stay in use and
+// fewer have to be opened, which has a cost.
 func (b *Balancer) preferred(endpoint *endpointState) bool {
 	return endpoint.Zone == b.cfg.Zone && (!b.lowTraffic || endpoint.inSubset)
 }
 
+// mustSkip reports whether an endpoint should get no attempt now because of its state.
 func (b *Balancer) mustSkip(now time.Duration, endpoint *endpointState) bool {
 	return b.awaitsTrial(now, endpoint) || b.atConcurrencyLimit(endpoint) || b.reportedFull(now, endpoint)
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,25 +1,30 @@
-// Slow start: the capacity of an endpoint grows evenly from its start on, and it fails if it gets far more.
-// Each balancer keeps to an even part of it by an interval between its sends. Rates are requests a second.
+// Slow start: the capacity of an endpoint grows linearly after its start, and the endpoint fails if
+// its load is far above its capacity. Each balancer of the fleet uses an equal part of the capacity,
+// by a minimum interval between its attempts at the endpoint. Rates are in requests per second.
 
 package policy
 
 import "time"
 
 const (
-	slowStartBudgetShare = 0.5       // of what an endpoint bears; the rest is for sends that coincide
-	minSlowStartFactor   = 0.05      // a lower one counts as this
-	maxSlowStartInterval = time.Hour // a longer one counts as this
+	// slowStartBudgetShare is the part of the load an endpoint can handle that the balancers use. The
+	// rest is a reserve for attempts of several balancers at the same time.
+	slowStartBudgetShare = 0.5
+
+	minSlowStartFactor   = 0.05      // lower bound of slowStartFactor
+	maxSlowStartInterval = time.Hour // upper bound of slowStartInterval
 )
 
 func (e *endpointState) inSlowStart(now time.Duration) bool { return now < e.warmUntil }
 
-// slowStartFactor is the share of its capacity that an endpoint has at least.
+// slowStartFactor returns the fraction of its full capacity that an endpoint has at least.
 func (b *Balancer) slowStartFactor(now time.Duration, endpoint *endpointState) float64 {
 	remaining := float64(max(0, endpoint.warmUntil-now)) / float64(max(1, b.cfg.SlowStartDuration))
 	return max(minSlowStartFactor, 1-remaining*(1-b.cfg.SlowStartInitialShare))
 }
 
-// slowStartInterval is the time between two sends of this balancer, whatever its traffic.
+// slowStartInterval returns the minimum time between two attempts of this balancer at an endpoint. It
+// does not depend on the balancer's traffic.
 func (b *Balancer) slowStartInterval(now time.Duration, endpoint *endpointState) time.Duration {
 	overloadFactor := max(b.cfg.SlowStartOverloadFactor, 1)
 	factor := b.slowStartFactor(now, endpoint)
@@ -28,8 +33,9 @@
 	return time.Duration(min(float64(time.Second)/rate, float64(maxSlowStartInterval)))
 }
 
-// endpointCapacity estimates the rate that an endpoint can take. The quotas are close to what all endpoints
-// can take; without them one request at a time is the guide.
+// endpointCapacity estimates the rate of requests that an endpoint can handle. The sum of the quotas
+// is close to the rate that all endpoints together can handle. Without quotas, the estimate assumes
+// that an endpoint of average weight handles one request at a time.
 func (b *Balancer) endpointCapacity(endpoint *endpointState) float64 {
 	readyWeight := max(b.weights.ready.weight, endpoint.Weight)
 	if b.totalQuota > 0 {
@@ -39,7 +45,8 @@
 	return relativeWeight / b.smoothedLatency.Seconds()
 }
 
-// delayFirstSends draws the times of the first sends, as all balancers learn of a start at the same moment.
+// delayFirstSends sets a random time for the first attempt at each endpoint that has just started,
+// because all balancers of the fleet learn of the start at the same time.
 func (b *Balancer) delayFirstSends(now time.Duration) {
 	for _, endpoint := range b.justStarted {
 		interval := b.slowStartInterval(now, endpoint)
--- a/policy/start_time.go
+++ b/policy/start_time.go
@@ -1,27 +1,30 @@
-// When an endpoint last started, on the balancer's clock. The inputs are times of clocks that may disagree.
+// The time at which an endpoint last started, on the balancer's clock. The inputs come from clocks that may
+// disagree.
 
 package policy
 
 import "time"
 
-// StartEvidence is what is known of the last start of an endpoint.
+// StartEvidence is the available information about the last start of an endpoint.
 type StartEvidence struct {
-	Reported time.Duration // the start in Unix time, as the endpoint list gives it; 0: long ago
+	Reported time.Duration // start in Unix time, as in the endpoint list; 0 means long ago
 
-	// Now is the balancer's clock, monotonic and set to the machine's Unix time at the process's start;
-	// WallClock is the machine's Unix time now. They differ by as much as that was stepped since.
+	// Now is the current time on the balancer's clock, which is monotonic and was set to the machine's Unix
+	// time when the process started. WallClock is the machine's current Unix time. The two differ by the
+	// amount by which the machine's clock was stepped since the process started.
 	Now, WallClock time.Duration
 
-	Changed     bool          // the list before gave another start of this endpoint, or none
-	ConfirmedAt time.Duration // when that list was last known to hold, on the balancer's clock; 0: unknown
+	Changed     bool          // the previous list had another start of this endpoint, or no start
+	ConfirmedAt time.Duration // when that list was last known to be current, on the balancer's clock; 0: unknown
 }
 
-// reportTolerance is how long after a start the list may report it, by agreeing clocks.
+// reportTolerance is the maximum delay between a start and its appearance in the list if the clocks agree.
 const reportTolerance = 3 * time.Second
 
-// StartedAt returns the start on the balancer's clock; 0 means long ago. A start is never in the future.
-// Where the evidence disagrees the latest start counts: a slow start without need costs capacity for a
-// while, but without one a cold endpoint is overloaded.
+// StartedAt returns the start of an endpoint on the balancer's clock; 0 means long ago. The result is
+// never in the future. If the clocks disagree, StartedAt returns the latest of the possible starts: an
+// unnecessary slow start reduces the capacity for a while, but a missing slow start overloads an
+// endpoint that has just started.
 func StartedAt(evidence StartEvidence) time.Duration {
 	if evidence.Reported <= 0 {
 		return 0
