--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -1,27 +1,31 @@
-// Outlier detection ejects endpoints that fail, by the results of attempts and probes. An ejected endpoint
-// gets one trial request at a time, after a pause that grows with each failure, until one is served.
+// Outlier detection ejects failing endpoints, based on the results of attempts and probes. An ejected
+// endpoint gets one trial request at a time, after a pause that grows with each failure, until a
+// request is served.
 
 package policy
 
 import "time"
 
 const (
-	initialBackoff      = 250 * time.Millisecond // after a failure; doubled after each further one
-	maxBackoff          = 4 * time.Second
-	maxBackoffDoublings = 16  // maxBackoff is reached before; more would overflow
-	minBackoffFactor    = 0.5 // a pause is drawn from this multiple of its length on, to 1 more
+	initialBackoff      = 250 * time.Millisecond // pause after one failure; doubled after each further failure
+	maxBackoff          = 4 * time.Second        // maximum pause between trial requests, before randomization
+	maxBackoffDoublings = 16                     // maxBackoff is reached earlier; more doublings would overflow
+	minBackoffFactor    = 0.5                    // a pause is multiplied by a random factor from this to 1 more
 
-	initialLatencyDivisor   = 8  // smoothed latencies start at 1/8 of the objective
-	classLatencySmoothing   = 16 // a class's smoothed latency follows one response by 1/16
-	overallLatencySmoothing = 32 // and that of all classes by 1/32
+	initialLatencyDivisor   = 8  // the initial smoothed latency is 1/8 of the objective
+	classLatencySmoothing   = 16 // weight 1/16 of a new response in a class's smoothed latency
+	overallLatencySmoothing = 32 // weight 1/32 of a new response in the smoothed latency of all classes
 )
 
-// backoff is the pause after so many earlier failures, drawn so that balancers do not act in step.
+// backoff returns the pause after a number of earlier failures. The pause doubles with each failure up
+// to the longest pause, and is multiplied by a random factor from 0.5 to 1.5 so that balancers do not
+// act at the same time.
 func (b *Balancer) backoff(earlierFailures int, longest time.Duration) time.Duration {
 	pause := min(initialBackoff<<min(earlierFailures, maxBackoffDoublings), longest)
 	return time.Duration(float64(pause) * (minBackoffFactor + b.random.Float64()))
 }
 
+// recordOutcome updates the latencies and the failures of an endpoint from the result of an attempt.
 func (b *Balancer) recordOutcome(now time.Duration, class *classState, ended *attempt, result AttemptResult) {
 	endpoint := ended.endpoint
 	latency := now - ended.startedAt
@@ -34,18 +38,18 @@
 		b.smoothedLatency += (latency - b.smoothedLatency) / overallLatencySmoothing
 		b.recordSuccess(now, endpoint)
 	case TimedOut:
-		if endpoint.lastResponseAt <= ended.startedAt { // it responded to no other attempt either
+		if endpoint.lastResponseAt <= ended.startedAt { // no other attempt got a response in the meantime either
 			b.recordFailure(now, endpoint)
 		}
 	case ConnectionReset:
-		if ended.startedAt >= endpoint.lastErrorAt { // else it broke together with another one
+		if ended.startedAt >= endpoint.lastErrorAt { // otherwise it failed together with another connection
 			b.recordPossibleFailure(now, endpoint)
 		}
 	case ServerError:
 		b.recordPossibleFailure(now, endpoint)
 	case Rejected, ConnectionFailed:
 		b.recordFailure(now, endpoint)
-	case Cancelled, NotSent: // no evidence about the endpoint
+	case Cancelled, NotSent: // the result says nothing about the endpoint
 	}
 }
 
@@ -54,7 +58,8 @@
 	b.setEjected(now, endpoint, false)
 }
 
-// recordPossibleFailure takes a failure that may be chance: it counts unless it is the first since a success.
+// recordPossibleFailure records a failure that may be accidental. The first failure after a success does not
+// count; each further failure does.
 func (b *Balancer) recordPossibleFailure(now time.Duration, endpoint *endpointState) {
 	endpoint.lastErrorAt = now
 	if endpoint.pendingFailure {
@@ -63,6 +68,7 @@
 	endpoint.pendingFailure = true
 }
 
+// recordFailure ejects an endpoint and schedules its next trial request.
 func (b *Balancer) recordFailure(now time.Duration, endpoint *endpointState) {
 	b.scheduleTrial(now, endpoint)
 	endpoint.consecutiveFailures++
@@ -73,7 +79,8 @@
 	endpoint.nextTrialAt = now + b.backoff(endpoint.consecutiveFailures, maxBackoff)
 }
 
-// awaitsTrial says that an ejected endpoint gets no attempt now. While all are ejected, any may get one.
+// awaitsTrial reports whether an endpoint gets no attempt now because it is ejected and no trial
+// request is due. While all endpoints are ejected, each of them may get attempts.
 func (b *Balancer) awaitsTrial(now time.Duration, endpoint *endpointState) bool {
 	trialDue := now >= endpoint.nextTrialAt && endpoint.inFlight == 0
 	return b.weights.healthy.weight > 0 && endpoint.ejected && !trialDue
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -1,31 +1,35 @@
-// Probes before dispatch, where a balancer has too little traffic to learn an endpoint's state from it: the
-// next endpoints are probed, and the attempt goes to the first that responds, or to the less loaded where
-// probes bring load reports (power of two choices). Loads are requests; costs are set against a value of 1.
+// Probes before dispatch, which are used while the balancer's own traffic is too low to show the state
+// of the endpoints. Before an attempt, the next endpoints in round-robin order are probed. The attempt
+// goes to the first endpoint that responds, or, if probes return load reports, to the less loaded
+// endpoint (power of two choices). Loads are numbers of requests. Costs are relative to the value of a
+// served request, which is 1.
 
 package policy
 
 import "time"
 
 const (
-	lowTrafficRate        = 1.0  // own requests a second for each endpoint; below, traffic is low
-	probesPerRequest      = 2    // a second candidate brings most of what more could bring
-	assumedSuccesses      = 10.0 // requests taken to have succeeded before any was counted
-	secondCandidateEvents = 2    // event resolutions that a known load waits for a lower one
+	lowTrafficRate        = 1.0  // own requests per second per endpoint; traffic is low below this rate
+	probesPerRequest      = 2    // a second candidate gives most of the gain that more candidates could give
+	assumedSuccesses      = 10.0 // requests assumed to have succeeded before any request is counted
+	secondCandidateEvents = 2    // time, in event resolutions, to wait for a candidate with a lower load
 )
 
+// updateLowTraffic decides whether traffic is low, from the quotas and the number of endpoints.
 func (b *Balancer) updateLowTraffic() {
 	rate := b.totalQuota / float64(b.cfg.FleetSize*max(1, len(b.endpoints)))
 	b.lowTraffic = b.cfg.ProbesAllowed && rate < lowTrafficRate
 }
 
-// probesPayOff says that probes cost less than what requests are expected to lose without.
+// probesPayOff reports whether the cost of probes is lower than the expected loss of requests without probes.
 func (b *Balancer) probesPayOff() bool {
 	expectedLoss := 1 + b.load.offered - b.load.succeeded
 	cost := probesPerRequest * b.cfg.ProbeCost * (b.load.offered + assumedSuccesses)
 	return b.lowTraffic && expectedLoss > cost
 }
 
-// probeCandidates health-checks two endpoints in round-robin order and keeps a slot until one responds.
+// probeCandidates probes two endpoints in round-robin order. The request uses a slot until it is
+// dispatched or the wait for the results ends.
 func (b *Balancer) probeCandidates(now time.Duration, request *requestState, first *endpointState) {
 	request.bulkhead.inUse++
 	request.awaitingProbes = true
@@ -43,6 +47,7 @@
 	}
 }
 
+// stopAwaitingProbes ends the wait for probes, if there is one, and frees the slot that it uses.
 func (r *requestState) stopAwaitingProbes() {
 	if r.awaitingProbes {
 		r.awaitingProbes = false
@@ -50,7 +55,7 @@
 	}
 }
 
-// onProbeResult passes a result on to the request that has waited longest for this endpoint.
+// onProbeResult applies the result of a probe to the request that has waited longest for this endpoint.
 func (b *Balancer) onProbeResult(now time.Duration, endpoint *endpointState, ok bool, report LoadReport) {
 	request := endpoint.probeWaiters[0]
 	endpoint.probeWaiters = endpoint.probeWaiters[1:]
@@ -66,8 +71,9 @@
 	b.dispatchQueued(now)
 }
 
-// considerCandidate keeps the less loaded of the endpoints that responded. Without a load report the
-// request goes there at once; with one it waits a moment for the other.
+// considerCandidate keeps the less loaded of the endpoints that responded. Without a load report, the
+// request is dispatched to the endpoint at once. With a load report, the request waits a short time
+// for the result of the other probe.
 func (b *Balancer) considerCandidate(now time.Duration, request *requestState, candidate *endpointState,
 	report LoadReport) {
 	load := (1 + max(0, report.InFlight)) / (candidate.Weight * b.slowStartFactor(now, candidate))
@@ -85,7 +91,8 @@
 	}
 }
 
-// dispatchToBest starts the attempt at the best candidate, or gives the request others, or ends it.
+// dispatchToBest starts an attempt at the best candidate. If that is not possible, the request is
+// dispatched to other endpoints, queued, rejected or failed.
 func (b *Balancer) dispatchToBest(now time.Duration, request *requestState) {
 	request.stopAwaitingProbes()
 	inTime := request.bestProbed != nil && now < request.startDeadline()
