--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Endpoints that all balancers together overload stay so while each goes on with one
-// request after the other.
+// Endpoints that all balancers together overload stay overloaded if each balancer continues to send
+// one request after another. The balancers must shed load until the endpoints recover.
 func TestShedsLoadWhileFleetIsOverloaded(t *testing.T) {
 	b, h := newTestBalancer(t, lowTrafficConfig(), readyEndpoints(1, 2))
 	run := func(from time.Duration, first, n RequestID, took time.Duration) (started int) {
@@ -25,13 +25,13 @@
 		return started
 	}
 	if n := run(0, 0, 100, 50*ms); n != 100 {
-		t.Fatalf("%d of 100 started while all were served in time", n)
+		t.Fatalf("all requests are served in time: got %d of 100 started, want all", n)
 	}
 	if n := run(20*time.Second, 100, 200, 1500*ms); n > 100 {
-		t.Fatalf("%d of 200 started though none is served within its objective", n)
+		t.Fatalf("no request is served within its objective: got %d of 200 started, want at most 100", n)
 	}
-	run(60*time.Second, 300, 400, 50*ms) // more are admitted step by step
+	run(60*time.Second, 300, 400, 50*ms) // the share of admitted requests grows again
 	if n := run(100*time.Second, 700, 100, 50*ms); n < 95 {
-		t.Fatalf("%d of 100 started though the endpoints recovered 40 s ago", n)
+		t.Fatalf("40 s after the endpoints recovered: got %d of 100 started, want at least 95", n)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
+// A request that is not idempotent and may have run must not run again; all other requests may be retried.
 func TestRetryByResult(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		class   int
 		result  AttemptResult
 		retried bool
-		fails   bool // where it is not retried
+		fails   bool // the request is failed and not rejected, if it is not retried
 	}{
 		{"idempotent after an error", idempotentClass, ServerError, true, false},
 		{"keyed after a reset", keyedClass, ConnectionReset, true, false},
@@ -28,18 +29,19 @@
 			receive(b, 0, 1, c.class)
 			endAttempt(b, 30*ms, 1, 0, c.result)
 			if retried := len(h.sends) == 2; retried != c.retried {
-				t.Fatalf("retried: %v, want %v", retried, c.retried)
+				t.Fatalf("got retried %v, want %v", retried, c.retried)
 			}
 			if !c.retried && h.failed[1] != c.fails {
-				t.Fatalf("failed: %v, want %v (rejected: %v)", h.failed[1], c.fails, h.rejected)
+				t.Fatalf("got failed %v, want %v (rejected: %v)", h.failed[1], c.fails, h.rejected)
 			}
 			if c.retried && h.sends[1].to == h.sends[0].to {
-				t.Fatal("retried at the same endpoint")
+				t.Fatal("got a retry at the same endpoint, want another endpoint")
 			}
 		})
 	}
 }
 
+// A request that has used all its attempts and never ran must be rejected, so that the client may retry.
 func TestMaxAttemptsThenRejection(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2, 3, 4, 5))
 	receive(b, 0, 1, notIdempotentClass)
@@ -47,17 +49,19 @@
 		endAttempt(b, time.Duration(i+1)*ms, 1, i, ConnectionFailed)
 	}
 	if _, ok := h.rejected[1]; len(h.sends) != 3 || !ok {
-		t.Fatalf("sends %d, rejected %v; want 3 and a rejection: it provably never ran", len(h.sends), ok)
+		t.Fatalf("got %d sends and rejected %v, want 3 and true because the request never ran", len(h.sends), ok)
 	}
 }
 
+// Only the endpoints in the deduplication scope of the first attempt drop a repeat. A retry at another
+// endpoint could run the request twice.
 func TestKeyedRetryStaysInDedupScope(t *testing.T) {
 	list := []Endpoint{
 		{ID: 1, Health: Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, Health: Ready, Weight: 1, Zone: 0, Cell: 11},
 		{ID: 3, Health: Ready, Weight: 1, Zone: 1, Cell: 12}, {ID: 4, Health: Ready, Weight: 1, Zone: 1, Cell: 12},
 	}
 	byID := func(id EndpointID) Endpoint { return list[id-1] }
-	for id := range RequestID(8) { // round robin takes the first attempt to every endpoint
+	for id := range RequestID(8) { // round robin sends the first attempt to each endpoint in turn
 		for _, class := range []int{keyedInZoneClass, keyedInCellClass} {
 			b, h := newTestBalancer(t, testConfig(), list)
 			for warm := range id {
@@ -70,18 +74,21 @@
 			endAttempt(b, 30*ms, 1, 0, ConnectionReset)
 			if len(h.sends) < 2 {
 				if class == keyedInZoneClass || first.Zone == 1 {
-					t.Fatalf("class %d from endpoint %d was not retried", class, first.ID)
+					t.Fatalf("class %d, first attempt at endpoint %d: got no retry, want one", class, first.ID)
 				}
-				continue // alone in its cell
+				continue // no other endpoint is in the cell
 			}
 			second := byID(h.sends[1].to)
 			if second.Zone != first.Zone || (class == keyedInCellClass && second.Cell != first.Cell) {
-				t.Fatalf("class %d went from endpoint %d to %d, outside its scope", class, first.ID, second.ID)
+				t.Fatalf("class %d: got a retry from endpoint %d to %d, want one within the deduplication scope",
+					class, first.ID, second.ID)
 			}
 		}
 	}
 }
 
+// The deduplication scope depends on the first attempt that may have run, not on the first attempt.
+// Otherwise a retry could run the request twice, or be refused without a reason.
 func TestDedupScopeCountsFromAttemptThatMayHaveRun(t *testing.T) {
 	list := []Endpoint{{ID: 1, Health: Ready, Weight: 1, Zone: 0}, {ID: 2, Health: Ready, Weight: 1, Zone: 1},
 		{ID: 3, Health: Ready, Weight: 1, Zone: 1}}
@@ -93,30 +100,33 @@
 	}
 	b.EndpointsUpdated(ms, DeltaUpdate, []Endpoint{{ID: 3, Health: Removed}})
 	h.sends = nil
-	receive(b, 2*ms, 1, keyedInZoneClass) // round robin is at endpoint 2, in zone 1
+	receive(b, 2*ms, 1, keyedInZoneClass) // the next endpoint of round robin is 2, in zone 1
 	if h.sends[0].to != 2 {
-		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
+		t.Fatalf("setup: got the first attempt at endpoint %d, want 2", h.sends[0].to)
 	}
-	endAttempt(b, 3*ms, 1, 0, Rejected) // it never ran there, so zone 1 does not bind
+	endAttempt(b, 3*ms, 1, 0, Rejected) // the request did not run, so zone 1 is not its scope
 	if len(h.sends) != 2 || h.sends[1].to != 1 {
-		t.Fatalf("sends %v, want a second attempt at endpoint 1", h.sends)
+		t.Fatalf("got sends %v, want a second attempt at endpoint 1", h.sends)
 	}
-	endAttempt(b, 4*ms, 1, 1, ConnectionReset) // may have run in zone 0: endpoint 2 is excluded now
+	endAttempt(b, 4*ms, 1, 1, ConnectionReset) // may have run in zone 0, so endpoint 2 is out of scope
 	if len(h.sends) != 2 {
-		t.Fatalf("retried outside the scope: %v", h.sends)
+		t.Fatalf("got sends %v, want no retry outside the scope", h.sends)
 	}
 }
 
+// After the deduplication window, a request that may have run must not be retried. The client may
+// retry only if all endpoints drop repeats.
 func TestDedupWindowThenRejectionOrFailure(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2, 3))
 	receive(b, 0, 1, keyedClass)
-	endAttempt(b, 700*ms, 1, 0, ServerError) // the window of 700 ms since its start has ended
+	endAttempt(b, 700*ms, 1, 0, ServerError) // the window of 700 ms since the first attempt has ended
 	if _, rejected := h.rejected[1]; len(h.sends) != 1 || !rejected {
-		t.Fatalf("sends %d, rejected %v; want 1 and a rejection, as all endpoints drop repeats", len(h.sends), rejected)
+		t.Fatalf("got %d sends and rejected %v, want 1 and true because all endpoints drop repeats",
+			len(h.sends), rejected)
 	}
 	receive(b, 800*ms, 2, keyedInZoneClass)
 	endAttempt(b, 1500*ms, 2, 0, ServerError)
 	if !h.failed[2] {
-		t.Fatal("a keyed request that may have run, with the scope of a zone, must be failed and not rejected")
+		t.Fatal("request that may have run, with zone scope: got no failure, want it failed and not rejected")
 	}
 }
