--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// An endpoint that is draining, removed or no longer in a full list must get no attempt.
 func TestDrainingEndpointGetsNoAttempt(t *testing.T) {
 	for _, state := range []Health{Draining, Removed} {
 		b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2))
@@ -15,25 +16,27 @@
 			endAttempt(b, 20*ms, id, 0, Served)
 		}
 		if h.attemptsAt(1) != 0 || h.attemptsAt(2) != 10 {
-			t.Fatalf("state %v: %d attempts", state, h.attemptsAt(1))
+			t.Fatalf("health %v: got %d attempts at endpoint 1, want 0", state, h.attemptsAt(1))
 		}
 	}
 	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2))
-	b.EndpointsUpdated(10*ms, FullUpdate, readyEndpoints(2)) // absent from a full list
+	b.EndpointsUpdated(10*ms, FullUpdate, readyEndpoints(2)) // a full list without endpoint 1
 	for id := range RequestID(4) {
 		receive(b, 10*ms, id, idempotentClass)
 	}
 	if h.attemptsAt(1) != 0 {
-		t.Fatal("an attempt at an endpoint that left the full list")
+		t.Fatal("got an attempt at an endpoint that is no longer in the full list, want none")
 	}
 }
 
+// After failed watch requests, the balancer must retry with growing pauses, keep its endpoint list,
+// and learn of changes in time.
 func TestWatchIsRequestedAgainAfterFailure(t *testing.T) {
 	cfg := testConfig()
 	cfg.WatchOnRequest = true
 	b, h := newTestBalancer(t, cfg, readyEndpoints(1))
 	if h.watchRequests != 1 {
-		t.Fatalf("%d watch requests at the start", h.watchRequests)
+		t.Fatalf("got %d watch requests at the start, want 1", h.watchRequests)
 	}
 	gaps, last, requested := []time.Duration{}, time.Duration(0), 1
 	b.EndpointsUpdated(0, FailedUpdate, nil)
@@ -46,23 +49,27 @@
 			b.EndpointsUpdated(now, FailedUpdate, nil)
 		}
 	}
-	// With 3 s until a call is given up and 2 s until the next one is answered, a change is
-	// known 8 s after it was available: it counts as known after 6 s, and is obeyed 2 s later.
+	// A watch request fails after 3 s at the latest, and the next one gets its response within 2 s. With pauses
+	// below 3 s, the balancer knows of a change 8 s after it was available. The balancer is expected to know of
+	// a change after 6 s, and to apply it within 2 more seconds.
 	if len(gaps) < 4 || slices.Max(gaps) >= 3*time.Second || slices.Max(gaps) >= cfg.WatchRequestWithin || gaps[0] >= gaps[len(gaps)-1] {
-		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.WatchRequestWithin)
+		t.Fatalf("got intervals %v between watch requests, want at least 4 growing ones below 3s and %v",
+			gaps, cfg.WatchRequestWithin)
 	}
 	if b.endpointsByID[1] == nil {
-		t.Fatal("a failed call dropped the old list")
+		t.Fatal("a failed watch request removed the endpoints of the previous list")
 	}
 	b.EndpointsUpdated(40*time.Second, FullUpdate, readyEndpoints(1))
 	for now := 40 * time.Second; now < 60*time.Second; now += 10 * ms {
 		b.TimerFired(now)
 	}
 	if h.watchRequests != requested {
-		t.Fatal("requested again though it is subscribed")
+		t.Fatal("the watch was requested again after it succeeded")
 	}
 }
 
+// A registry may not respond to a watch request. The balancer must repeat the request before it is
+// expected to know of a change.
 func TestSilentWatchRequestIsRepeated(t *testing.T) {
 	cfg := testConfig()
 	cfg.WatchOnRequest = true
@@ -73,11 +80,12 @@
 		b.TimerFired(now)
 	}
 	if h.watchRequests < 2 {
-		t.Fatal("a change would have counted as known, though the list service was silent")
+		t.Fatal("watch request without a response was not repeated within WatchRequestWithin")
 	}
 }
 
-// Where WatchRequestWithin is unknown a request is repeated, but not at every timer.
+// If WatchRequestWithin is unknown, a watch request without a response is repeated at the default
+// interval, not at every timer.
 func TestSilentWatchRequestIsRepeatedWithoutBound(t *testing.T) {
 	cfg := testConfig()
 	cfg.WatchOnRequest, cfg.WatchRequestWithin = true, 0
@@ -88,6 +96,6 @@
 		b.TimerFired(now)
 	}
 	if h.watchRequests != 3 {
-		t.Fatalf("%d watch requests in 10 s, want one at the start and every 4 s", h.watchRequests)
+		t.Fatalf("got %d watch requests in 10 s, want 3: one at the start and one every 4 s", h.watchRequests)
 	}
 }
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-// The concurrency limits of all balancers together would let an endpoint be overloaded.
+// The concurrency limit covers the attempts of one balancer only, so that all balancers together could
+// overload an endpoint. An endpoint that reports a high load must be skipped while its report is
+// fresh.
 func TestReportedFullEndpointIsSkipped(t *testing.T) {
 	cfg := testConfig()
 	cfg.ProbesAllowed, cfg.ProbeLoadReports = true, true
@@ -15,23 +17,23 @@
 		receive(b, ms, id, idempotentClass)
 	}
 	if h.attemptsAt(1) != 0 || h.attemptsAt(2) != 4 {
-		t.Fatalf("%d attempts at the full endpoint", h.attemptsAt(1))
+		t.Fatalf("got %d attempts at the full endpoint, want 0", h.attemptsAt(1))
 	}
 	if len(h.probes) != 2 {
-		t.Fatalf("%d probes for 4 requests, want 2", len(h.probes))
+		t.Fatalf("got %d probes for 4 requests, want 2", len(h.probes))
 	}
 	b.ProbeCompleted(2*ms, 9, true, LoadReport{InFlight: 1})   // an unknown endpoint
 	b.ProbeCompleted(2*ms, 1, false, LoadReport{InFlight: -1}) // a failed probe
 	for id := RequestID(10); id < 12; id++ {
-		receive(b, 2*time.Second, id, idempotentClass) // the report is old by now
+		receive(b, 2*time.Second, id, idempotentClass) // the report is no longer fresh
 	}
 	if h.attemptsAt(1) == 0 {
-		t.Fatal("an old report still counts")
+		t.Fatal("an outdated load report is still in use")
 	}
 }
 
-// A report is older than most requests take: an endpoint with one request above its share
-// of what the fleet holds at the quotas is not full.
+// A load report is older than the duration of most requests. An endpoint with one request above its
+// share of the requests that the fleet has in flight at full quotas must not count as full.
 func TestReportedLoadTolerance(t *testing.T) {
 	cfg := testConfig()
 	cfg.ProbesAllowed, cfg.ProbeLoadReports = true, true
@@ -42,13 +44,13 @@
 	}
 	receive(b, ms, 1, idempotentClass)
 	if len(h.sends) != 1 {
-		t.Error("no attempt though each endpoint is within the tolerance")
+		t.Error("got no attempt while each endpoint is within the tolerance, want 1")
 	}
 	for _, id := range []EndpointID{1, 2} {
 		b.ProbeCompleted(2*ms, id, true, LoadReport{InFlight: share + 4})
 	}
 	receive(b, 3*ms, 2, idempotentClass)
 	if len(h.sends) != 1 {
-		t.Error("an attempt at an endpoint that reports to be full")
+		t.Error("got an attempt at an endpoint that is full by its load report, want none")
 	}
 }
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// An endpoint that hangs would use slots until each timeout.
+// An endpoint that never responds uses a slot until the timeout of each attempt. It must be ejected,
+// so that only trial requests use slots there.
 func TestSilentEndpointIsEjected(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2, 3))
 	now := time.Duration(0)
@@ -16,21 +17,22 @@
 		}
 		now += 10 * ms
 		b.TimerFired(now)
-		for i := range h.sends { // endpoint 1 never responds: timeouts at the objective
+		for i := range h.sends { // endpoint 1 never responds; its attempts time out at the objective
 			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].startedAt+s.timeout <= now {
 				endAttempt(b, now, s.id, 0, TimedOut)
 			}
 		}
 	}
 	if n := h.attemptsAt(1); n > 60 {
-		t.Fatalf("an endpoint that never responded got %d of 300 first attempts", n)
+		t.Fatalf("got %d of 300 first attempts at an endpoint that never responds, want at most 60", n)
 	}
 	if b.Counters().TrialRequests == 0 {
-		t.Fatalf("counters %+v: want trial requests", b.Counters())
+		t.Fatalf("got counters %+v, want TrialRequests above 0", b.Counters())
 	}
 }
 
-// An endpoint that fails all attempts is ejected also without a rejection or a failed connection.
+// An endpoint that responds to all attempts with errors must be ejected, although it neither rejects
+// requests nor refuses connections.
 func TestFailingEndpointIsEjected(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2))
 	for id := range RequestID(100) {
@@ -39,11 +41,11 @@
 		endAttempt(b, now+5*ms, id, 0, map[bool]AttemptResult{true: ServerError, false: Served}[h.sends[len(h.sends)-1].to == 1])
 	}
 	if n := h.attemptsAt(1); n < 3 || n > 5 {
-		t.Fatalf("an endpoint that only fails got %d of 100 attempts", n)
+		t.Fatalf("got %d of 100 attempts at an endpoint that fails all attempts, want 3 to 5", n)
 	}
 }
 
-// An endpoint that has recovered is used again.
+// An ejected endpoint that has recovered must get its share of the attempts again.
 func TestEjectedEndpointRecovers(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2))
 	id, now := RequestID(0), time.Duration(0)
@@ -53,7 +55,7 @@
 		endAttempt(b, now, id, 1, Served)
 	}
 	if !b.endpointsByID[1].ejected {
-		t.Fatal("not ejected without a connection")
+		t.Fatal("endpoint was not ejected after a failed connection")
 	}
 	before := h.attemptsAt(1)
 	for ; now < 3*time.Second; id++ {
@@ -63,49 +65,55 @@
 		endAttempt(b, now+5*ms, id, 0, Served)
 	}
 	if b.endpointsByID[1].ejected || h.attemptsAt(1) < before+10 {
-		t.Fatalf("ejected %v, sends since %d", b.endpointsByID[1].ejected, h.attemptsAt(1)-before)
+		t.Fatalf("got ejected %v and %d sends since the recovery, want false and at least 10",
+			b.endpointsByID[1].ejected, h.attemptsAt(1)-before)
 	}
 }
 
+// While all endpoints are ejected, requests must still get attempts. Otherwise the balancer would serve
+// no request until a trial request is due.
 func TestAllEjectedStillServes(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2))
 	receive(b, 0, 1, idempotentClass)
 	endAttempt(b, 0, 1, 0, ConnectionFailed)
 	endAttempt(b, 0, 1, 1, ConnectionFailed)
 	if b.weights.healthy.weight != 0 {
-		t.Fatal("set-up: an endpoint is not ejected")
+		t.Fatal("setup: an endpoint is not ejected")
 	}
 	n := len(h.sends)
 	receive(b, ms, 2, notIdempotentClass)
 	if len(h.sends) != n+1 {
-		t.Fatal("no attempt while all endpoints are ejected")
+		t.Fatal("got no attempt while all endpoints are ejected, want 1")
 	}
 }
 
-// A connection that breaks now and then says little about an endpoint: if each ejected it, a
-// few resets at each would leave too few for the load. Two in a row eject it.
+// A single connection reset says little about an endpoint. If each reset ejected the endpoint, a few
+// resets at each endpoint would leave too few endpoints for the load. Two resets without a response in
+// between eject it.
 func TestSingleConnectionResetIsTolerated(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1))
 	receive(b, 0, 1, notIdempotentClass)
 	endAttempt(b, ms, 1, 0, ConnectionReset)
 	if b.endpointsByID[1].ejected {
-		t.Error("ejected by one broken connection")
+		t.Error("endpoint was ejected by a single connection reset")
 	}
 	receive(b, 2*ms, 2, idempotentClass)
 	endAttempt(b, 3*ms, 2, 0, Served)
 	receive(b, 4*ms, 3, notIdempotentClass)
 	endAttempt(b, 5*ms, 3, 0, ConnectionReset)
 	if b.endpointsByID[1].ejected {
-		t.Error("ejected though it responded between two broken connections")
+		t.Error("endpoint was ejected although it responded between two connection resets")
 	}
 	receive(b, 6*ms, 4, notIdempotentClass)
 	endAttempt(b, 7*ms, 4, 0, ConnectionReset)
 	if !b.endpointsByID[1].ejected || len(h.sends) != 4 {
-		t.Errorf("after two in a row: ejected %v, %d sends", b.endpointsByID[1].ejected, len(h.sends))
+		t.Errorf("after two consecutive resets: got ejected %v and %d sends, want true and 4",
+			b.endpointsByID[1].ejected, len(h.sends))
 	}
 }
 
-// Connections that break at the same time are one event, however many attempts were in flight.
+// Connections that are reset at the same time count as one failure, whatever the number of attempts in
+// flight. Otherwise a single event could eject an endpoint.
 func TestSimultaneousConnectionResetsCountOnce(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1))
 	for id := range RequestID(3) {
@@ -115,17 +123,18 @@
 		endAttempt(b, ms+time.Duration(id)*100*time.Microsecond, id, 0, ConnectionReset)
 	}
 	if len(h.sends) != 3 || b.endpointsByID[1].ejected {
-		t.Errorf("%d in flight as the connections broke, ejected %v", len(h.sends), b.endpointsByID[1].ejected)
+		t.Errorf("got %d attempts and ejected %v after simultaneous resets, want 3 and false",
+			len(h.sends), b.endpointsByID[1].ejected)
 	}
 	receive(b, 2*ms, 9, notIdempotentClass)
 	endAttempt(b, 3*ms, 9, 0, ConnectionReset)
 	if !b.endpointsByID[1].ejected {
-		t.Error("not ejected though the next one broke too")
+		t.Error("endpoint was not ejected after the next connection was reset too")
 	}
 }
 
-// Probes and attempts that failed for a reason of this machine are no evidence against an
-// endpoint, however many.
+// Probes and attempts that fail for a reason on this machine say nothing about the endpoint. They must
+// not eject the endpoint, whatever their number.
 func TestUnstartedAttemptIsNoFailure(t *testing.T) {
 	b, h := newTestBalancer(t, lowTrafficConfig(), readyEndpoints(1, 2, 3, 4))
 	for id := range RequestID(100) {
@@ -136,7 +145,7 @@
 			b.ProbeNotSent(0, to)
 		}
 		if h.rejected[id] < 0 || len(h.sends) > 0 {
-			t.Fatalf("request %d: sends %v", id, h.sends)
+			t.Fatalf("request %d: got sends %v, want no attempt and no negative pause", id, h.sends)
 		}
 	}
 	b, h = newTestBalancer(t, testConfig(), readyEndpoints(1, 2, 3, 4))
@@ -147,12 +156,13 @@
 		}
 		h.sends = nil
 		if _, rejected := h.rejected[id]; !rejected {
-			t.Fatalf("request %d, which never ran, was not rejected", id)
+			t.Fatalf("request %d never ran: got no rejection, want one", id)
 		}
 	}
 	for _, s := range b.endpoints {
 		if s.ejected || s.consecutiveFailures > 0 || s.inFlight > 0 {
-			t.Errorf("endpoint %d: ejected, %d failures or %d attempts in flight", s.ID, s.consecutiveFailures, s.inFlight)
+			t.Errorf("endpoint %d: got ejected, %d failures or %d attempts in flight; want not ejected, 0 and 0",
+				s.ID, s.consecutiveFailures, s.inFlight)
 		}
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// The attempts at the endpoints must be proportional to the weights.
 func TestRoundRobinFollowsWeights(t *testing.T) {
 	list := readyEndpoints(1, 2, 3)
 	list[2].Weight = 2
@@ -16,13 +17,14 @@
 		endAttempt(b, now+10*ms, id, 0, Served)
 	}
 	if h.attemptsAt(1) != 10 || h.attemptsAt(2) != 10 || h.attemptsAt(3) != 20 {
-		t.Fatalf("attempts %d %d %d, want 10 10 20", h.attemptsAt(1), h.attemptsAt(2), h.attemptsAt(3))
+		t.Fatalf("got attempts %d %d %d, want 10 10 20", h.attemptsAt(1), h.attemptsAt(2), h.attemptsAt(3))
 	}
 	if c := b.Counters(); c.RoundRobinPicks != 40 {
-		t.Fatalf("%d round-robin picks of 40", c.RoundRobinPicks)
+		t.Fatalf("got %d round-robin picks, want 40", c.RoundRobinPicks)
 	}
 }
 
+// An endpoint whose weight is missing or not a number must get attempts as with weight 1.
 func TestUnusableWeightsCountAsOne(t *testing.T) {
 	list := []Endpoint{{ID: 1, Health: Ready}, {ID: 2, Health: Ready, Weight: math.NaN()}}
 	b, h := newTestBalancer(t, testConfig(), list)
@@ -32,11 +34,12 @@
 		endAttempt(b, now+10*ms, id, 0, Served)
 	}
 	if h.attemptsAt(1) != 5 || h.attemptsAt(2) != 5 {
-		t.Fatalf("attempts %d %d, want 5 5", h.attemptsAt(1), h.attemptsAt(2))
+		t.Fatalf("got attempts %d %d, want 5 5", h.attemptsAt(1), h.attemptsAt(2))
 	}
 }
 
-// Where crossing zones has a cost, other zones are used only when the own one is full.
+// If attempts at other zones have a cost, endpoints of other zones may be used only when the endpoints of the
+// balancer's own zone are at their limits.
 func TestOwnZoneFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZoneCost, cfg.Zone = 0.02, 1
@@ -46,21 +49,22 @@
 	receive(b, 0, 1, idempotentClass)
 	receive(b, 0, 2, idempotentClass)
 	if h.attemptsAt(3) != 2 {
-		t.Fatalf("sends %v, want both in the own zone", h.sends)
+		t.Fatalf("got sends %v, want both at endpoint 3, in the own zone", h.sends)
 	}
 	for id := RequestID(3); id < 8; id++ {
 		receive(b, 0, id, idempotentClass)
 	}
 	if h.attemptsAt(1)+h.attemptsAt(2) == 0 {
-		t.Fatal("no attempt in the other zone though the own endpoint is at its limit")
+		t.Fatal("got no attempt in the other zone while the endpoint of the own zone is at its limit")
 	}
 }
 
-// If a thousand balancers used every endpoint, each would need a connection there, which
-// fills the endpoints' tables, and would open most of them anew for each request.
+// If each of a thousand balancers used every endpoint, each balancer would need a connection to each
+// endpoint. These connections fill the connection tables of the endpoints, and with low traffic most
+// of them would have to be opened again for each request.
 func TestLowTrafficUsesSubsetOfOwnZone(t *testing.T) {
 	endpointsUsed := func(cfg Config) int {
-		cfg.CrossZoneCost, cfg.ProbeCost = 0.02, 1 // and no probes
+		cfg.CrossZoneCost, cfg.ProbeCost = 0.02, 1 // too costly for probes
 		var list []Endpoint
 		for id := range EndpointID(20) {
 			list = append(list, Endpoint{ID: id, Health: Ready, Weight: 1})
@@ -76,12 +80,12 @@
 		return len(to)
 	}
 	if n := endpointsUsed(lowTrafficConfig()); n < 5 || n > 15 {
-		t.Errorf("%d of 20 endpoints used where traffic is low, want about half", n)
+		t.Errorf("traffic is low: got %d of 20 endpoints in use, want 5 to 15", n)
 	}
 	full := testConfig()
 	full.FleetSize = 1
 	full.Tenants[0].Quota, full.Tenants[1].Quota = 750, 250
 	if n := endpointsUsed(full); n != 20 {
-		t.Errorf("%d of 20 endpoints used where traffic is not low", n)
+		t.Errorf("traffic is not low: got %d of 20 endpoints in use, want all", n)
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
+// A balancer must not send more than its part of the slow start budget to an endpoint that has restarted.
 func TestBalancerKeepsToSlowStartBudget(t *testing.T) {
 	for _, balancers := range []int{1, 4} {
 		cfg := testConfig()
 		cfg.FleetSize = balancers
 		list := readyEndpoints(1, 2)
 		b, h := newTestBalancer(t, cfg, list)
-		list[0].StartedAt = 10 * time.Second // restarted under the same id
+		list[0].StartedAt = 10 * time.Second // endpoint 1 restarted with the same ID
 		b.EndpointsUpdated(10*time.Second, DeltaUpdate, list[:1])
 		id := RequestID(0)
-		sends := map[bool]int{} // by whether within the first second
+		sends := map[bool]int{} // number of sends, by whether they are within the first second
 		for now := 10 * time.Second; now < 20*time.Second; now += 2 * ms {
 			before := h.attemptsAt(1)
 			receive(b, now, id, idempotentClass)
@@ -26,19 +27,22 @@
 				sends[true]++
 			}
 		}
-		// Capacity by the quotas: 100 a second at two endpoints; 0.3 of it at the start, and 3 times that as the budget.
+		// The quotas give a capacity of 100 requests per second for two endpoints. An endpoint has 0.3 of its
+		// capacity at the start, and the budget is 3 times that.
 		budget := 100.0 / 2 * 0.3 * 3 / float64(balancers)
 		if n := float64(sends[true]); n == 0 || n > budget {
-			t.Errorf("%d balancers: %v sends in the first second, budget of each %.1f", balancers, n, budget)
+			t.Errorf("%d balancers: got %v sends in the first second, want above 0 and at most %.1f",
+				balancers, n, budget)
 		}
 		if h.attemptsAt(1) < 500 {
-			t.Errorf("%d balancers: only %d sends in all, with slow start ended", balancers, h.attemptsAt(1))
+			t.Errorf("%d balancers: got %d sends until after slow start, want at least 500",
+				balancers, h.attemptsAt(1))
 		}
 	}
 }
 
-// All balancers learn of a started endpoint at the same moment. If each could send to it at once,
-// a few hundred first sends would overload it.
+// All balancers learn of a started endpoint at the same time. If each could send its first attempt at once,
+// a few hundred simultaneous attempts would overload the endpoint.
 func TestFirstSendsAfterStartAreSpread(t *testing.T) {
 	const balancers = 200
 	cfg := testConfig()
@@ -62,22 +66,25 @@
 		}
 		sends += h.attemptsAt(1)
 	}
-	// Two seconds of 50 requests a second, from 0.3 to 0.475 of the capacity, times 3.
+	// Two seconds at 50 requests per second, of which the endpoint can handle 0.3 to 0.475, times 3.
 	if budget := 2 * 50 * 0.35 * 3; float64(sends) > budget || sends == 0 {
-		t.Errorf("%d sends to the started endpoint in two seconds, the budget is %.0f", sends, budget)
+		t.Errorf("got %d sends to the started endpoint in two seconds, want above 0 and at most %.0f",
+			sends, budget)
 	}
 }
 
-// A starting endpoint bears a budget of N requests from all balancers together, and by chance
-// twice the root of N and two more. Thirty balancers, each with more traffic than it could
-// place, keep to that also where the part of each is far below one request, and where no
-// quota says what endpoints can do.
+// An endpoint in slow start can handle a budget of N requests from all balancers together. Random
+// variation may add 2*sqrt(N) + 2 requests. Thirty balancers, each with more traffic than it can send,
+// must keep to this limit also if the part of each balancer is far below one request per second, and
+// if no quota shows the capacity of the endpoints.
 func TestFleetKeepsToSlowStartBudget(t *testing.T) {
-	for name, quota := range map[string]float64{"a part of 0.03 a second": 12, "a part of 0.9 a second": 360, "no quotas": 0} {
+	for name, quota := range map[string]float64{
+		"0.03 attempts per second per balancer": 12, "0.9 attempts per second per balancer": 360, "no quotas": 0,
+	} {
 		for seed := range uint64(8) {
 			balancersRestart := seed%2 == 1
 			fleet := newTestFleet(t, quota, seed)
-			for fleet.now < time.Hour+2*time.Second { // latencies are known by then
+			for fleet.now < time.Hour+2*time.Second { // the balancers learn the latencies during this time
 				fleet.serve()
 			}
 			startedAt := fleet.now
@@ -87,7 +94,7 @@
 				fleet.serve()
 				budget := fleet.slowStartBudget(now - startedAt)
 				if most := budget + 2*math.Sqrt(budget) + 2; float64(len(fleet.recentSends)) > most {
-					t.Errorf("%s, seed %d: %d requests within a second, %v after its start; it bears %.1f",
+					t.Errorf("%s, seed %d: got %d requests within a second, %v after the start; want at most %.1f",
 						name, seed, len(fleet.recentSends), now-startedAt, most)
 				}
 			}
@@ -100,10 +107,10 @@
 	fleetEndpoints      = 6
 	fleetLatency        = 50 * ms
 	startingEndpointID  = 1
-	requestsPerBalancer = 6 // a step of 20 ms
+	requestsPerBalancer = 6 // requests per step of 20 ms
 )
 
-// testFleet is a fleet of balancers, each with more requests than it can place.
+// testFleet is a fleet of balancers, each with more requests than it can send.
 type testFleet struct {
 	t           *testing.T
 	cfg         Config
@@ -111,16 +118,17 @@
 	now         time.Duration
 	balancers   []*Balancer
 	hosts       []*fakeHost
-	recentSends []time.Duration // to the starting endpoint, within the last second
+	recentSends []time.Duration // times of the sends to the starting endpoint within the last second
 }
 
+// newTestFleet returns a fleet whose endpoint list does not contain the starting endpoint yet.
 func newTestFleet(t *testing.T, quota float64, seed uint64) *testFleet {
 	t.Helper()
 	cfg := testConfig()
 	cfg.FleetSize, cfg.Slots = fleetBalancers, 40
 	cfg.Tenants = []Tenant{{Share: 1, Quota: quota}}
 	fleet := &testFleet{t: t, cfg: cfg, now: time.Hour}
-	fleet.seeds = rand.New(rand.NewPCG(seed, 1)) // similar ones would draw similar first picks
+	fleet.seeds = rand.New(rand.NewPCG(seed, 1)) // similar seeds would give similar first random numbers
 	fleet.balancers = make([]*Balancer, fleetBalancers)
 	fleet.hosts = make([]*fakeHost, fleetBalancers)
 	for i := range fleet.balancers {
@@ -129,6 +137,7 @@
 	return fleet
 }
 
+// startBalancer replaces a balancer by a new one that receives a full endpoint list.
 func (f *testFleet) startBalancer(i int, list []Endpoint) {
 	f.t.Helper()
 	f.hosts[i] = newFakeHost()
@@ -141,8 +150,8 @@
 	f.balancers[i] = b
 }
 
-// startEndpoint informs all balancers of a start at the same moment. Those that restart
-// themselves get the full list.
+// startEndpoint reports the start of the endpoint to all balancers at the same time. If
+// balancersRestart is set, the balancers restart too and receive a full endpoint list.
 func (f *testFleet) startEndpoint(balancersRestart bool) {
 	f.t.Helper()
 	starting := Endpoint{ID: startingEndpointID, Health: Ready, Weight: 1, StartedAt: f.now}
@@ -155,7 +164,8 @@
 	}
 }
 
-// serve passes on requests, ends attempts after their latency, and moves the time on.
+// serve delivers requests to all balancers, ends attempts after their latency, and advances the time
+// by 20 ms.
 func (f *testFleet) serve() {
 	for i, b := range f.balancers {
 		h := f.hosts[i]
@@ -179,11 +189,11 @@
 	f.now += 20 * ms
 }
 
-// slowStartBudget is what an endpoint of this age bears, in requests a second.
+// slowStartBudget returns the load that an endpoint of this age can handle, in requests per second.
 func (f *testFleet) slowStartBudget(age time.Duration) float64 {
 	capacity := f.cfg.Tenants[0].Quota / fleetEndpoints
 	if capacity == 0 {
-		capacity = float64(time.Second) / float64(fleetLatency) // by latencies: it does one at a time
+		capacity = float64(time.Second) / float64(fleetLatency) // one request at a time
 	}
 	factor := f.cfg.SlowStartInitialShare + (1-f.cfg.SlowStartInitialShare)*float64(age)/float64(f.cfg.SlowStartDuration)
 	return f.cfg.SlowStartOverloadFactor * factor * capacity
--- a/policy/weights_test.go
+++ b/policy/weights_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// However the list and the health of its endpoints change, the sums of weights are
-// those of the endpoints there are, and exactly 0 where there is none.
+// After any changes of the list and of the health of its endpoints, the sums of weights must equal the
+// sums over the current endpoints, and must be exactly 0 if there is no endpoint.
 func TestSumsOfWeights(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
@@ -33,7 +33,7 @@
 		var want endpointWeights
 		for _, endpoint := range b.endpoints {
 			if b.endpointsByID[endpoint.ID] != endpoint {
-				t.Fatalf("step %d: endpoint %d is not found by its ID", step, endpoint.ID)
+				t.Fatalf("step %d: endpoint %d is missing in endpointsByID or differs there", step, endpoint.ID)
 			}
 			if endpoint.Health != Ready {
 				continue
@@ -47,15 +47,17 @@
 		}
 		got := b.weights
 		if !sameSum(got.ready, want.ready) || !sameSum(got.healthy, want.healthy) || got.peak < want.ready.weight-1e-9 {
-			t.Fatalf("step %d: weights %+v, want %+v", step, got, want)
+			t.Fatalf("step %d: got weights %+v, want %+v", step, got, want)
 		}
 		if len(b.endpointsByID) != len(b.endpoints) {
-			t.Fatalf("step %d: %d endpoints, %d by ID", step, len(b.endpoints), len(b.endpointsByID))
+			t.Fatalf("step %d: got %d endpoints and %d entries in endpointsByID, want the same number",
+				step, len(b.endpoints), len(b.endpointsByID))
 		}
 	}
 }
 
-// sameSum says that two sums are equal but for rounding, and that an empty one is exactly 0.
+// sameSum reports whether two sums are equal except for rounding errors, and whether the weight of an
+// empty sum is exactly 0.
 func sameSum(got, want weightSum) bool {
 	if got.count != want.count || (got.count == 0) != (got.weight == 0) {
 		return false
