--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -8,7 +8,7 @@
 	"mothridge/policy"
 )
 
-// sidecar is the program that embeds the module: it carries out its decisions.
+// sidecar is a policy.Host that prints the decisions of a Balancer.
 type sidecar struct{}
 
 func (sidecar) Send(id policy.RequestID, to policy.EndpointID, timeout, _ time.Duration) {
@@ -19,10 +19,11 @@
 }
 func (sidecar) Fail(id policy.RequestID)                { fmt.Printf("fail request %d\n", id) }
 func (sidecar) Cancel(id policy.RequestID, attempt int) {}
-func (sidecar) SetTimer(d time.Duration)                {} // call b.TimerFired after d
+func (sidecar) SetTimer(d time.Duration)                {} // a real program calls Balancer.TimerFired after d
 func (sidecar) Probe(to policy.EndpointID)              {}
 func (sidecar) RequestWatch()                           {}
 
+// Example shows the events of three requests at a Balancer with one slot.
 func Example() {
 	b, err := policy.New(policy.Config{
 		FleetSize:   1,
@@ -34,10 +35,10 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Duration(0) // since any moment the program picks
+	now := time.Duration(0) // time since a moment that the program chooses
 	b.Start(now)
 	b.EndpointsUpdated(now, policy.FullUpdate, []policy.Endpoint{{ID: 7, Health: policy.Ready, Weight: 1}})
-	for id := range policy.RequestID(3) { // one slot, one queue place: the third is rejected
+	for id := range policy.RequestID(3) { // one slot and a queue of one: the third request is rejected
 		b.RequestReceived(now, policy.Request{ID: id, Timeout: 2 * time.Second})
 	}
 	now += 80 * time.Millisecond
@@ -48,7 +49,7 @@
 	// send request 1, for at most 920ms
 }
 
-// BenchmarkList takes a first list of n endpoints, and then deltas of one.
+// BenchmarkList measures a first full update with n endpoints, and delta updates of one endpoint.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		list := make([]policy.Endpoint, n)
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	goldenEvents    = 55_000 // for each scenario: more than a million in all
+	goldenEvents    = 55_000 // events per scenario: more than a million in total
 	goldenEndpoints = 12
-	goldenRequestMS = 8.0 // mean time between two requests, in ms
+	goldenRequestMS = 8.0 // mean time between two requests if goldenScenario.gap is 1, in ms
 )
 
-// goldenScenario is one configuration, and how the endpoints behave under it. Its name is in
-// testdata/decisions.golden.
+// goldenScenario is a configuration together with the behaviour of clients, endpoints and discovery. The name
+// of a scenario identifies its result in testdata/decisions.golden.
 type goldenScenario struct {
 	name   string
-	adjust func(*policy.Config)
+	adjust func(*policy.Config) // changes goldenConfig for this scenario; may be nil
 
 	gap     float64 // mean time between requests, as a multiple of goldenRequestMS
-	service float64 // mean service time as a share of the objective
-	faults  float64 // share of attempts that fail in some way
+	service float64 // mean service time before the effect of load, as a fraction of 400 ms
+	faults  float64 // share of attempts that fail without a timeout
 	restart float64 // share of list updates that restart an endpoint
 	listMS  float64 // mean time between list updates, in ms
 }
@@ -88,6 +88,7 @@
 	}},
 }
 
+// goldenConfig returns the configuration that the scenarios adjust.
 func goldenConfig() policy.Config {
 	class := func(e policy.Idempotency, s policy.DedupScope, objective time.Duration, priority float64) policy.Class {
 		return policy.Class{LatencyObjective: objective, Deadline: 3 * objective, PriorityWeight: priority, Idempotency: e, DedupScope: s, DedupWindow: objective * 7 / 10}
@@ -112,8 +113,8 @@
 	}
 }
 
-// goldenHost simulates endpoints, clients and discovery in simulated time and digests all
-// that the Balancer decides.
+// goldenHost simulates endpoints, clients and discovery in simulated time, and computes a digest of
+// all actions of the Balancer.
 type goldenHost struct {
 	scenario  goldenScenario
 	config    policy.Config
@@ -129,6 +130,7 @@
 	endpoints [goldenEndpoints]goldenEndpoint
 }
 
+// goldenRequest is the state of a request in the simulation.
 type goldenRequest struct {
 	attempts int
 	inFlight map[int]bool
@@ -136,19 +138,23 @@
 	ended    bool
 }
 
+// goldenEndpoint is the state of an endpoint in the simulation.
 type goldenEndpoint struct {
 	entry    policy.Endpoint
 	inFlight int
-	slow     float64
-	hangs    bool
+	slow     float64 // factor by which responses are slower
+	hangs    bool    // attempts get no response
 }
 
+// goldenEvent is a function to call at a simulated time. Events at the same time run in the order in
+// which they were scheduled.
 type goldenEvent struct {
 	at    time.Duration
 	order int
 	run   func()
 }
 
+// goldenQueue is a heap of events, ordered by time.
 type goldenQueue []goldenEvent
 
 func (q goldenQueue) Len() int { return len(q) }
@@ -163,12 +169,13 @@
 	return last
 }
 
+// after schedules a function to be called after a simulated time.
 func (h *goldenHost) after(d time.Duration, run func()) {
 	h.added++
 	heap.Push(&h.events, goldenEvent{h.now + d, h.added, run})
 }
 
-// exponential draws a time, in ms.
+// exponential returns an exponentially distributed random time; its mean is in ms.
 func (h *goldenHost) exponential(mean float64) time.Duration {
 	return time.Duration(h.rng.ExpFloat64() * mean * float64(time.Millisecond))
 }
@@ -195,6 +202,7 @@
 	h.after(took, func() { h.endAttempt(id, number, to, result) })
 }
 
+// endAttempt reports the end of an attempt to the Balancer, unless the attempt has already ended.
 func (h *goldenHost) endAttempt(id policy.RequestID, number int, endpoint policy.EndpointID, result policy.AttemptResult) {
 	r := h.requests[id]
 	if !r.inFlight[number] {
@@ -209,6 +217,7 @@
 	h.forget(id)
 }
 
+// forget removes a request that has ended and has no attempt in flight.
 func (h *goldenHost) forget(id policy.RequestID) {
 	if r := h.requests[id]; r != nil && r.ended && len(r.inFlight) == 0 {
 		delete(h.requests, id)
@@ -259,7 +268,7 @@
 	answer := h.rng.IntN(8)
 	h.after(h.exponential(20), func() {
 		switch answer {
-		case 0, 1, 2: // silent
+		case 0, 1, 2: // no response
 		case 3:
 			h.updateEndpoints(policy.FullUpdate)
 		default:
@@ -268,7 +277,7 @@
 	})
 }
 
-// receiveRequest passes on one request and plans the next.
+// receiveRequest delivers a random request and schedules the next request.
 func (h *goldenHost) receiveRequest() {
 	h.nextID++
 	id := h.nextID
@@ -298,6 +307,7 @@
 	h.after(h.exponential(h.scenario.gap*goldenRequestMS), h.receiveRequest)
 }
 
+// disconnectClient reports the disconnect of a client whose request has not ended.
 func (h *goldenHost) disconnectClient(id policy.RequestID) {
 	if r := h.requests[id]; r != nil && !r.ended {
 		r.ended = true
@@ -306,7 +316,7 @@
 	}
 }
 
-// changeEndpoints changes some endpoints, passes that on, and plans the next change.
+// changeEndpoints changes one or two random endpoints, delivers an update, and schedules the next change.
 func (h *goldenHost) changeEndpoints() {
 	var changed []policy.Endpoint
 	for range 1 + h.rng.IntN(2) {
@@ -333,6 +343,7 @@
 	h.after(h.exponential(h.scenario.listMS), h.changeEndpoints)
 }
 
+// updateEndpoints delivers an update with all endpoints that are not removed, or a failed update.
 func (h *goldenHost) updateEndpoints(kind policy.UpdateKind) {
 	var entries []policy.Endpoint
 	for i := range h.endpoints {
@@ -346,7 +357,7 @@
 	h.b.EndpointsUpdated(h.now, kind, entries)
 }
 
-// run returns the digest of all actions of a scenario.
+// run simulates a scenario and returns the digest of all actions and the counters of the Balancer.
 func (s goldenScenario) run(t *testing.T, seed uint64) string {
 	t.Helper()
 	h := &goldenHost{
@@ -386,11 +397,10 @@
 	})
 }
 
-// The decisions stay as they were recorded, to the bit. Record them anew with
+// The decisions must be identical to the recorded decisions, which guards against unintended changes.
+// If a change of the decisions is intended, record them again with
 //
 //	go test ./policy -run Golden -update
-//
-// only where a change of decisions is meant.
 func TestGoldenDecisions(t *testing.T) {
 	var got strings.Builder
 	for i, s := range goldenScenarios {
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// startedAttempt is one call of Send.
+// startedAttempt records one call of Send.
 type startedAttempt struct {
 	id      RequestID
 	to      EndpointID
@@ -20,7 +20,7 @@
 	rejected      map[RequestID]time.Duration
 	failed        map[RequestID]bool
 	cancelled     []RequestID
-	startedAt     []time.Duration // when the sends were, for a test that notes it
+	startedAt     []time.Duration // times of the sends, in tests that record them
 	probes        []EndpointID
 	watchRequests int
 }
@@ -55,7 +55,7 @@
 	h.watchRequests++
 }
 
-// attemptsAt counts the attempts at an endpoint.
+// attemptsAt returns the number of attempts at an endpoint.
 func (h *fakeHost) attemptsAt(id EndpointID) int {
 	n := 0
 	for _, attempt := range h.sends {
@@ -66,7 +66,7 @@
 	return n
 }
 
-// The classes of testConfig.
+// The indexes of the classes of testConfig.
 const (
 	idempotentClass = iota
 	keyedClass
@@ -75,6 +75,7 @@
 	notIdempotentClass
 )
 
+// testConfig returns a valid configuration with one class for each kind of idempotency.
 func testConfig() Config {
 	class := func(idempotency Idempotency, scope DedupScope) Class {
 		return Class{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: idempotency, DedupScope: scope, DedupWindow: 700 * ms}
@@ -98,6 +99,7 @@
 	}
 }
 
+// readyEndpoints returns an endpoint list in which all endpoints are ready and have weight 1.
 func readyEndpoints(ids ...EndpointID) []Endpoint {
 	var list []Endpoint
 	for _, id := range ids {
@@ -106,7 +108,7 @@
 	return list
 }
 
-// newTestBalancer makes a Balancer that has started and holds a list of endpoints.
+// newTestBalancer returns a started Balancer with an endpoint list.
 func newTestBalancer(t testing.TB, cfg Config, list []Endpoint) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := newFakeHost()
@@ -119,17 +121,18 @@
 	return b, h
 }
 
-// receive passes on a request of tenant 0.
+// receive delivers a request of tenant 0 with a timeout of 2 s.
 func receive(b *Balancer, now time.Duration, id RequestID, class int) {
 	b.RequestReceived(now, Request{ID: id, Class: class, Timeout: 2 * time.Second})
 }
 
-// endAttempt ends an attempt of a request.
+// endAttempt reports the end of an attempt of a request.
 func endAttempt(b *Balancer, now time.Duration, id RequestID, attempt int, result AttemptResult) {
 	b.AttemptEnded(now, AttemptOutcome{ID: id, Attempt: attempt, Result: result, Completed: result == Served})
 }
 
-// lowTrafficConfig has so many balancers that each sees too little of an endpoint.
+// lowTrafficConfig returns a configuration with a fleet so large that the traffic of each balancer
+// counts as low.
 func lowTrafficConfig() Config {
 	cfg := testConfig()
 	cfg.FleetSize, cfg.ProbesAllowed, cfg.Slots = 1000, true, 8
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// randomRun drives a Balancer with legal events in arbitrary order, while its ruleChecker
-// checks the actions. It models no latencies: pick chooses what happens.
+// randomRun drives a Balancer with valid events in random order, while its ruleChecker checks the actions of
+// the Balancer. It does not model latencies. The function pick makes all random choices.
 type randomRun struct {
 	*ruleChecker
 	b     *Balancer
-	pick  func(n int) int // one of n possibilities
-	last  RequestID
-	order []RequestID // of the requests, so that a run can be repeated
-	slots []int       // of each bulkhead
+	pick  func(n int) int // returns a number from 0 to n-1
+	last  RequestID       // ID of the last request
+	order []RequestID     // IDs of the requests in order of arrival, so that a run can be repeated
+	slots []int           // number of slots of each bulkhead
 }
 
-// runRandomEvents returns all actions of a run.
+// runRandomEvents runs a number of random events and returns all actions of the Balancer. It fails the
+// test if a rule is violated, a request is not answered, or a slot is not freed.
 func runRandomEvents(t testing.TB, steps int, pick func(n int) int) []string {
 	cfg := testConfig()
 	cfg.WatchOnRequest, cfg.ProbesAllowed, cfg.ProbeLoadReports = true, true, pick(2) == 0
-	cfg.FleetSize = []int{2, 1000}[pick(2)] // with many balancers traffic is low
+	cfg.FleetSize = []int{2, 1000}[pick(2)] // with 1000 balancers, traffic counts as low
 	cfg.CrossZoneCost = float64(pick(2)) * 0.02
 	run := &randomRun{ruleChecker: newRuleChecker(t, cfg, time.Hour), pick: pick}
 	b, err := New(cfg, uint64(pick(1000)), run)
@@ -38,24 +39,25 @@
 		run.step()
 		run.checkSlots()
 	}
-	for range 600 { // everything left is answered in time
+	for range 600 { // all open requests must be answered in time
 		run.now += 5 * ms
 		run.passTime()
 		run.checkSlots()
 	}
 	for id, request := range run.requests {
 		if !request.answered {
-			t.Fatalf("rule 1: request %d was never answered", id)
+			t.Fatalf("rule 1: request %d was not answered", id)
 		}
 	}
 	for tenant, slots := range run.slots {
 		if free := b.SlotsFree(tenant); free != slots {
-			t.Fatalf("bulkhead %d: %d of %d slots free after all has ended", tenant, free, slots)
+			t.Fatalf("bulkhead %d: got %d of %d slots free after all requests ended, want all", tenant, free, slots)
 		}
 	}
 	return run.trace
 }
 
+// step advances the time and triggers one random event.
 func (run *randomRun) step() {
 	run.now += time.Duration(run.pick(8)) * ms
 	run.passTime()
@@ -65,7 +67,7 @@
 	case 3, 4, 5:
 		run.endAnAttempt()
 	case 6:
-		run.b.TimerFired(run.now) // without a timer
+		run.b.TimerFired(run.now) // a call without a timer that is due
 	case 7:
 		run.updateEndpoints()
 	case 8:
@@ -75,6 +77,7 @@
 	}
 }
 
+// receiveRequest delivers a request with a random class, tenant and timeout.
 func (run *randomRun) receiveRequest() {
 	run.last++
 	received := Request{ID: run.last, Class: run.pick(len(run.cfg.Classes)), Tenant: run.pick(2)}
@@ -87,8 +90,9 @@
 	run.b.RequestReceived(run.now, received)
 }
 
+// completeProbe delivers the result of a random probe that is pending, or of a probe that was never sent.
 func (run *randomRun) completeProbe() {
-	id := EndpointID(run.pick(8)) // at times one without a probe
+	id := EndpointID(run.pick(8)) // used if there is no pending probe, and at random otherwise
 	if n := len(run.pendingProbes); n > 0 && run.pick(8) > 0 {
 		k := run.pick(n)
 		id = run.pendingProbes[k]
@@ -97,6 +101,7 @@
 	run.b.ProbeCompleted(run.now, id, run.pick(3) > 0, LoadReport{InFlight: float64(run.pick(40) - 1)})
 }
 
+// disconnectClient disconnects the client of a random request, if the request is not answered.
 func (run *randomRun) disconnectClient() {
 	if len(run.order) == 0 {
 		return
@@ -107,7 +112,7 @@
 	}
 }
 
-// endAnAttempt ends one attempt that is in flight, if it finds one.
+// endAnAttempt ends an attempt in flight of a random request, if it finds one in four tries.
 func (run *randomRun) endAnAttempt() {
 	results := []AttemptResult{Served, ServerError, Rejected, ConnectionFailed, ConnectionReset, Cancelled, NotSent}
 	for range 4 {
@@ -132,8 +137,8 @@
 	run.b.AttemptEnded(run.now, AttemptOutcome{ID: id, Attempt: number, Result: result, Completed: request.answered})
 }
 
-// passTime fires the timers that are due, as often as they are, and ends the attempts whose
-// deadline has come.
+// passTime calls TimerFired once for each timer that is due, and ends the attempts in flight of
+// requests whose deadline has passed.
 func (run *randomRun) passTime() {
 	set := len(run.timers)
 	run.timers = slices.DeleteFunc(run.timers, func(at time.Duration) bool { return at <= run.now })
@@ -149,6 +154,7 @@
 	}
 }
 
+// updateEndpoints delivers an update of a random kind with random entries.
 func (run *randomRun) updateEndpoints() {
 	kind := UpdateKind(run.pick(4))
 	if kind == FailedUpdate {
@@ -170,18 +176,20 @@
 	run.b.EndpointsUpdated(run.now, kind, entries)
 }
 
+// pickEndpoint returns a random entry for one of eight endpoints.
 func (run *randomRun) pickEndpoint() Endpoint {
 	id := EndpointID(run.pick(8))
 	entry := Endpoint{ID: id, Zone: int(id) % 2, Cell: int(id) / 2 % 2 * 2, Health: Health(run.pick(3)), Weight: float64(run.pick(4))}
-	entry.Cell += entry.Zone // no two zones share a cell
+	entry.Cell += entry.Zone // each cell belongs to one zone
 	if run.pick(4) == 0 {
 		entry.StartedAt = run.now - time.Duration(run.pick(10000))*ms
 	}
 	return entry
 }
 
-// checkSlots checks that no bulkhead has more attempts in flight than slots, and forgets
-// requests that are done.
+// checkSlots checks that no bulkhead has more attempts in flight than slots in use. It also removes
+// requests that are answered and have no attempt in flight from the list of requests if the list is
+// long.
 func (run *randomRun) checkSlots() {
 	inFlight := make([]int, len(run.cfg.Tenants))
 	for _, request := range run.requests {
@@ -193,7 +201,8 @@
 	}
 	for tenant := range inFlight {
 		if free := run.b.SlotsFree(tenant); free < 0 || inFlight[tenant] > run.slots[tenant]-free {
-			run.t.Fatalf("bulkhead %d: %d attempts in flight, %d of %d slots free", tenant, inFlight[tenant], free, run.slots[tenant])
+			run.t.Fatalf("bulkhead %d: got %d attempts in flight with %d of %d slots free",
+				tenant, inFlight[tenant], free, run.slots[tenant])
 		}
 	}
 	if len(run.order) > 60 {
@@ -201,6 +210,7 @@
 	}
 }
 
+// forgetIfDone removes a request that is answered and has no attempt in flight, and reports whether it did.
 func (run *randomRun) forgetIfDone(id RequestID) bool {
 	request := run.requests[id]
 	done := request.answered && !slices.ContainsFunc(request.attempts, func(a checkedAttempt) bool { return a.inFlight })
@@ -210,6 +220,7 @@
 	return done
 }
 
+// No order of events may lead to an action that violates a rule.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -217,16 +228,18 @@
 	}
 }
 
+// A Balancer must be deterministic: the same configuration, seed and events give the same actions.
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(5) {
 		first := runRandomEvents(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
 		second := runRandomEvents(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
 		if !slices.Equal(first, second) {
-			t.Fatalf("seed %d: two runs with the same events differ", seed)
+			t.Fatalf("seed %d: got different actions in two runs with the same events", seed)
 		}
 	}
 }
 
+// FuzzRules lets the fuzzer choose the events, to find an order that violates a rule.
 func FuzzRules(f *testing.F) {
 	f.Add([]byte("a seed of some length, so that a few events happen"))
 	f.Add([]byte{0, 1, 7, 7, 7, 7, 0, 0, 0, 3, 3, 3, 9, 9})
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// ruleChecker is a Host that checks the rules of guard.go at every action.
+// ruleChecker is a Host that checks the rules of guard.go at every action of a Balancer.
 type ruleChecker struct {
 	t   testing.TB
 	cfg Config
 	now time.Duration
 
 	requests       map[RequestID]*checkedRequest
-	endpoints      map[EndpointID]Endpoint        // the list as the Balancer has it
-	slowStartSends map[EndpointID][]time.Duration // within the last second, to endpoints in slow start
+	endpoints      map[EndpointID]Endpoint        // the endpoint list that the Balancer has received
+	slowStartSends map[EndpointID][]time.Duration // times of attempts in slow start within the last second
 
-	timers        []time.Duration // when they are due
-	pendingProbes []EndpointID
-	trace         []string // all actions
+	timers        []time.Duration // times at which timers are due
+	pendingProbes []EndpointID    // endpoints with a probe that has no result yet
+	trace         []string        // all actions
 }
 
-// checkedRequest is what the checks know of a request.
+// checkedRequest is the state of a request as the ruleChecker observes it.
 type checkedRequest struct {
 	received Request
 	deadline time.Duration
@@ -31,6 +31,7 @@
 	answered bool
 }
 
+// checkedAttempt is the state of an attempt as the ruleChecker observes it.
 type checkedAttempt struct {
 	to        Endpoint
 	startedAt time.Duration
@@ -47,7 +48,7 @@
 	}
 }
 
-// mayHaveRun returns the first attempt that may have run or still may, or nil.
+// mayHaveRun returns the first attempt that may have run or may still run, or nil if there is none.
 func (r *checkedRequest) mayHaveRun() *checkedAttempt {
 	for i := range r.attempts {
 		result := r.attempts[i].result
@@ -58,6 +59,7 @@
 	return nil
 }
 
+// record appends an action to the trace.
 func (c *ruleChecker) record(format string, args ...any) {
 	c.trace = append(c.trace, fmt.Sprintf(format, args...))
 }
@@ -67,13 +69,14 @@
 	request, endpoint := c.requests[id], c.endpoints[to]
 	switch {
 	case request == nil || request.answered:
-		c.t.Fatalf("rule 1: attempt for request %d, which is answered", id)
+		c.t.Fatalf("rule 1: got an attempt for request %d, which is answered or unknown", id)
 	case endpoint.Health != Ready:
-		c.t.Fatalf("rule 3: attempt at endpoint %d in state %d", to, endpoint.Health)
+		c.t.Fatalf("rule 3: got an attempt at endpoint %d with health %d, want Ready", to, endpoint.Health)
 	case timeout <= 0 || c.now+timeout > request.deadline:
-		c.t.Fatalf("rule 1: timeout %v at %v runs past the deadline %v", timeout, c.now, request.deadline)
+		c.t.Fatalf("rule 1: got timeout %v at %v, want above 0 and an end by the deadline %v",
+			timeout, c.now, request.deadline)
 	case len(request.attempts) >= c.cfg.MaxAttempts:
-		c.t.Fatalf("attempt %d of at most %d", len(request.attempts)+1, c.cfg.MaxAttempts)
+		c.t.Fatalf("got attempt %d of a request, want at most %d", len(request.attempts)+1, c.cfg.MaxAttempts)
 	}
 	if first := request.mayHaveRun(); first != nil {
 		c.checkRepeat(request, first, endpoint, writeWithin)
@@ -82,30 +85,32 @@
 	request.attempts = append(request.attempts, checkedAttempt{to: endpoint, startedAt: c.now, inFlight: true})
 }
 
-// checkRepeat checks rule 2 for an attempt after one that may have run.
+// checkRepeat checks rule 2 for an attempt of a request for which an earlier attempt may have run.
 func (c *ruleChecker) checkRepeat(request *checkedRequest, first *checkedAttempt, endpoint Endpoint, writeWithin time.Duration) {
 	id := request.received.ID
 	class := c.cfg.Classes[request.received.Class]
 	switch {
 	case class.Idempotency == IdempotentByKey && (writeWithin <= 0 || c.now+writeWithin > first.startedAt+class.DedupWindow):
-		c.t.Fatalf("rule 2: keyed request %d may be written %v later, past its window of %v from %v", id, writeWithin, class.DedupWindow, first.startedAt)
+		c.t.Fatalf("rule 2: keyed request %d: got writeWithin %v, want above 0 and within the window of %v from %v",
+			id, writeWithin, class.DedupWindow, first.startedAt)
 	case class.Idempotency == NotIdempotent:
-		c.t.Fatalf("rule 2: request %d, not idempotent, retried though it may have run", id)
+		c.t.Fatalf("rule 2: request %d is not idempotent and may have run: got a retry, want none", id)
 	case class.Idempotency == IdempotentByKey && c.now-first.startedAt >= class.DedupWindow:
-		c.t.Fatalf("rule 2: keyed request %d retried %v after the first send", id, c.now-first.startedAt)
+		c.t.Fatalf("rule 2: keyed request %d: got a retry %v after the first attempt, want it within the window",
+			id, c.now-first.startedAt)
 	case class.Idempotency == IdempotentByKey && class.DedupScope == ScopeZone && endpoint.Zone != first.to.Zone,
 		class.Idempotency == IdempotentByKey && class.DedupScope == ScopeCell && endpoint.Cell != first.to.Cell:
-		c.t.Fatalf("rule 2: keyed request %d retried outside its scope", id)
+		c.t.Fatalf("rule 2: keyed request %d: got a retry outside its deduplication scope", id)
 	}
 }
 
-// checkSlowStart checks that this balancer keeps to its even part of an endpoint's slow-start
-// budget in any second, with one send of slack at each end of it.
+// checkSlowStart checks rule 4: in any second, this balancer sends no more attempts to an endpoint in
+// slow start than its equal part of the budget, plus one attempt at each end of the second.
 func (c *ruleChecker) checkSlowStart(endpoint Endpoint) {
 	if endpoint.StartedAt == 0 || c.now >= endpoint.StartedAt+c.cfg.SlowStartDuration {
 		return
 	}
-	weight := func(e Endpoint) float64 { return max(e.Weight, 1) } // no weight counts as 1
+	weight := func(e Endpoint) float64 { return max(e.Weight, 1) } // a weight of 0 counts as 1
 	quota, total := 0.0, 0.0
 	for _, tenant := range c.cfg.Tenants {
 		quota += tenant.Quota
@@ -121,18 +126,19 @@
 	recent := slices.DeleteFunc(c.slowStartSends[endpoint.ID], func(at time.Duration) bool { return at <= c.now-time.Second })
 	c.slowStartSends[endpoint.ID] = append(recent, c.now)
 	if sends := float64(len(c.slowStartSends[endpoint.ID])); sends > budget {
-		c.t.Fatalf("rule 4: %v sends within a second to endpoint %d in slow start, the budget is %.1f", sends, endpoint.ID, budget)
+		c.t.Fatalf("rule 4: got %v attempts within a second at endpoint %d in slow start, want at most %.1f",
+			sends, endpoint.ID, budget)
 	}
 }
 
-// recordAnswer checks rule 1 for an answer.
+// recordAnswer checks rule 1 for an answer to a request, and marks the request as answered.
 func (c *ruleChecker) recordAnswer(id RequestID) *checkedRequest {
 	request := c.requests[id]
 	if request == nil || request.answered {
-		c.t.Fatalf("rule 1: second answer for request %d, or one for a request not held", id)
+		c.t.Fatalf("rule 1: got an answer for request %d, which is answered or unknown", id)
 	}
 	if c.now > request.deadline+20*ms {
-		c.t.Fatalf("rule 1: answered %v after the deadline", c.now-request.deadline)
+		c.t.Fatalf("rule 1: got an answer %v after the deadline, want at most 20ms", c.now-request.deadline)
 	}
 	request.answered = true
 	return request
@@ -143,10 +149,10 @@
 	request := c.recordAnswer(id)
 	class := c.cfg.Classes[request.received.Class]
 	if request.mayHaveRun() != nil && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != ScopeAll) {
-		c.t.Fatalf("rule 2: request %d rejected though it may have run", id)
+		c.t.Fatalf("rule 2: request %d may have run and its repeat is unsafe: got a rejection, want a failure", id)
 	}
 	if pause < 0 || pause > c.cfg.MaxRetryAfter {
-		c.t.Fatalf("pause %v", pause)
+		c.t.Fatalf("got retryAfter %v, want between 0 and MaxRetryAfter", pause)
 	}
 }
 
@@ -173,7 +179,7 @@
 	c.record("watch")
 }
 
-// recordingTB is a testing.TB that keeps the first failure and stops there.
+// recordingTB is a testing.TB whose Fatalf records the failure and panics, which ends the check.
 type recordingTB struct {
 	testing.TB
 	failure string
@@ -184,7 +190,8 @@
 	panic(r)
 }
 
-// The checks prove something only if they see a broken rule.
+// The ruleChecker must detect violations of the rules. Otherwise the tests that use it would pass
+// without checking anything.
 func TestChecksDetectPlantedViolations(t *testing.T) {
 	tests := []struct {
 		name, want string
@@ -192,9 +199,15 @@
 	}{
 		{"a second answer", "rule 1", func(c *ruleChecker) { c.Fail(1); c.Fail(1) }},
 		{"an attempt after the answer", "rule 1", func(c *ruleChecker) { c.Fail(1); c.Send(1, 1, ms, ms) }},
-		{"an answer far too late", "rule 1", func(c *ruleChecker) { c.now += 3 * time.Second; c.Fail(1) }},
-		{"a request, not idempotent, twice", "rule 2", func(c *ruleChecker) { c.Send(1, 1, ms, ms); c.Send(1, 1, ms, ms) }},
-		{"a rejection of what may have run", "rule 2", func(c *ruleChecker) { c.Send(1, 1, ms, ms); c.Reject(1, 0) }},
+		{"an answer after the deadline", "rule 1", func(c *ruleChecker) { c.now += 3 * time.Second; c.Fail(1) }},
+		{"a second attempt of a request that is not idempotent", "rule 2", func(c *ruleChecker) {
+			c.Send(1, 1, ms, ms)
+			c.Send(1, 1, ms, ms)
+		}},
+		{"a rejection of a request that may have run", "rule 2", func(c *ruleChecker) {
+			c.Send(1, 1, ms, ms)
+			c.Reject(1, 0)
+		}},
 		{"a burst to an endpoint in slow start", "rule 4", func(c *ruleChecker) {
 			for id := RequestID(10); id < 60; id++ {
 				c.requests[id] = &checkedRequest{received: Request{ID: id}, deadline: c.now + time.Second}
@@ -216,7 +229,7 @@
 					panic(p)
 				}
 				if !strings.HasPrefix(recorder.failure, tt.want) {
-					t.Fatalf("failure %q, want a breach of %s", recorder.failure, tt.want)
+					t.Fatalf("got failure %q, want a violation of %s", recorder.failure, tt.want)
 				}
 			}()
 			tt.act(c)
