--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -10,9 +10,10 @@
 	"unicode/utf8"
 )
 
-// interfaceFiles hold types, configuration and documentation; all others hold decisions.
+// interfaceFiles contain types, configuration and documentation. All other source files contain decisions.
 var interfaceFiles = []string{"config.go", "doc.go", "events.go", "host.go", "reason.go", "stats.go"}
 
+// sourceFiles returns the names of the Go files of the package, except test files.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	names, err := filepath.Glob("*.go")
@@ -31,7 +32,8 @@
 	return string(text)
 }
 
-// Each file fits a reader: short, narrow, and with its purpose at the top and in doc.go.
+// Each file must stay easy to read: it is short, its lines are not too long, and its purpose is stated in a
+// comment at its top and in doc.go.
 func TestFilesStayReadable(t *testing.T) {
 	const maxLines, maxColumns = 400, 110
 	overview := readFile(t, "doc.go")
@@ -39,18 +41,18 @@
 		text := readFile(t, name)
 		lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 		if len(lines) > maxLines {
-			t.Errorf("%s: %d lines, at most %d", name, len(lines), maxLines)
+			t.Errorf("%s: got %d lines, want at most %d", name, len(lines), maxLines)
 		}
 		for n, line := range lines {
 			if utf8.RuneCountInString(line) > maxColumns {
-				t.Errorf("%s:%d: more than %d characters", name, n+1, maxColumns)
+				t.Errorf("%s:%d: want at most %d characters in a line", name, n+1, maxColumns)
 			}
 		}
 		if !strings.HasPrefix(text, "// ") {
-			t.Errorf("%s does not open with a comment", name)
+			t.Errorf("%s: got no comment at the top of the file, want one that states its purpose", name)
 		}
 		if name != "doc.go" && !strings.Contains(overview, "//\t"+name+" ") {
-			t.Errorf("doc.go does not name %s", name)
+			t.Errorf("doc.go does not list %s", name)
 		}
 	}
 }
@@ -67,11 +69,11 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindStringSubmatch(readFile(t, "../deploy/balancer.toml"))
 	if list == nil {
-		t.Fatal("deploy/balancer.toml lists no policy files")
+		t.Fatal("deploy/balancer.toml has no list of policy files")
 	}
 	got := strings.Split(strings.ReplaceAll(list[1], `"`, ""), ", ")
 	slices.Sort(got)
 	if !slices.Equal(got, want) {
-		t.Errorf("deploy/balancer.toml lists %v, want %v", got, want)
+		t.Errorf("deploy/balancer.toml: got files %v, want %v", got, want)
 	}
 }
--- a/policy/pages_test.go
+++ b/policy/pages_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// The README may name no counter that is not there, and must name every one.
+// The README must list every counter of Counters with its name in logs, and must not name a counter or
+// a field that does not exist.
 func TestReadmeNamesTheCounters(t *testing.T) {
 	page, err := os.ReadFile("../README.md")
 	if err != nil {
@@ -19,18 +20,18 @@
 	for i := range counters.NumField() {
 		known[counters.Field(i).Name] = false
 		if name := counters.Field(i).Tag.Get("metric"); !strings.Contains(string(page), "| `"+name+"` | `"+counters.Field(i).Name+"` |") {
-			t.Errorf("the page has no row for %s as the log names it", name)
+			t.Errorf("README.md has no table row with the log name %s of a counter", name)
 		}
 	}
 	for _, m := range regexp.MustCompile("`([A-Z][A-Za-z]+)`").FindAllSubmatch(page, -1) {
 		if _, ok := known[string(m[1])]; !ok {
-			t.Errorf("the page names %s, which does not exist", m[1])
+			t.Errorf("README.md names %s, which does not exist", m[1])
 		}
 		known[string(m[1])] = true
 	}
 	for name, named := range known {
 		if !named {
-			t.Errorf("the page does not name %s", name)
+			t.Errorf("README.md does not name %s", name)
 		}
 	}
 }
