--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -89,7 +89,7 @@
 // this call. A request with the ID of another request that is not finished is ignored. A request with an
 // unknown class or tenant, or without time left, is rejected at once, as is any request after Shutdown.
 func (b *Balancer) RequestReceived(now time.Duration, received Request) {
-	if _, held := b.requests[received.ID]; held {
+	if _, exists := b.requests[received.ID]; exists {
 		return
 	}
 	if !b.acceptable(received) {
@@ -214,10 +214,10 @@
 	}
 }
 
-func (b *Balancer) setTimer(now, d time.Duration) {
-	if b.timerAt == 0 || now+d < b.timerAt {
-		b.timerAt = now + d
-		b.host.SetTimer(d)
+func (b *Balancer) setTimer(now, delay time.Duration) {
+	if b.timerAt == 0 || now+delay < b.timerAt {
+		b.timerAt = now + delay
+		b.host.SetTimer(delay)
 	}
 }
 
--- a/policy/bulkhead.go
+++ b/policy/bulkhead.go
@@ -46,17 +46,17 @@
 // their retries. Without quotas, the number of slots depends on the number of endpoints. Config.Slots
 // overrides both.
 func (b *Balancer) sizeBulkheads() {
-	byQuota := b.totalQuota * b.meanObjective * slotObjectiveShare
-	b.fleetInFlight = cmp.Or(byQuota, slotsPerEndpoint*float64(len(b.endpoints)))
-	total := b.fleetInFlight * min(1, unevenTrafficFactor/float64(b.cfg.FleetSize))
+	quotaInFlight := b.totalQuota * b.meanObjective * slotObjectiveShare
+	b.fleetInFlight = cmp.Or(quotaInFlight, slotsPerEndpoint*float64(len(b.endpoints)))
+	slotTotal := b.fleetInFlight * min(1, unevenTrafficFactor/float64(b.cfg.FleetSize))
 	deviations := burstDeviations
 	if b.cfg.Slots > 0 {
-		total = float64(b.cfg.Slots)
+		slotTotal = float64(b.cfg.Slots)
 		deviations = 0
 	}
 	b.totalSlots = 0
 	for i, tenant := range b.cfg.Tenants {
-		mean := total * tenant.Share / b.totalShare
+		mean := slotTotal * tenant.Share / b.totalShare
 		slots := max(1, int(math.Ceil(mean+deviations*math.Sqrt(mean))))
 		b.bulkheads[i].slots = slots
 		b.bulkheads[i].queueLimit = int(math.Ceil(float64(slots) * queuePerSlot))
--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -44,9 +44,9 @@
 	for _, balancers := range []int{1, 4, 64} {
 		cfg.FleetSize = balancers
 		b, _ := newTestBalancer(t, cfg, readyEndpoints(1))
-		most := 100*1*slotObjectiveShare + 2*burstDeviations*math.Sqrt(100*slotObjectiveShare) + 2
-		if b.totalSlots < 2 || float64(b.totalSlots) > most {
-			t.Errorf("%d balancers: got %d slots, want 2 to %.0f", balancers, b.totalSlots, most)
+		maxSlots := 100*1*slotObjectiveShare + 2*burstDeviations*math.Sqrt(100*slotObjectiveShare) + 2
+		if b.totalSlots < 2 || float64(b.totalSlots) > maxSlots {
+			t.Errorf("%d balancers: got %d slots, want 2 to %.0f", balancers, b.totalSlots, maxSlots)
 		}
 		if b.SlotsFree(0) < b.SlotsFree(1) || b.QueueFree(1) < 1 {
 			t.Errorf("%d balancers: got %d and %d slots, want no fewer for tenant 0 and a queue for tenant 1",
@@ -66,8 +66,8 @@
 func TestFreeCapacityOfUnknownTenant(t *testing.T) {
 	b, _ := newTestBalancer(t, testConfig(), readyEndpoints(1))
 	for _, tenant := range []int{-1, 2, 1 << 30} {
-		if s, q := b.SlotsFree(tenant), b.QueueFree(tenant); s != 0 || q != 0 {
-			t.Errorf("tenant %d: got %d free slots and %d free places in the queue, want 0 and 0", tenant, s, q)
+		if slots, places := b.SlotsFree(tenant), b.QueueFree(tenant); slots != 0 || places != 0 {
+			t.Errorf("tenant %d: got %d free slots and %d free places in the queue, want 0 and 0", tenant, slots, places)
 		}
 	}
 	if b.SlotsFree(0) == 0 || b.QueueFree(0) == 0 {
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -46,14 +46,14 @@
 func TestPeakWeightDecaysAfterReplacement(t *testing.T) {
 	b, _ := newTestBalancer(t, testConfig(), readyEndpoints(1, 2))
 	limit := func() float64 { return b.concurrencyLimit(b.endpointsByID[1]) }
-	alone := limit()
+	before := limit()
 	b.EndpointsUpdated(time.Second, FullUpdate, readyEndpoints(1, 2, 3, 4))
-	overlap := limit()
+	during := limit()
 	b.EndpointsUpdated(2*time.Second, FullUpdate, readyEndpoints(1, 3))
 	after := limit()
 	b.EndpointsUpdated(10*time.Minute, DeltaUpdate, nil)
-	if late := limit(); overlap > alone*0.6 || after > overlap*1.1 || late < alone*0.99 {
+	if longAfter := limit(); during > before*0.6 || after > during*1.1 || longAfter < before*0.99 {
 		t.Errorf("got limits %v before, %v during, %v right after and %v long after the overlap",
-			alone, overlap, after, late)
+			before, during, after, longAfter)
 	}
 }
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -8,7 +8,7 @@
 
 // An operator who gets an error for an invalid configuration must learn which field to correct.
 func TestNewNamesTheUnusableField(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+	for field, invalidate := range map[string]func(*Config){
 		"FleetSize":               func(c *Config) { c.FleetSize = 0 },
 		"Classes":                 func(c *Config) { c.Classes = nil },
 		"MaxAttempts":             func(c *Config) { c.MaxAttempts = 0 },
@@ -29,7 +29,7 @@
 		"MaxRetryAfter": func(c *Config) { c.MaxRetryAfter = -1 },
 	} {
 		cfg := testConfig()
-		spoil(&cfg)
+		invalidate(&cfg)
 		if _, err := New(cfg, 1, newFakeHost()); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("want an error that contains %q, got %v", field, err)
 		}
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -59,12 +59,12 @@
 			endpoint.Health = Removed // unless the list contains it
 		}
 	}
-	removal := kind != DeltaUpdate
+	hasRemovals := kind != DeltaUpdate
 	for _, entry := range entries {
 		b.applyEntry(now, entry)
-		removal = removal || entry.Health == Removed
+		hasRemovals = hasRemovals || entry.Health == Removed
 	}
-	if removal { // attempts may still refer to a removed endpoint
+	if hasRemovals { // attempts may still refer to a removed endpoint
 		b.endpoints = slices.DeleteFunc(b.endpoints, (*endpointState).removed)
 		maps.DeleteFunc(b.endpointsByID, func(_ EndpointID, e *endpointState) bool { return e.removed() })
 	}
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -38,13 +38,13 @@
 	if h.watchRequests != 1 {
 		t.Fatalf("got %d watch requests at the start, want 1", h.watchRequests)
 	}
-	gaps, last, requested := []time.Duration{}, time.Duration(0), 1
+	intervals, last, requested := []time.Duration{}, time.Duration(0), 1
 	b.EndpointsUpdated(0, FailedUpdate, nil)
 	for now := 10 * ms; now < 40*time.Second; now += 10 * ms {
 		b.TimerFired(now)
 		if h.watchRequests > requested {
 			requested = h.watchRequests
-			gaps = append(gaps, now-last)
+			intervals = append(intervals, now-last)
 			last = now
 			b.EndpointsUpdated(now, FailedUpdate, nil)
 		}
@@ -52,9 +52,10 @@
 	// A watch request fails after 3 s at the latest, and the next one gets its response within 2 s. With pauses
 	// below 3 s, the balancer knows of a change 8 s after it was available. The balancer is expected to know of
 	// a change after 6 s, and to apply it within 2 more seconds.
-	if len(gaps) < 4 || slices.Max(gaps) >= 3*time.Second || slices.Max(gaps) >= cfg.WatchRequestWithin || gaps[0] >= gaps[len(gaps)-1] {
+	if len(intervals) < 4 || slices.Max(intervals) >= 3*time.Second ||
+		slices.Max(intervals) >= cfg.WatchRequestWithin || intervals[0] >= intervals[len(intervals)-1] {
 		t.Fatalf("got intervals %v between watch requests, want at least 4 growing ones below 3s and %v",
-			gaps, cfg.WatchRequestWithin)
+			intervals, cfg.WatchRequestWithin)
 	}
 	if b.endpointsByID[1] == nil {
 		t.Fatal("a failed watch request removed the endpoints of the previous list")
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -25,7 +25,7 @@
 
 // Example shows the events of three requests at a Balancer with one slot.
 func Example() {
-	b, err := policy.New(policy.Config{
+	balancer, err := policy.New(policy.Config{
 		FleetSize:   1,
 		MaxAttempts: 2,
 		Slots:       1,
@@ -36,13 +36,13 @@
 		return
 	}
 	now := time.Duration(0) // time since a moment that the program chooses
-	b.Start(now)
-	b.EndpointsUpdated(now, policy.FullUpdate, []policy.Endpoint{{ID: 7, Health: policy.Ready, Weight: 1}})
+	balancer.Start(now)
+	balancer.EndpointsUpdated(now, policy.FullUpdate, []policy.Endpoint{{ID: 7, Health: policy.Ready, Weight: 1}})
 	for id := range policy.RequestID(3) { // one slot and a queue of one: the third request is rejected
-		b.RequestReceived(now, policy.Request{ID: id, Timeout: 2 * time.Second})
+		balancer.RequestReceived(now, policy.Request{ID: id, Timeout: 2 * time.Second})
 	}
 	now += 80 * time.Millisecond
-	b.AttemptEnded(now, policy.AttemptOutcome{ID: 0, Attempt: 0, Result: policy.Served, Completed: true})
+	balancer.AttemptEnded(now, policy.AttemptOutcome{ID: 0, Attempt: 0, Result: policy.Served, Completed: true})
 	// Output:
 	// send request 0, for at most 1s
 	// reject request 2
@@ -56,24 +56,24 @@
 		for i := range list {
 			list[i] = policy.Endpoint{ID: policy.EndpointID(i + 1), Weight: 1, Health: policy.Ready}
 		}
-		first := func() *policy.Balancer {
-			m, err := policy.New(policy.Config{FleetSize: 1, MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1}}}, 1, sidecar{})
+		newWithList := func() *policy.Balancer {
+			balancer, err := policy.New(policy.Config{FleetSize: 1, MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1}}}, 1, sidecar{})
 			if err != nil {
 				b.Fatal(err)
 			}
-			m.Start(0)
-			m.EndpointsUpdated(0, policy.FullUpdate, list)
-			return m
+			balancer.Start(0)
+			balancer.EndpointsUpdated(0, policy.FullUpdate, list)
+			return balancer
 		}
 		b.Run(fmt.Sprint("first/endpoints=", n), func(b *testing.B) {
 			for range b.N {
-				first()
+				newWithList()
 			}
 		})
 		b.Run(fmt.Sprint("delta/endpoints=", n), func(b *testing.B) {
-			m := first()
+			balancer := newWithList()
 			for i := range b.N {
-				m.EndpointsUpdated(time.Duration(i), policy.DeltaUpdate, list[i%n:i%n+1])
+				balancer.EndpointsUpdated(time.Duration(i), policy.DeltaUpdate, list[i%n:i%n+1])
 			}
 		})
 	}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -90,8 +90,13 @@
 
 // goldenConfig returns the configuration that the scenarios adjust.
 func goldenConfig() policy.Config {
-	class := func(e policy.Idempotency, s policy.DedupScope, objective time.Duration, priority float64) policy.Class {
-		return policy.Class{LatencyObjective: objective, Deadline: 3 * objective, PriorityWeight: priority, Idempotency: e, DedupScope: s, DedupWindow: objective * 7 / 10}
+	class := func(
+		idempotency policy.Idempotency, scope policy.DedupScope, objective time.Duration, priority float64,
+	) policy.Class {
+		return policy.Class{
+			LatencyObjective: objective, Deadline: 3 * objective, PriorityWeight: priority,
+			Idempotency: idempotency, DedupScope: scope, DedupWindow: objective * 7 / 10,
+		}
 	}
 	return policy.Config{
 		FleetSize: 3,
@@ -170,9 +175,9 @@
 }
 
 // after schedules a function to be called after a simulated time.
-func (h *goldenHost) after(d time.Duration, run func()) {
+func (h *goldenHost) after(delay time.Duration, run func()) {
 	h.added++
-	heap.Push(&h.events, goldenEvent{h.now + d, h.added, run})
+	heap.Push(&h.events, goldenEvent{h.now + delay, h.added, run})
 }
 
 // exponential returns an exponentially distributed random time; its mean is in ms.
@@ -182,44 +187,44 @@
 
 func (h *goldenHost) Send(id policy.RequestID, to policy.EndpointID, timeout, writeWithin time.Duration) {
 	h.digest.Numbers('s', int64(id), int64(to), int64(timeout), int64(writeWithin))
-	r := h.requests[id]
-	number := r.attempts
-	r.attempts++
-	r.inFlight[number] = true
-	s := &h.endpoints[to]
-	s.inFlight++
-	took := h.exponential(h.scenario.service * 400 * s.slow * (1 + float64(s.inFlight)/4))
+	request := h.requests[id]
+	number := request.attempts
+	request.attempts++
+	request.inFlight[number] = true
+	endpoint := &h.endpoints[to]
+	endpoint.inFlight++
+	latency := h.exponential(h.scenario.service * 400 * endpoint.slow * (1 + float64(endpoint.inFlight)/4))
 	result := policy.Served
 	switch draw := h.rng.Float64(); {
-	case s.hangs || took > timeout:
-		took, result = timeout, policy.TimedOut
+	case endpoint.hangs || latency > timeout:
+		latency, result = timeout, policy.TimedOut
 	case draw < h.scenario.faults:
 		result = []policy.AttemptResult{policy.ServerError, policy.Rejected, policy.ConnectionFailed, policy.ConnectionReset, policy.NotSent}[h.rng.IntN(5)]
-		took /= 4
+		latency /= 4
 	case draw > 0.995:
-		h.after(took/2, func() { h.b.ResponseStarted(id) })
+		h.after(latency/2, func() { h.b.ResponseStarted(id) })
 	}
-	h.after(took, func() { h.endAttempt(id, number, to, result) })
+	h.after(latency, func() { h.endAttempt(id, number, to, result) })
 }
 
 // endAttempt reports the end of an attempt to the Balancer, unless the attempt has already ended.
 func (h *goldenHost) endAttempt(id policy.RequestID, number int, endpoint policy.EndpointID, result policy.AttemptResult) {
-	r := h.requests[id]
-	if !r.inFlight[number] {
+	request := h.requests[id]
+	if !request.inFlight[number] {
 		return
 	}
-	delete(r.inFlight, number)
+	delete(request.inFlight, number)
 	h.endpoints[endpoint].inFlight--
 	if result == policy.Served {
-		r.ended = true
+		request.ended = true
 	}
-	h.b.AttemptEnded(h.now, policy.AttemptOutcome{ID: id, Attempt: number, Result: result, Completed: r.ended})
+	h.b.AttemptEnded(h.now, policy.AttemptOutcome{ID: id, Attempt: number, Result: result, Completed: request.ended})
 	h.forget(id)
 }
 
 // forget removes a request that has ended and has no attempt in flight.
 func (h *goldenHost) forget(id policy.RequestID) {
-	if r := h.requests[id]; r != nil && r.ended && len(r.inFlight) == 0 {
+	if request := h.requests[id]; request != nil && request.ended && len(request.inFlight) == 0 {
 		delete(h.requests, id)
 	}
 }
@@ -240,21 +245,21 @@
 	h.digest.Numbers('c', int64(id), int64(attempt))
 }
 
-func (h *goldenHost) SetTimer(d time.Duration) {
-	h.digest.Numbers('w', int64(d))
-	h.after(d, func() { h.b.TimerFired(h.now) })
+func (h *goldenHost) SetTimer(delay time.Duration) {
+	h.digest.Numbers('w', int64(delay))
+	h.after(delay, func() { h.b.TimerFired(h.now) })
 }
 
 func (h *goldenHost) Probe(to policy.EndpointID) {
 	h.digest.Numbers('p', int64(to))
-	s := &h.endpoints[to]
-	took := h.exponential(2 + 30*h.scenario.service*s.slow)
+	endpoint := &h.endpoints[to]
+	latency := h.exponential(2 + 30*h.scenario.service*endpoint.slow)
 	load := policy.LoadReport{InFlight: -1}
 	if h.config.ProbeLoadReports {
-		load.InFlight = float64(s.inFlight + h.rng.IntN(12))
+		load.InFlight = float64(endpoint.inFlight + h.rng.IntN(12))
 	}
 	ok := h.rng.Float64() > h.scenario.faults/2
-	h.after(took, func() {
+	h.after(latency, func() {
 		if h.rng.IntN(40) == 0 {
 			h.b.ProbeNotSent(h.now, to)
 			return
@@ -265,9 +270,9 @@
 
 func (h *goldenHost) RequestWatch() {
 	h.digest.Numbers('l')
-	answer := h.rng.IntN(8)
+	outcome := h.rng.IntN(8)
 	h.after(h.exponential(20), func() {
-		switch answer {
+		switch outcome {
 		case 0, 1, 2: // no response
 		case 3:
 			h.updateEndpoints(policy.FullUpdate)
@@ -289,18 +294,18 @@
 	if h.rng.IntN(1000) == 0 {
 		timeout = 2 * time.Hour
 	}
-	q := policy.Request{ID: id, Class: class, Timeout: timeout, ClientRetry: h.rng.IntN(10) == 0}
+	received := policy.Request{ID: id, Class: class, Timeout: timeout, ClientRetry: h.rng.IntN(10) == 0}
 	if len(h.config.Tenants) > 0 {
-		q.Tenant = h.rng.IntN(len(h.config.Tenants))
+		received.Tenant = h.rng.IntN(len(h.config.Tenants))
 	}
 	if h.rng.IntN(3) == 0 {
-		q.ExpectedWork = h.exponential(50)
+		received.ExpectedWork = h.exponential(50)
 	}
 	if h.rng.IntN(500) == 0 {
-		q.Class = -1
+		received.Class = -1
 	}
 	h.requests[id] = &goldenRequest{inFlight: make(map[int]bool), deadline: h.now + timeout}
-	h.b.RequestReceived(h.now, q)
+	h.b.RequestReceived(h.now, received)
 	if h.rng.IntN(30) == 0 {
 		h.after(h.exponential(100), func() { h.disconnectClient(id) })
 	}
@@ -309,8 +314,8 @@
 
 // disconnectClient reports the disconnect of a client whose request has not ended.
 func (h *goldenHost) disconnectClient(id policy.RequestID) {
-	if r := h.requests[id]; r != nil && !r.ended {
-		r.ended = true
+	if request := h.requests[id]; request != nil && !request.ended {
+		request.ended = true
 		h.b.ClientDisconnected(h.now, id)
 		h.forget(id)
 	}
@@ -320,17 +325,17 @@
 func (h *goldenHost) changeEndpoints() {
 	var changed []policy.Endpoint
 	for range 1 + h.rng.IntN(2) {
-		s := &h.endpoints[h.rng.IntN(goldenEndpoints)]
-		s.slow = []float64{0.7, 1, 1, 1.3, 6}[h.rng.IntN(5)]
-		s.hangs = h.rng.IntN(12) == 0
-		s.entry.Health = []policy.Health{policy.Ready, policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Removed}[h.rng.IntN(6)]
+		endpoint := &h.endpoints[h.rng.IntN(goldenEndpoints)]
+		endpoint.slow = []float64{0.7, 1, 1, 1.3, 6}[h.rng.IntN(5)]
+		endpoint.hangs = h.rng.IntN(12) == 0
+		endpoint.entry.Health = []policy.Health{policy.Ready, policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Removed}[h.rng.IntN(6)]
 		if h.rng.Float64() < h.scenario.restart {
-			s.entry.StartedAt = policy.StartedAt(policy.StartEvidence{
+			endpoint.entry.StartedAt = policy.StartedAt(policy.StartEvidence{
 				Reported: h.now - h.exponential(2500), Now: h.now, WallClock: h.now + time.Duration(h.rng.IntN(3)-1)*h.exponential(2000),
 				Changed: h.rng.IntN(2) == 0, ConfirmedAt: h.now - h.exponential(1500),
 			})
 		}
-		changed = append(changed, s.entry)
+		changed = append(changed, endpoint.entry)
 	}
 	switch h.rng.IntN(6) {
 	case 0:
@@ -383,17 +388,18 @@
 	h.after(0, h.receiveRequest)
 	h.after(0, h.changeEndpoints)
 	for h.handled = 0; h.handled < goldenEvents; h.handled++ {
-		e := heap.Pop(&h.events).(goldenEvent)
-		h.now = e.at
-		e.run()
+		event := heap.Pop(&h.events).(goldenEvent)
+		h.now = event.at
+		event.run()
 		if h.handled%100 == 0 {
 			h.digest.Numbers('n', int64(b.SlotsFree(0)), int64(b.QueueFree(0)))
 		}
 	}
 	b.Shutdown()
-	counted := b.Counters()
+	counters := b.Counters()
 	return fmt.Sprintf("%s %d", h.digest, []uint64{
-		counted.RoundRobinPicks, counted.ProbedSends, counted.SkippedPicks, counted.TrialRequests, counted.LoadShed, counted.Retries, counted.Rejected, counted.Failed,
+		counters.RoundRobinPicks, counters.ProbedSends, counters.SkippedPicks, counters.TrialRequests,
+		counters.LoadShed, counters.Retries, counters.Rejected, counters.Failed,
 	})
 }
 
--- a/policy/host.go
+++ b/policy/host.go
@@ -31,10 +31,10 @@
 	// Balancer.AttemptEnded. Cancel is called only if Config.CancelAllowed is set.
 	Cancel(id RequestID, attempt int)
 
-	// SetTimer requests a call of Balancer.TimerFired after d. The program may keep or drop
+	// SetTimer requests a call of Balancer.TimerFired after delay. The program may keep or drop
 	// a timer that was set before: the new timer is always due before a pending timer, and
 	// the Balancer ignores a call of TimerFired that is not due.
-	SetTimer(d time.Duration)
+	SetTimer(delay time.Duration)
 
 	// Probe checks the health of an endpoint. The program must report each probe by exactly
 	// one call of Balancer.ProbeCompleted or Balancer.ProbeNotSent. The results for one
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -73,8 +73,9 @@
 	share := b.load.admittedShare()
 	request.shedPreference = 1 / max(request.class.PriorityWeight, minPriorityWeight)
 	if share < 1 {
-		relative := request.shedPreference * (b.load.offered + 1) / (b.load.shedPreference + request.shedPreference)
-		request.shed = b.random.Float64() > math.Pow(share, relative)
+		relativePreference := request.shedPreference * (b.load.offered + 1) /
+			(b.load.shedPreference + request.shedPreference)
+		request.shed = b.random.Float64() > math.Pow(share, relativePreference)
 	}
 	return request.shed
 }
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -18,10 +18,10 @@
 )
 
 // backoff returns the pause after a number of earlier failures. The pause doubles with each failure up
-// to the longest pause, and is multiplied by a random factor from 0.5 to 1.5 so that balancers do not
+// to maxPause, and is multiplied by a random factor from 0.5 to 1.5 so that balancers do not
 // act at the same time.
-func (b *Balancer) backoff(earlierFailures int, longest time.Duration) time.Duration {
-	pause := min(initialBackoff<<min(earlierFailures, maxBackoffDoublings), longest)
+func (b *Balancer) backoff(earlierFailures int, maxPause time.Duration) time.Duration {
+	pause := min(initialBackoff<<min(earlierFailures, maxBackoffDoublings), maxPause)
 	return time.Duration(float64(pause) * (minBackoffFactor + b.random.Float64()))
 }
 
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -18,8 +18,9 @@
 		now += 10 * ms
 		b.TimerFired(now)
 		for i := range h.sends { // endpoint 1 never responds; its attempts time out at the objective
-			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].startedAt+s.timeout <= now {
-				endAttempt(b, now, s.id, 0, TimedOut)
+			if sent := h.sends[i]; sent.to == 1 && b.requests[sent.id] != nil &&
+				b.requests[sent.id].attempts[0].startedAt+sent.timeout <= now {
+				endAttempt(b, now, sent.id, 0, TimedOut)
 			}
 		}
 	}
@@ -159,10 +160,10 @@
 			t.Fatalf("request %d never ran: got no rejection, want one", id)
 		}
 	}
-	for _, s := range b.endpoints {
-		if s.ejected || s.consecutiveFailures > 0 || s.inFlight > 0 {
+	for _, endpoint := range b.endpoints {
+		if endpoint.ejected || endpoint.consecutiveFailures > 0 || endpoint.inFlight > 0 {
 			t.Errorf("endpoint %d: got ejected, %d failures or %d attempts in flight; want not ejected, 0 and 0",
-				s.ID, s.consecutiveFailures, s.inFlight)
+				endpoint.ID, endpoint.consecutiveFailures, endpoint.inFlight)
 		}
 	}
 }
--- a/policy/pages_test.go
+++ b/policy/pages_test.go
@@ -23,11 +23,11 @@
 			t.Errorf("README.md has no table row with the log name %s of a counter", name)
 		}
 	}
-	for _, m := range regexp.MustCompile("`([A-Z][A-Za-z]+)`").FindAllSubmatch(page, -1) {
-		if _, ok := known[string(m[1])]; !ok {
-			t.Errorf("README.md names %s, which does not exist", m[1])
+	for _, match := range regexp.MustCompile("`([A-Z][A-Za-z]+)`").FindAllSubmatch(page, -1) {
+		if _, ok := known[string(match[1])]; !ok {
+			t.Errorf("README.md names %s, which does not exist", match[1])
 		}
-		known[string(m[1])] = true
+		known[string(match[1])] = true
 	}
 	for name, named := range known {
 		if !named {
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -9,10 +9,10 @@
 // only by probes. A request uses one slot while it waits for its two probes.
 func TestProbesBeforeDispatchWhereTrafficIsLow(t *testing.T) {
 	tests := []struct {
-		name     string
-		withLoad bool
-		reports  []LoadReport // of endpoints 1 and 2, in that order; nil if neither responds
-		to       EndpointID   // expected endpoint; 0 if the request is rejected
+		name            string
+		withLoadReports bool
+		reports         []LoadReport // of endpoints 1 and 2, in that order; nil if neither responds
+		to              EndpointID   // expected endpoint; 0 if the request is rejected
 	}{
 		{"dispatch to the first that responds", false, []LoadReport{{InFlight: -1}}, 1},
 		{"dispatch to the less loaded", true, []LoadReport{{InFlight: 9}, {InFlight: 2}}, 2},
@@ -21,7 +21,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg := lowTrafficConfig()
-			cfg.ProbeLoadReports = tt.withLoad
+			cfg.ProbeLoadReports = tt.withLoadReports
 			b, h := newTestBalancer(t, cfg, readyEndpoints(1, 2))
 			free := b.SlotsFree(0)
 			receive(b, 0, 1, notIdempotentClass)
@@ -29,8 +29,8 @@
 				t.Fatalf("got probes %v, sends %v and %d of %d slots free, want two probes that use one slot",
 					h.probes, h.sends, b.SlotsFree(0), free)
 			}
-			for i, l := range tt.reports {
-				b.ProbeCompleted(10*ms, EndpointID(i+1), true, l)
+			for i, report := range tt.reports {
+				b.ProbeCompleted(10*ms, EndpointID(i+1), true, report)
 			}
 			for now := 10 * ms; now <= 400*ms; now += 10 * ms {
 				b.TimerFired(now)
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -94,9 +94,9 @@
 func (run *randomRun) completeProbe() {
 	id := EndpointID(run.pick(8)) // used if there is no pending probe, and at random otherwise
 	if n := len(run.pendingProbes); n > 0 && run.pick(8) > 0 {
-		k := run.pick(n)
-		id = run.pendingProbes[k]
-		run.pendingProbes = slices.Delete(run.pendingProbes, k, k+1)
+		index := run.pick(n)
+		id = run.pendingProbes[index]
+		run.pendingProbes = slices.Delete(run.pendingProbes, index, index+1)
 	}
 	run.b.ProbeCompleted(run.now, id, run.pick(3) > 0, LoadReport{InFlight: float64(run.pick(40) - 1)})
 }
@@ -244,14 +244,14 @@
 	f.Add([]byte("a seed of some length, so that a few events happen"))
 	f.Add([]byte{0, 1, 7, 7, 7, 7, 0, 0, 0, 3, 3, 3, 9, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		at := 0
+		position := 0
 		runRandomEvents(t, min(len(data)/2, 400), func(n int) int {
 			if len(data) == 0 {
 				return 0
 			}
-			v := int(data[at%len(data)]) + 251*(at/len(data)) + at
-			at++
-			return v % n
+			value := int(data[position%len(data)]) + 251*(position/len(data)) + position
+			position++
+			return value % n
 		})
 	})
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -7,7 +7,7 @@
 
 // A request that is not idempotent and may have run must not run again; all other requests may be retried.
 func TestRetryByResult(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name    string
 		class   int
 		result  AttemptResult
@@ -24,17 +24,17 @@
 		{"not idempotent, after a timeout", notIdempotentClass, TimedOut, false, true},
 		{"not idempotent, after an unknown result", notIdempotentClass, AttemptResult(99), false, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2, 3))
-			receive(b, 0, 1, c.class)
-			endAttempt(b, 30*ms, 1, 0, c.result)
-			if retried := len(h.sends) == 2; retried != c.retried {
-				t.Fatalf("got retried %v, want %v", retried, c.retried)
+			receive(b, 0, 1, tt.class)
+			endAttempt(b, 30*ms, 1, 0, tt.result)
+			if retried := len(h.sends) == 2; retried != tt.retried {
+				t.Fatalf("got retried %v, want %v", retried, tt.retried)
 			}
-			if !c.retried && h.failed[1] != c.fails {
-				t.Fatalf("got failed %v, want %v (rejected: %v)", h.failed[1], c.fails, h.rejected)
+			if !tt.retried && h.failed[1] != tt.fails {
+				t.Fatalf("got failed %v, want %v (rejected: %v)", h.failed[1], tt.fails, h.rejected)
 			}
-			if c.retried && h.sends[1].to == h.sends[0].to {
+			if tt.retried && h.sends[1].to == h.sends[0].to {
 				t.Fatal("got a retry at the same endpoint, want another endpoint")
 			}
 		})
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -111,18 +111,19 @@
 		return
 	}
 	weight := func(e Endpoint) float64 { return max(e.Weight, 1) } // a weight of 0 counts as 1
-	quota, total := 0.0, 0.0
+	totalQuota, totalWeight := 0.0, 0.0
 	for _, tenant := range c.cfg.Tenants {
-		quota += tenant.Quota
+		totalQuota += tenant.Quota
 	}
 	for _, other := range c.endpoints {
 		if other.Health == Ready {
-			total += weight(other)
+			totalWeight += weight(other)
 		}
 	}
 	elapsed := float64(c.now-endpoint.StartedAt) / float64(c.cfg.SlowStartDuration)
 	factor := c.cfg.SlowStartInitialShare + (1-c.cfg.SlowStartInitialShare)*elapsed
-	budget := 2 + c.cfg.SlowStartOverloadFactor*factor*quota/float64(c.cfg.FleetSize)*weight(endpoint)/total
+	budget := 2 + c.cfg.SlowStartOverloadFactor*factor*totalQuota/
+		float64(c.cfg.FleetSize)*weight(endpoint)/totalWeight
 	recent := slices.DeleteFunc(c.slowStartSends[endpoint.ID], func(at time.Duration) bool { return at <= c.now-time.Second })
 	c.slowStartSends[endpoint.ID] = append(recent, c.now)
 	if sends := float64(len(c.slowStartSends[endpoint.ID])); sends > budget {
@@ -165,9 +166,9 @@
 	c.record("cancel %d %d", id, attempt)
 }
 
-func (c *ruleChecker) SetTimer(d time.Duration) {
-	c.record("timer %v", d)
-	c.timers = append(c.timers, c.now+d)
+func (c *ruleChecker) SetTimer(delay time.Duration) {
+	c.record("timer %v", delay)
+	c.timers = append(c.timers, c.now+delay)
 }
 
 func (c *ruleChecker) Probe(to EndpointID) {
@@ -195,44 +196,52 @@
 func TestChecksDetectPlantedViolations(t *testing.T) {
 	tests := []struct {
 		name, want string
-		act        func(c *ruleChecker)
+		violate    func(checker *ruleChecker)
 	}{
-		{"a second answer", "rule 1", func(c *ruleChecker) { c.Fail(1); c.Fail(1) }},
-		{"an attempt after the answer", "rule 1", func(c *ruleChecker) { c.Fail(1); c.Send(1, 1, ms, ms) }},
-		{"an answer after the deadline", "rule 1", func(c *ruleChecker) { c.now += 3 * time.Second; c.Fail(1) }},
-		{"a second attempt of a request that is not idempotent", "rule 2", func(c *ruleChecker) {
-			c.Send(1, 1, ms, ms)
-			c.Send(1, 1, ms, ms)
+		{"a second answer", "rule 1", func(checker *ruleChecker) { checker.Fail(1); checker.Fail(1) }},
+		{"an attempt after the answer", "rule 1", func(checker *ruleChecker) {
+			checker.Fail(1)
+			checker.Send(1, 1, ms, ms)
 		}},
-		{"a rejection of a request that may have run", "rule 2", func(c *ruleChecker) {
-			c.Send(1, 1, ms, ms)
-			c.Reject(1, 0)
+		{"an answer after the deadline", "rule 1", func(checker *ruleChecker) {
+			checker.now += 3 * time.Second
+			checker.Fail(1)
 		}},
-		{"a burst to an endpoint in slow start", "rule 4", func(c *ruleChecker) {
+		{"a second attempt of a request that is not idempotent", "rule 2", func(checker *ruleChecker) {
+			checker.Send(1, 1, ms, ms)
+			checker.Send(1, 1, ms, ms)
+		}},
+		{"a rejection of a request that may have run", "rule 2", func(checker *ruleChecker) {
+			checker.Send(1, 1, ms, ms)
+			checker.Reject(1, 0)
+		}},
+		{"a burst to an endpoint in slow start", "rule 4", func(checker *ruleChecker) {
 			for id := RequestID(10); id < 60; id++ {
-				c.requests[id] = &checkedRequest{received: Request{ID: id}, deadline: c.now + time.Second}
-				c.Send(id, 3, ms, ms)
+				checker.requests[id] = &checkedRequest{received: Request{ID: id}, deadline: checker.now + time.Second}
+				checker.Send(id, 3, ms, ms)
 			}
 		}},
-		{"an attempt at a draining endpoint", "rule 3", func(c *ruleChecker) { c.Send(1, 2, ms, ms) }},
+		{"an attempt at a draining endpoint", "rule 3", func(checker *ruleChecker) { checker.Send(1, 2, ms, ms) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			recorder := &recordingTB{TB: t}
-			c := newRuleChecker(recorder, testConfig(), time.Minute)
-			c.endpoints[1] = Endpoint{ID: 1, Health: Ready}
-			c.endpoints[2] = Endpoint{ID: 2, Health: Draining}
-			c.endpoints[3] = Endpoint{ID: 3, Health: Ready, StartedAt: c.now}
-			c.requests[1] = &checkedRequest{received: Request{ID: 1, Class: notIdempotentClass}, deadline: c.now + 2*time.Second}
+			checker := newRuleChecker(recorder, testConfig(), time.Minute)
+			checker.endpoints[1] = Endpoint{ID: 1, Health: Ready}
+			checker.endpoints[2] = Endpoint{ID: 2, Health: Draining}
+			checker.endpoints[3] = Endpoint{ID: 3, Health: Ready, StartedAt: checker.now}
+			checker.requests[1] = &checkedRequest{
+				received: Request{ID: 1, Class: notIdempotentClass}, deadline: checker.now + 2*time.Second,
+			}
 			defer func() {
-				if p := recover(); p != nil && p != any(recorder) {
-					panic(p)
+				if recovered := recover(); recovered != nil && recovered != any(recorder) {
+					panic(recovered)
 				}
 				if !strings.HasPrefix(recorder.failure, tt.want) {
 					t.Fatalf("got failure %q, want a violation of %s", recorder.failure, tt.want)
 				}
 			}()
-			tt.act(c)
+			tt.violate(checker)
 		})
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -93,9 +93,9 @@
 				now := fleet.now
 				fleet.serve()
 				budget := fleet.slowStartBudget(now - startedAt)
-				if most := budget + 2*math.Sqrt(budget) + 2; float64(len(fleet.recentSends)) > most {
+				if limit := budget + 2*math.Sqrt(budget) + 2; float64(len(fleet.recentSends)) > limit {
 					t.Errorf("%s, seed %d: got %d requests within a second, %v after the start; want at most %.1f",
-						name, seed, len(fleet.recentSends), now-startedAt, most)
+						name, seed, len(fleet.recentSends), now-startedAt, limit)
 				}
 			}
 		}
--- a/policy/weights_test.go
+++ b/policy/weights_test.go
@@ -16,16 +16,16 @@
 	b, _ := newTestBalancer(t, testConfig(), nil)
 	for step := range 20_000 {
 		now := time.Duration(step) * ms
-		entry := func() Endpoint {
+		randomEntry := func() Endpoint {
 			return Endpoint{ID: EndpointID(1 + rng.IntN(8)), Weight: 0.1 * float64(1+rng.IntN(9)), Health: Health(rng.IntN(3)), StartedAt: time.Duration(rng.IntN(step + 1))}
 		}
-		switch x := rng.IntN(20); {
-		case x == 0:
-			b.EndpointsUpdated(now, FullUpdate, []Endpoint{entry(), entry(), entry()})
-		case x < 10:
-			b.EndpointsUpdated(now, DeltaUpdate, []Endpoint{entry(), entry()})
+		switch choice := rng.IntN(20); {
+		case choice == 0:
+			b.EndpointsUpdated(now, FullUpdate, []Endpoint{randomEntry(), randomEntry(), randomEntry()})
+		case choice < 10:
+			b.EndpointsUpdated(now, DeltaUpdate, []Endpoint{randomEntry(), randomEntry()})
 		case len(b.endpoints) == 0:
-		case x < 15:
+		case choice < 15:
 			b.recordFailure(now, b.endpoints[rng.IntN(len(b.endpoints))])
 		default:
 			b.recordSuccess(now, b.endpoints[rng.IntN(len(b.endpoints))])
