--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -20,12 +20,12 @@
 	host         Host
 	random       *rand.Rand
 	counters     Counters
-	reason       Reason        // passed by the call of Host.Reject or Host.Fail in progress
+	reason       Reason        // reason for the latest call of Host.Reject or Host.Fail
 	timerAt      time.Duration // time of the earliest timer that is set; 0 if none is set
 	shuttingDown bool
 
 	classes         []classState
-	smoothedLatency time.Duration // of served attempts of all classes
+	smoothedLatency time.Duration // smoothed latency of served attempts of all classes
 	meanObjective   float64       // mean latency objective of the classes, in seconds
 
 	requests         map[RequestID]*requestState
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -20,6 +20,7 @@
 	// defaultWatchRepeat is the time after which a watch request without a response is repeated if
 	// Config.WatchRequestWithin is 0.
 	defaultWatchRepeat = 4 * time.Second
+
 	// If Config.WatchRequestWithin is set, a watch request without a response is repeated after 3/4 of it.
 	watchRepeatNumerator, watchRepeatDenominator = 3, 4
 )
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -7,7 +7,7 @@
 
 // The reasons for which a request is rejected or failed.
 const (
-	NoReason          Reason = iota // no request is being rejected or failed
+	NoReason          Reason = iota // the request is neither rejected nor failed
 	InvalidRequest                  // the class or tenant is unknown, or no time is left
 	TooLate                         // a response would arrive too late to have a value
 	LoadShedding                    // too few recent requests met their latency objective
@@ -35,6 +35,6 @@
 // String returns the name of the reason in logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Reason returns the reason for the call of Host.Reject or Host.Fail in progress. Host may call
-// Reason from within those two methods only.
+// Reason returns the reason for the call of Host.Reject or Host.Fail in progress. The result is valid
+// only within those two methods.
 func (b *Balancer) Reason() Reason { return b.reason }
--- a/policy/request.go
+++ b/policy/request.go
@@ -11,7 +11,7 @@
 // classState is a class with the latencies and timeouts observed in its requests.
 type classState struct {
 	Class
-	smoothedLatency time.Duration // of served attempts
+	smoothedLatency time.Duration // smoothed latency of served attempts
 	usualTimeout    time.Duration // longest timeout of recent requests; decays
 }
 
