--- a/policy/admission.go
+++ b/policy/admission.go
@@ -13,8 +13,8 @@
 
 	// An attempt must start at least 2 smoothed latencies before the objective. The required time is
 	// at most 1/2 of the latency objective.
-	startLatencies        = 2
-	startObjectiveDivisor = 2
+	startMarginLatencies        = 2
+	startMarginObjectiveDivisor = 2
 )
 
 // acceptable reports whether a request can be admitted at all: its class and tenant exist, time is
@@ -25,8 +25,8 @@
 	return knownClass && knownTenant && received.Timeout > 0 && !b.shuttingDown
 }
 
-// rejectUnheld rejects a request that is not acceptable and for which no state is kept.
-func (b *Balancer) rejectUnheld(id RequestID) {
+// rejectUnacceptable rejects a request that is not acceptable and for which no state is kept.
+func (b *Balancer) rejectUnacceptable(id RequestID) {
 	b.reason = InvalidRequest
 	if b.shuttingDown {
 		b.reason = ShuttingDown
@@ -80,8 +80,8 @@
 // startDeadline returns the latest time at which an attempt may start. An attempt that starts later
 // would probably miss the objective.
 func (r *requestState) startDeadline() time.Duration {
-	usualTime := startLatencies * r.class.smoothedLatency
-	return r.objectiveAt - min(usualTime, r.class.LatencyObjective/startObjectiveDivisor)
+	usualTime := startMarginLatencies * r.class.smoothedLatency
+	return r.objectiveAt - min(usualTime, r.class.LatencyObjective/startMarginObjectiveDivisor)
 }
 
 // admit dispatches, queues or rejects a request that has just arrived. A request that arrives too late
@@ -96,7 +96,7 @@
 	case b.lowTraffic && tooLate:
 		b.counters.LoadShed++
 		b.rejectOrFail(request, TooLate)
-	case b.lowTraffic && b.mustShed(now, request):
+	case b.lowTraffic && b.shouldShed(now, request):
 		b.counters.LoadShed++
 		b.rejectOrFail(request, LoadShedding)
 	case b.dispatch(now, request): // an attempt has started, or the request waits for probes
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -47,7 +47,7 @@
 }
 
 // If clients mark their retries, a shorter timeout alone must not make a request count as a retry.
-func TestUnmarkedRequestIsNoRetryWhereClientsMark(t *testing.T) {
+func TestUnmarkedRequestIsNotTreatedAsRetry(t *testing.T) {
 	cfg := testConfig()
 	cfg.ClientsMarkRetries = true
 	b, h := newTestBalancer(t, cfg, readyEndpoints(1, 2))
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -29,7 +29,7 @@
 	meanObjective   float64       // mean latency objective of the classes, in seconds
 
 	requests         map[RequestID]*requestState
-	open             []*requestState // in order of arrival; TimerFired removes completed requests
+	openRequests     []*requestState // in order of arrival; TimerFired removes completed requests
 	load             recentLoad
 	requestsReceived int // number of requests received, except invalid requests
 
@@ -93,12 +93,12 @@
 		return
 	}
 	if !b.acceptable(received) {
-		b.rejectUnheld(received.ID)
+		b.rejectUnacceptable(received.ID)
 		return
 	}
 	request := b.newRequest(now, received)
 	b.requests[request.id] = request
-	b.open = append(b.open, request)
+	b.openRequests = append(b.openRequests, request)
 	b.setTimer(now, busyInterval)
 	b.requestsReceived++
 	b.probeForLoadReport()
@@ -120,7 +120,7 @@
 	}
 	switch {
 	case request.completed:
-		b.forgetIfIdle(request)
+		b.deleteIfIdle(request)
 	case outcome.Completed || outcome.Result == Served || request.streaming:
 		b.complete(request)
 	case request.inFlight == 0:
@@ -197,7 +197,7 @@
 	b.dispatchQueued(now)
 	b.checkOpenRequests(now)
 	b.timerAt = 0
-	if len(b.open) > 0 {
+	if len(b.openRequests) > 0 {
 		b.setTimer(now, busyInterval)
 	}
 	b.setTimer(now, idleInterval)
@@ -207,7 +207,7 @@
 // that arrive later.
 func (b *Balancer) Shutdown() {
 	b.shuttingDown = true
-	for _, request := range b.open {
+	for _, request := range b.openRequests {
 		if !request.answered() {
 			b.rejectOrFail(request, ShuttingDown)
 		}
@@ -222,20 +222,23 @@
 }
 
 func (b *Balancer) checkOpenRequests(now time.Duration) {
-	for _, request := range b.open {
+	for _, request := range b.openRequests {
 		if request.awaitingProbes && now >= request.probeDeadline {
 			b.dispatchToBest(now, request)
 		}
-		if !request.answered() && b.waitMustEnd(now, request) {
+		if !request.answered() && b.shouldStopWaiting(now, request) {
 			b.rejectOrFail(request, QueueTimeout)
 		}
 	}
-	b.open = slices.DeleteFunc(b.open, func(request *requestState) bool { return request.completed })
+	b.openRequests = slices.DeleteFunc(b.openRequests, func(request *requestState) bool {
+		return request.completed
+	})
 }
 
-// waitMustEnd reports whether a request must be rejected or failed now: its deadline has passed, or it waits
-// without an attempt in flight and a further attempt could not start in time or is not allowed.
-func (b *Balancer) waitMustEnd(now time.Duration, request *requestState) bool {
+// shouldStopWaiting reports whether a request must be rejected or failed now: its deadline has passed,
+// or it waits without an attempt in flight and a further attempt could not start in time or is not
+// allowed.
+func (b *Balancer) shouldStopWaiting(now time.Duration, request *requestState) bool {
 	if now >= request.deadline {
 		return true
 	}
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -51,7 +51,7 @@
 }
 
 // Once the response to the client has started, a retry or another answer would conflict with that response.
-func TestStreamingRequestIsLeftAlone(t *testing.T) {
+func TestStreamingRequestGetsNoFurtherAction(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2))
 	receive(b, 0, 1, idempotentClass)
 	b.ResponseStarted(1)
@@ -91,8 +91,8 @@
 		b.TimerFired(now + 3*ms)
 	}
 	b.TimerFired(time.Hour)
-	if len(b.requests) > 3 || len(b.open) > 3 || len(b.endpoints) != 2 || cap(b.open) > 100 {
+	if len(b.requests) > 3 || len(b.openRequests) > 3 || len(b.endpoints) != 2 || cap(b.openRequests) > 100 {
 		t.Fatalf("got %d requests, %d open (capacity %d), %d endpoints; want at most 3, at most 3 (100), and 2",
-			len(b.requests), len(b.open), cap(b.open), len(b.endpoints))
+			len(b.requests), len(b.openRequests), cap(b.openRequests), len(b.endpoints))
 	}
 }
--- a/policy/bulkhead.go
+++ b/policy/bulkhead.go
@@ -74,7 +74,7 @@
 	if endpoint == nil {
 		return false
 	}
-	if b.probesPayOff() {
+	if b.shouldProbe() {
 		b.probeCandidates(now, request, endpoint)
 		return true
 	}
--- a/policy/config.go
+++ b/policy/config.go
@@ -178,7 +178,7 @@
 		return fmt.Errorf("config: MaxAttempts must be at least 1, got %d", cfg.MaxAttempts)
 	case cfg.Slots < 0:
 		return fmt.Errorf("config: Slots must not be negative, got %d", cfg.Slots)
-	case invalid(cfg.SlowStartInitialShare) || cfg.SlowStartInitialShare > 1:
+	case isInvalidNumber(cfg.SlowStartInitialShare) || cfg.SlowStartInitialShare > 1:
 		return fmt.Errorf("config: SlowStartInitialShare must be between 0 and 1, got %v",
 			cfg.SlowStartInitialShare)
 	}
@@ -198,7 +198,7 @@
 		{"WatchRequestWithin", cfg.WatchRequestWithin.Seconds()},
 		{"SlowStartDuration", cfg.SlowStartDuration.Seconds()},
 	} {
-		if invalid(field.value) {
+		if isInvalidNumber(field.value) {
 			return fmt.Errorf("config: %s must be finite and not negative, got %v", field.name, field.value)
 		}
 	}
@@ -212,7 +212,8 @@
 				"config: Classes[%d]: want LatencyObjective > 0, Deadline > 0 and DedupWindow >= 0, got %v, %v and %v",
 				i, class.LatencyObjective, class.Deadline, class.DedupWindow)
 		}
-		if invalid(class.ObjectiveStretch) || invalid(class.LateValueShare) || invalid(class.PriorityWeight) {
+		if isInvalidNumber(class.ObjectiveStretch) || isInvalidNumber(class.LateValueShare) ||
+			isInvalidNumber(class.PriorityWeight) {
 			return fmt.Errorf("config: Classes[%d]: ObjectiveStretch, LateValueShare and PriorityWeight"+
 				" must be finite and not negative", i)
 		}
@@ -223,7 +224,7 @@
 func (cfg *Config) validateTenants() error {
 	shares := 0.0
 	for i, tenant := range cfg.Tenants {
-		if invalid(tenant.Share) || invalid(tenant.Quota) {
+		if isInvalidNumber(tenant.Share) || isInvalidNumber(tenant.Quota) {
 			return fmt.Errorf("config: Tenants[%d]: Share and Quota must be finite and not negative, got %v and %v",
 				i, tenant.Share, tenant.Quota)
 		}
@@ -235,7 +236,7 @@
 	return nil
 }
 
-// invalid reports whether a number is negative, infinite or not a number (NaN).
-func invalid(number float64) bool {
+// isInvalidNumber reports whether a number is negative, infinite or not a number (NaN).
+func isInvalidNumber(number float64) bool {
 	return math.IsNaN(number) || math.IsInf(number, 0) || number < 0
 }
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -7,7 +7,7 @@
 )
 
 // An operator who gets an error for an invalid configuration must learn which field to correct.
-func TestNewNamesTheUnusableField(t *testing.T) {
+func TestNewErrorNamesInvalidField(t *testing.T) {
 	for field, invalidate := range map[string]func(*Config){
 		"FleetSize":               func(c *Config) { c.FleetSize = 0 },
 		"Classes":                 func(c *Config) { c.Classes = nil },
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -33,17 +33,17 @@
 	inSubset            bool    // the endpoint is preferred while traffic is low
 	squaredLatencyRatio float64 // smoothed square of latency divided by objective
 
-	reportedAt      time.Duration // time of the last load report; 0 if there is none
-	foreignInFlight float64       // requests of other balancers in flight, according to that report
+	loadReportedAt         time.Duration // time of the last load report; 0 if there is none
+	otherBalancersInFlight float64       // requests of other balancers in flight, according to that report
 
-	ejected             bool
-	consecutiveFailures int           // number of failures since the last response
-	pendingFailure      bool          // one failure since the last response that may be accidental
-	lastErrorAt         time.Duration // time of the last failure that may be accidental
-	lastResponseAt      time.Duration // time at which an attempt was last served or a restart became known
-	nextTrialAt         time.Duration // earliest time of the next trial request
+	ejected               bool
+	consecutiveFailures   int           // number of failures since the last response
+	hasPossibleFailure    bool          // one failure since the last response that may be accidental
+	lastPossibleFailureAt time.Duration // time of the last failure that may be accidental
+	lastResponseAt        time.Duration // time at which an attempt was last served or a restart became known
+	nextTrialAt           time.Duration // earliest time of the next trial request
 
-	warmUntil           time.Duration // time at which slow start ends
+	slowStartEndsAt     time.Duration // time at which slow start ends
 	nextSlowStartSendAt time.Duration // earliest time of the next attempt in slow start
 
 	probeWaiters []*requestState // requests whose probes have no result yet, in the order of the probes
@@ -94,7 +94,7 @@
 	restarted := entry.StartedAt > endpoint.StartedAt
 	endpoint.Endpoint = entry
 	if restarted {
-		endpoint.warmUntil = max(endpoint.warmUntil, entry.StartedAt+b.cfg.SlowStartDuration)
+		endpoint.slowStartEndsAt = max(endpoint.slowStartEndsAt, entry.StartedAt+b.cfg.SlowStartDuration)
 		endpoint.ejected = false
 		endpoint.clearFailures(now)
 		b.justStarted = append(b.justStarted, endpoint)
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -71,7 +71,7 @@
 
 // A registry may not respond to a watch request. The balancer must repeat the request before it is
 // expected to know of a change.
-func TestSilentWatchRequestIsRepeated(t *testing.T) {
+func TestUnansweredWatchRequestIsRepeated(t *testing.T) {
 	cfg := testConfig()
 	cfg.WatchOnRequest = true
 	h := newFakeHost()
@@ -87,7 +87,7 @@
 
 // If WatchRequestWithin is unknown, a watch request without a response is repeated at the default
 // interval, not at every timer.
-func TestSilentWatchRequestIsRepeatedWithoutBound(t *testing.T) {
+func TestUnansweredWatchRequestIsRepeatedAtDefaultInterval(t *testing.T) {
 	cfg := testConfig()
 	cfg.WatchOnRequest, cfg.WatchRequestWithin = true, 0
 	h := newFakeHost()
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -15,7 +15,7 @@
 const (
 	goldenEvents    = 55_000 // events per scenario: more than a million in total
 	goldenEndpoints = 12
-	goldenRequestMS = 8.0 // mean time between two requests if goldenScenario.gap is 1, in ms
+	goldenRequestMS = 8.0 // mean time between two requests if goldenScenario.gapFactor is 1, in ms
 )
 
 // goldenScenario is a configuration together with the behaviour of clients, endpoints and discovery. The name
@@ -24,64 +24,64 @@
 	name   string
 	adjust func(*policy.Config) // changes goldenConfig for this scenario; may be nil
 
-	gap     float64 // mean time between requests, as a multiple of goldenRequestMS
-	service float64 // mean service time before the effect of load, as a fraction of 400 ms
-	faults  float64 // share of attempts that fail without a timeout
-	restart float64 // share of list updates that restart an endpoint
-	listMS  float64 // mean time between list updates, in ms
+	gapFactor      float64 // mean time between requests, as a multiple of goldenRequestMS
+	serviceFactor  float64 // mean service time before the effect of load, as a fraction of 400 ms
+	faultShare     float64 // share of attempts that fail without a timeout
+	restartShare   float64 // share of list updates that restart an endpoint
+	listIntervalMS float64 // mean time between list updates, in ms
 }
 
 var goldenScenarios = []goldenScenario{
-	{name: "plain", gap: 1, service: 0.1, faults: 0.02, restart: 0.1, listMS: 700},
-	{name: "busy", gap: 0.15, service: 0.3, faults: 0.05, restart: 0.1, listMS: 700},
-	{name: "faulty", gap: 0.6, service: 0.15, faults: 0.4, restart: 0.1, listMS: 2000},
-	{name: "slots set", gap: 0.3, service: 0.2, faults: 0.05, restart: 0.1, listMS: 700, adjust: func(c *policy.Config) {
+	{name: "plain", gapFactor: 1, serviceFactor: 0.1, faultShare: 0.02, restartShare: 0.1, listIntervalMS: 700},
+	{name: "busy", gapFactor: 0.15, serviceFactor: 0.3, faultShare: 0.05, restartShare: 0.1, listIntervalMS: 700},
+	{name: "faulty", gapFactor: 0.6, serviceFactor: 0.15, faultShare: 0.4, restartShare: 0.1, listIntervalMS: 2000},
+	{name: "slots set", gapFactor: 0.3, serviceFactor: 0.2, faultShare: 0.05, restartShare: 0.1, listIntervalMS: 700, adjust: func(c *policy.Config) {
 		c.Slots, c.ClientsMarkRetries, c.CancelAllowed = 9, true, false
 	}},
-	{name: "no quotas", gap: 0.3, service: 0.2, faults: 0.05, restart: 0.5, listMS: 500, adjust: func(c *policy.Config) {
+	{name: "no quotas", gapFactor: 0.3, serviceFactor: 0.2, faultShare: 0.05, restartShare: 0.5, listIntervalMS: 500, adjust: func(c *policy.Config) {
 		c.Tenants = nil
 	}},
-	{name: "zones", gap: 0.4, service: 0.2, faults: 0.1, restart: 0.1, listMS: 700, adjust: func(c *policy.Config) {
+	{name: "zones", gapFactor: 0.4, serviceFactor: 0.2, faultShare: 0.1, restartShare: 0.1, listIntervalMS: 700, adjust: func(c *policy.Config) {
 		c.CrossZoneCost = 0.02
 	}},
-	{name: "asked list", gap: 3, service: 0.1, faults: 0.05, restart: 0.2, listMS: 4000, adjust: func(c *policy.Config) {
+	{name: "asked list", gapFactor: 3, serviceFactor: 0.1, faultShare: 0.05, restartShare: 0.2, listIntervalMS: 4000, adjust: func(c *policy.Config) {
 		c.WatchOnRequest = true
 	}},
-	{name: "asked list without a bound", gap: 2, service: 0.1, faults: 0.05, restart: 0.2, listMS: 6000, adjust: func(c *policy.Config) {
+	{name: "asked list without a bound", gapFactor: 2, serviceFactor: 0.1, faultShare: 0.05, restartShare: 0.2, listIntervalMS: 6000, adjust: func(c *policy.Config) {
 		c.WatchOnRequest, c.WatchRequestWithin = true, 0
 	}},
-	{name: "restarts", gap: 0.2, service: 0.1, faults: 0.02, restart: 0.9, listMS: 400, adjust: func(c *policy.Config) {
+	{name: "restarts", gapFactor: 0.2, serviceFactor: 0.1, faultShare: 0.02, restartShare: 0.9, listIntervalMS: 400, adjust: func(c *policy.Config) {
 		c.SlowStartInitialShare = 0
 	}},
-	{name: "restarts, fleet", gap: 0.5, service: 0.1, faults: 0.02, restart: 0.9, listMS: 1500, adjust: func(c *policy.Config) {
+	{name: "restarts, fleet", gapFactor: 0.5, serviceFactor: 0.1, faultShare: 0.02, restartShare: 0.9, listIntervalMS: 1500, adjust: func(c *policy.Config) {
 		c.FleetSize, c.ProbesAllowed = 60, true
 	}},
-	{name: "reports", gap: 0.3, service: 0.2, faults: 0.05, restart: 0.1, listMS: 700, adjust: func(c *policy.Config) {
+	{name: "reports", gapFactor: 0.3, serviceFactor: 0.2, faultShare: 0.05, restartShare: 0.1, listIntervalMS: 700, adjust: func(c *policy.Config) {
 		c.ProbesAllowed, c.ProbeLoadReports = true, true
 	}},
-	{name: "low traffic", gap: 4, service: 0.2, faults: 0.15, restart: 0.1, listMS: 1500, adjust: func(c *policy.Config) {
+	{name: "low traffic", gapFactor: 4, serviceFactor: 0.2, faultShare: 0.15, restartShare: 0.1, listIntervalMS: 1500, adjust: func(c *policy.Config) {
 		c.FleetSize, c.ProbesAllowed = 60, true
 	}},
-	{name: "low traffic, reports", gap: 4, service: 0.25, faults: 0.1, restart: 0.1, listMS: 1500, adjust: func(c *policy.Config) {
+	{name: "low traffic, reports", gapFactor: 4, serviceFactor: 0.25, faultShare: 0.1, restartShare: 0.1, listIntervalMS: 1500, adjust: func(c *policy.Config) {
 		c.FleetSize, c.ProbesAllowed, c.ProbeLoadReports, c.CrossZoneCost, c.EventResolution = 60, true, true, 0.02, 2*time.Millisecond
 	}},
-	{name: "low traffic, costly probes", gap: 2, service: 0.12, faults: 0.02, restart: 0.05, listMS: 3000, adjust: func(c *policy.Config) {
+	{name: "low traffic, costly probes", gapFactor: 2, serviceFactor: 0.12, faultShare: 0.02, restartShare: 0.05, listIntervalMS: 3000, adjust: func(c *policy.Config) {
 		c.FleetSize, c.ProbesAllowed, c.ProbeCost, c.Slots = 60, true, 0.06, 40
 	}},
-	{name: "hardly any traffic", gap: 60, service: 0.3, faults: 0.3, restart: 0.05, listMS: 3000, adjust: func(c *policy.Config) {
+	{name: "hardly any traffic", gapFactor: 60, serviceFactor: 0.3, faultShare: 0.3, restartShare: 0.05, listIntervalMS: 3000, adjust: func(c *policy.Config) {
 		c.FleetSize, c.ProbesAllowed, c.ProbeLoadReports = 60, true, true
 		c.Classes[0].PriorityWeight = 0
 	}},
-	{name: "fast servers", gap: 0.1, service: 0.004, faults: 0.05, restart: 0.2, listMS: 400, adjust: func(c *policy.Config) {
+	{name: "fast servers", gapFactor: 0.1, serviceFactor: 0.004, faultShare: 0.05, restartShare: 0.2, listIntervalMS: 400, adjust: func(c *policy.Config) {
 		c.Slots, c.SlowStartInitialShare = 100, 0
 	}},
-	{name: "low traffic, overload", gap: 1, service: 0.7, faults: 0.15, restart: 0.05, listMS: 1500, adjust: func(c *policy.Config) {
+	{name: "low traffic, overload", gapFactor: 1, serviceFactor: 0.7, faultShare: 0.15, restartShare: 0.05, listIntervalMS: 1500, adjust: func(c *policy.Config) {
 		c.FleetSize, c.ProbesAllowed, c.ProbeLoadReports, c.Slots = 60, true, true, 24
 	}},
-	{name: "at the bound of low traffic", gap: 1, service: 0.2, faults: 0.1, restart: 0.1, listMS: 300, adjust: func(c *policy.Config) {
+	{name: "at the bound of low traffic", gapFactor: 1, serviceFactor: 0.2, faultShare: 0.1, restartShare: 0.1, listIntervalMS: 300, adjust: func(c *policy.Config) {
 		c.FleetSize, c.ProbesAllowed, c.ProbeLoadReports = 10, true, true
 	}},
-	{name: "stretched objectives", gap: 0.5, service: 0.4, faults: 0.1, restart: 0.1, listMS: 700, adjust: func(c *policy.Config) {
+	{name: "stretched objectives", gapFactor: 0.5, serviceFactor: 0.4, faultShare: 0.1, restartShare: 0.1, listIntervalMS: 700, adjust: func(c *policy.Config) {
 		for i := range c.Classes {
 			c.Classes[i].ObjectiveStretch, c.Classes[i].LateValueShare = 1.5, 0.3*float64(i%2)
 		}
@@ -121,18 +121,18 @@
 // goldenHost simulates endpoints, clients and discovery in simulated time, and computes a digest of
 // all actions of the Balancer.
 type goldenHost struct {
-	scenario  goldenScenario
-	config    policy.Config
-	b         *policy.Balancer
-	rng       *rand.Rand
-	digest    golden.Digest
-	now       time.Duration
-	events    goldenQueue
-	added     int
-	handled   int
-	nextID    policy.RequestID
-	requests  map[policy.RequestID]*goldenRequest
-	endpoints [goldenEndpoints]goldenEndpoint
+	scenario        goldenScenario
+	config          policy.Config
+	b               *policy.Balancer
+	rng             *rand.Rand
+	digest          golden.Digest
+	now             time.Duration
+	events          goldenQueue
+	scheduledEvents int
+	handledEvents   int
+	nextID          policy.RequestID
+	requests        map[policy.RequestID]*goldenRequest
+	endpoints       [goldenEndpoints]goldenEndpoint
 }
 
 // goldenRequest is the state of a request in the simulation.
@@ -147,7 +147,7 @@
 type goldenEndpoint struct {
 	entry    policy.Endpoint
 	inFlight int
-	slow     float64 // factor by which responses are slower
+	slowdown float64 // factor by which responses are slower
 	hangs    bool    // attempts get no response
 }
 
@@ -176,8 +176,8 @@
 
 // after schedules a function to be called after a simulated time.
 func (h *goldenHost) after(delay time.Duration, run func()) {
-	h.added++
-	heap.Push(&h.events, goldenEvent{h.now + delay, h.added, run})
+	h.scheduledEvents++
+	heap.Push(&h.events, goldenEvent{h.now + delay, h.scheduledEvents, run})
 }
 
 // exponential returns an exponentially distributed random time; its mean is in ms.
@@ -193,12 +193,12 @@
 	request.inFlight[number] = true
 	endpoint := &h.endpoints[to]
 	endpoint.inFlight++
-	latency := h.exponential(h.scenario.service * 400 * endpoint.slow * (1 + float64(endpoint.inFlight)/4))
+	latency := h.exponential(h.scenario.serviceFactor * 400 * endpoint.slowdown * (1 + float64(endpoint.inFlight)/4))
 	result := policy.Served
 	switch draw := h.rng.Float64(); {
 	case endpoint.hangs || latency > timeout:
 		latency, result = timeout, policy.TimedOut
-	case draw < h.scenario.faults:
+	case draw < h.scenario.faultShare:
 		result = []policy.AttemptResult{policy.ServerError, policy.Rejected, policy.ConnectionFailed, policy.ConnectionReset, policy.NotSent}[h.rng.IntN(5)]
 		latency /= 4
 	case draw > 0.995:
@@ -219,11 +219,11 @@
 		request.ended = true
 	}
 	h.b.AttemptEnded(h.now, policy.AttemptOutcome{ID: id, Attempt: number, Result: result, Completed: request.ended})
-	h.forget(id)
+	h.deleteIfEnded(id)
 }
 
-// forget removes a request that has ended and has no attempt in flight.
-func (h *goldenHost) forget(id policy.RequestID) {
+// deleteIfEnded removes a request that has ended and has no attempt in flight.
+func (h *goldenHost) deleteIfEnded(id policy.RequestID) {
 	if request := h.requests[id]; request != nil && request.ended && len(request.inFlight) == 0 {
 		delete(h.requests, id)
 	}
@@ -232,13 +232,13 @@
 func (h *goldenHost) Reject(id policy.RequestID, pause time.Duration) {
 	h.digest.Numbers('r', int64(id), int64(pause), int64(h.b.Reason()))
 	h.requests[id].ended = true
-	h.after(0, func() { h.forget(id) })
+	h.after(0, func() { h.deleteIfEnded(id) })
 }
 
 func (h *goldenHost) Fail(id policy.RequestID) {
 	h.digest.Numbers('f', int64(id), int64(h.b.Reason()))
 	h.requests[id].ended = true
-	h.after(0, func() { h.forget(id) })
+	h.after(0, func() { h.deleteIfEnded(id) })
 }
 
 func (h *goldenHost) Cancel(id policy.RequestID, attempt int) {
@@ -253,12 +253,12 @@
 func (h *goldenHost) Probe(to policy.EndpointID) {
 	h.digest.Numbers('p', int64(to))
 	endpoint := &h.endpoints[to]
-	latency := h.exponential(2 + 30*h.scenario.service*endpoint.slow)
+	latency := h.exponential(2 + 30*h.scenario.serviceFactor*endpoint.slowdown)
 	load := policy.LoadReport{InFlight: -1}
 	if h.config.ProbeLoadReports {
 		load.InFlight = float64(endpoint.inFlight + h.rng.IntN(12))
 	}
-	ok := h.rng.Float64() > h.scenario.faults/2
+	ok := h.rng.Float64() > h.scenario.faultShare/2
 	h.after(latency, func() {
 		if h.rng.IntN(40) == 0 {
 			h.b.ProbeNotSent(h.now, to)
@@ -309,7 +309,7 @@
 	if h.rng.IntN(30) == 0 {
 		h.after(h.exponential(100), func() { h.disconnectClient(id) })
 	}
-	h.after(h.exponential(h.scenario.gap*goldenRequestMS), h.receiveRequest)
+	h.after(h.exponential(h.scenario.gapFactor*goldenRequestMS), h.receiveRequest)
 }
 
 // disconnectClient reports the disconnect of a client whose request has not ended.
@@ -317,7 +317,7 @@
 	if request := h.requests[id]; request != nil && !request.ended {
 		request.ended = true
 		h.b.ClientDisconnected(h.now, id)
-		h.forget(id)
+		h.deleteIfEnded(id)
 	}
 }
 
@@ -326,10 +326,10 @@
 	var changed []policy.Endpoint
 	for range 1 + h.rng.IntN(2) {
 		endpoint := &h.endpoints[h.rng.IntN(goldenEndpoints)]
-		endpoint.slow = []float64{0.7, 1, 1, 1.3, 6}[h.rng.IntN(5)]
+		endpoint.slowdown = []float64{0.7, 1, 1, 1.3, 6}[h.rng.IntN(5)]
 		endpoint.hangs = h.rng.IntN(12) == 0
 		endpoint.entry.Health = []policy.Health{policy.Ready, policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Removed}[h.rng.IntN(6)]
-		if h.rng.Float64() < h.scenario.restart {
+		if h.rng.Float64() < h.scenario.restartShare {
 			endpoint.entry.StartedAt = policy.StartedAt(policy.StartEvidence{
 				Reported: h.now - h.exponential(2500), Now: h.now, WallClock: h.now + time.Duration(h.rng.IntN(3)-1)*h.exponential(2000),
 				Changed: h.rng.IntN(2) == 0, ConfirmedAt: h.now - h.exponential(1500),
@@ -345,7 +345,7 @@
 	default:
 		h.b.EndpointsUpdated(h.now, policy.DeltaUpdate, changed)
 	}
-	h.after(h.exponential(h.scenario.listMS), h.changeEndpoints)
+	h.after(h.exponential(h.scenario.listIntervalMS), h.changeEndpoints)
 }
 
 // updateEndpoints delivers an update with all endpoints that are not removed, or a failed update.
@@ -373,7 +373,7 @@
 		s.adjust(&h.config)
 	}
 	for i := range h.endpoints {
-		h.endpoints[i].slow = 1
+		h.endpoints[i].slowdown = 1
 		h.endpoints[i].entry = policy.Endpoint{
 			ID: policy.EndpointID(i), Zone: i % 2, Cell: i % 4, Health: policy.Ready, Weight: float64(i % 4),
 		}
@@ -387,11 +387,11 @@
 	h.updateEndpoints(policy.CachedUpdate)
 	h.after(0, h.receiveRequest)
 	h.after(0, h.changeEndpoints)
-	for h.handled = 0; h.handled < goldenEvents; h.handled++ {
+	for h.handledEvents = 0; h.handledEvents < goldenEvents; h.handledEvents++ {
 		event := heap.Pop(&h.events).(goldenEvent)
 		h.now = event.at
 		event.run()
-		if h.handled%100 == 0 {
+		if h.handledEvents%100 == 0 {
 			h.digest.Numbers('n', int64(b.SlotsFree(0)), int64(b.QueueFree(0)))
 		}
 	}
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -1,5 +1,5 @@
 // The guard: the rules that every attempt must satisfy, whichever decision requested the attempt. Only
-// startAttempt starts attempts, and only admitAttempt decides whether the rules allow an attempt.
+// startAttempt starts attempts, and only isAttemptAllowed decides whether the rules allow an attempt.
 //
 //  1. A request is answered exactly once, before its deadline, and gets no attempt afterwards.
 //  2. A request that is not idempotent never runs twice. At most one of its attempts is in flight
@@ -12,8 +12,8 @@
 
 import "time"
 
-// admitAttempt reports whether the rules allow an attempt at an endpoint now.
-func (b *Balancer) admitAttempt(now time.Duration, request *requestState, endpoint *endpointState) bool {
+// isAttemptAllowed reports whether the rules allow an attempt at an endpoint now.
+func (b *Balancer) isAttemptAllowed(now time.Duration, request *requestState, endpoint *endpointState) bool {
 	switch {
 	case request.answered() || now >= request.deadline, // rule 1
 		len(request.attempts) >= b.cfg.MaxAttempts,
@@ -27,13 +27,13 @@
 
 // startAttempt starts an attempt if the rules allow it, and reports whether the attempt was started.
 func (b *Balancer) startAttempt(now time.Duration, request *requestState, endpoint *endpointState) bool {
-	if !b.admitAttempt(now, request, endpoint) {
+	if !b.isAttemptAllowed(now, request, endpoint) {
 		return false
 	}
 	if endpoint.inSlowStart(now) {
 		endpoint.nextSlowStartSendAt = now + b.slowStartInterval(now, endpoint)
 	}
-	writeWithin := request.repeatWindow(now)
+	writeWithin := request.remainingDedupWindow(now)
 	request.attempts = append(request.attempts, attempt{endpoint: endpoint, startedAt: now})
 	request.inFlight++
 	request.bulkhead.inUse++
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -7,8 +7,8 @@
 
 const ms = time.Millisecond
 
-// startedAttempt records one call of Send.
-type startedAttempt struct {
+// sentAttempt records one call of Send.
+type sentAttempt struct {
 	id      RequestID
 	to      EndpointID
 	timeout time.Duration
@@ -16,7 +16,7 @@
 
 // fakeHost records the actions of a Balancer.
 type fakeHost struct {
-	sends         []startedAttempt
+	sends         []sentAttempt
 	rejected      map[RequestID]time.Duration
 	failed        map[RequestID]bool
 	cancelled     []RequestID
@@ -30,7 +30,7 @@
 }
 
 func (h *fakeHost) Send(id RequestID, to EndpointID, timeout, _ time.Duration) {
-	h.sends = append(h.sends, startedAttempt{id, to, timeout})
+	h.sends = append(h.sends, sentAttempt{id, to, timeout})
 }
 
 func (h *fakeHost) Reject(id RequestID, pause time.Duration) {
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -19,8 +19,8 @@
 
 // recordLoadReport stores the number of requests that the endpoint has in flight from other balancers.
 func (e *endpointState) recordLoadReport(now time.Duration, report LoadReport) {
-	e.reportedAt = now
-	e.foreignInFlight = max(0, report.InFlight-float64(e.inFlight))
+	e.loadReportedAt = now
+	e.otherBalancersInFlight = max(0, report.InFlight-float64(e.inFlight))
 }
 
 // reportedFull reports whether an endpoint has at least its share, plus a tolerance, of the requests
@@ -28,10 +28,10 @@
 // endpoint comes from its load report and the current attempts of this balancer; an old load report is
 // ignored.
 func (b *Balancer) reportedFull(now time.Duration, endpoint *endpointState) bool {
-	if now-endpoint.reportedAt >= loadReportFreshness {
+	if now-endpoint.loadReportedAt >= loadReportFreshness {
 		return false
 	}
-	inFlight := endpoint.foreignInFlight + float64(endpoint.inFlight)
+	inFlight := endpoint.otherBalancersInFlight + float64(endpoint.inFlight)
 	return inFlight >= loadReportTolerance+b.weights.proportionalShare(b.fleetInFlight, endpoint)
 }
 
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -14,9 +14,9 @@
 const (
 	loadDecayTime = 2 * time.Second // time constant: a request of this age counts 1/e
 
-	// alwaysAdmitted is a number of requests that are admitted in any case, because so few requests do
+	// alwaysAdmittedRequests is a number of requests that are admitted in any case, because so few requests do
 	// not show a success rate.
-	alwaysAdmitted = 0.5
+	alwaysAdmittedRequests = 0.5
 
 	// growthExponent is the exponent of the success rate in the growth of the admitted load. It is high,
 	// so that the load grows only if nearly all requests succeed.
@@ -62,13 +62,13 @@
 func (l *recentLoad) admittedShare() float64 {
 	successRate := l.succeeded / max(l.admitted, l.succeeded, 1)
 	growth := 1 + math.Pow(successRate, growthExponent)
-	return (alwaysAdmitted + l.succeeded*growth) / (l.offered + alwaysAdmitted)
+	return (alwaysAdmittedRequests + l.succeeded*growth) / (l.offered + alwaysAdmittedRequests)
 }
 
-// mustShed decides at random whether to shed a request. A request with a lower priority weight is shed with a
-// higher probability. The probability is relative to the mean shed preference, so that the total share of
-// admitted requests does not depend on the priority weights.
-func (b *Balancer) mustShed(now time.Duration, request *requestState) bool {
+// shouldShed decides at random whether to shed a request. A request with a lower priority weight is
+// shed with a higher probability. The probability is relative to the mean shed preference, so that the
+// total share of admitted requests does not depend on the priority weights.
+func (b *Balancer) shouldShed(now time.Duration, request *requestState) bool {
 	b.load.decay(now)
 	share := b.load.admittedShare()
 	request.shedPreference = 1 / max(request.class.PriorityWeight, minPriorityWeight)
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -42,7 +42,7 @@
 			b.recordFailure(now, endpoint)
 		}
 	case ConnectionReset:
-		if ended.startedAt >= endpoint.lastErrorAt { // otherwise it failed together with another connection
+		if ended.startedAt >= endpoint.lastPossibleFailureAt { // otherwise it failed with another connection
 			b.recordPossibleFailure(now, endpoint)
 		}
 	case ServerError:
@@ -61,11 +61,11 @@
 // recordPossibleFailure records a failure that may be accidental. The first failure after a success does not
 // count; each further failure does.
 func (b *Balancer) recordPossibleFailure(now time.Duration, endpoint *endpointState) {
-	endpoint.lastErrorAt = now
-	if endpoint.pendingFailure {
+	endpoint.lastPossibleFailureAt = now
+	if endpoint.hasPossibleFailure {
 		b.recordFailure(now, endpoint)
 	}
-	endpoint.pendingFailure = true
+	endpoint.hasPossibleFailure = true
 }
 
 // recordFailure ejects an endpoint and schedules its next trial request.
@@ -89,7 +89,7 @@
 func (e *endpointState) clearFailures(now time.Duration) {
 	e.lastResponseAt = now
 	e.consecutiveFailures = 0
-	e.pendingFailure = false
+	e.hasPossibleFailure = false
 }
 
 func (b *Balancer) setEjected(now time.Duration, endpoint *endpointState, ejected bool) {
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -7,7 +7,7 @@
 
 // An endpoint that never responds uses a slot until the timeout of each attempt. It must be ejected,
 // so that only trial requests use slots there.
-func TestSilentEndpointIsEjected(t *testing.T) {
+func TestUnresponsiveEndpointIsEjected(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2, 3))
 	now := time.Duration(0)
 	for id := range RequestID(300) {
@@ -73,7 +73,7 @@
 
 // While all endpoints are ejected, requests must still get attempts. Otherwise the balancer would serve
 // no request until a trial request is due.
-func TestAllEjectedStillServes(t *testing.T) {
+func TestRequestsAreSentWhileAllEndpointsAreEjected(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2))
 	receive(b, 0, 1, idempotentClass)
 	endAttempt(b, 0, 1, 0, ConnectionFailed)
--- a/policy/pages_test.go
+++ b/policy/pages_test.go
@@ -10,7 +10,7 @@
 
 // The README must list every counter of Counters with its name in logs, and must not name a counter or
 // a field that does not exist.
-func TestReadmeNamesTheCounters(t *testing.T) {
+func TestReadmeListsCounters(t *testing.T) {
 	page, err := os.ReadFile("../README.md")
 	if err != nil {
 		t.Fatal(err)
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -9,10 +9,13 @@
 import "time"
 
 const (
-	lowTrafficRate        = 1.0  // own requests per second per endpoint; traffic is low below this rate
-	probesPerRequest      = 2    // a second candidate gives most of the gain that more candidates could give
-	assumedSuccesses      = 10.0 // requests assumed to have succeeded before any request is counted
-	secondCandidateEvents = 2    // time, in event resolutions, to wait for a candidate with a lower load
+	lowTrafficRate   = 1.0  // own requests per second per endpoint; traffic is low below this rate
+	probesPerRequest = 2    // a second candidate gives most of the gain that more candidates could give
+	assumedSuccesses = 10.0 // requests assumed to have succeeded before any request is counted
+
+	// secondCandidateWaitResolutions is how long a request with a known candidate waits for a candidate with a
+	// lower load, in units of Config.EventResolution.
+	secondCandidateWaitResolutions = 2
 )
 
 // updateLowTraffic decides whether traffic is low, from the quotas and the number of endpoints.
@@ -21,8 +24,8 @@
 	b.lowTraffic = b.cfg.ProbesAllowed && rate < lowTrafficRate
 }
 
-// probesPayOff reports whether the cost of probes is lower than the expected loss of requests without probes.
-func (b *Balancer) probesPayOff() bool {
+// shouldProbe reports whether the cost of probes is lower than the expected loss of requests without probes.
+func (b *Balancer) shouldProbe() bool {
 	expectedLoss := 1 + b.load.offered - b.load.succeeded
 	cost := probesPerRequest * b.cfg.ProbeCost * (b.load.offered + assumedSuccesses)
 	return b.lowTraffic && expectedLoss > cost
@@ -85,7 +88,7 @@
 	request.bestProbedLoad = load
 	request.probeDeadline = now
 	if report.known() {
-		wait := secondCandidateEvents * b.cfg.EventResolution
+		wait := secondCandidateWaitResolutions * b.cfg.EventResolution
 		request.probeDeadline = now + wait
 		b.setTimer(now, wait)
 	}
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -7,7 +7,7 @@
 
 // A balancer with low traffic can detect an overloaded endpoint, or an endpoint that does not respond,
 // only by probes. A request uses one slot while it waits for its two probes.
-func TestProbesBeforeDispatchWhereTrafficIsLow(t *testing.T) {
+func TestProbesBeforeDispatchWhileTrafficIsLow(t *testing.T) {
 	tests := []struct {
 		name            string
 		withLoadReports bool
@@ -63,7 +63,7 @@
 }
 
 // While all requests are served, two probes for each request cost more than the losses that they prevent.
-func TestProbesOnlyWhereTheyPayOff(t *testing.T) {
+func TestProbesOnlyIfCheaperThanLosses(t *testing.T) {
 	cfg := lowTrafficConfig()
 	cfg.ProbeCost = 0.05
 	b, h := newTestBalancer(t, cfg, readyEndpoints(1, 2, 3, 4))
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -11,11 +11,11 @@
 // the Balancer. It does not model latencies. The function pick makes all random choices.
 type randomRun struct {
 	*ruleChecker
-	b     *Balancer
-	pick  func(n int) int // returns a number from 0 to n-1
-	last  RequestID       // ID of the last request
-	order []RequestID     // IDs of the requests in order of arrival, so that a run can be repeated
-	slots []int           // number of slots of each bulkhead
+	b            *Balancer
+	pick         func(n int) int // returns a number from 0 to n-1
+	lastID       RequestID       // ID of the last request
+	requestOrder []RequestID     // IDs of the requests in order of arrival, so that a run can be repeated
+	slots        []int           // number of slots of each bulkhead
 }
 
 // runRandomEvents runs a number of random events and returns all actions of the Balancer. It fails the
@@ -41,7 +41,7 @@
 	}
 	for range 600 { // all open requests must be answered in time
 		run.now += 5 * ms
-		run.passTime()
+		run.processDueEvents()
 		run.checkSlots()
 	}
 	for id, request := range run.requests {
@@ -60,12 +60,12 @@
 // step advances the time and triggers one random event.
 func (run *randomRun) step() {
 	run.now += time.Duration(run.pick(8)) * ms
-	run.passTime()
+	run.processDueEvents()
 	switch run.pick(10) {
 	case 0, 1, 2:
 		run.receiveRequest()
 	case 3, 4, 5:
-		run.endAnAttempt()
+		run.endRandomAttempt()
 	case 6:
 		run.b.TimerFired(run.now) // a call without a timer that is due
 	case 7:
@@ -79,14 +79,14 @@
 
 // receiveRequest delivers a request with a random class, tenant and timeout.
 func (run *randomRun) receiveRequest() {
-	run.last++
-	received := Request{ID: run.last, Class: run.pick(len(run.cfg.Classes)), Tenant: run.pick(2)}
+	run.lastID++
+	received := Request{ID: run.lastID, Class: run.pick(len(run.cfg.Classes)), Tenant: run.pick(2)}
 	received.Timeout = time.Duration(1+run.pick(2000)) * ms
 	if run.pick(8) == 0 {
 		received.Timeout /= 1000 // almost no time left
 	}
 	run.requests[received.ID] = &checkedRequest{received: received, deadline: run.now + received.Timeout}
-	run.order = append(run.order, received.ID)
+	run.requestOrder = append(run.requestOrder, received.ID)
 	run.b.RequestReceived(run.now, received)
 }
 
@@ -103,23 +103,23 @@
 
 // disconnectClient disconnects the client of a random request, if the request is not answered.
 func (run *randomRun) disconnectClient() {
-	if len(run.order) == 0 {
+	if len(run.requestOrder) == 0 {
 		return
 	}
-	if id := run.order[run.pick(len(run.order))]; !run.requests[id].answered {
+	if id := run.requestOrder[run.pick(len(run.requestOrder))]; !run.requests[id].answered {
 		run.requests[id].answered = true
 		run.b.ClientDisconnected(run.now, id)
 	}
 }
 
-// endAnAttempt ends an attempt in flight of a random request, if it finds one in four tries.
-func (run *randomRun) endAnAttempt() {
+// endRandomAttempt ends an attempt in flight of a random request, if it finds one in four tries.
+func (run *randomRun) endRandomAttempt() {
 	results := []AttemptResult{Served, ServerError, Rejected, ConnectionFailed, ConnectionReset, Cancelled, NotSent}
 	for range 4 {
-		if len(run.order) == 0 {
+		if len(run.requestOrder) == 0 {
 			return
 		}
-		id := run.order[run.pick(len(run.order))]
+		id := run.requestOrder[run.pick(len(run.requestOrder))]
 		for number := range run.requests[id].attempts {
 			if run.requests[id].attempts[number].inFlight {
 				run.endAttempt(id, number, results[run.pick(len(results))])
@@ -137,15 +137,15 @@
 	run.b.AttemptEnded(run.now, AttemptOutcome{ID: id, Attempt: number, Result: result, Completed: request.answered})
 }
 
-// passTime calls TimerFired once for each timer that is due, and ends the attempts in flight of
+// processDueEvents calls TimerFired once for each timer that is due, and ends the attempts in flight of
 // requests whose deadline has passed.
-func (run *randomRun) passTime() {
+func (run *randomRun) processDueEvents() {
 	set := len(run.timers)
 	run.timers = slices.DeleteFunc(run.timers, func(at time.Duration) bool { return at <= run.now })
 	for range set - len(run.timers) {
 		run.b.TimerFired(run.now)
 	}
-	for _, id := range run.order {
+	for _, id := range run.requestOrder {
 		for number := range run.requests[id].attempts {
 			if request := run.requests[id]; request.attempts[number].inFlight && run.now >= request.deadline {
 				run.endAttempt(id, number, TimedOut)
@@ -205,13 +205,13 @@
 				tenant, inFlight[tenant], free, run.slots[tenant])
 		}
 	}
-	if len(run.order) > 60 {
-		run.order = slices.DeleteFunc(run.order, run.forgetIfDone)
+	if len(run.requestOrder) > 60 {
+		run.requestOrder = slices.DeleteFunc(run.requestOrder, run.deleteIfDone)
 	}
 }
 
-// forgetIfDone removes a request that is answered and has no attempt in flight, and reports whether it did.
-func (run *randomRun) forgetIfDone(id RequestID) bool {
+// deleteIfDone removes a request that is answered and has no attempt in flight, and reports whether it did.
+func (run *randomRun) deleteIfDone(id RequestID) bool {
 	request := run.requests[id]
 	done := request.answered && !slices.ContainsFunc(request.attempts, func(a checkedAttempt) bool { return a.inFlight })
 	if done {
@@ -229,7 +229,7 @@
 }
 
 // A Balancer must be deterministic: the same configuration, seed and events give the same actions.
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsGiveSameActions(t *testing.T) {
 	for seed := range uint64(5) {
 		first := runRandomEvents(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
 		second := runRandomEvents(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
--- a/policy/request.go
+++ b/policy/request.go
@@ -64,8 +64,9 @@
 	r.bulkhead.inUse--
 }
 
-// firstThatMayHaveRun returns the first attempt that may have run or may still run, or nil if there is none.
-func (r *requestState) firstThatMayHaveRun() *attempt {
+// firstAttemptThatMayHaveRun returns the first attempt that may have run or may still run, or nil if
+// there is none.
+func (r *requestState) firstAttemptThatMayHaveRun() *attempt {
 	for i := range r.attempts {
 		if !r.attempts[i].neverRan {
 			return &r.attempts[i]
@@ -74,8 +75,8 @@
 	return nil
 }
 
-// hasUsed reports whether the request has had an attempt at an endpoint or has probed the endpoint.
-func (r *requestState) hasUsed(endpoint *endpointState) bool {
+// hasTried reports whether the request has had an attempt at an endpoint or has probed the endpoint.
+func (r *requestState) hasTried(endpoint *endpointState) bool {
 	attempted := func(a attempt) bool { return a.endpoint == endpoint }
 	return slices.ContainsFunc(r.attempts, attempted) || slices.Contains(r.probed, endpoint)
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -37,18 +37,18 @@
 
 // mayRunAgain reports whether a further attempt is allowed now at some endpoint.
 func (r *requestState) mayRunAgain(now time.Duration) bool {
-	first := r.firstThatMayHaveRun()
-	return first == nil || r.class.repeatIsHarmless(now, first)
+	first := r.firstAttemptThatMayHaveRun()
+	return first == nil || r.class.repeatIsSafe(now, first)
 }
 
 // mayRunAgainAt reports whether a further attempt is allowed now at this endpoint.
 func (r *requestState) mayRunAgainAt(now time.Duration, endpoint *endpointState) bool {
-	first := r.firstThatMayHaveRun()
-	return first == nil || r.class.repeatIsHarmless(now, first) && r.class.dropsRepeat(endpoint, first.endpoint)
+	first := r.firstAttemptThatMayHaveRun()
+	return first == nil || r.class.repeatIsSafe(now, first) && r.class.dropsRepeat(endpoint, first.endpoint)
 }
 
-// repeatIsHarmless reports whether a request may be sent again after an attempt that may have run.
-func (c *classState) repeatIsHarmless(now time.Duration, first *attempt) bool {
+// repeatIsSafe reports whether a request may be sent again after an attempt that may have run.
+func (c *classState) repeatIsSafe(now time.Duration, first *attempt) bool {
 	switch c.Idempotency {
 	case Idempotent:
 		return true
@@ -69,10 +69,10 @@
 	return sameZone && (c.DedupScope == ScopeZone || endpoint.Cell == other.Cell)
 }
 
-// repeatWindow returns the remaining time during which endpoints drop a repeat of the request. It
+// remainingDedupWindow returns the remaining time during which endpoints drop a repeat of the request. It
 // returns 0 if no attempt may have run or if the class has no deduplication.
-func (r *requestState) repeatWindow(now time.Duration) time.Duration {
-	first := r.firstThatMayHaveRun()
+func (r *requestState) remainingDedupWindow(now time.Duration) time.Duration {
+	first := r.firstAttemptThatMayHaveRun()
 	if first == nil || r.class.Idempotency != IdempotentByKey {
 		return 0
 	}
@@ -80,10 +80,10 @@
 }
 
 // rejectOrFail rejects a request if a retry by the client is safe, and fails the request otherwise. No
-// other function answers a request that has a requestState. rejectUnheld rejects all other requests.
+// other function answers a request that has a requestState. rejectUnacceptable rejects all other requests.
 func (b *Balancer) rejectOrFail(request *requestState, reason Reason) {
 	b.reason = reason
-	if request.clientRetryIsHarmless() {
+	if request.clientRetryIsSafe() {
 		b.counters.Rejected++
 		// The pause is random, from 1 to 2 smoothed latencies, so that clients do not retry simultaneously.
 		pause := time.Duration((1 + b.random.Float64()) * float64(b.smoothedLatency))
@@ -95,9 +95,9 @@
 	b.complete(request)
 }
 
-// clientRetryIsHarmless reports whether a retry by the client is safe at any endpoint.
-func (r *requestState) clientRetryIsHarmless() bool {
-	if r.firstThatMayHaveRun() == nil || r.class.Idempotency == Idempotent {
+// clientRetryIsSafe reports whether a retry by the client is safe at any endpoint.
+func (r *requestState) clientRetryIsSafe() bool {
+	if r.firstAttemptThatMayHaveRun() == nil || r.class.Idempotency == Idempotent {
 		return true
 	}
 	return r.class.Idempotency == IdempotentByKey && r.class.DedupScope == ScopeAll
@@ -114,11 +114,11 @@
 			b.host.Cancel(request.id, number)
 		}
 	}
-	b.forgetIfIdle(request)
+	b.deleteIfIdle(request)
 }
 
-// forgetIfIdle deletes a completed request if none of its attempts is in flight.
-func (b *Balancer) forgetIfIdle(request *requestState) {
+// deleteIfIdle deletes a completed request if none of its attempts is in flight.
+func (b *Balancer) deleteIfIdle(request *requestState) {
 	if request.inFlight == 0 {
 		delete(b.requests, request.id)
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -48,8 +48,9 @@
 	}
 }
 
-// mayHaveRun returns the first attempt that may have run or may still run, or nil if there is none.
-func (r *checkedRequest) mayHaveRun() *checkedAttempt {
+// firstAttemptThatMayHaveRun returns the first attempt that may have run or may still run, or nil if
+// there is none.
+func (r *checkedRequest) firstAttemptThatMayHaveRun() *checkedAttempt {
 	for i := range r.attempts {
 		result := r.attempts[i].result
 		if r.attempts[i].inFlight || (result != Rejected && result != ConnectionFailed && result != NotSent) {
@@ -78,7 +79,7 @@
 	case len(request.attempts) >= c.cfg.MaxAttempts:
 		c.t.Fatalf("got attempt %d of a request, want at most %d", len(request.attempts)+1, c.cfg.MaxAttempts)
 	}
-	if first := request.mayHaveRun(); first != nil {
+	if first := request.firstAttemptThatMayHaveRun(); first != nil {
 		c.checkRepeat(request, first, endpoint, writeWithin)
 	}
 	c.checkSlowStart(endpoint)
@@ -149,7 +150,7 @@
 	c.record("reject %d %v", id, pause)
 	request := c.recordAnswer(id)
 	class := c.cfg.Classes[request.received.Class]
-	if request.mayHaveRun() != nil && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != ScopeAll) {
+	if request.firstAttemptThatMayHaveRun() != nil && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != ScopeAll) {
 		c.t.Fatalf("rule 2: request %d may have run and its repeat is unsafe: got a rejection, want a failure", id)
 	}
 	if pause < 0 || pause > c.cfg.MaxRetryAfter {
@@ -193,7 +194,7 @@
 
 // The ruleChecker must detect violations of the rules. Otherwise the tests that use it would pass
 // without checking anything.
-func TestChecksDetectPlantedViolations(t *testing.T) {
+func TestRuleCheckerDetectsViolations(t *testing.T) {
 	tests := []struct {
 		name, want string
 		violate    func(checker *ruleChecker)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -51,8 +51,8 @@
 	for _, endpoint := range b.endpoints {
 		switch {
 		case picked.preferredOnly && !b.preferred(endpoint):
-		case request.hasUsed(endpoint) || !b.admitAttempt(now, request, endpoint):
-		case b.mustSkip(now, endpoint):
+		case request.hasTried(endpoint) || !b.isAttemptAllowed(now, request, endpoint):
+		case b.shouldSkip(now, endpoint):
 			picked.skippedWeight = max(picked.skippedWeight, endpoint.currentWeight+endpoint.Weight)
 		default:
 			weight := endpoint.Weight * b.slowStartFactor(now, endpoint)
@@ -73,7 +73,7 @@
 	return endpoint.Zone == b.cfg.Zone && (!b.lowTraffic || endpoint.inSubset)
 }
 
-// mustSkip reports whether an endpoint should get no attempt now because of its state.
-func (b *Balancer) mustSkip(now time.Duration, endpoint *endpointState) bool {
+// shouldSkip reports whether an endpoint should get no attempt now because of its state.
+func (b *Balancer) shouldSkip(now time.Duration, endpoint *endpointState) bool {
 	return b.awaitsTrial(now, endpoint) || b.atConcurrencyLimit(endpoint) || b.reportedFull(now, endpoint)
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -25,7 +25,7 @@
 }
 
 // An endpoint whose weight is missing or not a number must get attempts as with weight 1.
-func TestUnusableWeightsCountAsOne(t *testing.T) {
+func TestInvalidWeightsCountAsOne(t *testing.T) {
 	list := []Endpoint{{ID: 1, Health: Ready}, {ID: 2, Health: Ready, Weight: math.NaN()}}
 	b, h := newTestBalancer(t, testConfig(), list)
 	for id := range RequestID(10) {
@@ -40,7 +40,7 @@
 
 // If attempts at other zones have a cost, endpoints of other zones may be used only when the endpoints of the
 // balancer's own zone are at their limits.
-func TestOwnZoneFirst(t *testing.T) {
+func TestOwnZoneIsPreferred(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZoneCost, cfg.Zone = 0.02, 1
 	list := readyEndpoints(1, 2, 3)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -15,11 +15,11 @@
 	maxSlowStartInterval = time.Hour // upper bound of slowStartInterval
 )
 
-func (e *endpointState) inSlowStart(now time.Duration) bool { return now < e.warmUntil }
+func (e *endpointState) inSlowStart(now time.Duration) bool { return now < e.slowStartEndsAt }
 
 // slowStartFactor returns the fraction of its full capacity that an endpoint has at least.
 func (b *Balancer) slowStartFactor(now time.Duration, endpoint *endpointState) float64 {
-	remaining := float64(max(0, endpoint.warmUntil-now)) / float64(max(1, b.cfg.SlowStartDuration))
+	remaining := float64(max(0, endpoint.slowStartEndsAt-now)) / float64(max(1, b.cfg.SlowStartDuration))
 	return max(minSlowStartFactor, 1-remaining*(1-b.cfg.SlowStartInitialShare))
 }
 
--- a/policy/weights_test.go
+++ b/policy/weights_test.go
@@ -9,7 +9,7 @@
 
 // After any changes of the list and of the health of its endpoints, the sums of weights must equal the
 // sums over the current endpoints, and must be exactly 0 if there is no endpoint.
-func TestSumsOfWeights(t *testing.T) {
+func TestWeightSumsMatchEndpoints(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 5))
