--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -8,7 +8,7 @@
 	"mothridge/policy"
 )
 
-// sidecar is the program that embeds the module: it carries out its decisions.
+// sidecar is a policy.Host that prints the decisions of a Balancer.
 type sidecar struct{}
 
 func (sidecar) Send(id policy.RequestID, to policy.EndpointID, timeout, _ time.Duration) {
@@ -19,12 +19,13 @@
 }
 func (sidecar) Fail(id policy.RequestID)                { fmt.Printf("fail request %d\n", id) }
 func (sidecar) Cancel(id policy.RequestID, attempt int) {}
-func (sidecar) SetTimer(d time.Duration)                {} // call b.TimerFired after d
+func (sidecar) SetTimer(d time.Duration)                {} // a real program calls Balancer.TimerFired after d
 func (sidecar) Probe(to policy.EndpointID)              {}
 func (sidecar) RequestWatch()                           {}
 
+// Example shows the events of three requests at a Balancer with one slot.
 func Example() {
-	b, err := policy.New(policy.Config{
+	balancer, err := policy.New(policy.Config{
 		FleetSize:   1,
 		MaxAttempts: 2,
 		Slots:       1,
@@ -34,45 +35,45 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Duration(0) // since any moment the program picks
-	b.Start(now)
-	b.EndpointsUpdated(now, policy.FullUpdate, []policy.Endpoint{{ID: 7, Health: policy.Ready, Weight: 1}})
-	for id := range policy.RequestID(3) { // one slot, one queue place: the third is rejected
-		b.RequestReceived(now, policy.Request{ID: id, Timeout: 2 * time.Second})
+	now := time.Duration(0) // time since a moment that the program chooses
+	balancer.Start(now)
+	balancer.EndpointsUpdated(now, policy.FullUpdate, []policy.Endpoint{{ID: 7, Health: policy.Ready, Weight: 1}})
+	for id := range policy.RequestID(3) { // one slot and a queue of one: the third request is rejected
+		balancer.RequestReceived(now, policy.Request{ID: id, Timeout: 2 * time.Second})
 	}
 	now += 80 * time.Millisecond
-	b.AttemptEnded(now, policy.AttemptOutcome{ID: 0, Attempt: 0, Result: policy.Served, Completed: true})
+	balancer.AttemptEnded(now, policy.AttemptOutcome{ID: 0, Attempt: 0, Result: policy.Served, Completed: true})
 	// Output:
 	// send request 0, for at most 1s
 	// reject request 2
 	// send request 1, for at most 920ms
 }
 
-// BenchmarkList takes a first list of n endpoints, and then deltas of one.
+// BenchmarkList measures a first full update with n endpoints, and delta updates of one endpoint.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		list := make([]policy.Endpoint, n)
 		for i := range list {
 			list[i] = policy.Endpoint{ID: policy.EndpointID(i + 1), Weight: 1, Health: policy.Ready}
 		}
-		first := func() *policy.Balancer {
-			m, err := policy.New(policy.Config{FleetSize: 1, MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1}}}, 1, sidecar{})
+		newWithList := func() *policy.Balancer {
+			balancer, err := policy.New(policy.Config{FleetSize: 1, MaxAttempts: 3, Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1}}}, 1, sidecar{})
 			if err != nil {
 				b.Fatal(err)
 			}
-			m.Start(0)
-			m.EndpointsUpdated(0, policy.FullUpdate, list)
-			return m
+			balancer.Start(0)
+			balancer.EndpointsUpdated(0, policy.FullUpdate, list)
+			return balancer
 		}
 		b.Run(fmt.Sprint("first/endpoints=", n), func(b *testing.B) {
 			for range b.N {
-				first()
+				newWithList()
 			}
 		})
 		b.Run(fmt.Sprint("delta/endpoints=", n), func(b *testing.B) {
-			m := first()
+			balancer := newWithList()
 			for i := range b.N {
-				m.EndpointsUpdated(time.Duration(i), policy.DeltaUpdate, list[i%n:i%n+1])
+				balancer.EndpointsUpdated(time.Duration(i), policy.DeltaUpdate, list[i%n:i%n+1])
 			}
 		})
 	}
