--- a/internal/front/frontend/frontend.go
+++ b/internal/front/frontend/frontend.go
@@ -1,5 +1,5 @@
-// Package frontend holds what the listener front ends of all protocols share: the time
-// limits of client connections, and what a request may say of itself. It does no I/O.
+// Package frontend contains what the listener front ends of all protocols share: the time
+// limits of client connections and the rules that requests must follow. It does no I/O.
 package frontend
 
 import (
@@ -12,30 +12,32 @@
 )
 
 const (
-	// RequestReadTimeout bounds reading a request, from its first byte to its last. A client
-	// that stops half way is to get an error or a close within 3 s of the first byte.
+	// RequestReadTimeout is the maximum time from the first byte of a request to its last. If
+	// a client stops sending in the middle of a request, the front end must return an error or
+	// close the connection within 3 s of the first byte.
 	RequestReadTimeout = 2500 * time.Millisecond
-	// LingerTimeout bounds how long a connection that is closed is read on from, so that
-	// the last response is not lost to a reset.
+	// LingerTimeout is the maximum time for which a front end continues to read from a
+	// connection that it closes. Closing a connection with unread bytes would reset it, and
+	// the client could lose the last response.
 	LingerTimeout = 250 * time.Millisecond
-	// FirstByteGrace is the age at which a connection on which nothing came counts as
-	// silent: before that its first bytes may be on their way.
+	// FirstByteGrace is the age from which a connection without received bytes counts as
+	// silent. The first bytes of a younger connection may still be in transit.
 	FirstByteGrace = 50 * time.Millisecond
-	// ShutdownPollInterval is how often a front end that shuts down looks for silent connections.
+	// ShutdownPollInterval is the interval at which a front end looks for silent connections
+	// during its shutdown.
 	ShutdownPollInterval = 10 * time.Millisecond
 )
 
-// RequestRules knows the classes and tenants of the configuration, and what the
-// requests of each class may carry. It is immutable: its methods may be called
-// concurrently.
+// RequestRules contains the configured classes and tenants and the idempotency of each
+// class. It is immutable, so its methods may be called concurrently.
 type RequestRules struct {
 	classes     map[string]int
-	idempotency []policy.Idempotency // by class
+	idempotency []policy.Idempotency // indexed by class
 	tenants     map[string]int
 }
 
-// NewRequestRules makes the rules from the names of classes and tenants and from the
-// idempotency of each class. Without tenants there is one, which requests do not name.
+// NewRequestRules returns rules for the named classes and tenants and for the idempotency of
+// each class. If tenants is empty, all requests belong to tenant 0 and need not name it.
 func NewRequestRules(classes []string, idempotency []policy.Idempotency, tenants []string) RequestRules {
 	return RequestRules{
 		classes:     core.IndexByName(classes),
@@ -44,14 +46,15 @@
 	}
 }
 
-// Class returns the number of a class; false where there is none of that name.
+// Class returns the number of the class with the given name; known is false if there is no
+// such class.
 func (rules *RequestRules) Class(name string) (class int, known bool) {
 	class, known = rules.classes[name]
 	return class, known
 }
 
-// Tenant returns the number of a tenant; false where there is none of that name. Where
-// no tenants are configured the name does not matter.
+// Tenant returns the number of the tenant with the given name; known is false if there is no
+// such tenant. If no tenants are configured, Tenant returns 0 and true for every name.
 func (rules *RequestRules) Tenant(name string) (tenant int, known bool) {
 	if len(rules.tenants) == 0 {
 		return 0, true
@@ -60,10 +63,10 @@
 	return tenant, known
 }
 
-// Idempotency returns that of a class.
+// Idempotency returns the idempotency of a class.
 func (rules *RequestRules) Idempotency(class int) policy.Idempotency { return rules.idempotency[class] }
 
-// Method returns the HTTP method of a class's requests.
+// Method returns the HTTP method that requests of a class with this idempotency use.
 func Method(idempotency policy.Idempotency) string {
 	if idempotency == policy.Idempotent {
 		return http.MethodGet
@@ -71,13 +74,13 @@
 	return http.MethodPost
 }
 
-// Deadline returns when the response to a request has to be ready: core.ResponseMargin before
-// the client gives up, and not before the request's arrival.
+// Deadline returns the time by which the response to a request must be ready:
+// core.ResponseMargin before the client's timeout expires, but not before the request's arrival.
 func Deadline(arrival time.Time, timeout time.Duration) time.Time {
 	return arrival.Add(max(0, timeout-core.ResponseMargin))
 }
 
-// HasUnprintable reports whether a text has anything but printable ASCII without blanks.
+// HasUnprintable reports whether text contains a character other than printable, non-blank ASCII.
 func HasUnprintable(text string) bool { return strings.ContainsFunc(text, isUnprintable) }
 
 func isUnprintable(r rune) bool { return r <= ' ' || r > '~' }
--- a/internal/front/frontend/frontend_test.go
+++ b/internal/front/frontend/frontend_test.go
@@ -15,26 +15,26 @@
 	rules := NewRequestRules(classes, idempotency, []string{"north", "south"})
 	for class, name := range classes {
 		if got, known := rules.Class(name); got != class || !known {
-			t.Errorf("class %q is %d, %v", name, got, known)
+			t.Errorf("class %q: got number %d, known %v", name, got, known)
 		}
 		if got := rules.Idempotency(class); got != idempotency[class] {
-			t.Errorf("class %q has idempotency %v", name, got)
+			t.Errorf("class %q: got idempotency %v", name, got)
 		}
 	}
 	if tenant, known := rules.Tenant("south"); tenant != 1 || !known {
-		t.Errorf("tenant south is %d, %v", tenant, known)
+		t.Errorf("tenant south: got number %d, known %v; want 1, true", tenant, known)
 	}
 	for _, name := range []string{"", "west", "Read"} {
 		if _, known := rules.Class(name); known {
-			t.Errorf("class %q is known", name)
+			t.Errorf("class %q: got known, want unknown", name)
 		}
 		if _, known := rules.Tenant(name); known {
-			t.Errorf("tenant %q is known", name)
+			t.Errorf("tenant %q: got known, want unknown", name)
 		}
 	}
 	withoutTenants := NewRequestRules(classes, idempotency, nil)
 	if tenant, known := withoutTenants.Tenant("any"); tenant != 0 || !known {
-		t.Errorf("without tenants any is %d, %v", tenant, known)
+		t.Errorf("no tenants configured: got number %d, known %v; want 0, true", tenant, known)
 	}
 }
 
@@ -43,7 +43,7 @@
 		policy.Idempotent: http.MethodGet, policy.IdempotentByKey: http.MethodPost, policy.NotIdempotent: http.MethodPost,
 	} {
 		if got := Method(idempotency); got != want {
-			t.Errorf("method of %v is %s, want %s", idempotency, got, want)
+			t.Errorf("method for %v: got %s, want %s", idempotency, got, want)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 		time.Second: time.Second - core.ResponseMargin, core.ResponseMargin: 0, time.Nanosecond: 0,
 	} {
 		if got := Deadline(arrival, timeout).Sub(arrival); got != want {
-			t.Errorf("a timeout of %v leaves %v, want %v", timeout, got, want)
+			t.Errorf("timeout %v: got a deadline %v after arrival, want %v", timeout, got, want)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 		"": false, "aZ~!": false, "a b": true, "a\n": true, "a\x7f": true, "é": true, "\xff": true,
 	} {
 		if got := HasUnprintable(text); got != want {
-			t.Errorf("%q: %v, want %v", text, got, want)
+			t.Errorf("%q: got %v, want %v", text, got, want)
 		}
 	}
 }
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -6,39 +6,39 @@
 	"sync"
 )
 
-// Framing follows the bytes of a connection's messages and records of each which
-// lengths its head names. A Content-Length beside a Transfer-Encoding is a smuggling
-// risk: two readers may see the message end at two positions, and the bytes between
-// them are the next message to one of the two. net/http drops the Content-Length of
-// such a head without an error, so that only the bytes show it.
+// Framing parses the raw bytes of a connection's messages and records, for each message, which
+// length fields the head contains. A head with both a Content-Length and a Transfer-Encoding
+// allows request smuggling: two readers may disagree where the message ends, and one of them
+// treats the bytes between the two positions as the next message. net/http silently drops the
+// Content-Length of such a head, so the conflict can only be detected in the raw bytes.
 //
 // The zero Framing is ready to use. Its methods may be called concurrently.
 type Framing struct {
 	mu    sync.Mutex
-	heads []Head // complete and not returned by NextHead yet
+	heads []Head // complete heads that NextHead has not returned yet
 	state framingState
 	line  []byte // the received part of an incomplete line
-	// remaining is in bytes: of the body or the chunk that is read; while a head is
-	// read, its Content-Length.
+	// remaining is the number of bytes left in the current body or chunk. While a head is
+	// being read, remaining is the Content-Length of that head.
 	remaining   int64
-	headStarted bool // the first line of the head has been read
-	current     Head // the head that is read; never Complete
+	headStarted bool // the first line of the current head has been read
+	current     Head // the head that is being read; Complete is always false
 }
 
-// Head is what the head of a message says of the message's length.
+// Head records which fields of a message's head determine the length of the message.
 type Head struct {
-	Complete            bool // its end was read
+	Complete            bool // the end of the head has been read
 	HasContentLength    bool
-	HasTransferEncoding bool // also where net/http ignores it
+	HasTransferEncoding bool // also true if net/http ignores the field
 }
 
-// Unambiguous reports whether every reader of the message sees the same length: its
-// head names one at most.
+// Unambiguous reports whether every reader derives the same message length: the head is complete
+// and contains at most one of Content-Length and Transfer-Encoding.
 func (head Head) Unambiguous() bool {
 	return head.Complete && (!head.HasContentLength || !head.HasTransferEncoding)
 }
 
-// framingState is the part of a message that the next byte belongs to.
+// framingState is the part of a message to which the next byte belongs.
 type framingState int
 
 const (
@@ -47,17 +47,17 @@
 	inChunkSize
 	inChunk
 	inTrailer
-	// unframed is final: where a message ends is not known, and no later head is recorded.
+	// unframed is a final state: the end of the message is unknown, so no later head is recorded.
 	unframed
 )
 
-// maxLineBytes bounds a line; net/http accepts no larger head.
+// maxLineBytes is the maximum length of a line. net/http does not accept a larger head.
 const maxLineBytes = 32 << 10
 
 // chunkLineBreakBytes is the length of the line break after a chunk's data.
 const chunkLineBreakBytes = 2
 
-// Observe takes the next bytes of the connection. It does not keep data.
+// Observe parses the next bytes of the connection. Observe does not keep a reference to data.
 func (framing *Framing) Observe(data []byte) {
 	framing.mu.Lock()
 	defer framing.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// skipContent consumes bytes of a body or a chunk and returns the rest.
+// skipContent skips bytes of a body or a chunk and returns the bytes that follow.
 func (framing *Framing) skipContent(data []byte) []byte {
 	count := min(framing.remaining, int64(len(data)))
 	framing.remaining -= count
@@ -84,7 +84,7 @@
 	return data[count:]
 }
 
-// readLine consumes bytes up to the end of a line and returns the rest.
+// readLine consumes bytes up to and including the end of a line and returns the bytes that follow.
 func (framing *Framing) readLine(data []byte) []byte {
 	end := bytes.IndexByte(data, '\n')
 	if end < 0 {
@@ -100,7 +100,7 @@
 	return data[end+1:]
 }
 
-// onLine handles a complete line, without its line break.
+// onLine handles a complete line, which is passed without its line break.
 func (framing *Framing) onLine(line []byte) {
 	switch framing.state {
 	case inHead:
@@ -111,7 +111,7 @@
 		if len(line) == 0 {
 			framing.state = inHead
 		}
-	default: // bodies and chunks are not read by the line
+	default: // bodies and chunks are not read line by line
 	}
 }
 
@@ -133,7 +133,7 @@
 	switch {
 	case !framing.headStarted:
 		framing.headStarted = true
-		if len(line) == 0 { // no message starts with an empty line
+		if len(line) == 0 { // a message must not start with an empty line
 			framing.state = unframed
 		}
 	case len(line) > 0:
@@ -164,7 +164,7 @@
 	framing.remaining = int64(length)
 }
 
-// onHeadEnd records the head and moves on to what follows it.
+// onHeadEnd records the complete head and sets the state for the bytes that follow the head.
 func (framing *Framing) onHeadEnd() {
 	head := framing.current
 	head.Complete = true
@@ -181,8 +181,9 @@
 	framing.current = Head{}
 }
 
-// Pending reports whether bytes have come of a message whose head was not returned by
-// NextHead yet.
+// Pending reports whether bytes of a message have been received that is not finished: NextHead has
+// not returned its head yet, or its head or body is incomplete. Once the end of a message is
+// unknown, Pending remains true.
 func (framing *Framing) Pending() bool {
 	framing.mu.Lock()
 	defer framing.mu.Unlock()
@@ -191,8 +192,8 @@
 	return headRead || headIncomplete || framing.state != inHead
 }
 
-// NextHead returns the heads in the order of their messages, each once; the zero Head
-// where no further one is complete.
+// NextHead returns the next complete head, in the order of the messages and each head once. It
+// returns the zero Head if no further head is complete.
 func (framing *Framing) NextHead() Head {
 	framing.mu.Lock()
 	defer framing.mu.Unlock()
--- a/internal/http1/framing_test.go
+++ b/internal/http1/framing_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// randomRequests returns requests in all their forms, concatenated, and of each whether its
-// length is unambiguous. Bodies look like requests.
+// randomRequests returns concatenated requests of all supported forms and, for each request,
+// whether its length is unambiguous. The bodies contain text that looks like a request head.
 func randomRequests(rng *rand.Rand) (text string, unambiguous []bool) {
 	var b strings.Builder
 	for range 1 + rng.IntN(6) {
@@ -20,7 +20,7 @@
 	return b.String(), unambiguous
 }
 
-// writeRandomRequest writes one request and returns whether its length is unambiguous.
+// writeRandomRequest writes one request and reports whether its length is unambiguous.
 func writeRandomRequest(b *strings.Builder, rng *rand.Rand) bool {
 	body := strings.Repeat("POST /x HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", rng.IntN(4))
 	b.WriteString("POST /api HTTP/1.1\r\nHost: x\r\nX-Content-Length: 7\r\n")
@@ -46,8 +46,9 @@
 	return !chunked || !withLength
 }
 
-// However the bytes are cut, each head is judged in order, up to the first whose length
-// is ambiguous; the ends that are found agree with net/http.
+// Guards against request smuggling: Framing must classify each head in order, up to the first
+// with an ambiguous length, and must find the same message ends as net/http, regardless of how the
+// bytes are split between reads.
 func TestFramingFollowsNetHTTP(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -62,24 +63,24 @@
 		for i, want := range unambiguous {
 			request, err := http.ReadRequest(reader)
 			if err != nil {
-				t.Fatalf("seed %d: net/http reads no request %d: %v", seed, i, err)
+				t.Fatalf("seed %d: net/http failed to read request %d: %v", seed, i, err)
 			}
 			if got := framing.NextHead().Unambiguous(); got != want {
-				t.Fatalf("seed %d: request %d of %q: unambiguous is %v", seed, i, text, got)
+				t.Fatalf("seed %d: request %d of %q: got unambiguous %v", seed, i, text, got)
 			}
 			if !want {
-				break // no later head is recorded
+				break // Framing records no head after an ambiguous one
 			}
 			io.Copy(io.Discard, request.Body)
 		}
 		if framing.NextHead().Unambiguous() {
-			t.Fatalf("seed %d: one more is unambiguous in %q", seed, text)
+			t.Fatalf("seed %d: got a further unambiguous head in %q, want none", seed, text)
 		}
 	}
 }
 
-// A request that net/http reads with a Transfer-Encoding is unambiguous only where its
-// head has no Content-Length, whatever the bytes.
+// For any input: if net/http reads a request with a Transfer-Encoding and Framing reports its head
+// as unambiguous, the head must not contain a Content-Length.
 func FuzzFraming(f *testing.F) {
 	for seed := range uint64(20) {
 		text, _ := randomRequests(rand.New(rand.NewPCG(seed, 1)))
@@ -98,7 +99,7 @@
 		head, _, _ := strings.Cut(strings.ReplaceAll(text, "\r\n", "\n"), "\n\n")
 		for _, line := range strings.Split(head, "\n")[1:] {
 			if name, _, ok := strings.Cut(line, ":"); ok && strings.EqualFold(strings.TrimSpace(name), "Content-Length") {
-				t.Fatalf("an unambiguous request has both: %q", head)
+				t.Fatalf("head with both length fields was reported as unambiguous: %q", head)
 			}
 		}
 	})
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 holds what the HTTP/1.1 front end and the HTTP/1.1 transport share:
-// the framing of messages, bodies of a known length and hop-by-hop header fields.
+// Package http1 contains what the HTTP/1.1 front end and the HTTP/1.1 transport share: message
+// framing, reading bodies of a known length, and hop-by-hop header fields.
 package http1
 
 import (
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// MaxRequestBodyBytes bounds the body of a request.
+// MaxRequestBodyBytes is the maximum size of a request body.
 const MaxRequestBodyBytes = 64 << 10
 
-// initialBodyBytes bounds the memory that a body's length alone sets aside, before
-// any byte of the body has come.
+// initialBodyBytes is the maximum amount of memory that is allocated for a body before any byte
+// of the body has been received. It keeps a peer from reserving memory by a Content-Length alone.
 const initialBodyBytes = 8 << 10
 
-// hopByHopFields concern one connection only (RFC 9110, section 7.6.1).
+// hopByHopFields are the header fields that apply to a single connection and must not be forwarded
+// (RFC 9110, section 7.6.1).
 var hopByHopFields = [...]string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// RemoveHopByHopFields removes the fields that concern one connection only, those that
-// Connection names among them.
+// RemoveHopByHopFields removes the header fields that apply to a single connection, including the
+// fields that the Connection field lists.
 func RemoveHopByHopFields(header http.Header) {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
@@ -36,10 +37,10 @@
 	}
 }
 
-// ReadExactly reads length bytes and blocks until they have come; the error is
-// io.ErrUnexpectedEOF, or io.EOF where none came, if the reader ends before. Once the
-// first bytes have come, memory for the rest is set aside at once: growing step by step
-// would copy a large body many times.
+// ReadExactly blocks until it has read length bytes. If the reader ends before, the error is
+// io.ErrUnexpectedEOF, or io.EOF if no bytes were read. After the first initialBodyBytes bytes,
+// memory for the whole body is allocated at once, because growing the buffer in steps would copy a
+// large body many times.
 func ReadExactly(reader io.Reader, length int64) ([]byte, error) {
 	body := make([]byte, min(length, initialBodyBytes))
 	if _, err := io.ReadFull(reader, body); err != nil || length <= initialBodyBytes {
@@ -50,7 +51,7 @@
 	return body, err
 }
 
-// FormatSeconds writes a duration in seconds with three decimals.
+// FormatSeconds formats a duration in seconds with three decimals.
 func FormatSeconds(duration time.Duration) string {
 	return strconv.FormatFloat(duration.Seconds(), 'f', 3, 64)
 }
--- a/internal/sockets/locked_reader.go
+++ b/internal/sockets/locked_reader.go
@@ -8,22 +8,23 @@
 	"syscall"
 )
 
-// LockedReader reads from a connection and reports what came under the same lock: who
-// holds the lock sees no bytes that were read and not reported. Code that shuts the
-// connection down under that lock knows that nothing was read after it.
+// LockedReader reads from a connection and reports the number of bytes read, both while it
+// holds the same lock. Code that holds the lock can therefore rely on every read being reported,
+// and code that closes the connection under the lock knows that no bytes are read afterwards.
 // The lock is not held while a read waits for bytes.
 //
-// One goroutine at a time may call Read.
+// Read must not be called concurrently.
 type LockedReader struct {
 	conn   net.Conn
 	lock   sync.Locker
 	onRead func(count int) (accepted bool)
-	raw    syscall.RawConn // nil where conn has no descriptor
+	raw    syscall.RawConn // nil if conn has no descriptor
 }
 
-// NewLockedReader makes one. onRead is called under the lock with the number of bytes that
-// were read; where it returns false they are dropped, and Read fails with net.ErrClosed.
-// A connection that has no descriptor is read first and reported then.
+// NewLockedReader returns a LockedReader for conn. Each read calls onRead with the number of
+// bytes read, while holding the lock. If onRead returns false, the bytes are dropped and Read
+// returns net.ErrClosed. If conn has no descriptor, the read itself happens without the lock, and
+// only the call of onRead holds it.
 func NewLockedReader(conn net.Conn, lock sync.Locker, onRead func(count int) (accepted bool)) *LockedReader {
 	reader := &LockedReader{conn: conn, lock: lock, onRead: onRead}
 	if syscallConn, ok := conn.(syscall.Conn); ok {
@@ -34,7 +35,8 @@
 	return reader
 }
 
-// Read reads the bytes that are there, or blocks for some up to the connection's deadline.
+// Read reads the available bytes. If there are none, Read blocks until bytes arrive or the
+// connection's read deadline passes.
 func (reader *LockedReader) Read(buffer []byte) (int, error) {
 	var count int
 	var accepted bool
@@ -50,7 +52,7 @@
 	return count, err
 }
 
-// readConn reads first and reports then.
+// readConn reads without the lock, then reports the read while holding the lock.
 func (reader *LockedReader) readConn(buffer []byte) (count int, accepted bool, err error) {
 	count, err = reader.conn.Read(buffer)
 	reader.lock.Lock()
@@ -58,7 +60,7 @@
 	return count, reader.onRead(count), err
 }
 
-// readRaw reads and reports under the lock.
+// readRaw reads from the descriptor and reports the read, both while holding the lock.
 func (reader *LockedReader) readRaw(buffer []byte) (count int, accepted bool, err error) {
 	accepted = true
 	waitErr := reader.raw.Read(func(descriptor uintptr) (done bool) {
@@ -80,7 +82,7 @@
 	return count, accepted, err
 }
 
-// readNonblocking reads what is there; EAGAIN where there is nothing.
+// readNonblocking reads the available bytes; it returns EAGAIN if there are none.
 func readNonblocking(descriptor int, buffer []byte) (int, error) {
 	for {
 		count, err := syscall.Read(descriptor, buffer)
--- a/internal/sockets/retrying_listener.go
+++ b/internal/sockets/retrying_listener.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	// initialAcceptBackoff and maxAcceptBackoff bound the pause after a failed accept:
-	// it doubles with each consecutive failure. A failure of one connection passes at
-	// once; one of the machine (descriptors, memory) may last.
+	// initialAcceptBackoff and maxAcceptBackoff are the first and the longest pause after a
+	// failed accept; the pause doubles with each consecutive failure. A failure of a single
+	// connection does not affect the next accept, but a shortage on the machine (descriptors,
+	// memory) may last.
 	initialAcceptBackoff = time.Millisecond
 	maxAcceptBackoff     = 100 * time.Millisecond
-	// failureLogInterval is the least time between two log lines on failed accepts.
+	// failureLogInterval is the minimum time between two log lines about failed accepts.
 	failureLogInterval = 10 * time.Second
-	// emptyBacklogAfter is how long Accept has to wait in vain before the listener's
-	// backlog counts as empty.
+	// emptyBacklogAfter is how long Accept must wait without a new connection before the
+	// listener's backlog counts as empty.
 	emptyBacklogAfter = 10 * time.Millisecond
 )
 
-// RetryingListener is a listener whose Accept fails only once the listener was closed.
-// Every other error of accept(2) is counted, logged and retried: it is about one
-// connection that failed (ECONNABORTED, EPROTO, ENETUNREACH, ETIMEDOUT; see accept(2),
-// "Error handling") or about a shortage on this machine (EMFILE, ENFILE, ENOBUFS,
-// ENOMEM), and neither is a reason to end the server.
+// RetryingListener is a listener whose Accept fails only after the listener was closed.
+// Every other error of accept(2) is counted and logged, and the accept is retried. Such an error
+// concerns either one connection (ECONNABORTED, EPROTO, ENETUNREACH, ETIMEDOUT; see accept(2),
+// "Error handling") or a shortage on this machine (EMFILE, ENFILE, ENOBUFS, ENOMEM). Neither is a
+// reason to stop the server.
 //
-// One goroutine at a time may call Accept; the other methods may be called concurrently.
+// Accept must not be called concurrently; the other methods may be called concurrently.
 type RetryingListener struct {
 	net.Listener
 	failures atomic.Uint64
@@ -38,12 +39,13 @@
 	closed    chan struct{}
 
 	mu           sync.Mutex
-	waitingSince time.Time     // when Accept began to wait; zero: it does not
-	backoff      time.Duration // after consecutive failures; 0: the last accept succeeded
-	loggedAt     time.Time     // of the last log line on a failure
+	waitingSince time.Time     // when Accept began to wait; zero if Accept is not waiting
+	backoff      time.Duration // pause after the last failure; 0 if the last accept succeeded
+	loggedAt     time.Time     // time of the last log line about a failure
 }
 
-// NewRetryingListener wraps a listener; one that is a RetryingListener is returned as it is.
+// NewRetryingListener wraps a listener. If the listener already is a RetryingListener, it is
+// returned unchanged.
 func NewRetryingListener(listener net.Listener) *RetryingListener {
 	if retrying, ok := listener.(*RetryingListener); ok {
 		return retrying
@@ -51,11 +53,11 @@
 	return &RetryingListener{Listener: listener, closed: make(chan struct{})}
 }
 
-// Failures returns how many accepts have failed.
+// Failures returns the number of failed accepts.
 func (listener *RetryingListener) Failures() uint64 { return listener.failures.Load() }
 
-// Accept blocks until the next connection. Its error is net.ErrClosed, and comes only
-// once the listener has been closed.
+// Accept blocks until the next connection. The only error is net.ErrClosed, after the listener
+// was closed.
 func (listener *RetryingListener) Accept() (net.Conn, error) {
 	defer listener.setWaitingSince(time.Time{})
 	for {
@@ -86,7 +88,8 @@
 	listener.mu.Unlock()
 }
 
-// sleep blocks for a duration; it returns false as soon as the listener is closed.
+// sleep blocks for the given duration and returns true. If the listener is closed before that,
+// sleep returns false at once.
 func (listener *RetryingListener) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	select {
@@ -98,9 +101,10 @@
 	}
 }
 
-// DrainBacklog blocks until Accept has waited in vain for a short time: then all
-// connections that came before the call have been accepted. Closing a listener resets
-// those that have not. It returns early once ctx is done.
+// DrainBacklog blocks until Accept has waited for emptyBacklogAfter without a new connection.
+// By then, all connections that arrived before the call have been accepted. Call DrainBacklog
+// before Close, because closing a listener resets the connections that were not accepted.
+// DrainBacklog returns early when ctx is done.
 func (listener *RetryingListener) DrainBacklog(ctx context.Context) {
 	ticker := time.NewTicker(emptyBacklogAfter)
 	defer ticker.Stop()
@@ -119,7 +123,7 @@
 	return !listener.waitingSince.IsZero() && time.Since(listener.waitingSince) >= emptyBacklogAfter
 }
 
-// onFailure counts and logs a failed accept and returns how long to back off.
+// onFailure counts and logs a failed accept and returns how long to wait before the next one.
 func (listener *RetryingListener) onFailure(err error, now time.Time) time.Duration {
 	count := listener.failures.Add(1)
 	listener.mu.Lock()
@@ -141,7 +145,7 @@
 	}
 }
 
-// Close closes the listener; a blocked Accept returns at once.
+// Close closes the listener. An Accept that is blocked returns at once.
 func (listener *RetryingListener) Close() error {
 	listener.closeOnce.Do(func() { close(listener.closed) })
 	return listener.Listener.Close()
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,6 +1,6 @@
-// Package sockets has operations on sockets that package net lacks: looking at a socket
-// without reading, closing without a reset, reading under a lock, and a listener that
-// outlasts failures of accept(2).
+// Package sockets provides socket operations that package net lacks: checking the state of a
+// socket without reading from it, closing a connection without a reset, reading while holding a
+// lock, and a listener that retries after failures of accept(2).
 package sockets
 
 import (
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// IsIdle reports whether a connection is open and has nothing to read. It does not
-// block, nor wait for a reader that is blocked on the connection.
+// IsIdle reports whether a connection is open and has no bytes to read. IsIdle does not block,
+// even if another goroutine is blocked in a read from the connection.
 func IsIdle(conn net.Conn) bool {
 	_, err := peek(conn)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// PeerClosed reports whether the peer has closed the connection or reset it, without
-// blocking. Unread bytes hide a close.
+// PeerClosed reports, without blocking, whether the peer has closed or reset the connection.
+// While the connection has unread bytes, a close by the peer is not visible.
 func PeerClosed(conn net.Conn) bool {
 	count, err := peek(conn)
 	if err == nil {
@@ -28,7 +28,8 @@
 	return !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
-// peek returns how many bytes there are to read, 1 at most, and what a read would fail with.
+// peek returns how many bytes are available to read, at most 1, and the error that a read would
+// return. It does not block and leaves the bytes unread.
 func peek(conn net.Conn) (count int, err error) {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -45,14 +46,15 @@
 	return count, errors.Join(controlErr, err)
 }
 
-// HalfCloser is a connection whose write side can be shut alone.
+// HalfCloser is a connection whose write side can be closed separately.
 type HalfCloser interface {
 	net.Conn
 	CloseWrite() error
 }
 
-// LingeringClose closes a connection without losing what was written to the peer: it
-// shuts the write side, lingers and closes then. It blocks for timeout at most.
+// LingeringClose closes a connection without losing bytes that were written to the peer: it
+// closes the write side, calls Linger, and then closes the connection. It blocks for at most
+// timeout.
 func LingeringClose(conn HalfCloser, timeout time.Duration, maxBytes int64) error {
 	if conn.CloseWrite() == nil {
 		Linger(conn, timeout, maxBytes)
@@ -60,14 +62,15 @@
 	return conn.Close()
 }
 
-// Linger reads from a connection whose write side was shut, and drops what comes, until
-// the peer has closed too, for timeout and maxBytes at most: a close with unread bytes
-// resets the connection, and what was written to the peer may still be on its way.
+// Linger reads from a connection whose write side was closed, and drops the bytes, until the
+// peer has closed its side too. It reads for at most timeout and at most maxBytes. Without Linger,
+// a close with unread bytes would reset the connection, and the peer could lose bytes that are
+// still in transit.
 func Linger(conn net.Conn, timeout time.Duration, maxBytes int64) {
 	if conn.SetReadDeadline(time.Now().Add(timeout)) == nil {
 		_, _ = io.CopyN(io.Discard, readerOnly{conn}, maxBytes)
 	}
 }
 
-// readerOnly hides what a connection offers beside Read, so that io.CopyN does not splice.
+// readerOnly hides all methods of a connection except Read, so that io.CopyN does not use splice(2).
 type readerOnly struct{ io.Reader }
