--- a/internal/front/httpfront/close.go
+++ b/internal/front/httpfront/close.go
@@ -7,57 +7,60 @@
 	"mothridge/internal/sockets"
 )
 
-// closeReason is why a connection was closed; the names stand in the metrics.
+// closeReason is the reason for which a connection was closed. Counters counts
+// each reason, and the metrics contain these counts.
 type closeReason int
 
 const (
 	closedByServer   closeReason = iota // by net/http: after a response, an error, a timeout or a disconnect
-	closedIdle                          // too many were idle, or it was evicted as idle
-	closedDrain                         // it was idle in a drain
-	closedSilent                        // nothing had come on it at shutdown
-	closedUnfinished                    // evicted as silent or with a request that was read for long
+	closedIdle                          // too many connections were idle, or the idle connection was evicted
+	closedDrain                         // the connection was idle during a drain
+	closedSilent                        // no bytes had been received when the front end shut down
+	closedUnfinished                    // evicted while silent, or while a request was being read for too long
 	closedTruncated                     // a response without a length could not be written completely
 	closeReasonCount
 )
 
 const (
-	// evictionLingerTimeout replaces frontend.LingerTimeout where a new connection waits.
+	// evictionLingerTimeout replaces frontend.LingerTimeout if a new connection is waiting.
 	evictionLingerTimeout = 20 * time.Millisecond
-	// maxLingerBytes bounds what is read from a connection that is closed.
+	// maxLingerBytes is the maximum number of bytes read from a connection while it is being closed.
 	maxLingerBytes = 4 * maxReadAheadBytes
 )
 
-// closeIdle closes the connection unless a request of it has started; it reports whether
-// it did.
+// closeIdle closes the connection if it is open and no request has started on it. closeIdle
+// reports whether it closed the connection.
 func (conn *clientConn) closeIdle(linger time.Duration, reason closeReason) bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if !conn.isIdleLocked() {
 		return false
 	}
-	conn.shutLocked(linger, reason)
+	conn.closeLocked(linger, reason)
 	return true
 }
 
-// closeUnfinished closes the connection at once unless a request of it is being served,
-// also one on which a request has started; it reports whether it did.
+// closeUnfinished closes the connection at once, even if a request has started on it, unless a
+// request is being served or the connection is already closed. closeUnfinished reports whether it
+// closed the connection.
 func (conn *clientConn) closeUnfinished() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if conn.state != connReading {
 		return false
 	}
-	conn.shutLocked(0, closedUnfinished) // no response can be on its way
+	conn.closeLocked(0, closedUnfinished) // no response can be in transit
 	return true
 }
 
-// Close implements net.Conn; net/http calls it last. It does not block.
+// Close implements net.Conn. It is the last method that net/http calls, and it does not block.
 func (conn *clientConn) Close() error {
 	conn.close(frontend.LingerTimeout, closedByServer)
 	return nil
 }
 
-// reset closes the connection so that its client does not take it for an orderly close.
+// reset closes the connection with a TCP reset, so that the client does not mistake this for an
+// orderly close.
 func (conn *clientConn) reset() {
 	_ = conn.SetLinger(0)
 	conn.close(0, closedTruncated)
@@ -67,23 +70,23 @@
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if conn.state != connClosed {
-		conn.shutLocked(linger, reason)
+		conn.closeLocked(linger, reason)
 	}
 }
 
-// shutLocked closes the connection, which must be open, without losing what was written to
-// the client, and does not wait for that. From now on net/http reads nothing more from
-// it, so that no request is served that comes after the shutdown. conn.mu is held.
-func (conn *clientConn) shutLocked(linger time.Duration, reason closeReason) {
+// closeLocked closes the connection, which must be open, without losing bytes that were written to
+// the client. The socket is closed in the background. From this call on, net/http reads no bytes
+// from the connection, so a request that arrives later is not served. The caller holds conn.mu.
+func (conn *clientConn) closeLocked(linger time.Duration, reason closeReason) {
 	conn.closeReason = reason
 	conn.state = connClosed
-	if conn.peerClosed.Load() { // nothing can be lost
+	if conn.peerClosed.Load() { // there is no client left that could lose a response
 		linger = 0
 	}
 	if linger > 0 && conn.CloseWrite() != nil {
 		linger = 0
 	}
-	go conn.lingerAndClose(linger) // the caller may hold the listener's lock, which onClosed takes
+	go conn.lingerAndClose(linger) // asynchronous: onClosed locks the listener, which the caller may hold
 }
 
 func (conn *clientConn) lingerAndClose(linger time.Duration) {
--- a/internal/front/httpfront/close_test.go
+++ b/internal/front/httpfront/close_test.go
@@ -11,42 +11,43 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// serveOn serves a request as one of a connection and reports whether it was aborted.
-func serveOn(t *testing.T, front *Front, conn *clientConn) (aborted bool) {
+// serveOnConnection serves a request as if it had been read from conn, and reports whether the
+// request was aborted without a response.
+func serveOnConnection(t *testing.T, front *Front, conn *clientConn) (aborted bool) {
 	defer func() { aborted = recover() == http.ErrAbortHandler }()
 	request := peertest.Call{Class: "once"}.Request(t, "127.0.0.1:1")
 	front.ServeHTTP(httptest.NewRecorder(), request.WithContext(withClientConn(t.Context(), conn)))
 	return false
 }
 
-// newUnconnected returns a connection without a socket.
-func newUnconnected() *clientConn {
+// newConnWithoutSocket returns a client connection that has no socket.
+func newConnWithoutSocket() *clientConn {
 	return &clientConn{TCPConn: &net.TCPConn{}, onClosed: func(*clientConn) {}}
 }
 
-// net/http counts a connection as idle until it has read a request's header. A
-// connection closed as idle in that moment must not have its request served: the
-// client sends it again.
+// Guards against serving a request twice. net/http counts a connection as idle until it has read
+// the header of the next request. If the connection is closed as idle at that moment, the request
+// must not be served, because the client sends it again on another connection.
 func TestRequestOnAConnectionClosedAsIdleIsNotServed(t *testing.T) {
 	handler := &servingHandler{}
 	front := New(testConfig, handler, peertest.Listen(t))
-	closed, open := newUnconnected(), newUnconnected()
+	closed, open := newConnWithoutSocket(), newConnWithoutSocket()
 	closed.closeIdle(frontend.LingerTimeout, closedIdle)
-	if !serveOn(t, front, closed) || handler.submitted > 0 {
-		t.Error("a request of a connection that was closed as idle was served")
+	if !serveOnConnection(t, front, closed) || handler.submitted > 0 {
+		t.Error("request on a connection closed as idle: got served, want aborted")
 	}
-	if serveOn(t, front, open) || handler.submitted != 1 {
-		t.Error("a request of an open connection was not served")
+	if serveOnConnection(t, front, open) || handler.submitted != 1 {
+		t.Error("request on an open connection: got not served, want served")
 	}
 	open.closeIdle(frontend.LingerTimeout, closedIdle)
 	if open.state != connServing {
-		t.Error("a connection was closed during a request")
+		t.Error("the connection was closed while a request was being served")
 	}
 }
 
-// Nothing that comes once a connection has been shut reaches net/http, and so nothing
-// of it can be served.
-func TestNothingIsReadAfterTheShutdown(t *testing.T) {
+// Bytes that arrive after a connection was closed must not reach net/http, so that no request in
+// them can be served. A read that was waiting when the connection was closed must fail.
+func TestNothingIsReadAfterConnectionClose(t *testing.T) {
 	listener := peertest.Listen(t)
 	peer, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -64,30 +65,30 @@
 		onClosed:   func(*clientConn) { close(closed) },
 	}
 	readResult := make(chan error, 1)
-	go func() { // it waits for the next request as the connection is shut
+	go func() { // this read waits for the next request while the connection is closed
 		n, err := conn.Read(make([]byte, 4<<10))
 		if n > 0 {
-			t.Errorf("read %d bytes", n)
+			t.Errorf("read after the close: got %d bytes, want 0", n)
 		}
 		readResult <- err
 	}()
 	conn.closeIdle(frontend.LingerTimeout, closedIdle)
-	go func() { // net/http sets deadlines of its own meanwhile
+	go func() { // simulates net/http, which sets its own read deadlines meanwhile
 		for t.Context().Err() == nil {
 			conn.SetReadDeadline(time.Now().Add(time.Hour))
 			time.Sleep(time.Millisecond)
 		}
 	}()
 	peertest.Call{Class: "once"}.Request(t, "x").Write(peer)
-	if err := peertest.Await(t, "the end of the read", readResult); err == nil {
-		t.Error("a read after the shutdown returned no error")
+	if err := peertest.Await(t, "the read to return", readResult); err == nil {
+		t.Error("read after the close: got no error, want an error")
 	}
 	select {
 	case <-closed:
 	case <-time.After(8 * frontend.LingerTimeout):
-		t.Fatal("it was read on from for longer than its bound")
+		t.Fatal("the connection was not closed within 8 times LingerTimeout")
 	}
 	if n, err := conn.Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Errorf("a further read: %d bytes, error %v", n, err)
+		t.Errorf("second read after the close: got %d bytes, error %v; want 0 bytes and an error", n, err)
 	}
 }
--- a/internal/front/httpfront/connection.go
+++ b/internal/front/httpfront/connection.go
@@ -15,68 +15,70 @@
 // connState is the state of a client connection:
 //
 //	reading --beginRequest--> serving --endRequest--> reading
-//	reading, serving --shutLocked--> closed
+//	reading, serving --closeLocked--> closed
 type connState int
 
 const (
 	connReading connState = iota // between requests, or a request is being read
-	connServing                  // a request was given to the handler and is not answered
-	connClosed                   // shut here; what is read from now on is dropped
+	connServing                  // the handler has a request and has not responded yet
+	connClosed                   // closed by this process; bytes read from now on are dropped
 )
 
-// clientConn is a client connection, below net/http.
+// clientConn is the client connection that net/http reads from and writes to.
 //
-// Closing it between requests and beginning a request exclude each other. net/http
-// calls a connection idle until it has read a request's header, and a client whose
-// connection was closed meanwhile sends the request again: if the first one were
-// served all the same, a request that is not idempotent could run twice.
+// Closing the connection between requests and beginning a request exclude each other. net/http
+// considers a connection idle until it has read the header of the next request. If the connection
+// is closed before that, the client sends the request again. If the first copy were served
+// nevertheless, a request that is not idempotent could run twice.
 type clientConn struct {
 	*net.TCPConn
 	framing  http1.Framing
-	onClosed func(*clientConn) // called once, when the connection has been closed
+	onClosed func(*clientConn) // called once, after the connection was closed
 
 	acceptedAt        time.Time
 	earliestArrival   func(now time.Time) time.Time // see Config.EarliestArrival; may be nil
-	lastReadAt        atomic.Int64                  // nanoseconds after acceptedAt; set where hasRead is
-	hasRead           atomic.Bool                   // something was read
-	peerClosed        atomic.Bool                   // the client has closed or reset it
-	netHTTPActive     atomic.Bool                   // net/http has it in http.StateActive
-	readAheadExceeded atomic.Bool                   // more than maxReadAheadBytes came during a request
+	lastReadAt        atomic.Int64                  // nanoseconds after acceptedAt; valid if hasRead is set
+	hasRead           atomic.Bool                   // at least one byte was read
+	peerClosed        atomic.Bool                   // the client has closed or reset the connection
+	netHTTPActive     atomic.Bool                   // net/http reports the connection as http.StateActive
+	readAheadExceeded atomic.Bool                   // more than maxReadAheadBytes were received during a request
 
-	// Of the goroutine that reads.
+	// Used only by the goroutine that reads.
 	reader         *sockets.LockedReader
-	requestStarted bool   // the last read brought the first byte of a request
-	readAhead      []byte // came during a request and belongs to the next
+	requestStarted bool   // the last read received the first byte of a request
+	readAhead      []byte // received during a request; part of the next request
 
-	// Guarded by the listener's lock.
-	evicted      bool      // being closed to make place for another
-	trackedSince time.Time // when net/http reported its last change of state
+	// Guarded by the listener's lock (limitedListener.mu).
+	evicted      bool      // being closed to make room for a new connection
+	trackedSince time.Time // when net/http reported the last change of the connection's state
 
-	// mu makes reading bytes and recording them one step, and so looking whether a request
-	// has started and closing the connection: what was read before a close is answered,
-	// what comes after it is dropped. The listener's lock is taken before mu.
+	// mu makes reading bytes and recording them atomic. It also makes checking whether a
+	// request has started and closing the connection atomic. A request whose bytes were read
+	// before a close is therefore answered, and bytes that arrive after the close are dropped.
+	// Lock order: the listener's lock before mu.
 	mu    sync.Mutex
 	state connState
-	// requestStartedAt is when the first byte of the request that is being read came;
-	// zero: none is being read.
+	// requestStartedAt is when the first byte of the current request was received; zero if no
+	// request is being read.
 	requestStartedAt time.Time
 	closeReason      closeReason
 }
 
 type clientConnKey struct{}
 
-// withClientConn attaches a connection to the context of its requests.
+// withClientConn returns a context for the connection's requests, from which clientConnOf gets the
+// connection.
 func withClientConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, conn)
 }
 
-// clientConnOf returns the connection of a request.
+// clientConnOf returns the connection on which a request was received.
 func clientConnOf(httpRequest *http.Request) *clientConn {
 	return httpRequest.Context().Value(clientConnKey{}).(*clientConn)
 }
 
-// beginRequest is called once a request has been read completely, before it is acted
-// on; if it returns false the connection was closed and the request must not be served.
+// beginRequest records that a request was read completely and is about to be served. If
+// beginRequest returns false, the connection was closed and the request must not be served.
 func (conn *clientConn) beginRequest() bool {
 	conn.mu.Lock()
 	open := conn.state == connReading
@@ -88,8 +90,8 @@
 	return open
 }
 
-// finishReading records that a request has been read completely: its time to be read
-// no longer bounds the connection's reads.
+// finishReading records that a request was read completely, and removes the request's read
+// timeout from the connection.
 func (conn *clientConn) finishReading() {
 	conn.mu.Lock()
 	conn.requestStartedAt = time.Time{}
@@ -97,8 +99,8 @@
 	_ = conn.SetReadDeadline(time.Time{})
 }
 
-// endRequest records that the connection is between requests again. Where bytes of the
-// next one were read already, its time to be read starts now.
+// endRequest records that the connection is between requests again. If bytes of the next request
+// were already read, the read timeout of that request starts now.
 func (conn *clientConn) endRequest() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -110,14 +112,14 @@
 	}
 }
 
-// isReading reports whether no request of the connection is being served and it is open.
+// isReading reports whether the connection is open and none of its requests is being served.
 func (conn *clientConn) isReading() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	return conn.state == connReading
 }
 
-// isClosed reports whether the connection has been closed here.
+// isClosed reports whether this process has closed the connection.
 func (conn *clientConn) isClosed() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
--- a/internal/front/httpfront/counters.go
+++ b/internal/front/httpfront/counters.go
@@ -1,14 +1,15 @@
 package httpfront
 
-// Counters count events from the start on. Their names in logs and metrics are in the tags.
+// Counters are the numbers of events since the process started. A metric tag contains the
+// counter's name in logs and metrics if that differs from the field name.
 type Counters struct {
 	Connections     uint64 // accepted
-	Submitted       uint64 `metric:"taken"`    // requests that were given to the handler
-	InvalidRequests uint64 `metric:"rejected"` // requests that were answered with an error of the client's
-	Disconnects     uint64 `metric:"left"`     // clients that disconnected before their response
+	Submitted       uint64 `metric:"taken"`    // requests that were submitted to the handler
+	InvalidRequests uint64 `metric:"rejected"` // requests that were answered with an error because they were invalid
+	Disconnects     uint64 `metric:"left"`     // clients that disconnected before they received their response
 	AcceptFailures  uint64 `metric:"failed"`
 
-	// Connections that were closed, by reason: see closeReason.
+	// Closed connections by reason; see closeReason.
 	ClosedByServer   uint64
 	ClosedIdle       uint64
 	ClosedDrain      uint64
@@ -16,12 +17,12 @@
 	ClosedUnfinished uint64
 	ClosedTruncated  uint64 `metric:"closed_cut"`
 
-	// ClosedUnanswered counts requests whose connection was closed here before their
-	// response. Anything but 0 is a fault of this package.
+	// ClosedUnanswered counts requests whose connection this process closed before the response
+	// was written. A value other than 0 means that this package has a bug.
 	ClosedUnanswered uint64
 }
 
-// Counters returns the counts so far. It may be called from any goroutine.
+// Counters returns the current counts. It may be called from any goroutine.
 func (front *Front) Counters() Counters {
 	listener := front.listener
 	return Counters{
@@ -30,12 +31,12 @@
 		InvalidRequests:  front.invalidRequests.Load(),
 		Disconnects:      front.disconnects.Load(),
 		AcceptFailures:   listener.Failures(),
-		ClosedByServer:   listener.closes[closedByServer].Load(),
-		ClosedIdle:       listener.closes[closedIdle].Load(),
-		ClosedDrain:      listener.closes[closedDrain].Load(),
-		ClosedSilent:     listener.closes[closedSilent].Load(),
-		ClosedUnfinished: listener.closes[closedUnfinished].Load(),
-		ClosedTruncated:  listener.closes[closedTruncated].Load(),
+		ClosedByServer:   listener.closesByReason[closedByServer].Load(),
+		ClosedIdle:       listener.closesByReason[closedIdle].Load(),
+		ClosedDrain:      listener.closesByReason[closedDrain].Load(),
+		ClosedSilent:     listener.closesByReason[closedSilent].Load(),
+		ClosedUnfinished: listener.closesByReason[closedUnfinished].Load(),
+		ClosedTruncated:  listener.closesByReason[closedTruncated].Load(),
 		ClosedUnanswered: front.closedUnanswered.Load(),
 	}
 }
--- a/internal/front/httpfront/drain.go
+++ b/internal/front/httpfront/drain.go
@@ -7,7 +7,8 @@
 	"mothridge/internal/front/frontend"
 )
 
-// drain closes the idle connections, and from now on every other as it becomes idle.
+// drain closes all idle connections. From now on, every other connection is closed when it
+// becomes idle.
 func (listener *limitedListener) drain() {
 	listener.mu.Lock()
 	defer listener.mu.Unlock()
@@ -24,9 +25,9 @@
 	return listener.draining
 }
 
-// awaitClosed blocks until every connection has been closed, or ctx is done. It closes
-// silent ones: clients go on sending on every open connection in a planned restart,
-// and what comes last could not be answered.
+// awaitClosed blocks until every connection has been closed or ctx is done. It closes silent
+// connections, because clients continue to send on every open connection during a planned restart
+// and a request that arrives last could not be answered.
 func (listener *limitedListener) awaitClosed(ctx context.Context) {
 	ticker := time.NewTicker(frontend.ShutdownPollInterval)
 	defer ticker.Stop()
@@ -39,8 +40,8 @@
 	}
 }
 
-// closeSilent starts to close the connections on which nothing came, and returns how
-// many are open.
+// closeSilent starts to close the connections on which no bytes were received, and returns the
+// number of open connections.
 func (listener *limitedListener) closeSilent() (open int) {
 	listener.mu.Lock()
 	defer listener.mu.Unlock()
--- a/internal/front/httpfront/evict.go
+++ b/internal/front/httpfront/evict.go
@@ -7,22 +7,21 @@
 	"mothridge/internal/front/frontend"
 )
 
-// evictUnfinishedAfter is how long a request may be read before its connection can be
-// evicted.
+// evictUnfinishedAfter is how long a request may be read before its connection may be evicted.
 const evictUnfinishedAfter = 200 * time.Millisecond
 
-// evictionResult is what became of an attempt to evict a connection.
+// evictionResult is the result of an attempt to evict a connection.
 type evictionResult int
 
 const (
-	evicted        evictionResult = iota // it will be closed soon
-	requestStarted                       // the connection got a request meanwhile: another has to be found
-	candidateSoon                        // none now, but one may become silent or unfinished soon
-	noCandidate                          // all have a request that is served
+	evicted        evictionResult = iota // the connection is being closed
+	requestStarted                       // a request has started on the connection meanwhile; try another one
+	candidateSoon                        // none can be evicted now, but one may soon count as silent or unfinished
+	noCandidate                          // every connection has a request that is being served
 )
 
-// reserve blocks until one more connection may be open, and counts it as open. It evicts
-// one connection for each that waits.
+// reserve blocks until fewer than maxConnections are open, then counts one more as open. It evicts
+// one connection for each connection that waits.
 func (listener *limitedListener) reserve() {
 	listener.mu.Lock()
 	defer listener.mu.Unlock()
@@ -42,16 +41,17 @@
 	listener.open++
 }
 
-// evictLocked starts to close one connection for a new one: the oldest that is silent or
-// reads a request for too long, else the longest idle, whose client does not take an
-// orderly close for a failure. Silent connections, and those with half a request, must
-// not keep out clients that send requests.
+// evictLocked starts to close one connection to make room for a new one. It chooses the oldest
+// connection that is silent or has been reading a request for too long, because connections that
+// send nothing or only part of a request must not block clients that send requests. If there is no
+// such connection, evictLocked chooses the connection that has been idle for the longest time: the
+// client of an idle connection does not treat an orderly close as a failure.
 func (listener *limitedListener) evictLocked(now time.Time) evictionResult {
-	conn, soon := listener.takeUnfinishedLocked(now)
+	conn, retrySoon := listener.takeUnfinishedLocked(now)
 	if conn != nil {
 		return listener.recordEvictionLocked(conn, conn.closeUnfinished())
 	}
-	if soon { // recently used ones are kept until it is clear
+	if retrySoon { // idle connections, which were used recently, are kept until this is decided
 		return candidateSoon
 	}
 	if len(listener.idle) == 0 {
@@ -62,10 +62,10 @@
 	return listener.recordEvictionLocked(conn, conn.closeIdle(evictionLingerTimeout, closedIdle))
 }
 
-// takeUnfinishedLocked removes from the active connections the oldest that is silent or
-// reads a request for too long. Where there is none, soon reports whether one may
-// become so.
-func (listener *limitedListener) takeUnfinishedLocked(now time.Time) (conn *clientConn, soon bool) {
+// takeUnfinishedLocked removes, from the active connections, the oldest one that is silent or has
+// been reading a request for too long. If there is none, retrySoon reports whether a connection may
+// soon become silent or exceed that time.
+func (listener *limitedListener) takeUnfinishedLocked(now time.Time) (conn *clientConn, retrySoon bool) {
 	for i, conn := range listener.active {
 		if !conn.isReading() {
 			continue
@@ -74,9 +74,9 @@
 			listener.active = slices.Delete(listener.active, i, i+1)
 			return conn, false
 		}
-		soon = true
+		retrySoon = true
 	}
-	return nil, soon
+	return nil, retrySoon
 }
 
 func (listener *limitedListener) recordEvictionLocked(conn *clientConn, closing bool) evictionResult {
--- a/internal/front/httpfront/evict_test.go
+++ b/internal/front/httpfront/evict_test.go
@@ -12,8 +12,9 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// dialHeld opens a connection with a request that the handler holds.
-func dialHeld(t *testing.T, address string, handler *holdingHandler, id string) net.Conn {
+// dialWithOpenRequest opens a connection and sends a request, which the handler leaves unanswered
+// until the test releases it.
+func dialWithOpenRequest(t *testing.T, address string, handler *blockingHandler, id string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -21,19 +22,20 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	peertest.Call{Class: "once", ID: id}.Request(t, "x").Write(conn)
-	peertest.Await(t, "the request", handler.submitted)
+	peertest.Await(t, "the request to be submitted", handler.submitted)
 	return conn
 }
 
-// One connection is evicted for each that waits, also while it is still read on from.
-func TestOneIsEvictedForEachThatWaits(t *testing.T) {
-	handler := newHoldingHandler()
+// Guards against evicting too many connections: exactly one idle connection must be evicted for each
+// waiting connection, even while the evicted connection is still lingering and counts as open.
+func TestOneEvictionPerWaitingConnection(t *testing.T) {
+	handler := newBlockingHandler()
 	config := testConfig
 	config.MaxConnections = 20
 	front, address := startFront(t, config, handler)
 	var idle []net.Conn
 	for i := range 6 {
-		conn := dialHeld(t, address, handler, string(rune('a'+i)))
+		conn := dialWithOpenRequest(t, address, handler, string(rune('a'+i)))
 		handler.release <- struct{}{}
 		if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil {
 			t.Fatal(err)
@@ -41,14 +43,14 @@
 		idle = append(idle, conn)
 	}
 	for i := range 14 {
-		dialHeld(t, address, handler, string(rune('g'+i)))
+		dialWithOpenRequest(t, address, handler, string(rune('g'+i)))
 	}
-	peertest.Until(t, "the first eviction", func() bool {
+	peertest.Until(t, "the first connection to be evicted", func() bool {
 		front.listener.mu.Lock()
 		defer front.listener.mu.Unlock()
 		return len(front.listener.idle) == 5
 	})
-	handler.release <- struct{}{} // one more becomes idle meanwhile
+	handler.release <- struct{}{} // another connection becomes idle while the evicted one lingers
 	closed := 0
 	for _, conn := range idle {
 		conn.SetReadDeadline(time.Now().Add(3 * evictionLingerTimeout))
@@ -57,7 +59,7 @@
 		}
 	}
 	if closed != 1 {
-		t.Errorf("%d idle connections were closed for one that waits", closed)
+		t.Errorf("got %d idle connections closed for one waiting connection, want 1", closed)
 	}
 	close(handler.release)
 }
--- a/internal/front/httpfront/front.go
+++ b/internal/front/httpfront/front.go
@@ -1,9 +1,9 @@
-// Package httpfront is the listener front end for HTTP/1.1: it reads clients' requests,
-// hands them to a core.Handler and writes the responses.
+// Package httpfront is the listener front end for HTTP/1.1: it reads clients' requests, submits
+// them to a core.Handler and writes the responses.
 //
-// net/http parses requests and writes responses; below it, clientConn follows the state
-// of each connection and limitedListener bounds how many are open. See
-// docs/design/crossings.md for the races that their locks exclude.
+// net/http parses requests and writes responses. It uses this package's limitedListener, which
+// limits the number of open connections, and clientConn, which tracks the state of a connection.
+// See docs/design/crossings.md for the races that their locks exclude.
 package httpfront
 
 import (
@@ -22,39 +22,39 @@
 )
 
 const (
-	// firstByteTimeout bounds the time from accepting a connection to its first byte.
+	// firstByteTimeout is the maximum time from accepting a connection to its first byte.
 	firstByteTimeout = 2 * time.Second
-	// idleTimeout bounds the time between two requests of a connection. Clients count idle
-	// connections against their own limits.
+	// idleTimeout is the maximum time between two requests on a connection. It is short because
+	// clients count idle connections against their own connection limits.
 	idleTimeout = 2 * time.Second
-	// maxHeaderBytes bounds the head of a request.
+	// maxHeaderBytes is the maximum size of a request's head.
 	maxHeaderBytes = 16 << 10
 )
 
-// Config configures a Front. There are no defaults: all fields but Tenants and
-// EarliestArrival are needed.
+// Config configures a Front. There are no defaults: all fields except Tenants and EarliestArrival
+// must be set.
 type Config struct {
-	// Classes are the names of the request classes; a class's number is its index.
+	// Classes are the names of the request classes; the number of a class is its index.
 	Classes []string
-	// Idempotency is that of each class, by number.
+	// Idempotency is the idempotency of each class, indexed by the number of the class.
 	Idempotency []policy.Idempotency
-	// Tenants are the names of the tenants; a tenant's number is its index. Empty: there
-	// is one, and requests need not name it.
+	// Tenants are the names of the tenants; the number of a tenant is its index. If Tenants is
+	// empty, there is one tenant and requests need not name it.
 	Tenants []string
-	// MaxConnections bounds the client connections that are open at once. Beyond it a
-	// connection is evicted, or new ones wait to be accepted.
+	// MaxConnections is the maximum number of open client connections. When it is reached, a
+	// connection is evicted for a new one, or new connections wait to be accepted.
 	MaxConnections int
-	// EarliestArrival returns when bytes that were read just now may have come at the
-	// earliest; nil: now. It must not block.
+	// EarliestArrival returns the earliest time at which bytes that were read at now may have
+	// arrived. If it is nil, bytes count as having arrived when they are read. It must not block.
 	EarliestArrival func(now time.Time) time.Time
 }
 
 // Front serves the clients of one listener.
 //
-// net/http runs a goroutine for each connection and one more to watch for a client that
-// disconnects during a request; both end with the connection. Closing a connection
-// starts a goroutine that ends within LingerTimeout. Shutdown waits for all of them, until its
-// context is done.
+// For each connection, net/http runs one goroutine and, during a request, a second one that detects
+// when the client disconnects. Both end with the connection. Closing a connection starts a goroutine
+// that ends within frontend.LingerTimeout. Shutdown waits for all these goroutines until its context
+// is done.
 type Front struct {
 	handler  core.Handler
 	rules    frontend.RequestRules
@@ -64,15 +64,15 @@
 	submitted, invalidRequests, disconnects, closedUnanswered atomic.Uint64
 }
 
-// New makes a Front on a listener, which it closes on Shutdown; Serve starts it.
+// New returns a Front for a listener. Serve starts the Front, and Shutdown closes the listener.
 func New(config Config, handler core.Handler, listener net.Listener) *Front {
 	front := &Front{
 		handler:  handler,
 		rules:    frontend.NewRequestRules(config.Classes, config.Idempotency, config.Tenants),
 		listener: newLimitedListener(listener, config.MaxConnections, config.EarliestArrival),
 	}
-	// There is no ReadTimeout: it would also end the watch for clients that disconnect,
-	// as if they had disconnected.
+	// ReadTimeout is not set: when it expires during a request, net/http's read that detects a
+	// disconnect fails, and net/http treats the client as disconnected.
 	front.server = &http.Server{
 		Handler:           front,
 		ConnState:         front.listener.onConnState,
@@ -80,25 +80,25 @@
 		ReadHeaderTimeout: firstByteTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		// Every request has to reach the handler, which takes one head from
-		// clientConn.framing for each.
+		// Every request must reach Front.ServeHTTP, which takes one head from
+		// clientConn.framing for each request.
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	return front
 }
 
-// Serve blocks and serves until Shutdown or an error; after Shutdown the error is
-// http.ErrServerClosed or net.ErrClosed.
+// Serve serves clients and blocks until Shutdown is called or an error occurs. After Shutdown, the
+// error is http.ErrServerClosed or net.ErrClosed.
 func (front *Front) Serve() error { return front.server.Serve(front.listener) }
 
-// Drain closes the idle connections, and from now on each response announces that its
-// connection will be closed; new connections are still accepted. It does not block.
+// Drain closes the idle connections. From now on, each response announces that its connection will
+// be closed. New connections are still accepted. Drain does not block.
 func (front *Front) Drain() { front.listener.drain() }
 
-// Shutdown closes the listener and blocks until every connection has been closed, each
-// once its requests are answered, or ctx is done. It does not use http.Server.Shutdown:
-// from then on net/http drops each request that it has read, without a response.
+// Shutdown closes the listener and blocks until every connection has been closed or ctx is done. Each
+// connection is closed after its requests were answered. Shutdown does not use http.Server.Shutdown,
+// because net/http then drops requests that it has already read, without a response.
 func (front *Front) Shutdown(ctx context.Context) error {
 	front.listener.DrainBacklog(ctx)
 	listenerErr := front.listener.Close()
--- a/internal/front/httpfront/handle_request.go
+++ b/internal/front/httpfront/handle_request.go
@@ -8,15 +8,15 @@
 	"mothridge/internal/core"
 )
 
-// readinessPath is the path of the readiness check.
+// readinessPath is the URL path of the readiness check.
 const readinessPath = "/health/ready"
 
-// responseWriteGrace is added to a request's deadline: until then its response may be written.
+// responseWriteGrace is how long after a request's deadline its response may still be written.
 const responseWriteGrace = time.Second
 
-// ServeHTTP serves one request. net/http calls it on the goroutine of the connection;
-// it blocks until the response has been written. It panics with http.ErrAbortHandler
-// where the connection has to end without a response.
+// ServeHTTP serves one request and blocks until the response has been written. net/http calls it on
+// the goroutine of the connection. ServeHTTP panics with http.ErrAbortHandler if the connection must
+// be closed without a response.
 func (front *Front) ServeHTTP(writer http.ResponseWriter, httpRequest *http.Request) {
 	conn := clientConnOf(httpRequest)
 	if err := checkFraming(httpRequest, conn.framing.NextHead()); err != nil {
@@ -32,12 +32,12 @@
 		front.rejectInvalid(writer, httpRequest, err)
 		return
 	}
-	if !conn.beginRequest() { // closed as idle: the client sends the request again
+	if !conn.beginRequest() { // the connection was closed as idle, so the client sends the request again
 		panic(http.ErrAbortHandler)
 	}
 	response := front.awaitResponse(httpRequest, conn, request)
-	front.checkStillOpen(conn, request.ID)
-	// The client has given up by then: its response is not held for it.
+	front.recordClosedUnanswered(conn, request.ID)
+	// By then the client has stopped waiting for the response, so the write must not block longer.
 	_ = http.NewResponseController(writer).SetWriteDeadline(request.Deadline.Add(responseWriteGrace))
 	front.writeResponse(writer, response, conn)
 }
@@ -51,10 +51,10 @@
 	writer.WriteHeader(status)
 }
 
-// awaitResponse submits a request and blocks until its response. Where the client
-// disconnects before, it abandons the request and panics with http.ErrAbortHandler.
+// awaitResponse submits a request and blocks until the handler responds. If the client disconnects
+// before that, awaitResponse abandons the request and panics with http.ErrAbortHandler.
 func (front *Front) awaitResponse(httpRequest *http.Request, conn *clientConn, request *core.Request) core.Response {
-	responses := make(chan core.Response, 1) // Respond must not block
+	responses := make(chan core.Response, 1) // buffered, because Respond must not block
 	request.Respond = func(response core.Response) { responses <- response }
 	request.ClientGone = conn.hasClientDisconnected
 	front.submitted.Add(1)
@@ -69,9 +69,9 @@
 	}
 }
 
-// checkStillOpen counts and logs a connection that was closed here before the response
-// to its request.
-func (front *Front) checkStillOpen(conn *clientConn, requestID string) {
+// recordClosedUnanswered counts and logs a request as unanswered if this process closed its connection
+// before the response was written, which must never happen.
+func (front *Front) recordClosedUnanswered(conn *clientConn, requestID string) {
 	if conn.isClosed() && !conn.peerClosed.Load() {
 		front.closedUnanswered.Add(1)
 		slog.Error("a rule was broken", "rule", "closed_unanswered", "request", requestID)
--- a/internal/front/httpfront/helpers_test.go
+++ b/internal/front/httpfront/helpers_test.go
@@ -21,7 +21,7 @@
 	MaxConnections: 4,
 }
 
-// servingHandler serves every request with one body.
+// servingHandler answers every request at once with the same body.
 type servingHandler struct {
 	submitted int
 	body      []byte
@@ -38,18 +38,19 @@
 
 func (handler *servingHandler) Ready() bool { return true }
 
-// holdingHandler reports each request and serves it once it receives from release.
-type holdingHandler struct {
+// blockingHandler sends the ID of each request to submitted, and answers the request after it has
+// received from release.
+type blockingHandler struct {
 	servingHandler
 	submitted chan string
 	release   chan struct{}
 }
 
-func newHoldingHandler() *holdingHandler {
-	return &holdingHandler{submitted: make(chan string, 100), release: make(chan struct{})}
+func newBlockingHandler() *blockingHandler {
+	return &blockingHandler{submitted: make(chan string, 100), release: make(chan struct{})}
 }
 
-func (handler *holdingHandler) Submit(request *core.Request) {
+func (handler *blockingHandler) Submit(request *core.Request) {
 	handler.submitted <- request.ID
 	go func() {
 		<-handler.release
@@ -57,7 +58,8 @@
 	}()
 }
 
-// startFront serves a front end until the end of the test and returns its address too.
+// startFront starts a front end, which is closed at the end of the test, and returns the front end
+// and its address.
 func startFront(t *testing.T, config Config, handler core.Handler) (front *Front, address string) {
 	t.Helper()
 	listener := peertest.Listen(t)
@@ -67,7 +69,7 @@
 	return front, listener.Addr().String()
 }
 
-// dial opens a connection.
+// dial opens a connection, which is closed at the end of the test.
 func dial(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -79,7 +81,7 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// dialAndSend opens a connection and writes a request on it.
+// dialAndSend opens a connection and sends a request on it.
 func dialAndSend(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, reader := dial(t, address)
@@ -87,7 +89,7 @@
 	return conn, reader
 }
 
-// dialKeptAlive returns a connection on which one request was answered.
+// dialKeptAlive returns an open connection on which one request was already answered.
 func dialKeptAlive(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, reader := dialAndSend(t, address)
@@ -99,7 +101,7 @@
 	return conn, reader
 }
 
-// requestBytes is a complete request of a class that is not idempotent.
+// requestBytes returns an encoded, complete request of a class that is not idempotent.
 func requestBytes(t *testing.T, id string) []byte {
 	t.Helper()
 	var buffer bytes.Buffer
@@ -107,12 +109,12 @@
 	return buffer.Bytes()
 }
 
-// expectServed reads a response, which has to be 200; last wants it to announce the
-// close of the connection.
-func expectServed(t *testing.T, reader *bufio.Reader, last bool) {
+// expectServed reads a response and checks that its status is 200. If wantClose is set, the response
+// must also announce the close of the connection.
+func expectServed(t *testing.T, reader *bufio.Reader, wantClose bool) {
 	t.Helper()
 	response, err := http.ReadResponse(reader, nil)
-	if err != nil || response.StatusCode != http.StatusOK || last && !response.Close {
-		t.Errorf("got %v, error %v; want 200, Connection: close is %v", response, err, last)
+	if err != nil || response.StatusCode != http.StatusOK || wantClose && !response.Close {
+		t.Errorf("got response %v, error %v; want status 200 (Connection: close required: %v)", response, err, wantClose)
 	}
 }
--- a/internal/front/httpfront/listener.go
+++ b/internal/front/httpfront/listener.go
@@ -14,26 +14,26 @@
 	"mothridge/internal/sockets"
 )
 
-// maxIdleTenths is how many tenths of the connections may be idle. Clients count idle
-// connections against their own limits too, and could soon open no more.
+// maxIdleTenths is how many tenths of maxConnections may be idle. Clients count idle connections
+// against their own limits too, and with many idle connections they could not open new ones.
 const maxIdleTenths = 3
 
-// limitedListener bounds the open client connections and follows their states. At the
-// bound it evicts one for each that waits: see evict.go. Where none can be evicted it
-// leaves new ones waiting to be accepted.
+// limitedListener limits the number of open client connections and tracks their states. At the limit
+// it evicts one connection for each connection that waits; see evict.go. If no connection can be
+// evicted, new connections wait to be accepted.
 type limitedListener struct {
 	*sockets.RetryingListener
 	maxConnections  int
 	earliestArrival func(now time.Time) time.Time // see Config.EarliestArrival
 	accepted        atomic.Uint64
-	closes          [closeReasonCount]atomic.Uint64
+	closesByReason  [closeReasonCount]atomic.Uint64
 
 	mu       sync.Mutex
-	changed  *sync.Cond    // a connection was closed or became idle
-	open     int           // accepted or reserved, and not closed yet
-	evicting int           // of those, how many are being closed to make place
-	active   []*clientConn // new, or a request is read or served; the oldest first
-	idle     []*clientConn // between requests; the longest idle first
+	changed  *sync.Cond    // signalled when a connection was closed or became idle
+	open     int           // number of connections accepted or reserved and not closed yet
+	evicting int           // how many of the open ones are being closed to make room
+	active   []*clientConn // new, or a request is being read or served; oldest first
+	idle     []*clientConn // between requests; longest idle first
 	draining bool
 }
 
@@ -49,8 +49,8 @@
 	return limited
 }
 
-// Accept blocks until fewer than maxConnections are open and one more has come; it fails
-// only once the listener has been closed.
+// Accept blocks until fewer than maxConnections are open and a new connection has arrived. It fails
+// only after the listener was closed.
 func (listener *limitedListener) Accept() (net.Conn, error) {
 	listener.reserve()
 	for {
@@ -77,7 +77,7 @@
 	}
 }
 
-// release gives back a reservation that no connection came of.
+// release returns a reservation for which no connection was accepted.
 func (listener *limitedListener) release() {
 	listener.mu.Lock()
 	listener.open--
@@ -85,7 +85,7 @@
 	listener.changed.Signal()
 }
 
-// onClosed records that a connection has been closed.
+// onClosed records that the socket of a connection has been closed.
 func (listener *limitedListener) onClosed(conn *clientConn) {
 	listener.mu.Lock()
 	listener.open--
@@ -93,12 +93,12 @@
 		listener.evicting--
 	}
 	listener.mu.Unlock()
-	listener.closes[conn.closeReason].Add(1)
+	listener.closesByReason[conn.closeReason].Add(1)
 	listener.changed.Signal()
 }
 
-// onConnState follows the states of the connections; net/http calls it, on the
-// connection's goroutine.
+// onConnState tracks the states of the connections. net/http calls it on the goroutine of the
+// connection.
 func (listener *limitedListener) onConnState(netConn net.Conn, state http.ConnState) {
 	conn := netConn.(*clientConn)
 	listener.mu.Lock()
@@ -114,7 +114,7 @@
 	}
 	listener.mu.Unlock()
 	if state == http.StateIdle {
-		listener.changed.Signal() // it may be evicted now
+		listener.changed.Signal() // this connection may now be evicted
 	}
 }
 
@@ -126,8 +126,8 @@
 	}
 }
 
-// onIdleLocked tracks a connection that became idle. In a drain it closes it; beyond the
-// bound on idle connections it closes the longest idle.
+// onIdleLocked records that a connection became idle. During a drain it closes that connection. If
+// too many connections are idle, it closes the one that has been idle for the longest time.
 func (listener *limitedListener) onIdleLocked(conn *clientConn) {
 	conn.endRequest()
 	listener.idle = append(listener.idle, conn)
@@ -139,7 +139,8 @@
 	}
 }
 
-// closeLongestIdleLocked closes the longest idle connection on which no request has started.
+// closeLongestIdleLocked closes, of the idle connections on which no request has started, the one
+// that has been idle for the longest time.
 func (listener *limitedListener) closeLongestIdleLocked() {
 	for i, conn := range listener.idle {
 		if conn.closeIdle(frontend.LingerTimeout, closedIdle) {
--- a/internal/front/httpfront/read_connection.go
+++ b/internal/front/httpfront/read_connection.go
@@ -11,15 +11,16 @@
 	"mothridge/internal/sockets"
 )
 
-// maxReadAheadBytes bounds what is kept of the requests that come during another: one of
-// the largest size. A connection on which more comes is closed after the response.
+// maxReadAheadBytes is the maximum number of bytes that are buffered while another request is being
+// served: one request of the largest size. If more bytes arrive, the connection is closed after the
+// response.
 const maxReadAheadBytes = http1.MaxRequestBodyBytes + maxHeaderBytes
 
-// readAheadChunkBytes is how much is read ahead at once.
+// readAheadChunkBytes is the maximum number of bytes that one read takes while a request is served.
 const readAheadChunkBytes = 1 << 10
 
-// Read implements net.Conn; one goroutine at a time calls it. During a request net/http
-// reads one byte ahead, to notice that the client disconnects: see watchForClose.
+// Read implements net.Conn; it is not called concurrently. During a request, net/http reads one byte
+// to detect that the client disconnects; see watchForClose.
 func (conn *clientConn) Read(buffer []byte) (int, error) {
 	if len(buffer) == 1 && conn.netHTTPActive.Load() {
 		return conn.watchForClose(buffer)
@@ -31,8 +32,8 @@
 	return conn.readSocket(buffer)
 }
 
-// readSocket reads from the socket. The first byte of a request starts its time to be
-// read, whatever deadline was set before.
+// readSocket reads from the socket. The first byte of a request starts the read timeout of that
+// request, which replaces the deadline that was set before.
 func (conn *clientConn) readSocket(buffer []byte) (int, error) {
 	if conn.reader == nil {
 		conn.reader = sockets.NewLockedReader(conn.TCPConn, &conn.mu, conn.onRead)
@@ -52,14 +53,14 @@
 	return count, err
 }
 
-// isPeerError reports whether a read failed because of the client and not by a deadline
-// or a close of ours.
+// isPeerError reports whether a read failed because of the client, and not because of a deadline or
+// because this process closed the connection.
 func isPeerError(err error) bool {
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, net.ErrClosed)
 }
 
-// onRead records that bytes were read; conn.mu is held. Those of a closed connection are
-// dropped.
+// onRead records that bytes were read. It returns false if the connection is closed, and the bytes
+// are then dropped. The caller holds conn.mu.
 func (conn *clientConn) onRead(count int) (accepted bool) {
 	if count > 0 && conn.isIdleLocked() {
 		conn.requestStartedAt = time.Now()
@@ -68,17 +69,18 @@
 	return conn.state != connClosed
 }
 
-// isIdleLocked reports whether the connection is open and no byte of a request has come
-// since the last one was answered; conn.mu is held.
+// isIdleLocked reports whether the connection is open and no byte has been received since the last
+// request was answered. The caller holds conn.mu.
 func (conn *clientConn) isIdleLocked() bool {
 	return conn.state == connReading && conn.requestStartedAt.IsZero()
 }
 
-// watchForClose is the read of one byte during a request: it returns a byte once net/http
-// interrupts it by a deadline, or the error that says that the client disconnected.
-// Unread bytes would hide a close, so it reads on and keeps what comes.
+// watchForClose implements the one-byte read that net/http makes during a request. It returns an
+// error if the client disconnects. Because unread bytes would hide a disconnect, watchForClose
+// continues to read and buffers the bytes. It returns one of them after net/http has interrupted the
+// read with a deadline, or when maxReadAheadBytes are buffered.
 func (conn *clientConn) watchForClose(buffer []byte) (int, error) {
-	if len(conn.readAhead) == 0 { // mostly nothing comes, and nothing is allocated
+	if len(conn.readAhead) == 0 { // usually no bytes arrive, so this path allocates no memory
 		count, err := conn.readSocket(buffer)
 		if count == 0 {
 			return count, err
@@ -100,7 +102,7 @@
 	return conn.takeReadAhead(buffer), nil
 }
 
-// takeReadAhead moves bytes that were kept into buffer and returns their number.
+// takeReadAhead moves buffered bytes into buffer and returns their number.
 func (conn *clientConn) takeReadAhead(buffer []byte) int {
 	count := copy(buffer, conn.readAhead)
 	conn.readAhead = conn.readAhead[count:]
@@ -108,12 +110,13 @@
 }
 
 // hasClientDisconnected reports whether the client has disconnected. It may be called from any
-// goroutine and does not block; it looks at the socket too, as the watch may be late.
+// goroutine and does not block. It also checks the socket, because watchForClose may detect a
+// disconnect later.
 func (conn *clientConn) hasClientDisconnected() bool {
 	return conn.peerClosed.Load() || sockets.PeerClosed(conn.TCPConn)
 }
 
-// recordArrival records when the bytes came that were just read.
+// recordArrival records the arrival time of the bytes that were just read.
 func (conn *clientConn) recordArrival(now time.Time) {
 	if conn.earliestArrival != nil {
 		now = conn.earliestArrival(now)
@@ -122,8 +125,9 @@
 	conn.hasRead.Store(true)
 }
 
-// arrivalTime returns when the request came whose header was just parsed: one that came
-// during another has waited, and its client counts that time.
+// arrivalTime returns the arrival time of the request whose header was just parsed. A request that
+// arrived while another one was served has waited, and the client counts this time as part of the
+// request's timeout.
 func (conn *clientConn) arrivalTime(now time.Time) time.Time {
 	lastRead := conn.acceptedAt.Add(time.Duration(conn.lastReadAt.Load()))
 	if lastRead.Before(now) && conn.hasRead.Load() {
@@ -132,9 +136,9 @@
 	return now
 }
 
-// SetReadDeadline implements net.Conn for net/http. It does nothing on a connection that
-// is closed, and keeps a request that has started to frontend.RequestReadTimeout. A time
-// in the past interrupts a read in any case.
+// SetReadDeadline implements net.Conn for net/http. It has no effect on a closed connection. While a
+// request is being read, the deadline is always frontend.RequestReadTimeout after the request's first
+// byte, except that a deadline in the past still interrupts a read.
 func (conn *clientConn) SetReadDeadline(deadline time.Time) error {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -148,7 +152,7 @@
 	return conn.TCPConn.SetReadDeadline(deadline)
 }
 
-// limitRemainingRead bounds how long the rest of an invalid request is read.
+// limitRemainingRead sets the maximum time for reading the rest of an invalid request.
 func (conn *clientConn) limitRemainingRead(timeout time.Duration) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -157,9 +161,9 @@
 	}
 }
 
-// isSilent reports whether nothing has come on the connection though the client had the
-// time to send; the listener's lock is held.
+// isSilent reports whether no bytes were received on the connection although the client had at least
+// frontend.FirstByteGrace to send them. The caller holds the listener's lock.
 func (conn *clientConn) isSilent(now time.Time) bool {
-	hadTime := now.Sub(conn.trackedSince) >= frontend.FirstByteGrace
-	return hadTime && !conn.hasRead.Load() && sockets.IsIdle(conn.TCPConn)
+	graceElapsed := now.Sub(conn.trackedSince) >= frontend.FirstByteGrace
+	return graceElapsed && !conn.hasRead.Load() && sockets.IsIdle(conn.TCPConn)
 }
--- a/internal/front/httpfront/read_request.go
+++ b/internal/front/httpfront/read_request.go
@@ -16,51 +16,52 @@
 )
 
 const (
-	// maxRequestTimeout is the longest Request-Timeout; a longer one is cut to it.
+	// maxRequestTimeout is the longest Request-Timeout; a longer one is reduced to this value.
 	maxRequestTimeout = time.Hour
-	// maxRequestIDBytes bounds a Request-Id.
+	// maxRequestIDBytes is the maximum length of a Request-Id.
 	maxRequestIDBytes = 256
 )
 
-// requestError is why a request is invalid: the client is to change it.
+// requestError describes why a request is invalid. The client must change the request.
 type requestError struct {
-	status int    // of the HTTP response
-	detail string // what a valid request has
+	status int    // status of the HTTP response
+	detail string // the rule that the request violates
 }
 
-// Error returns the body of the response, without its line break.
+// Error returns the body of the response without its line break.
 func (err *requestError) Error() string { return http.StatusText(err.status) + ": " + err.detail }
 
 func badRequest(detail string) *requestError { return &requestError{http.StatusBadRequest, detail} }
 
-// requestFields are the header fields that every request has.
+// requestFields are the values of the header fields that every request must have.
 type requestFields struct {
 	id      string
 	class   int
 	tenant  int
-	timeout time.Duration // how long the client waits, from its request's arrival
+	timeout time.Duration // how long the client waits, counted from the arrival of its request
 }
 
-// checkFraming rejects a request whose length is ambiguous (see http1.Framing) or too large.
+// checkFraming rejects a request that is not HTTP/1.1, or whose length is ambiguous (see
+// http1.Framing) or too large.
 func checkFraming(httpRequest *http.Request, head http1.Head) *requestError {
 	switch {
 	case !httpRequest.ProtoAtLeast(1, 1): // net/http ignores a Transfer-Encoding of HTTP/1.0
-		return &requestError{http.StatusHTTPVersionNotSupported, "version 1.1 is spoken here"}
+		return &requestError{http.StatusHTTPVersionNotSupported, "only HTTP/1.1 is supported"}
 	case len(httpRequest.TransferEncoding) > 0 && !head.Unambiguous():
-		return &requestError{http.StatusLengthRequired, "a Content-Length or a Transfer-Encoding is needed, and not both"}
+		return &requestError{http.StatusLengthRequired, "set either Content-Length or Transfer-Encoding, not both"}
 	case httpRequest.ContentLength > http1.MaxRequestBodyBytes:
-		detail := fmt.Sprintf("a body of %d bytes, %d at most", httpRequest.ContentLength, http1.MaxRequestBodyBytes)
+		detail := fmt.Sprintf("body has %d bytes, must have at most %d", httpRequest.ContentLength, http1.MaxRequestBodyBytes)
 		return &requestError{http.StatusRequestEntityTooLarge, detail}
 	}
 	return nil
 }
 
-// readRequest checks a request and reads its body, which blocks for the rest of the
-// connection's time to read a request. It reads no body before the head is known to be valid.
+// readRequest checks a request and reads its body. It blocks until the body was read or the read
+// timeout of the request has expired. The body is not read before the head was found valid.
 func (front *Front) readRequest(httpRequest *http.Request, conn *clientConn) (*core.Request, *requestError) {
 	arrival := conn.arrivalTime(time.Now())
 	header := httpRequest.Header
-	http1.RemoveHopByHopFields(header) // before any field is read: one that Connection names is not forwarded
+	http1.RemoveHopByHopFields(header) // first: a field listed in Connection is not forwarded and counts as absent
 	if err := checkTarget(httpRequest); err != nil {
 		return nil, err
 	}
@@ -73,7 +74,7 @@
 		return nil, err
 	}
 	if front.handler.HasRequest(fields.id) {
-		return nil, &requestError{http.StatusConflict, "a request of this Request-Id is held"}
+		return nil, &requestError{http.StatusConflict, "another request with this Request-Id is in flight"}
 	}
 	body, err := readBody(httpRequest, idempotency)
 	if err != nil {
@@ -96,10 +97,11 @@
 	}, nil
 }
 
-// checkTarget rejects a target that is no path: it could not be forwarded unchanged.
+// checkTarget rejects a request without a Host, or with a target that is not a path, because such a
+// target could not be forwarded unchanged.
 func checkTarget(httpRequest *http.Request) *requestError {
 	if httpRequest.Host == "" || !strings.HasPrefix(httpRequest.URL.Path, "/") {
-		return badRequest("a Host and a target that is a path are needed")
+		return badRequest("the request must have a Host and a target that is a path")
 	}
 	return nil
 }
@@ -108,20 +110,20 @@
 	var fields requestFields
 	var ok bool
 	if fields.id, ok = singleField(header, "Request-Id"); !ok || !isValidRequestID(fields.id) {
-		return fields, badRequest(fmt.Sprintf("one Request-Id is needed: 1 to %d bytes of printable ASCII without blanks, "+
-			"new with every try", maxRequestIDBytes))
+		return fields, badRequest(fmt.Sprintf("Request-Id must be set once, to 1 to %d printable ASCII bytes, no blanks, "+
+			"and must be new for every retry", maxRequestIDBytes))
 	}
 	className, _ := singleField(header, "Request-Class")
 	if fields.class, ok = front.rules.Class(className); !ok {
-		return fields, badRequest("one Request-Class is needed, by a name that the configuration has")
+		return fields, badRequest("Request-Class must be set once, to the name of a configured class")
 	}
 	tenantName, _ := singleField(header, "Tenant")
 	if fields.tenant, ok = front.rules.Tenant(tenantName); !ok {
-		return fields, badRequest("one Tenant is needed, by a name that the configuration has")
+		return fields, badRequest("Tenant must be set once, to the name of a configured tenant")
 	}
 	timeoutText, _ := singleField(header, "Request-Timeout")
 	if fields.timeout, ok = parseTimeout(timeoutText); !ok {
-		return fields, badRequest("one Request-Timeout is needed: how long the client will wait, in seconds, such as 0.480")
+		return fields, badRequest("Request-Timeout must be set once, to a number of seconds above 0, such as 0.480")
 	}
 	return fields, nil
 }
@@ -130,12 +132,12 @@
 	return len(id) <= maxRequestIDBytes && !frontend.HasUnprintable(id)
 }
 
-// checkIdempotency checks what follows from a class: the method, the key and whether
-// there may be a body.
+// checkIdempotency checks the rules that depend on the idempotency of the request's class: the method,
+// the idempotency key, and whether a body is allowed.
 func checkIdempotency(httpRequest *http.Request, idempotency policy.Idempotency) *requestError {
 	method := frontend.Method(idempotency)
 	if httpRequest.Method != method {
-		return &requestError{http.StatusMethodNotAllowed, method + " is the method of this class"}
+		return &requestError{http.StatusMethodNotAllowed, method + " is the only method allowed for this class"}
 	}
 	if err := checkIdempotencyKey(httpRequest.Header, idempotency); err != nil {
 		return err
@@ -146,10 +148,11 @@
 	return nil
 }
 
-// errUnexpectedBody is immutable.
-var errUnexpectedBody = badRequest("requests of a class that is safe to repeat have no body")
+// errUnexpectedBody rejects a body of an idempotent request. It is immutable.
+var errUnexpectedBody = badRequest("a request of an idempotent class must not have a body")
 
-// checkIdempotencyKey checks that a keyed class has one key, and no other class any.
+// checkIdempotencyKey checks that a request of a class that is idempotent by key has exactly one
+// idempotency key, and that requests of all other classes have none.
 func checkIdempotencyKey(header http.Header, idempotency policy.Idempotency) *requestError {
 	_, hasKey := singleField(header, "Idempotency-Key")
 	needsKey := idempotency == policy.IdempotentByKey
@@ -157,18 +160,18 @@
 		return nil
 	}
 	if needsKey {
-		return badRequest("one Idempotency-Key is needed: without it a repeat could not be told from a new request")
+		return badRequest("Idempotency-Key must be set once: without it, a retry looks like a new request")
 	}
-	return badRequest("requests of this class have no Idempotency-Key")
+	return badRequest("Idempotency-Key must not be set for this class")
 }
 
 func readBody(httpRequest *http.Request, idempotency policy.Idempotency) ([]byte, *requestError) {
 	body, err := readBodyBytes(httpRequest)
 	switch {
 	case err != nil:
-		return nil, badRequest("the body was not whole in time")
+		return nil, badRequest("body was invalid or was not received completely in time")
 	case len(body) > http1.MaxRequestBodyBytes:
-		detail := fmt.Sprintf("a body of over %d bytes", http1.MaxRequestBodyBytes)
+		detail := fmt.Sprintf("body must have at most %d bytes", http1.MaxRequestBodyBytes)
 		return nil, &requestError{http.StatusRequestEntityTooLarge, detail}
 	case idempotency == policy.Idempotent && len(body) > 0:
 		return nil, errUnexpectedBody
@@ -176,7 +179,8 @@
 	return body, nil
 }
 
-// readBodyBytes reads a body; of one that is too large it may return one byte too many.
+// readBodyBytes reads a body. Of a chunked body that is too large, it returns one byte more than
+// http1.MaxRequestBodyBytes, so that the caller can detect the excess.
 func readBodyBytes(httpRequest *http.Request) ([]byte, error) {
 	switch {
 	case httpRequest.ContentLength == 0:
@@ -187,7 +191,7 @@
 	return http1.ReadExactly(httpRequest.Body, httpRequest.ContentLength)
 }
 
-// singleField returns a header field that has to occur exactly once and not be empty.
+// singleField returns the value of a header field that must occur exactly once and must not be empty.
 func singleField(header http.Header, name string) (value string, ok bool) {
 	values := header[name]
 	if len(values) != 1 || values[0] == "" {
@@ -196,7 +200,8 @@
 	return values[0], true
 }
 
-// parseTimeout parses seconds in plain decimals, above 0.
+// parseTimeout parses a number of seconds above 0 in plain decimal notation. A timeout longer than
+// maxRequestTimeout is reduced to maxRequestTimeout.
 func parseTimeout(text string) (timeout time.Duration, ok bool) {
 	if strings.Trim(text, "0123456789.") != "" {
 		return 0, false
@@ -208,8 +213,8 @@
 	return time.Duration(min(seconds, maxRequestTimeout.Seconds()) * float64(time.Second)), true
 }
 
-// parseWorkHint parses an estimate of a request's work, in microseconds; 0 where the
-// text is none.
+// parseWorkHint parses an estimate of a request's work in microseconds. It returns 0 if the text is
+// not a number above 0.
 func parseWorkHint(text string) time.Duration {
 	microseconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(microseconds > 0) {
--- a/internal/front/httpfront/shutdown_test.go
+++ b/internal/front/httpfront/shutdown_test.go
@@ -11,14 +11,14 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// shutdownLookTime is several times the interval at which a front end that shuts down looks at
-// what is open.
-const shutdownLookTime = 10 * frontend.ShutdownPollInterval
+// severalPollIntervals is long enough for a front end that shuts down to check its open connections
+// several times.
+const severalPollIntervals = 10 * frontend.ShutdownPollInterval
 
-// A request that is on its way when the front end shuts down is answered, on a kept-alive
-// connection as on a new one, however much of it had come.
+// A request of which some bytes were received when the front end shuts down must be answered, on a new
+// connection and on a kept-alive one.
 func TestShutdownAnswersAStartedRequest(t *testing.T) {
-	for name, first := range map[string]int{"a byte of it": 1, "half of its head": 40, "all but a byte": -1} {
+	for name, sentBytes := range map[string]int{"one byte": 1, "half of the head": 40, "all but one byte": -1} {
 		for kind, keptAlive := range map[string]bool{"new": false, "kept": true} {
 			t.Run(name+", "+kind, func(t *testing.T) {
 				t.Parallel()
@@ -28,16 +28,16 @@
 					conn, reader = dialKeptAlive(t, address)
 				}
 				text := requestBytes(t, "started")
-				split := (first + len(text)) % len(text)
+				split := (sentBytes + len(text)) % len(text)
 				conn.Write(text[:split])
-				peertest.Until(t, "its first bytes", front.hasPendingRequest)
+				peertest.Until(t, "the first bytes of the request to be read", front.hasPendingRequest)
 				front.Drain()
 				shutdown := make(chan error, 1)
 				go func() { shutdown <- front.Shutdown(context.Background()) }()
-				time.Sleep(shutdownLookTime) // a slow client
+				time.Sleep(severalPollIntervals) // a slow client
 				conn.Write(text[split:])
 				expectServed(t, reader, true)
-				if err := peertest.Await(t, "the end", shutdown); err != nil {
+				if err := peertest.Await(t, "Shutdown to return", shutdown); err != nil {
 					t.Error(err)
 				}
 			})
@@ -45,7 +45,7 @@
 	}
 }
 
-// hasPendingRequest reports whether bytes have come of a request that is not complete.
+// hasPendingRequest reports whether part of a request was received on any connection.
 func (front *Front) hasPendingRequest() bool {
 	front.listener.mu.Lock()
 	defer front.listener.mu.Unlock()
@@ -53,10 +53,11 @@
 	return slices.ContainsFunc(conns, func(conn *clientConn) bool { return conn.framing.Pending() })
 }
 
-// Closing a listener resets what waits there. At the bound, with a request open
-// on every connection, something may: it is answered before the end.
-func TestWaitingConnectionsAreAcceptedBeforeTheEnd(t *testing.T) {
-	handler := newHoldingHandler()
+// Guards against resetting connections that wait in the listener's backlog: closing a listener resets
+// them. Connections wait when the connection limit is reached and every connection has a request in
+// flight. Shutdown must accept them before it closes the listener, and answer their requests.
+func TestShutdownAcceptsWaitingConnections(t *testing.T) {
+	handler := newBlockingHandler()
 	front, address := startFront(t, testConfig, handler)
 	statuses := make(chan int, 10)
 	for i := range testConfig.MaxConnections + 2 { // all are connected before the shutdown
@@ -73,19 +74,19 @@
 		}()
 	}
 	for range testConfig.MaxConnections {
-		peertest.Await(t, "a busy connection", handler.submitted)
+		peertest.Await(t, "a request to be submitted", handler.submitted)
 	}
 	front.Drain()
 	shutdown := make(chan error, 1)
 	go func() { shutdown <- front.Shutdown(t.Context()) }()
-	peertest.Until(t, "the drain", front.listener.isDraining)
+	peertest.Until(t, "the drain to start", front.listener.isDraining)
 	close(handler.release)
 	for range testConfig.MaxConnections + 2 {
 		if got := peertest.Await(t, "a response", statuses); got != http.StatusOK {
-			t.Errorf("got %d", got)
+			t.Errorf("got status %d, want 200", got)
 		}
 	}
-	if err := peertest.Await(t, "the end", shutdown); err != nil {
+	if err := peertest.Await(t, "Shutdown to return", shutdown); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/front/httpfront/write_response.go
+++ b/internal/front/httpfront/write_response.go
@@ -11,12 +11,12 @@
 	"mothridge/internal/http1"
 )
 
-// invalidBodyTimeout bounds how long the rest of an invalid request's body is read.
+// invalidBodyTimeout is the maximum time for reading the rest of an invalid request's body.
 const invalidBodyTimeout = 250 * time.Millisecond
 
 const plainText = "text/plain; charset=utf-8"
 
-// statusOf is the status of each result. 429 and 503 stand for a rejection alone.
+// statusOf is the HTTP status of each result. 429 and 503 are reserved for rejections.
 var statusOf = [...]int{
 	core.Served:    http.StatusOK,
 	core.Rejected:  http.StatusServiceUnavailable,
@@ -25,10 +25,10 @@
 	core.Duplicate: http.StatusConflict,
 }
 
-// rejectInvalid answers an invalid request and ends its connection: what comes next on
-// it may be the request's body. The body is not read before the response, as it may be of
-// any size or never come. A close with unread bytes would reset the connection, and the
-// client might lose the response: part of the body is read after it.
+// rejectInvalid answers an invalid request with an error and closes the connection, because the bytes
+// that follow may be the body of the invalid request. The body is not read before the response is
+// written, because the body may have any size or never arrive. Part of the body is read afterwards:
+// a close with unread bytes would reset the connection, and the client could lose the response.
 func (front *Front) rejectInvalid(writer http.ResponseWriter, httpRequest *http.Request, err *requestError) {
 	front.invalidRequests.Add(1)
 	text := err.Error() + "\n"
@@ -37,7 +37,7 @@
 	header.Set("Content-Type", plainText)
 	header.Set("Content-Length", strconv.Itoa(len(text)))
 	writer.WriteHeader(err.status)
-	// A write that fails leaves nothing to do: the connection ends in any case.
+	// Write errors are ignored because the connection is closed in any case.
 	_, _ = io.WriteString(writer, text)
 	_ = http.NewResponseController(writer).Flush()
 	conn := clientConnOf(httpRequest)
@@ -46,8 +46,8 @@
 	_, _ = io.CopyN(io.Discard, httpRequest.Body, http1.MaxRequestBodyBytes)
 }
 
-// writeResponse writes the response to a valid request. It blocks up to the write
-// deadline; where it fails net/http closes the connection.
+// writeResponse writes the response to a valid request. It blocks at most until the write deadline. If
+// the write fails, net/http closes the connection.
 func (front *Front) writeResponse(writer http.ResponseWriter, response core.Response, conn *clientConn) {
 	header := writer.Header()
 	copyFields(header, response.Fields)
@@ -64,18 +64,19 @@
 	}
 	if response.DelimitedByClose {
 		header.Set("Connection", "close")
-		header.Set("Transfer-Encoding", "identity") // net/http then sends no length, nor this field
+		header.Set("Transfer-Encoding", "identity") // makes net/http send neither a length nor this field
 	} else {
 		header.Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	writer.WriteHeader(statusOf[response.Result])
 	_, err := writer.Write(body)
 	if response.DelimitedByClose && errors.Join(err, http.NewResponseController(writer).Flush()) != nil {
-		conn.reset() // after an orderly close the client would take a part for the complete body
+		conn.reset() // after an orderly close, the client would treat a partial body as complete
 	}
 }
 
-// copyFields copies the fields of an upstream's response; nil where there was none.
+// copyFields copies the header fields of an upstream's response, except hop-by-hop fields and the load
+// report. fields is nil if no upstream has responded.
 func copyFields(header http.Header, fields http.Header) {
 	if fields == nil {
 		return
@@ -86,6 +87,6 @@
 		header[name] = values
 	}
 	if _, ok := header["Content-Type"]; !ok {
-		header["Content-Type"] = nil // keeps net/http from guessing it from the body
+		header["Content-Type"] = nil // prevents net/http from deriving the type from the body
 	}
 }
