--- a/internal/front/rpcfront/close.go
+++ b/internal/front/rpcfront/close.go
@@ -6,11 +6,11 @@
 	"mothridge/internal/sockets"
 )
 
-// maxLingerBytes bounds what is read from a connection that is closed.
+// maxLingerBytes is the maximum number of bytes read from a connection while it is being closed.
 const maxLingerBytes = 4 * msgrpc.MaxRequestBytes
 
-// closeIdle closes the connection if it is idle. From then on no request of it is
-// submitted, so that the client may send it again elsewhere.
+// closeIdle closes the connection if it is idle. From then on, no request that arrives on the
+// connection is submitted, so the client may safely send the request again on another connection.
 func (conn *clientConn) closeIdle() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -20,8 +20,8 @@
 	}
 }
 
-// abandonRequests closes the connection as the reader ends, and abandons the requests in
-// flight.
+// abandonRequests closes the connection and abandons its requests in flight. It is called when the
+// reader ends.
 func (conn *clientConn) abandonRequests() {
 	conn.mu.Lock()
 	conn.state = connClosed
@@ -36,8 +36,8 @@
 	}
 }
 
-// closeSocket closes the socket as the writer ends, without losing what was written to the
-// client; that ends the reader too. It blocks for frontend.LingerTimeout at most.
+// closeSocket closes the socket without losing bytes that were written to the client. It is called when
+// the writer ends, and ends the reader too. It blocks for at most frontend.LingerTimeout.
 func (conn *clientConn) closeSocket() {
 	conn.mu.Lock()
 	conn.state = connClosed
--- a/internal/front/rpcfront/connection.go
+++ b/internal/front/rpcfront/connection.go
@@ -18,33 +18,33 @@
 
 const (
 	connOpen      connState = iota
-	connFinishing           // takes requests still, and is closed as soon as it is idle
-	connClosed              // takes no more requests; the writer closes the socket
+	connFinishing           // still accepts requests; is closed as soon as it is idle
+	connClosed              // accepts no more requests; the writer closes the socket
 )
 
-// clientConn is a client connection.
+// clientConn is a client connection. It has a reader goroutine and a writer goroutine.
 //
-// Its reader (readLoop) takes requests and ends when the socket does, at a protocol error
-// or once the writer has closed the socket. Its writer (writeLoop) writes responses and
-// notifications, ends once the connection is closed or a write fails, and closes the
+// The reader (readLoop) reads and submits requests. It ends when the client closes the connection,
+// after a protocol error, or after the writer has closed the socket. The writer (writeLoop) writes
+// responses and notifications. It ends when the connection is closed or a write fails, and closes the
 // socket. The handler's goroutine only queues responses.
 type clientConn struct {
 	front      *Front
 	netConn    net.Conn
-	wakeWriter chan struct{} // of capacity 1: there is something to write, or the connection is closed
+	wakeWriter chan struct{} // capacity 1; signals that there is output to write or that the connection is closed
 	acceptedAt time.Time
 
-	malformed int // messages; of the reader alone
+	malformed int // number of messages that could not be handled; used only by the reader
 
 	mu             sync.Mutex
 	state          connState
-	inFlight       map[uint32]*core.Request // not answered, by msgid
+	inFlight       map[uint32]*core.Request // requests without a response, by msgid
 	responseQueue  []queuedResponse
-	bufferedBytes  int       // of the bodies in responseQueue and in the writer's batch
-	notifications  []byte    // encoded and complete, to be written
-	idleSince      time.Time // when it last became idle
-	hasRead        bool      // something was read
-	messageStarted bool      // part of a message was read, and the message is not handled yet
+	bufferedBytes  int       // total size of the bodies in responseQueue and in the writer's batch
+	notifications  []byte    // complete encoded notifications that wait to be written
+	idleSince      time.Time // when the connection last became idle
+	hasRead        bool      // at least one byte was read
+	messageStarted bool      // at least part of a message was read that is not handled yet
 }
 
 func newClientConn(front *Front, netConn net.Conn) *clientConn {
@@ -59,7 +59,7 @@
 	}
 }
 
-// signalWriter wakes the writer; it does not block.
+// signalWriter wakes the writer. It does not block.
 func (conn *clientConn) signalWriter() {
 	select {
 	case conn.wakeWriter <- struct{}{}:
@@ -67,23 +67,23 @@
 	}
 }
 
-// isIdleLocked reports whether no request is read or in flight and nothing waits to be
-// written; conn.mu is held.
+// isIdleLocked reports whether no message is being read, no request is in flight, and no response or
+// notification waits to be written. The caller holds conn.mu.
 func (conn *clientConn) isIdleLocked() bool {
 	nothingInFlight := len(conn.inFlight) == 0 && !conn.messageStarted
 	nothingToWrite := len(conn.responseQueue) == 0 && len(conn.notifications) == 0
 	return nothingInFlight && nothingToWrite
 }
 
-// idleTime returns since when the connection is idle; false where it is not.
+// idleTime returns the time since which the connection has been idle; idle is false if it is not idle.
 func (conn *clientConn) idleTime() (since time.Time, idle bool) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	return conn.idleSince, conn.isIdleLocked()
 }
 
-// beginRequest puts a request in flight. It returns false where the connection was
-// closed: the request must not be submitted, as the client sends it again.
+// beginRequest records a request as in flight. It returns false if the connection was closed. The
+// request must then not be submitted, because the client sends it again.
 func (conn *clientConn) beginRequest(id uint32, request *core.Request) bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -94,8 +94,8 @@
 	return true
 }
 
-// respond queues the handler's response to a request, unless that was cancelled or its
-// connection closed meanwhile. It is called on the handler's goroutine and does not block.
+// respond queues the handler's response to a request, unless the request was cancelled or the
+// connection was closed meanwhile. It is called on the handler's goroutine and does not block.
 func (conn *clientConn) respond(id uint32, request *core.Request, result core.Response) {
 	conn.mu.Lock()
 	if conn.inFlight[id] != request {
@@ -109,7 +109,7 @@
 	conn.signalWriter()
 }
 
-// queueResponse queues a response that the handler has no part in.
+// queueResponse queues a response that does not come from the handler.
 func (conn *clientConn) queueResponse(response queuedResponse) {
 	conn.mu.Lock()
 	if conn.state != connClosed {
@@ -123,7 +123,7 @@
 	conn.queueResponse(queuedResponse{id: id, fault: fault})
 }
 
-// isAbandoned reports whether the client of a request has disconnected or cancelled it.
+// isAbandoned reports whether the client of a request has disconnected or cancelled the request.
 // It may be called from any goroutine and does not block.
 func (conn *clientConn) isAbandoned(id uint32, request *core.Request) bool {
 	conn.mu.Lock()
--- a/internal/front/rpcfront/counters.go
+++ b/internal/front/rpcfront/counters.go
@@ -1,18 +1,19 @@
 package rpcfront
 
-// Counters count events from the start on. Their names in logs and metrics are in the tags.
+// Counters are the numbers of events since the process started. A metric tag contains the
+// counter's name in logs and metrics if that differs from the field name.
 type Counters struct {
 	Connections     uint64 // accepted
-	Submitted       uint64 `metric:"taken"`    // requests that were given to the handler
-	InvalidRequests uint64 `metric:"rejected"` // requests that were answered with an error of the client's
-	LimitExceeded   uint64 `metric:"flooded"`  // requests beyond Config.MaxRequestsInFlight or MaxBufferedResponseBytes
-	DuplicateIDs    uint64 `metric:"repeated"` // requests under a msgid that was in flight: ignored
-	Malformed       uint64 // messages that could not be read
-	Stalled         uint64 // connections closed because their client did not read
+	Submitted       uint64 `metric:"taken"`    // requests that were submitted to the handler
+	InvalidRequests uint64 `metric:"rejected"` // requests that were answered with an error because they were invalid
+	LimitExceeded   uint64 `metric:"flooded"`  // requests above Config.MaxRequestsInFlight or MaxBufferedResponseBytes
+	DuplicateIDs    uint64 `metric:"repeated"` // requests ignored because their msgid was already in flight
+	Malformed       uint64 // messages that violated the protocol
+	Stalled         uint64 // connections closed because their client did not read its responses
 	AcceptFailures  uint64 `metric:"failed"`
 }
 
-// Counters returns the counts so far. It may be called from any goroutine.
+// Counters returns the current counts. It may be called from any goroutine.
 func (front *Front) Counters() Counters {
 	return Counters{
 		Connections:     front.connections.Load(),
--- a/internal/front/rpcfront/drain.go
+++ b/internal/front/rpcfront/drain.go
@@ -10,7 +10,7 @@
 	"mothridge/internal/msgrpc"
 )
 
-// Drain notifies every client, and those that still connect, to send nothing new. It does
+// Drain notifies every client to send no new requests, including clients that connect later. It does
 // not block.
 func (front *Front) Drain() {
 	front.mu.Lock()
@@ -21,7 +21,7 @@
 	}
 }
 
-// notifyDrain notifies the client to send nothing new.
+// notifyDrain notifies the client to send no new requests.
 func (conn *clientConn) notifyDrain() {
 	conn.mu.Lock()
 	conn.notifications = msgrpc.AppendDrain(conn.notifications)
@@ -29,15 +29,15 @@
 	conn.signalWriter()
 }
 
-// Shutdown closes the listener and blocks until every connection has been closed, each
-// once all its requests are answered; where ctx is done before, it closes those that are
-// left. What crosses the drain is served: connections that wait to be accepted are
-// accepted, and a message that has started is read on.
+// Shutdown closes the listener and blocks until every connection has been closed. Each connection is
+// closed after all its requests were answered. When ctx is done, Shutdown closes the remaining
+// connections at once. Requests that clients sent before they learned of the drain are served:
+// connections that wait in the backlog are accepted, and a partly received message is read completely.
 func (front *Front) Shutdown(ctx context.Context) error {
 	front.listener.DrainBacklog(ctx)
 	err := front.closeListener()
 	select {
-	case <-front.served: // no further connection is started
+	case <-front.serveEnded: // no further connection will be started
 	case <-ctx.Done():
 	}
 	front.finishConnections(ctx)
@@ -66,7 +66,7 @@
 		}
 		select {
 		case <-connEnded:
-		case <-ticker.C: // a new connection may count as silent now
+		case <-ticker.C: // a new connection may count as silent by now
 		case <-ctx.Done():
 			front.closeSockets()
 			return
@@ -74,8 +74,8 @@
 	}
 }
 
-// finishWhenIdle lets every connection be closed as soon as it is idle. It returns how many
-// are open, and what is closed when one of them has ended.
+// finishWhenIdle marks every connection to be closed as soon as it is idle. It returns the number of
+// open connections, and a channel that is closed when a connection has ended.
 func (front *Front) finishWhenIdle() (connEnded <-chan struct{}, open int) {
 	front.mu.Lock()
 	defer front.mu.Unlock()
@@ -85,12 +85,12 @@
 	return front.connEnded, len(front.conns)
 }
 
-// finishWhenIdle lets the connection be closed as soon as it is idle, but for a new one
-// whose first message may be on its way.
+// finishWhenIdle marks the connection to be closed as soon as it is idle. It does nothing to a new
+// connection whose first message may still be in transit.
 func (conn *clientConn) finishWhenIdle(now time.Time) {
 	conn.mu.Lock()
-	hadTime := conn.hasRead || now.Sub(conn.acceptedAt) >= frontend.FirstByteGrace
-	if conn.state == connOpen && hadTime {
+	graceElapsed := conn.hasRead || now.Sub(conn.acceptedAt) >= frontend.FirstByteGrace
+	if conn.state == connOpen && graceElapsed {
 		conn.state = connFinishing
 	}
 	conn.mu.Unlock()
--- a/internal/front/rpcfront/drain_test.go
+++ b/internal/front/rpcfront/drain_test.go
@@ -13,84 +13,86 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// A planned restart: clients are notified to send nothing new, what is in flight and
-// what still comes is answered, then the connection is closed.
-func TestPlannedRestart(t *testing.T) {
-	handler := newHoldingHandler()
+// During a planned restart, clients must be notified to send no new requests. Requests in flight and
+// requests that still arrive must be answered. Then the connection must be closed.
+func TestDrainThenShutdown(t *testing.T) {
+	handler := newChannelHandler()
 	front := startFront(t, Config{}, handler)
 	client := dial(t, front)
 	client.call(1, nil)
-	held := peertest.Await(t, "the request", handler.submitted)
+	firstRequest := peertest.Await(t, "the first request to be submitted", handler.submitted)
 	front.Drain()
 	message := client.readMessage(t)
 	if message.Kind != msgrpc.Notification || string(message.Method) != msgrpc.MethodDrain {
 		t.Fatalf("got %+v, want the drain notification", message)
 	}
-	client.call(2, nil) // it crossed the notification
-	peertest.Await(t, "the one that crossed", handler.submitted).Respond(core.Response{Result: core.Served})
+	client.call(2, nil) // sent before the client handles the notification
+	peertest.Await(t, "the second request to be submitted", handler.submitted).
+		Respond(core.Response{Result: core.Served})
 	if message := client.readMessage(t); message.ID != 2 || message.Fault != nil {
-		t.Errorf("got %+v", message)
+		t.Errorf("got %+v, want a response with msgid 2", message)
 	}
-	fresh := dial(t, front) // new connections come for a while
-	if message := fresh.readMessage(t); string(message.Method) != msgrpc.MethodDrain {
-		t.Errorf("a new connection is notified of %+v", message)
+	newClient := dial(t, front) // new connections still arrive for a while
+	if message := newClient.readMessage(t); string(message.Method) != msgrpc.MethodDrain {
+		t.Errorf("new connection: got %+v, want the drain notification", message)
 	}
 	done := make(chan error, 1)
 	go func() { done <- front.Shutdown(t.Context()) }()
-	if _, err := fresh.read(); err != io.EOF {
-		t.Errorf("the idle connection: %v, want its end", err)
+	if _, err := newClient.read(); err != io.EOF {
+		t.Errorf("idle connection: got error %v, want EOF", err)
 	}
 	select {
 	case <-done:
-		t.Fatal("ended with a request unanswered")
+		t.Fatal("Shutdown returned before a request was answered")
 	default:
 	}
-	held.Respond(core.Response{Result: core.Served, Body: []byte("held")})
+	firstRequest.Respond(core.Response{Result: core.Served, Body: []byte("held")})
 	if message := client.readMessage(t); message.ID != 1 || message.Fault != nil {
-		t.Errorf("got %+v", message)
+		t.Errorf("got %+v, want a response with msgid 1", message)
 	}
 	if _, err := client.read(); err != io.EOF {
-		t.Errorf("then %v, want the end", err)
+		t.Errorf("after the last response: got error %v, want EOF", err)
 	}
-	if err := peertest.Await(t, "the end", done); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := peertest.Await(t, "Shutdown to return", done); err != nil {
+		t.Errorf("Shutdown: %v", err)
 	}
 }
 
-// A message that has started when the front end shuts down, or whose connection waits to
-// be accepted, is handled and answered.
+// A message must be handled and answered if part of it was received when the front end shuts down, or
+// if its connection still waits to be accepted.
 func TestShutdownAnswersAStartedMessage(t *testing.T) {
-	for name, first := range map[string]int{"a byte of it": 1, "half of it": 30, "none, on a new connection": 0} {
+	for name, sentBytes := range map[string]int{"one byte": 1, "half of the message": 30, "none, on a new connection": 0} {
 		t.Run(name, func(t *testing.T) {
-			handler := newHoldingHandler()
+			handler := newChannelHandler()
 			front := startFront(t, Config{}, handler)
 			client := dial(t, front)
 			text := callBytes(7, nil)
-			if first > 0 {
-				client.Write(text[:first])
-				peertest.Until(t, "its first bytes", front.hasStartedMessage)
+			if sentBytes > 0 {
+				client.Write(text[:sentBytes])
+				peertest.Until(t, "the first bytes of the message to be read", front.hasStartedMessage)
 			}
 			front.Drain()
 			done := make(chan error, 1)
 			go func() { done <- front.Shutdown(t.Context()) }()
 			time.Sleep(frontend.FirstByteGrace / 2) // a slow client
-			client.Write(text[first:])
-			peertest.Await(t, "the request", handler.submitted).Respond(core.Response{Result: core.Served})
+			client.Write(text[sentBytes:])
+			peertest.Await(t, "the request to be submitted", handler.submitted).Respond(core.Response{Result: core.Served})
 			message := client.readMessage(t)
 			for message.Kind != msgrpc.Response {
 				message = client.readMessage(t)
 			}
 			if message.ID != 7 || message.Fault != nil {
-				t.Errorf("got %+v", message)
+				t.Errorf("got %+v, want a response with msgid 7", message)
 			}
-			if err := peertest.Await(t, "the end", done); err != nil {
+			if err := peertest.Await(t, "Shutdown to return", done); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-// hasStartedMessage reports whether the one connection, if there is one, has part of a message.
+// hasStartedMessage reports whether part of a message was read on the only connection. It returns
+// false if there is no connection.
 func (front *Front) hasStartedMessage() bool {
 	front.mu.Lock()
 	defer front.mu.Unlock()
@@ -102,13 +104,15 @@
 	return false
 }
 
-// A request that comes as its connection is closed is not submitted, and resets nothing.
-func TestRequestThatCrossesTheEnd(t *testing.T) {
-	handler := newHoldingHandler()
+// A request that arrives while its connection is being closed must not be submitted, because the
+// client sends it again elsewhere. It must also not cause a reset of the connection, which could
+// destroy responses in transit.
+func TestRequestAfterConnectionCloseIsNotSubmitted(t *testing.T) {
+	handler := newChannelHandler()
 	front := startFront(t, Config{}, handler)
 	client := dial(t, front)
 	client.call(1, nil)
-	request := peertest.Await(t, "the request", handler.submitted)
+	request := peertest.Await(t, "the request to be submitted", handler.submitted)
 	front.Drain()
 	shutdown := make(chan error, 1)
 	go func() { shutdown <- front.Shutdown(t.Context()) }()
@@ -119,7 +123,7 @@
 		if errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
-			t.Fatalf("the connection ended with %v", err)
+			t.Fatalf("read: got error %v, want EOF", err)
 		}
 		served = served || message.Kind == msgrpc.Response && message.Fault == nil
 	}
@@ -128,10 +132,11 @@
 		if _, err := client.Write(call.Append(nil, 10+id)); err != nil {
 			t.Errorf("the connection was reset: %v", err)
 		}
-		time.Sleep(5 * time.Millisecond) // a reset would be there by now
+		time.Sleep(5 * time.Millisecond) // enough time for a reset to arrive
 	}
 	client.Close()
-	if err := peertest.Await(t, "the end", shutdown); err != nil || !served || len(handler.submitted) > 0 {
-		t.Errorf("error %v, served %v, %d submitted after the end", err, served, len(handler.submitted))
+	if err := peertest.Await(t, "Shutdown to return", shutdown); err != nil || !served || len(handler.submitted) > 0 {
+		t.Errorf("got error %v, served %v, %d requests submitted after the close; want no error, true, 0",
+			err, served, len(handler.submitted))
 	}
 }
--- a/internal/front/rpcfront/evict.go
+++ b/internal/front/rpcfront/evict.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// evictionInterval is how often an idle connection is sought while a new one waits: that one
-// becomes idle is not signalled.
+// evictionInterval is the interval at which awaitCapacity looks for an idle connection while a new one
+// waits. It polls because a connection does not signal that it has become idle.
 const evictionInterval = 20 * time.Millisecond
 
-// awaitPlace blocks until one more connection may be open, or the front end shuts down. It
-// evicts the longest idle connection; where none is idle it waits for one to end.
-func (front *Front) awaitPlace() {
+// awaitCapacity blocks until one more connection may be open or the front end shuts down. It evicts the
+// connection that has been idle for the longest time. If no connection is idle, it waits until one
+// becomes idle or ends.
+func (front *Front) awaitCapacity() {
 	for {
 		connEnded, full := front.evictIfFull()
 		if !full {
@@ -23,8 +24,9 @@
 	}
 }
 
-// evictIfFull closes the longest idle connection where as many as may be are open, and
-// returns what is closed when one of them has ended.
+// evictIfFull reports whether Config.MaxConnections connections are open. If so, it closes the
+// connection that has been idle for the longest time, and returns a channel that is closed when a
+// connection has ended.
 func (front *Front) evictIfFull() (connEnded <-chan struct{}, full bool) {
 	front.mu.Lock()
 	if len(front.conns) < front.config.MaxConnections || front.closed {
@@ -40,8 +42,8 @@
 	return connEnded, true
 }
 
-// longestIdleLocked returns the longest idle connection; nil where none is idle. front.mu
-// is held.
+// longestIdleLocked returns the connection that has been idle for the longest time, or nil if no
+// connection is idle. The caller holds front.mu.
 func (front *Front) longestIdleLocked() *clientConn {
 	var longestIdle *clientConn
 	var earliest time.Time
--- a/internal/front/rpcfront/evict_test.go
+++ b/internal/front/rpcfront/evict_test.go
@@ -7,24 +7,26 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// At the bound the longest idle connection is evicted; one with a request in flight never is.
+// When the connection limit is reached, the connection that has been idle for the longest time must be
+// evicted. A connection with a request in flight must never be evicted.
 func TestConnectionsAreBounded(t *testing.T) {
-	handler := newHoldingHandler()
+	handler := newChannelHandler()
 	front := startFront(t, Config{MaxConnections: 2}, handler)
 	busy, idle := dial(t, front), dial(t, front)
 	busy.call(1, nil)
-	request := peertest.Await(t, "the request", handler.submitted)
+	request := peertest.Await(t, "the request of the busy connection to be submitted", handler.submitted)
 	idle.call(1, nil)
-	peertest.Await(t, "the other's", handler.submitted).Respond(core.Response{Result: core.Served})
+	peertest.Await(t, "the request of the idle connection to be submitted", handler.submitted).
+		Respond(core.Response{Result: core.Served})
 	idle.readMessage(t)
 	third := dial(t, front)
 	if _, err := idle.read(); err == nil {
-		t.Error("the idle one goes on")
+		t.Error("the idle connection is still open, want it evicted")
 	}
 	third.call(1, nil)
-	peertest.Await(t, "the third's", handler.submitted)
+	peertest.Await(t, "the request of the third connection to be submitted", handler.submitted)
 	request.Respond(core.Response{Result: core.Served})
 	if message := busy.readMessage(t); message.ID != 1 || message.Fault != nil {
-		t.Errorf("the busy one got %+v", message)
+		t.Errorf("the busy connection got %+v, want a response with msgid 1", message)
 	}
 }
--- a/internal/front/rpcfront/front.go
+++ b/internal/front/rpcfront/front.go
@@ -1,9 +1,9 @@
-// Package rpcfront is the listener front end for MessagePack-RPC: it reads clients'
-// requests, many at once on one connection, hands them to a core.Handler and writes the
-// responses in the order in which they come.
+// Package rpcfront is the listener front end for MessagePack-RPC: it reads clients' requests, of which
+// one connection can have many in flight, submits them to a Handler, and writes the responses in the
+// order in which the handler completes them.
 //
-// Each connection has a reader and a writer: see clientConn. docs/design/crossings.md
-// lists the races that their lock excludes.
+// Each connection has a reader and a writer goroutine; see clientConn. docs/design/crossings.md lists
+// the races that their lock excludes.
 package rpcfront
 
 import (
@@ -18,11 +18,12 @@
 	"mothridge/policy"
 )
 
-// Handler takes requests: the core.Handler that is first in the chain.
+// Handler handles requests. It is implemented by the first core.Handler in the chain.
 type Handler interface {
-	// Submit takes a request; its Respond is called once, possibly before Submit returns.
+	// Submit starts the handling of a request. Request.Respond is called once, possibly before
+	// Submit returns.
 	Submit(*core.Request)
-	// Abandon says that a request's client has disconnected or cancelled it.
+	// Abandon reports that the client has disconnected or has cancelled the request.
 	Abandon(*core.Request)
 	// Ready reports whether requests can be served.
 	Ready() bool
@@ -30,31 +31,33 @@
 
 // Config configures a Front.
 type Config struct {
-	// Classes are the names of the request classes; a class's number is its index.
+	// Classes are the names of the request classes; the number of a class is its index.
 	Classes []string
-	// Idempotency is that of each class, by number.
+	// Idempotency is the idempotency of each class, indexed by the number of the class.
 	Idempotency []policy.Idempotency
-	// Tenants are the names of the tenants; a tenant's number is its index. Empty: there
-	// is one, and requests need not name it.
+	// Tenants are the names of the tenants; the number of a tenant is its index. If Tenants is
+	// empty, there is one tenant and requests need not name it.
 	Tenants []string
-	// MaxConnections bounds the client connections that are open at once. Beyond it the
-	// longest idle one is closed, or new ones wait. There is no default.
+	// MaxConnections is the maximum number of open client connections. When it is reached, the
+	// connection that has been idle for the longest time is closed for a new one, or new
+	// connections wait. There is no default.
 	MaxConnections int
-	// MaxRequestsInFlight bounds the requests of one connection that are not answered;
-	// further ones are rejected. 0: DefaultMaxRequestsInFlight.
+	// MaxRequestsInFlight is the maximum number of requests in flight on one connection; further
+	// requests are rejected. 0 means DefaultMaxRequestsInFlight.
 	MaxRequestsInFlight int
-	// MaxBufferedResponseBytes bounds the bodies of responses that wait for one client to
-	// read; beyond it the client's new requests are rejected. 0:
+	// MaxBufferedResponseBytes is the maximum total size of the response bodies that wait for one
+	// client to read them. Above it, new requests of the client are rejected. 0 means
 	// DefaultMaxBufferedResponseBytes.
 	MaxBufferedResponseBytes int
-	// EarliestArrival returns when bytes that were read just now may have come at the
-	// earliest; nil: now. It must not block.
+	// EarliestArrival returns the earliest time at which bytes that were read at now may have
+	// arrived. If it is nil, bytes count as having arrived when they are read. It must not block.
 	EarliestArrival func(now time.Time) time.Time
-	// ErrorsAsText writes errors as texts, for codecs that read no maps there.
+	// ErrorsAsText encodes errors as strings instead of maps, for clients whose codec cannot
+	// decode a map as an error.
 	ErrorsAsText bool
 }
 
-// The defaults of Config.
+// Defaults of the Config fields.
 const (
 	DefaultMaxRequestsInFlight      = 64
 	DefaultMaxBufferedResponseBytes = 1 << 20
@@ -62,16 +65,17 @@
 
 // Front serves the clients of one listener.
 //
-// Serve accepts on its caller's goroutine and starts two more for each connection, which
-// end with the connection. Shutdown waits for all of them, until its context is done.
+// Serve accepts connections on the goroutine of its caller and starts two goroutines for each
+// connection, which end with the connection. Shutdown waits for all these goroutines until its context
+// is done.
 type Front struct {
-	handler  Handler
-	config   Config
-	rules    frontend.RequestRules
-	listener *sockets.RetryingListener
-	served   chan struct{} // closed when Serve has returned
+	handler    Handler
+	config     Config
+	rules      frontend.RequestRules
+	listener   *sockets.RetryingListener
+	serveEnded chan struct{} // closed when Serve has returned
 
-	// mu is taken before the lock of a connection.
+	// Lock order: mu before the mu of a connection.
 	mu        sync.Mutex
 	conns     map[*clientConn]struct{}
 	connEnded chan struct{} // closed, and replaced by a new one, when a connection ends
@@ -81,7 +85,7 @@
 	connections, submitted, invalidRequests, limitExceeded, duplicateIDs, malformed, stalled atomic.Uint64
 }
 
-// New makes a Front on a listener, which it closes on Shutdown; Serve starts it.
+// New returns a Front for a listener. Serve starts the Front, and Shutdown closes the listener.
 func New(config Config, handler Handler, listener net.Listener) *Front {
 	if config.MaxRequestsInFlight == 0 {
 		config.MaxRequestsInFlight = DefaultMaxRequestsInFlight
@@ -90,20 +94,20 @@
 		config.MaxBufferedResponseBytes = DefaultMaxBufferedResponseBytes
 	}
 	return &Front{
-		handler:   handler,
-		config:    config,
-		rules:     frontend.NewRequestRules(config.Classes, config.Idempotency, config.Tenants),
-		listener:  sockets.NewRetryingListener(listener),
-		served:    make(chan struct{}),
-		conns:     make(map[*clientConn]struct{}),
-		connEnded: make(chan struct{}),
+		handler:    handler,
+		config:     config,
+		rules:      frontend.NewRequestRules(config.Classes, config.Idempotency, config.Tenants),
+		listener:   sockets.NewRetryingListener(listener),
+		serveEnded: make(chan struct{}),
+		conns:      make(map[*clientConn]struct{}),
+		connEnded:  make(chan struct{}),
 	}
 }
 
-// Serve blocks and serves until Shutdown, and returns nil then; it returns an error once
-// the listener was closed otherwise. It may be called once.
+// Serve serves clients and blocks until the listener is closed. It returns nil after Shutdown, and an
+// error if the listener was closed in another way. It must be called at most once.
 func (front *Front) Serve() error {
-	defer close(front.served)
+	defer close(front.serveEnded)
 	for {
 		netConn, err := front.listener.Accept()
 		if err != nil {
@@ -113,13 +117,13 @@
 			return err
 		}
 		front.connections.Add(1)
-		front.awaitPlace() // after Accept: none is evicted for a connection that does not come
-		front.start(newClientConn(front, netConn))
+		front.awaitCapacity() // after Accept, so that a connection is only evicted for one that has arrived
+		front.startConnection(newClientConn(front, netConn))
 	}
 }
 
-// start registers a connection and starts its goroutines.
-func (front *Front) start(conn *clientConn) {
+// startConnection registers a connection and starts its two goroutines.
+func (front *Front) startConnection(conn *clientConn) {
 	front.mu.Lock()
 	front.conns[conn] = struct{}{}
 	if front.draining {
@@ -130,7 +134,7 @@
 	go conn.readLoop()
 }
 
-// onConnClosed records that a connection has been closed.
+// onConnClosed records that the socket of a connection has been closed.
 func (front *Front) onConnClosed(conn *clientConn) {
 	front.mu.Lock()
 	defer front.mu.Unlock()
--- a/internal/front/rpcfront/handle_message.go
+++ b/internal/front/rpcfront/handle_message.go
@@ -8,17 +8,19 @@
 )
 
 const (
-	// maxMalformedMessages bounds the messages of a connection that cannot be handled: with
-	// the last of them it is closed.
+	// maxMalformedMessages is the number of messages after which a connection is closed if they
+	// cannot be handled, because they are malformed or reuse a msgid in flight.
 	maxMalformedMessages = 16
-	// limitExceededRetryAfter is how long a client that has too many requests in flight is to wait.
+	// limitExceededRetryAfter is how long a client should wait after a request that was rejected
+	// because the connection has too many requests in flight.
 	limitExceededRetryAfter = 100 * time.Millisecond
-	// maxQueuedFactor bounds the responses that wait to be written, in multiples of
-	// Config.MaxRequestsInFlight.
+	// maxQueuedFactor is the maximum number of responses that wait to be written, in multiples
+	// of Config.MaxRequestsInFlight.
 	maxQueuedFactor = 4
 )
 
-// handleMessage handles one message, on the reader's goroutine; false ends the connection.
+// handleMessage handles one message on the reader's goroutine. If it returns false, the connection
+// must be closed.
 func (conn *clientConn) handleMessage(frame []byte, arrival time.Time) bool {
 	message, err := msgrpc.Parse(frame)
 	if err != nil {
@@ -26,10 +28,10 @@
 	}
 	switch message.Kind {
 	case msgrpc.Response:
-		return conn.onMalformed("a response, though nothing was asked")
+		return conn.onMalformed("unexpected response: no request was sent to the client")
 	case msgrpc.Notification:
 		return conn.handleNotification(&message)
-	default: // Parse returns no further kind than msgrpc.Request
+	default: // msgrpc.Request, the only other kind that Parse returns
 		return conn.handleRequest(&message, arrival)
 	}
 }
@@ -42,7 +44,7 @@
 	case msgrpc.MethodCall:
 		return conn.handleCall(message, arrival)
 	default:
-		conn.rejectInvalid(message.ID, rejected("method: call and ready are known"))
+		conn.rejectInvalid(message.ID, rejectedFault("method: must be call or ready"))
 		return true
 	}
 }
@@ -52,13 +54,14 @@
 	conn.queueResponse(queuedResponse{id: id, encoded: msgrpc.AppendReady(nil, id, ready)})
 }
 
-// handleCall submits a call's request, or answers it with an error; false ends the connection.
+// handleCall submits the request of a call, or answers the call with an error. If it returns false,
+// the connection must be closed.
 func (conn *clientConn) handleCall(message *msgrpc.Message, arrival time.Time) bool {
 	front, id := conn.front, message.ID
 	switch conn.checkLimits(id) {
-	case duplicateID: // a response could not say which of the two it is for
+	case duplicateID: // a response could not be assigned to one of the two requests
 		front.duplicateIDs.Add(1)
-		return conn.notifyProtocolError("a request under a msgid that is open was passed over")
+		return conn.notifyProtocolError("ignored a request: its msgid is already in flight")
 	case queueFull:
 		front.stalled.Add(1)
 		return false
@@ -67,7 +70,7 @@
 		conn.queueFault(id, &msgrpc.Fault{
 			Kind:       msgrpc.KindRefused,
 			RetryAfter: limitExceededRetryAfter,
-			Text:       "too many at once on one connection",
+			Text:       "too many requests in flight or unread responses on this connection",
 		})
 		return true
 	case withinLimits:
@@ -87,14 +90,14 @@
 	return true
 }
 
-// limitCheck is whether a connection may have one more request.
+// limitCheck is the result of checking whether a connection may have one more request in flight.
 type limitCheck int
 
 const (
 	withinLimits  limitCheck = iota
-	duplicateID              // a request of that msgid is in flight
-	queueFull                // the client goes on sending and reads no responses
-	limitExceeded            // too many requests in flight, or too large responses unread
+	duplicateID              // a request with the same msgid is in flight
+	queueFull                // the client continues to send but does not read its responses
+	limitExceeded            // too many requests in flight, or too many bytes of unread responses
 )
 
 func (conn *clientConn) checkLimits(id uint32) limitCheck {
@@ -113,7 +116,7 @@
 	return withinLimits
 }
 
-// rejectInvalid answers a request that the client is to change.
+// rejectInvalid answers an invalid request with an error. The client must change the request.
 func (conn *clientConn) rejectInvalid(id uint32, fault *msgrpc.Fault) {
 	conn.front.invalidRequests.Add(1)
 	conn.queueFault(id, fault)
@@ -121,7 +124,7 @@
 
 func (conn *clientConn) handleNotification(message *msgrpc.Message) bool {
 	if string(message.Method) != msgrpc.MethodCancel {
-		return true // it may be of a later version
+		return true // ignored: the notification may belong to a later protocol version
 	}
 	id, err := msgrpc.ParseCancel(message.Params)
 	if err != nil {
@@ -131,7 +134,8 @@
 	return true
 }
 
-// cancel abandons a request and answers it; it does nothing where the request is not in flight.
+// cancel abandons a request in flight and answers it with an error of kind msgrpc.KindCancelled. It
+// does nothing if the request is not in flight.
 func (conn *clientConn) cancel(id uint32) {
 	conn.mu.Lock()
 	request := conn.inFlight[id]
@@ -144,14 +148,15 @@
 	conn.queueFault(id, &msgrpc.Fault{Kind: msgrpc.KindCancelled})
 }
 
-// onMalformed handles a message that is none of the protocol; false ends the connection.
+// onMalformed counts a message that violates the protocol and notifies the client. If it returns
+// false, the connection must be closed.
 func (conn *clientConn) onMalformed(reason string) bool {
 	conn.front.malformed.Add(1)
 	return conn.notifyProtocolError(reason)
 }
 
-// notifyProtocolError notifies the client of a message that was ignored; false, which ends
-// the connection, with the last of maxMalformedMessages.
+// notifyProtocolError notifies the client that a message was ignored, and why. It returns false if this
+// was message number maxMalformedMessages; the connection must then be closed.
 func (conn *clientConn) notifyProtocolError(reason string) bool {
 	conn.mu.Lock()
 	conn.notifications = msgrpc.AppendProtocolError(conn.notifications, reason)
--- a/internal/front/rpcfront/handle_message_test.go
+++ b/internal/front/rpcfront/handle_message_test.go
@@ -13,31 +13,32 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// A msgid that is in flight cannot be used again: no response could say which of the
-// two it is for. The first goes on.
-func TestMsgIDTwice(t *testing.T) {
-	handler := newHoldingHandler()
+// A second request with a msgid that is in flight must be ignored, because a response could not be
+// assigned to one of the two requests. The first request must still be answered.
+func TestDuplicateMsgID(t *testing.T) {
+	handler := newChannelHandler()
 	front := startFront(t, Config{}, handler)
 	client := dial(t, front)
 	client.call(3, nil)
-	request := peertest.Await(t, "the request", handler.submitted)
+	request := peertest.Await(t, "the first request to be submitted", handler.submitted)
 	client.call(3, func(message *msgrpc.Call) { message.ID = "another" })
 	client.expectProtocolError(t)
 	request.Respond(core.Response{Result: core.Served, Body: []byte("first")})
 	if message := client.readMessage(t); message.ID != 3 || message.Fault != nil {
-		t.Errorf("got %+v", message)
+		t.Errorf("got %+v, want a response with msgid 3", message)
 	}
 	if len(handler.submitted) > 0 || front.Counters().DuplicateIDs != 1 {
-		t.Errorf("%d more were submitted, counters %+v", len(handler.submitted), front.Counters())
+		t.Errorf("got %d more requests submitted, counters %+v; want 0, DuplicateIDs 1",
+			len(handler.submitted), front.Counters())
 	}
-	client.call(3, nil) // it is free now
-	peertest.Await(t, "the request", handler.submitted)
+	client.call(3, nil) // the msgid is free again
+	peertest.Await(t, "the third request to be submitted", handler.submitted)
 }
 
-// A client that has too many requests in flight is rejected beyond its bound, with a pause,
-// and gets exactly one response for each request.
+// If a client exceeds the limit on requests in flight, the excess requests must be rejected with a
+// time to wait before a retry. The client must get exactly one response for each request.
 func TestRequestsInFlightAreBounded(t *testing.T) {
-	handler := newHoldingHandler()
+	handler := newChannelHandler()
 	front := startFront(t, Config{MaxRequestsInFlight: 8}, handler)
 	client := dial(t, front)
 	const count = 30
@@ -49,39 +50,41 @@
 		message := client.readMessage(t)
 		fault, err := msgrpc.ParseFault(message.Fault)
 		if err != nil || fault.Kind != msgrpc.KindRefused || fault.RetryAfter <= 0 {
-			t.Errorf("got %+v, %v", fault, err)
+			t.Errorf("got error %+v, parse error %v; want kind refused with a RetryAfter", fault, err)
 		}
 		responses[message.ID]++
 	}
 	for range 8 {
-		peertest.Await(t, "a request", handler.submitted).Respond(core.Response{Result: core.Served})
+		peertest.Await(t, "a request to be submitted", handler.submitted).Respond(core.Response{Result: core.Served})
 		responses[client.readMessage(t).ID]++
 	}
 	for id, times := range responses {
 		if times != 1 {
-			t.Errorf("%d was answered %d times", id, times)
+			t.Errorf("request %d: got %d responses, want 1", id, times)
 		}
 	}
 	if len(responses) != count || len(handler.submitted) > 0 || front.Counters().LimitExceeded != count-8 {
-		t.Errorf("%d answered, %d more submitted, counters %+v", len(responses), len(handler.submitted), front.Counters())
+		t.Errorf("got %d requests answered, %d more submitted, counters %+v",
+			len(responses), len(handler.submitted), front.Counters())
 	}
 }
 
-// Bad input: a clear error or a close within 3 s, and nothing is submitted.
-func TestBadInput(t *testing.T) {
+// Malformed input must be answered with a protocol error within 3 s, and must not be submitted. If the
+// next message cannot be found, the connection must be closed; otherwise it must remain usable.
+func TestMalformedInput(t *testing.T) {
 	for name, input := range map[string]struct {
 		text  string
-		close bool // the connection ends, with a last notification
+		close bool // the connection is closed after the notification
 	}{
 		"4 GB of bytes":       {"\x94\x00\x01\xa4call\x91\x81\xa4body\xc6\xff\xff\xff\xff", true},
 		"4 GB of map":         {"\x94\x00\x01\xa4call\x91\xdf\xff\xff\xff\xff", true},
 		"10,000 deep":         {strings.Repeat("\x91", 10000), true},
 		"extension":           {"\x94\x00\x01\xa4call\x91\xd4\x01\x00", true},
 		"timestamp":           {"\x94\x00\x01\xa4call\x91\xd6\xff\x00\x00\x00\x00", true},
-		"a byte that is none": {"\xc1", true},
+		"byte 0xc1, reserved": {"\xc1", true},
 		"no array":            {"\xa4call", true},
 		"HTTP":                {"GET / HTTP/1.1\r\nHost: x\r\n\r\n", true},
-		"cut and silent":      {"\x94\x00\x01\xa4call", true},
+		"incomplete message":  {"\x94\x00\x01\xa4call", true},
 		"three values":        {"\x93\x00\x01\xa4call", false},
 		"five values":         {"\x95\x00\x01\xa4call\x90\x00", false},
 		"kind 3":              {"\x94\x03\x01\xa4call\x90", false},
@@ -96,39 +99,39 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			handler := newHoldingHandler()
+			handler := newChannelHandler()
 			front := startFront(t, Config{}, handler)
 			client := dial(t, front)
 			startedAt := time.Now()
 			io.WriteString(client, input.text)
 			client.expectProtocolError(t)
-			if took := time.Since(startedAt); took > 3*time.Second {
-				t.Errorf("notified after %v", took)
+			if elapsed := time.Since(startedAt); elapsed > 3*time.Second {
+				t.Errorf("got the notification after %v, want at most 3 s", elapsed)
 			}
 			if input.close {
 				if message, err := client.read(); err == nil {
-					t.Errorf("then %+v, want the end", message)
+					t.Errorf("after the notification: got %+v, want the connection closed", message)
 				}
 			} else {
 				client.call(1, nil)
-				peertest.Await(t, "a good one after it", handler.submitted)
+				peertest.Await(t, "a valid request after the malformed message", handler.submitted)
 			}
 			if front.Counters().Malformed != 1 {
-				t.Errorf("counters %+v", front.Counters())
+				t.Errorf("got counters %+v, want Malformed 1", front.Counters())
 			}
 		})
 	}
 }
 
-// A connection with nothing but malformed messages is closed.
-func TestManyBadMessagesEndTheConnection(t *testing.T) {
-	client := dial(t, startFront(t, Config{}, newHoldingHandler()))
+// A connection on which maxMalformedMessages malformed messages were received must be closed.
+func TestTooManyMalformedMessagesCloseConnection(t *testing.T) {
+	client := dial(t, startFront(t, Config{}, newChannelHandler()))
 	io.WriteString(client, strings.Repeat("\x94\x01\x01\xc0\xc0", maxMalformedMessages))
 	notified := 0
 	for {
 		_, err := client.read()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("after %d bad messages it goes on", maxMalformedMessages)
+			t.Fatalf("connection is still open after %d malformed messages", maxMalformedMessages)
 		}
 		if err != nil {
 			break
@@ -136,6 +139,6 @@
 		notified++
 	}
 	if notified > maxMalformedMessages {
-		t.Errorf("notified of %d, %d were sent", notified, maxMalformedMessages)
+		t.Errorf("got %d notifications for %d malformed messages", notified, maxMalformedMessages)
 	}
 }
--- a/internal/front/rpcfront/helpers_test.go
+++ b/internal/front/rpcfront/helpers_test.go
@@ -13,23 +13,25 @@
 	"mothridge/policy"
 )
 
-// holdingHandler hands each request to the test.
-type holdingHandler struct {
+// channelHandler sends each submitted or abandoned request to a channel, from which the test receives
+// it. The test responds to the requests.
+type channelHandler struct {
 	submitted chan *core.Request
 	abandoned chan *core.Request
 }
 
-func newHoldingHandler() *holdingHandler {
-	return &holdingHandler{submitted: make(chan *core.Request, 10000), abandoned: make(chan *core.Request, 10000)}
+func newChannelHandler() *channelHandler {
+	return &channelHandler{submitted: make(chan *core.Request, 10000), abandoned: make(chan *core.Request, 10000)}
 }
 
-func (handler *holdingHandler) Submit(request *core.Request) { handler.submitted <- request }
+func (handler *channelHandler) Submit(request *core.Request) { handler.submitted <- request }
 
-func (handler *holdingHandler) Abandon(request *core.Request) { handler.abandoned <- request }
+func (handler *channelHandler) Abandon(request *core.Request) { handler.abandoned <- request }
 
-func (handler *holdingHandler) Ready() bool { return true }
+func (handler *channelHandler) Ready() bool { return true }
 
-// startFront serves a front end until the end of the test, which waits for its connections.
+// startFront starts a front end. At the end of the test, the front end is shut down, and the test waits
+// until all its connections are closed.
 func startFront(t *testing.T, config Config, handler Handler) *Front {
 	t.Helper()
 	config.Classes, config.Tenants = []string{"read", "keyed", "once"}, []string{"north"}
@@ -44,10 +46,10 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		front.Shutdown(ctx)
-		if err := peertest.Await(t, "the end of Serve", done); err != nil {
-			t.Errorf("Serve ended with %v", err)
+		if err := peertest.Await(t, "Serve to return", done); err != nil {
+			t.Errorf("Serve: got error %v, want nil", err)
 		}
-		peertest.Until(t, "the connections' end", func() bool {
+		peertest.Until(t, "all connections to be closed", func() bool {
 			front.mu.Lock()
 			defer front.mu.Unlock()
 			return len(front.conns) == 0
@@ -56,7 +58,7 @@
 	return front
 }
 
-// testClient is a client that can also send what is not valid.
+// testClient is a client that can also send invalid messages.
 type testClient struct {
 	net.Conn
 	framer *msgrpc.Framer
@@ -72,7 +74,7 @@
 	return &testClient{netConn, msgrpc.NewFramer(netConn, msgrpc.MaxResponseBytes, peertest.WaitTimeout)}
 }
 
-// call sends a valid call that change, which may be nil, has changed.
+// call sends a valid call after applying change to it; change may be nil.
 func (client *testClient) call(id uint32, change func(*msgrpc.Call)) {
 	client.Write(callBytes(id, change))
 }
@@ -95,7 +97,7 @@
 	t.Helper()
 	message, err := client.read()
 	if err != nil {
-		t.Fatalf("no message: %v", err)
+		t.Fatalf("read a message: %v", err)
 	}
 	return message
 }
@@ -113,7 +115,7 @@
 	t.Helper()
 	message := client.readMessage(t)
 	if message.Kind != msgrpc.Response || message.ID != id || message.Fault == nil {
-		t.Fatalf("got %+v, want an error for %d", message, id)
+		t.Fatalf("got %+v, want an error with msgid %d", message, id)
 	}
 	fault, err := msgrpc.ParseFault(message.Fault)
 	if err != nil {
--- a/internal/front/rpcfront/read_connection.go
+++ b/internal/front/rpcfront/read_connection.go
@@ -11,10 +11,10 @@
 	"mothridge/internal/sockets"
 )
 
-// protocolErrorTimeout bounds the write of the reason for which a connection is closed.
+// protocolErrorTimeout is the maximum time for writing the reason for which a connection is closed.
 const protocolErrorTimeout = 100 * time.Millisecond
 
-// readLoop is the reader: it handles messages until the connection ends.
+// readLoop is the reader. It reads and handles messages until the connection ends.
 func (conn *clientConn) readLoop() {
 	defer conn.abandonRequests()
 	reader := recordedConn{conn.netConn, sockets.NewLockedReader(conn.netConn, &conn.mu, conn.onRead)}
@@ -41,8 +41,8 @@
 // Read implements net.Conn.
 func (conn recordedConn) Read(buffer []byte) (int, error) { return conn.reader.Read(buffer) }
 
-// onRead records that bytes were read; conn.mu is held. Those of a closed connection are
-// dropped.
+// onRead records that bytes were read. It returns false if the connection is closed, and the bytes
+// are then dropped. The caller holds conn.mu.
 func (conn *clientConn) onRead(count int) (accepted bool) {
 	if conn.state == connClosed {
 		return false
@@ -54,8 +54,8 @@
 	return true
 }
 
-// onMessageHandled records that a message was handled; remaining is the number of bytes
-// of the next ones that were read already.
+// onMessageHandled records that a message was handled. remaining is the number of bytes of the
+// following messages that were already read.
 func (conn *clientConn) onMessageHandled(remaining int) {
 	conn.mu.Lock()
 	conn.messageStarted = remaining > 0
@@ -66,7 +66,7 @@
 	}
 }
 
-// arrivalTime returns when the message that was just read came.
+// arrivalTime returns the arrival time of the message that was just read.
 func (conn *clientConn) arrivalTime() time.Time {
 	now := time.Now()
 	if conn.front.config.EarliestArrival != nil {
@@ -75,20 +75,20 @@
 	return now
 }
 
-// onReadError counts a message that cannot be framed, or that was not complete in time,
-// and writes the reason; it blocks for protocolErrorTimeout at most. Where the client
-// closed the connection it does nothing.
+// onReadError handles a failed read. If the message cannot be framed or was not complete in time, it
+// counts the message as malformed and writes the reason to the client, which blocks for at most
+// protocolErrorTimeout. If the client closed the connection, it does nothing.
 func (conn *clientConn) onReadError(err error) {
 	if !isFramingError(err) && !errors.Is(err, os.ErrDeadlineExceeded) {
 		return
 	}
 	conn.front.malformed.Add(1)
 	conn.netConn.SetWriteDeadline(time.Now().Add(protocolErrorTimeout))
-	// The connection ends in any case.
+	// Write errors are ignored because the connection is closed in any case.
 	_, _ = conn.netConn.Write(msgrpc.AppendProtocolError(nil, err.Error()))
 }
 
-// framingErrors are those after which the next message cannot be found.
+// framingErrors are the errors after which the start of the next message cannot be found.
 var framingErrors = [...]error{
 	msgrpc.ErrTooLarge, msgrpc.ErrTooDeep, msgrpc.ErrExtension, msgrpc.ErrReserved, msgrpc.ErrNotArray,
 }
--- a/internal/front/rpcfront/read_request.go
+++ b/internal/front/rpcfront/read_request.go
@@ -9,29 +9,28 @@
 	"mothridge/policy"
 )
 
-// defaultHost is the Host of a request whose client names none: an HTTP/1.1 upstream
-// needs one.
+// defaultHost is the Host of a request whose client sets no host. An HTTP/1.1 upstream requires a Host.
 const defaultHost = "service.internal"
 
-// rejected is the error of a request that the client is to change; text names the key
-// and what is expected.
-func rejected(text string) *msgrpc.Fault {
+// rejectedFault returns the error for an invalid request, which the client must change. text names the
+// key and its rule.
+func rejectedFault(text string) *msgrpc.Fault {
 	return &msgrpc.Fault{Kind: msgrpc.KindRejected, Text: text}
 }
 
-// readRequest makes a request of a call's params, or returns the error for the client.
+// readRequest converts the params of a call into a request, or returns the error for the client.
 func (front *Front) readRequest(params []byte, arrival time.Time) (*core.Request, *msgrpc.Fault) {
 	call, err := msgrpc.ParseCall(params)
 	if err != nil {
-		return nil, rejected(err.Error())
+		return nil, rejectedFault(err.Error())
 	}
 	class, known := front.rules.Class(call.Class)
 	if !known {
-		return nil, rejected("class: the settings have none of that name")
+		return nil, rejectedFault("class: must be the name of a configured class")
 	}
 	tenant, known := front.rules.Tenant(call.Tenant)
 	if !known {
-		return nil, rejected("tenant: the settings have none of that name")
+		return nil, rejectedFault("tenant: must be the name of a configured tenant")
 	}
 	if fault := checkTexts(call); fault != nil {
 		return nil, fault
@@ -50,7 +49,7 @@
 		Message: core.Message{
 			Method:         frontend.Method(idempotency),
 			Target:         call.Target,
-			Host:           hostOf(call),
+			Host:           hostOrDefault(call),
 			Fields:         call.HTTPFields(),
 			Body:           call.Body,
 			RequiresLength: true,
@@ -58,34 +57,34 @@
 	}, nil
 }
 
-// checkTexts checks the texts that go into an HTTP/1.1 head.
+// checkTexts checks the strings that may be written into an HTTP/1.1 head.
 func checkTexts(call *msgrpc.Call) *msgrpc.Fault {
 	if frontend.HasUnprintable(call.ID) {
-		return rejected("id: printable ASCII is meant")
+		return rejectedFault("id: must be printable ASCII without blanks")
 	}
 	if frontend.HasUnprintable(call.Target) || frontend.HasUnprintable(call.Host) {
-		return rejected("target and host: printable ASCII is meant")
+		return rejectedFault("target and host: must be printable ASCII without blanks")
 	}
 	return nil
 }
 
-// checkIdempotency checks what follows from a class: whether there is a key and whether
-// there may be a body.
+// checkIdempotency checks the rules that depend on the idempotency of the request's class: whether a
+// key is required or forbidden, and whether a body is allowed.
 func checkIdempotency(call *msgrpc.Call, idempotency policy.Idempotency) *msgrpc.Fault {
 	needsKey := idempotency == policy.IdempotentByKey
 	hasKey := call.IdempotencyKey != ""
 	switch {
 	case needsKey && !hasKey:
-		return rejected("key is missing: without it a repeat could not be told from a new request")
+		return rejectedFault("key: must be set for this class: without it, a retry looks like a new request")
 	case !needsKey && hasKey:
-		return rejected("key: requests of this class have none")
+		return rejectedFault("key: requests of this class must not have a key")
 	case idempotency == policy.Idempotent && len(call.Body) > 0:
-		return rejected("body: requests of a class that is safe to repeat have none")
+		return rejectedFault("body: none is allowed for an idempotent class")
 	}
 	return nil
 }
 
-func hostOf(call *msgrpc.Call) string {
+func hostOrDefault(call *msgrpc.Call) string {
 	if call.Host == "" {
 		return defaultHost
 	}
--- a/internal/front/rpcfront/read_request_test.go
+++ b/internal/front/rpcfront/read_request_test.go
@@ -12,25 +12,25 @@
 )
 
 func TestRequestReachesTheHandler(t *testing.T) {
-	handler := newHoldingHandler()
+	handler := newChannelHandler()
 	client := dial(t, startFront(t, Config{}, handler))
 	client.call(9, func(call *msgrpc.Call) {
 		call.Class, call.IdempotencyKey, call.AffinityKey, call.Target = "keyed", "k1", "hive-7", "/a?b=c"
 		call.ClientRetry, call.ExpectedWork = true, 1500*time.Microsecond
 		call.Fields = map[string][]string{"x-apiary": {"1", "2"}, "Tenant": {"not this one"}}
 	})
-	request := peertest.Await(t, "the request", handler.submitted)
+	request := peertest.Await(t, "the request to be submitted", handler.submitted)
 	if request.ID != "r9" || request.Class != 1 || request.Tenant != 0 {
-		t.Errorf("request %+v", request)
+		t.Errorf("got request %+v, want ID r9, class 1, tenant 0", request)
 	}
 	if !request.ClientRetry || request.ExpectedWork != 1500*time.Microsecond {
-		t.Errorf("request %+v", request)
+		t.Errorf("got request %+v, want ClientRetry and ExpectedWork 1.5ms", request)
 	}
 	if request.Method != "POST" || request.Target != "/a?b=c" || string(request.Body) != "{}" {
-		t.Errorf("request %+v", request)
+		t.Errorf("got request %+v, want POST /a?b=c with body {}", request)
 	}
 	if left := time.Until(request.Deadline); left > 5*time.Second || left < 3*time.Second {
-		t.Errorf("request %+v has %v left", request, left)
+		t.Errorf("request %+v: got %v until its deadline, want 3 s to 5 s", request, left)
 	}
 	want := map[string]string{
 		"Request-Id": "r9", "Request-Class": "keyed", "Tenant": "north", "Idempotency-Key": "k1",
@@ -38,11 +38,11 @@
 	}
 	for name, values := range request.Fields {
 		if want[name] != strings.Join(values, ",") {
-			t.Errorf("field %s is %q, want %q", name, values, want[name])
+			t.Errorf("field %s: got %q, want %q", name, values, want[name])
 		}
 	}
 	if len(request.Fields) != len(want) {
-		t.Errorf("fields %v", request.Fields)
+		t.Errorf("got fields %v, want exactly the expected ones", request.Fields)
 	}
 	request.Respond(core.Response{
 		Result: core.Served,
@@ -52,13 +52,14 @@
 	message := client.readMessage(t)
 	got, err := msgrpc.ParseResult(message.Result)
 	if err != nil || message.ID != 9 || message.Fault != nil || string(got.Body) != "honey" || len(got.Fields) != 1 {
-		t.Errorf("answer %+v %+v, error %v", message, got, err)
+		t.Errorf("got response %+v with result %+v, error %v", message, got, err)
 	}
 }
 
-// What is wrong is answered by name, and the connection goes on.
-func TestWrongRequests(t *testing.T) {
-	handler := newHoldingHandler()
+// An invalid request must be answered with an error that names the violated rule, and the connection
+// must remain usable.
+func TestInvalidRequests(t *testing.T) {
+	handler := newChannelHandler()
 	front := startFront(t, Config{}, handler)
 	client := dial(t, front)
 	for word, change := range map[string]func(*msgrpc.Call){
@@ -78,35 +79,35 @@
 	} {
 		client.call(5, change)
 		if got := client.expectFault(t, 5); got.Kind != msgrpc.KindRejected || !strings.Contains(got.Text, word) {
-			t.Errorf("%s: %+v", word, got)
+			t.Errorf("%s: got error %+v", word, got)
 		}
 	}
 	client.Write(msgrpc.AppendRequestWithoutParams(nil, 6, "no_such_method"))
 	if got := client.expectFault(t, 6); got.Kind != msgrpc.KindRejected {
-		t.Errorf("an unknown method: %+v", got)
+		t.Errorf("unknown method: got error %+v", got)
 	}
 	client.Write(msgrpc.AppendRequestWithoutParams(nil, 7, msgrpc.MethodReady))
 	if ready, err := msgrpc.ParseReady(client.readMessage(t).Result); err != nil || !ready {
-		t.Errorf("ready: %v, %v", ready, err)
+		t.Errorf("ready: got %v, error %v; want true", ready, err)
 	}
 	if len(handler.submitted) > 0 {
-		t.Error("a wrong request was submitted")
+		t.Error("an invalid request was submitted")
 	}
 }
 
-// Params that are wrong in themselves are answered under their msgid.
-func TestWrongParams(t *testing.T) {
-	handler := newHoldingHandler()
+// Params that violate the encoding must be answered with an error under the msgid of their call.
+func TestInvalidParams(t *testing.T) {
+	handler := newChannelHandler()
 	client := dial(t, startFront(t, Config{}, handler))
 	for name, params := range map[string]string{
-		"none": "\x90", "two": "\x92\x80\x80", "a text": "\x91\xa1x", "key a number": "\x91\x81\x07\x07",
+		"none": "\x90", "two": "\x92\x80\x80", "a string": "\x91\xa1x", "key a number": "\x91\x81\x07\x07",
 		"key twice": "\x91\x82\xa2id\xa1x\xa2id\xa1y", "id a number": "\x91\x81\xa2id\x07",
 		"left NaN":     "\x91\x81\xa7left_ms\xcb\x7f\xf8\x00\x00\x00\x00\x00\x00",
 		"left below 0": "\x91\x81\xa7left_ms\xff", "fields a list": "\x91\x81\xa6fields\x90",
 	} {
 		io.WriteString(client, "\x94\x00\x05\xa4call"+params)
 		if fault := client.expectFault(t, 5); fault.Kind != msgrpc.KindRejected || fault.Text == "" {
-			t.Errorf("%s: %+v", name, fault)
+			t.Errorf("%s: got error %+v, want kind rejected with a text", name, fault)
 		}
 	}
 	if len(handler.submitted) > 0 {
--- a/internal/front/rpcfront/write_response.go
+++ b/internal/front/rpcfront/write_response.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// writeTimeout is how long a client may leave its responses unread.
+	// writeTimeout is the maximum time for which a client may leave its responses unread.
 	writeTimeout = time.Second
-	// maxKeptBufferBytes bounds the buffer that a writer keeps between two writes.
+	// maxKeptBufferBytes is the maximum size of the buffer that a writer keeps between two writes.
 	maxKeptBufferBytes = 32 << 10
 )
 
-// queuedResponse is a response that waits to be written. One of encoded, fault and result is used,
-// in this order.
+// queuedResponse is a response that waits to be written. If encoded is set, it is written; otherwise
+// fault if that is set, and otherwise result.
 type queuedResponse struct {
-	id      uint32 // the request's msgid
+	id      uint32 // msgid of the request
 	result  core.Response
 	fault   *msgrpc.Fault
 	encoded []byte
 }
 
-// faultKinds are the kinds of error of each result; core.Served has none.
+// faultKinds are the error kinds of the results. core.Served has none, because it is not an error.
 var faultKinds = [...]string{
 	core.Rejected:  msgrpc.KindRefused,
 	core.Failed:    msgrpc.KindFailed,
@@ -34,7 +34,7 @@
 	core.Duplicate: msgrpc.KindDuplicate,
 }
 
-// appendTo appends the encoded response.
+// appendTo appends the encoded response to buffer.
 func (response *queuedResponse) appendTo(buffer []byte, errorsAsText bool) []byte {
 	if response.encoded != nil {
 		return append(buffer, response.encoded...)
@@ -67,8 +67,8 @@
 	return result.Append(buffer, response.id)
 }
 
-// isForwarded reports whether a field of an upstream's response goes on to the client: not
-// where it concerns the upstream's connection alone or cannot stand in a message.
+// isForwarded reports whether a header field of an upstream's response is forwarded to the client. Not
+// forwarded are hop-by-hop fields, and fields with characters that a message must not contain.
 func isForwarded(name string, values []string) bool {
 	if msgrpc.IsHopByHopField(name) || !msgrpc.IsPlainText(name) {
 		return false
@@ -78,8 +78,8 @@
 
 func isNotPlain(value string) bool { return !msgrpc.IsPlainText(value) }
 
-// writeLoop is the writer. A client that does not read its responses loses its connection:
-// they are not held for it.
+// writeLoop is the writer. If a client does not read its responses within writeTimeout, its connection
+// is closed, so that the responses do not occupy memory.
 func (conn *clientConn) writeLoop() {
 	defer conn.closeSocket()
 	var buffer []byte
@@ -104,8 +104,8 @@
 	}
 }
 
-// takeOutput takes what waits to be written: it returns the queued responses, for which
-// recycled becomes the new queue, and buffer with the notifications in it.
+// takeOutput removes all output that waits to be written. It returns the queued responses, and buffer
+// filled with the notifications. recycled provides the memory of the new response queue.
 func (conn *clientConn) takeOutput(recycled []queuedResponse, buffer []byte) (queued []queuedResponse, output []byte) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -116,8 +116,8 @@
 	return queued, output
 }
 
-// write writes a buffer, which may be empty; it blocks for writeTimeout at most and returns
-// false where that fails.
+// write writes a buffer, which may be empty. It blocks for at most writeTimeout and returns false if
+// the write fails.
 func (conn *clientConn) write(buffer []byte) bool {
 	if len(buffer) == 0 {
 		return true
@@ -130,7 +130,8 @@
 	return err == nil
 }
 
-// onWritten records that responses were written and reports whether the connection is closed.
+// onWritten records that responses with bodyBytes bytes of bodies were written, and reports whether the
+// connection is closed.
 func (conn *clientConn) onWritten(bodyBytes int) (closed bool) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
--- a/internal/front/rpcfront/write_response_test.go
+++ b/internal/front/rpcfront/write_response_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestResultsBecomeFaults(t *testing.T) {
-	handler := newHoldingHandler()
+	handler := newChannelHandler()
 	client := dial(t, startFront(t, Config{}, handler))
 	for want, result := range map[string]core.Response{
 		msgrpc.KindRefused:   {Result: core.Rejected, RetryAfter: 120 * time.Millisecond},
@@ -24,19 +24,19 @@
 		msgrpc.KindDuplicate: {Result: core.Duplicate},
 	} {
 		client.call(1, nil)
-		peertest.Await(t, "the request", handler.submitted).Respond(result)
+		peertest.Await(t, "the request to be submitted", handler.submitted).Respond(result)
 		if fault := client.expectFault(t, 1); fault.Kind != want || fault.RetryAfter != result.RetryAfter {
-			t.Errorf("%+v becomes %+v", result, fault)
+			t.Errorf("result %+v: got error %+v", result, fault)
 		}
 	}
 }
 
-// Errors are maps, or texts where the configuration says so: those of the handler, those of
-// the front end, and those that quote the client.
+// All errors must be encoded as maps, or as strings if Config.ErrorsAsText is set: errors of the handler,
+// errors of the front end, and errors that quote the client's input.
 func TestErrorsAsMapsAndTexts(t *testing.T) {
 	for _, texts := range []bool{false, true} {
 		t.Run(fmt.Sprint("texts=", texts), func(t *testing.T) {
-			handler := newHoldingHandler()
+			handler := newChannelHandler()
 			client := dial(t, startFront(t, Config{ErrorsAsText: texts, MaxRequestsInFlight: 1}, handler))
 			for _, step := range []struct {
 				send func()
@@ -44,12 +44,13 @@
 			}{
 				{func() {
 					client.call(1, nil)
-					peertest.Await(t, "the request", handler.submitted).
+					peertest.Await(t, "the request to be submitted", handler.submitted).
 						Respond(core.Response{Result: core.Rejected, RetryAfter: 120 * time.Millisecond})
 				}, "refused pause_ms=120"},
 				{func() {
 					client.call(2, nil)
-					peertest.Await(t, "the request", handler.submitted).Respond(core.Response{Result: core.TimedOut})
+					peertest.Await(t, "the request to be submitted", handler.submitted).
+						Respond(core.Response{Result: core.TimedOut})
 				}, "timeout"},
 				{func() {
 					client.call(3, func(call *msgrpc.Call) { call.Class = "no\x02such" })
@@ -59,30 +60,30 @@
 				}, `rejected: target "` + strings.Repeat("x", 40) + `": it begins with '/'`},
 				{func() {
 					client.Write(msgp.AppendArrayHeader(msgrpc.AppendRequest(nil, 5, "add"), 0))
-				}, "rejected: method: call and ready are known"},
+				}, "rejected: method: must be call or ready"},
 				{func() {
 					client.call(6, nil)
-					peertest.Await(t, "the request", handler.submitted)
+					peertest.Await(t, "the request to be submitted", handler.submitted)
 					client.call(7, nil)
-				}, "refused pause_ms=100: too many at once on one connection"},
+				}, "refused pause_ms=100: too many requests in flight or unread responses on this connection"},
 			} {
 				step.send()
 				message := client.readMessage(t)
 				if isText := msgp.NextType(message.Fault) == msgp.StrType; isText != texts {
-					t.Errorf("%s: a text is %v, want %v", step.want, isText, texts)
+					t.Errorf("%s: got encoded as string %v, want %v", step.want, isText, texts)
 				}
 				if fault, err := msgrpc.ParseFault(message.Fault); err != nil || fault.String() != step.want {
-					t.Errorf("got %v, %v; want %s", fault, err, step.want)
+					t.Errorf("got error %v, parse error %v; want %s", fault, err, step.want)
 				}
 			}
 		})
 	}
 }
 
-// A client that never reads its responses loses its connection: they are not held
-// for it, and another client's are not delayed.
+// If a client never reads its responses, its connection must be closed, so that the responses do not
+// occupy memory. The responses of other clients must not be delayed.
 func TestClientThatNeverReads(t *testing.T) {
-	handler := newHoldingHandler()
+	handler := newChannelHandler()
 	front := startFront(t, Config{MaxRequestsInFlight: 32}, handler)
 	const bodyBytes = 512 << 10
 	stalled, other := dial(t, front), dial(t, front)
@@ -107,25 +108,26 @@
 			}
 		}
 	}()
-	for front.Counters().Stalled == 0 { // meanwhile the other is served
+	for front.Counters().Stalled == 0 { // the other client must be served meanwhile
 		startedAt := time.Now()
 		other.call(1, nil)
 		if message := other.readMessage(t); message.ID != 1 || message.Fault != nil {
-			t.Fatalf("the other got %+v", message)
+			t.Fatalf("the other client got %+v, want a response with msgid 1", message)
 		}
-		if took := time.Since(startedAt); took > peertest.WaitTimeout/2 {
-			t.Errorf("the other waited for %v", took)
+		if elapsed := time.Since(startedAt); elapsed > peertest.WaitTimeout/2 {
+			t.Errorf("the other client waited for %v, want at most half of WaitTimeout", elapsed)
 		}
 		checkBuffered(t, front, bodyBytes)
 	}
-	peertest.Until(t, "the end of the stalled one", func() bool {
+	peertest.Until(t, "the connection of the stalled client to be closed", func() bool {
 		front.mu.Lock()
 		defer front.mu.Unlock()
 		return len(front.conns) == 1
 	})
 }
 
-// checkBuffered checks the bounds on what is held for each client, with bodies of one size.
+// checkBuffered checks the limits on the responses that are buffered for each client. All response
+// bodies have bodyBytes bytes.
 func checkBuffered(t *testing.T, front *Front, bodyBytes int) {
 	t.Helper()
 	maxRequests := front.config.MaxRequestsInFlight
@@ -135,31 +137,31 @@
 	for conn := range front.conns {
 		conn.mu.Lock()
 		if conn.bufferedBytes > maxBytes || len(conn.responseQueue) > 4*maxRequests {
-			t.Errorf("%d bytes and %d responses are held for one client", conn.bufferedBytes, len(conn.responseQueue))
+			t.Errorf("got %d bytes and %d responses buffered for one client", conn.bufferedBytes, len(conn.responseQueue))
 		}
 		conn.mu.Unlock()
 	}
 }
 
-// A client that sends few requests, but does not read the responses, is not waited for either.
-func TestUnreadResponsesAreNotHeld(t *testing.T) {
-	handler := newHoldingHandler()
+// If a client sends few requests but does not read the responses, its connection must also be closed.
+func TestClientWithUnreadResponsesIsDisconnected(t *testing.T) {
+	handler := newChannelHandler()
 	front := startFront(t, Config{MaxRequestsInFlight: 64, MaxBufferedResponseBytes: 64 << 20}, handler)
 	client := dial(t, front)
 	client.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-	for i := range 32 { // more than the buffers of both sides hold
+	for i := range 32 { // their responses exceed the socket buffers of both sides
 		client.call(uint32(i), nil)
 	}
 	for range 32 {
-		request := peertest.Await(t, "a request", handler.submitted)
+		request := peertest.Await(t, "a request to be submitted", handler.submitted)
 		request.Respond(core.Response{Result: core.Served, Body: make([]byte, 1<<20)})
 	}
-	peertest.Until(t, "the connection's end", func() bool {
+	peertest.Until(t, "the connection to be closed", func() bool {
 		front.mu.Lock()
 		defer front.mu.Unlock()
 		return len(front.conns) == 0
 	})
 	if count := front.Counters().Stalled; count != 1 {
-		t.Errorf("%d connections count as stalled, want 1", count)
+		t.Errorf("got %d stalled connections, want 1", count)
 	}
 }
