--- a/internal/quotas/admit.go
+++ b/internal/quotas/admit.go
@@ -8,15 +8,16 @@
 	"mothridge/quota"
 )
 
-// minRetryAfter is the shortest Retry-After of a rejection. At the very instant at which
-// the quota suffices again, other requests take it.
+// minRetryAfter is the shortest Retry-After of a rejection. A client that retries at the
+// instant at which the quota suffices again would compete with other requests for it.
 const minRetryAfter = 10 * time.Millisecond
 
-// Submit passes a request within its quota on, and answers another one at once.
+// Submit passes an admitted request to the next handler, and responds to a rejected request
+// immediately.
 func (g *Gate) Submit(r *core.Request) {
-	admitted, rejected := g.admit(r)
-	if rejected != nil {
-		r.Respond(*rejected)
+	admitted, rejection := g.admit(r)
+	if rejection != nil {
+		r.Respond(*rejection)
 		return
 	}
 	respond := r.Respond
@@ -28,8 +29,8 @@
 	g.Handler.Submit(r)
 }
 
-// Abandon passes on that a request's client disconnected, and ends the request's charge:
-// there will be no answer.
+// Abandon tells the next handler that a request's client has disconnected, and ends the
+// request's charge, because no response will follow.
 func (g *Gate) Abandon(r *core.Request) {
 	g.Handler.Abandon(r)
 	if r.OnClientGone != nil {
@@ -37,7 +38,8 @@
 	}
 }
 
-// admit charges a request, or returns the answer that rejects it.
+// admit charges a request to its node of the quota tree and returns the charge, or returns
+// the response that rejects the request.
 func (g *Gate) admit(r *core.Request) (*charge, *core.Response) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -48,6 +50,7 @@
 	return &charge{mu: &g.mu, tree: g.tree, receipt: decision.Receipt}, nil
 }
 
+// cost returns the cost of a request in each dimension.
 func (g *Gate) cost(r *core.Request) quota.Cost {
 	return quota.Cost{
 		quota.Requests:   1,
@@ -57,6 +60,8 @@
 	}
 }
 
+// rejection returns the response to a rejected request. Its Retry-After is at least
+// minRetryAfter and at most Config.MaxRetryAfter.
 func (g *Gate) rejection(decision quota.Decision) *core.Response {
 	retryAfter := max(decision.RetryAfter, minRetryAfter)
 	if g.config.MaxRetryAfter > 0 {
@@ -66,15 +71,16 @@
 	return &core.Response{Result: core.Rejected, RetryAfter: retryAfter, Detail: detail}
 }
 
-// charge is what an admitted request was charged.
+// charge is the charge of an admitted request.
 type charge struct {
-	mu      *sync.Mutex // the Gate's
-	tree    *quota.Tree // that charged it; the Gate may have loaded another since
+	mu      *sync.Mutex // Gate.mu
+	tree    *quota.Tree // the tree that made the charge; the Gate may have loaded another one since then
 	receipt *quota.Receipt
-	once    sync.Once // Respond and Abandon may be called at once
+	once    sync.Once // Respond and Abandon may be called concurrently
 }
 
-// end returns what the request holds: its slots, or all of the charge if it never ran.
+// end ends the charge: it returns the request's slots, or everything that was charged if
+// the request never ran. Only the first call has an effect.
 func (c *charge) end(ran bool) {
 	c.once.Do(func() {
 		c.mu.Lock()
@@ -87,8 +93,9 @@
 	})
 }
 
-// mayHaveRun is false for results after which the whole charge is returned: rejected and
-// duplicate requests. A rejected request of an idempotent class may have run all the same.
+// mayHaveRun reports whether a request with the result is treated as one that ran, so that
+// only its slots are returned. It is false for rejected and duplicate requests, whose whole
+// charge is returned, although a rejected request of an idempotent class may have run.
 func mayHaveRun(result core.Result) bool {
 	return result != core.Rejected && result != core.Duplicate
 }
--- a/internal/quotas/form_test.go
+++ b/internal/quotas/form_test.go
@@ -7,9 +7,9 @@
 	"mothridge/quota"
 )
 
-// What the admin socket answers is read by other versions of the quota command: it stays
-// byte for byte.
-func TestFormOfTheView(t *testing.T) {
+// TestNodeViewJSON guards against changes of the JSON on the admin socket, which other
+// versions of the quota command read: it must stay the same byte for byte.
+func TestNodeViewJSON(t *testing.T) {
 	view := NodeView{
 		Name: "club", Parent: "service", Depth: 1,
 		Usage:     quota.Usage{WithinShare: 1, Borrowed: 2, Rejected: 3, Lent: 4, Repaid: 5},
@@ -21,6 +21,6 @@
 		`"Limits":[{"Dimension":"requests","Rate":10,"Ceiling":20,"Window":"10s","Left":4.5}],"Owes":[{"To":"downs","Dimension":"requests","Amount":2}],` +
 		`"Refusal":"nothing","RefusedAgo":1.5}`
 	if got, err := json.Marshal(view); err != nil || string(got) != want {
-		t.Errorf("the view is %s (error %v), want %s", got, err, want)
+		t.Errorf("got JSON %s, error %v, want %s", got, err, want)
 	}
 }
--- a/internal/quotas/match.go
+++ b/internal/quotas/match.go
@@ -8,17 +8,17 @@
 	"mothridge/internal/plugin"
 )
 
-// Match selects a node's requests among those of its parent: all conditions that are
-// set must hold. A zero Match selects none.
+// Match selects a node's requests among those of its parent: all conditions that are set
+// must hold. A zero Match selects no requests.
 type Match struct {
-	Tenant string // the tenant's name
-	Header string // canonical name of a field; its first value must equal Value
+	Tenant string // name of the request's tenant
+	Header string // canonical name of a header field, whose first value must equal Value
 	Value  string
-	Tag    string // one of the tags that plug-ins gave the request
+	Tag    string // a tag that a plug-in added to the request
 }
 
-// findNode returns the name of the node that a request is charged to: from the root on
-// down, the first child that matches. The caller holds g.mu.
+// findNode returns the name of the node that a request is charged to. It descends from the
+// root to the first matching child until no child matches. The caller holds g.mu.
 func (g *Gate) findNode(r *core.Request) string {
 	name := g.root
 	for {
@@ -30,6 +30,7 @@
 	}
 }
 
+// matchingChild returns the name of the first child of parent that matches the request.
 func (g *Gate) matchingChild(parent string, r *core.Request) (name string, found bool) {
 	for _, child := range g.children[parent] {
 		if g.matches(g.config.Matches[child], r) {
@@ -39,6 +40,7 @@
 	return "", false
 }
 
+// matches reports whether all conditions of m hold for the request.
 func (g *Gate) matches(m Match, r *core.Request) bool {
 	if m == (Match{}) {
 		return false
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -1,6 +1,6 @@
-// Package quotas applies the operators' quotas to requests. A Gate stands after the
-// plug-ins and before the core: it finds the node of the quota tree that a request is
-// charged to, has package quota decide, and returns what an ended request held.
+// Package quotas applies the operators' quotas to requests. A Gate is a handler between the
+// plug-ins and the core: it finds the node of the quota tree that a request is charged to,
+// lets package quota decide, and returns the request's slots or charge when it ends.
 package quotas
 
 import (
@@ -13,39 +13,40 @@
 	"mothridge/quota"
 )
 
-// Config is what a Gate applies.
+// Config configures a Gate.
 type Config struct {
-	// Tree is the quota of all sidecars together.
+	// Tree is the quota tree of all sidecars together.
 	Tree quota.Config
-	// Matches says which requests each node gets, by its name. A node without an entry
-	// gets no request of its own.
+	// Matches selects the requests of each node, by the node's name. A node without an
+	// entry matches no requests.
 	Matches map[string]Match
 	// Share is the share of every limit and ceiling that this sidecar may use, above 0
-	// and at most 1: sidecars do not share their counts.
+	// and at most 1. A share is needed because sidecars do not exchange their counts.
 	Share float64
-	// Tenants are the tenants' names, by core.Request.Tenant.
+	// Tenants holds the tenants' names, indexed by core.Request.Tenant.
 	Tenants []string
-	// PriorityWeights are the costs in the dimension quota.Priority, by
+	// PriorityWeights holds the costs in the dimension quota.Priority, indexed by
 	// core.Request.Class.
 	PriorityWeights []float64
-	// MaxRetryAfter is the longest Retry-After that clients heed; 0 sets no bound.
+	// MaxRetryAfter is the longest Retry-After that clients respect. 0 sets no bound.
 	MaxRetryAfter time.Duration
 }
 
-// Gate is a core.Handler that rejects requests over quota and passes the others on. It
-// is safe for concurrent use; it blocks only while another goroutine is deciding.
+// Gate is a core.Handler that rejects requests over quota and passes all others to the next
+// handler. It is safe for concurrent use. Its methods block only while another goroutine
+// holds its mutex to decide, load or read the state.
 type Gate struct {
-	core.Handler // the next in the chain; set before the first request
-	startedAt    time.Time
+	core.Handler           // the next handler; set before the first request
+	startedAt    time.Time // the trees' times count from here
 
-	mu       sync.Mutex          // guards what is below, and the state of each tree
-	config   Config              // as loaded last
-	tree     *quota.Tree         // of config, scaled by its Share
+	mu       sync.Mutex          // guards the fields below and the state of every loaded tree
+	config   Config              // the last loaded configuration
+	tree     *quota.Tree         // config.Tree with limits scaled by config.Share
 	root     string              // name of the tree's root
-	children map[string][]string // names of nodes, by their parent's
+	children map[string][]string // names of the children, by the parent's name
 }
 
-// New returns a Gate without a next handler. The error is one of Load's.
+// New returns a Gate without a next handler. It returns the errors of Load.
 func New(config Config) (*Gate, error) {
 	g := &Gate{startedAt: time.Now()}
 	if err := g.Load(config); err != nil {
@@ -54,12 +55,12 @@
 	return g, nil
 }
 
-// Load replaces the quotas. Nodes that keep their names keep their balances; requests
-// under way return their charge to the tree that charged them. A fault of a node is a
-// *quota.NodeError; after an error the Gate is unchanged.
+// Load replaces the quotas. Nodes that keep their names keep their counters, tokens and
+// debts. Requests in flight return their charge to the tree that charged them. If a node is
+// invalid, the error is a *quota.NodeError. After an error the Gate is unchanged.
 func (g *Gate) Load(config Config) error {
 	if !(config.Share > 0 && config.Share <= 1) {
-		return fmt.Errorf("quota: a part of %v for this sidecar: above 0, and 1 at most, is meant", config.Share)
+		return fmt.Errorf("quota: part of this sidecar must be above 0 and at most 1, got %v", config.Share)
 	}
 	tree, err := quota.New(config.scaledTree())
 	if err != nil {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// scaledTree is the part of Tree that this sidecar may use.
+// scaledTree returns Tree with all limits and ceilings multiplied by Share.
 func (c *Config) scaledTree() quota.Config {
 	scaled := c.Tree
 	scaled.Nodes = slices.Clone(c.Tree.Nodes)
@@ -93,18 +94,19 @@
 	return scaled
 }
 
-// validateTenants checks that the nodes name tenants that there are.
+// validateTenants checks that the tenants in Matches exist.
 func (c *Config) validateTenants() error {
 	for _, n := range c.Tree.Nodes {
 		tenant := c.Matches[n.Name].Tenant
 		if tenant != "" && !slices.Contains(c.Tenants, tenant) {
-			err := fmt.Errorf("there is no tenant %q: one of %q is meant", tenant, c.Tenants)
+			err := fmt.Errorf("unknown tenant %q, must be one of %q", tenant, c.Tenants)
 			return &quota.NodeError{Node: n.Name, Err: err}
 		}
 	}
 	return nil
 }
 
+// childrenByParent returns the names of each node's children, by the node's name.
 func (c *Config) childrenByParent() map[string][]string {
 	children := make(map[string][]string)
 	for _, n := range c.Tree.Nodes {
@@ -115,9 +117,9 @@
 	return children
 }
 
-// SetNext sets the handler that admitted requests go on to. It is called once, before
-// the first request.
+// SetNext sets the handler to which admitted requests are passed. It must be called once,
+// before the first request.
 func (g *Gate) SetNext(next core.Handler) { g.Handler = next }
 
-// now is the time by the trees' clock.
+// now returns the time since startedAt, which is the clock of the trees.
 func (g *Gate) now() time.Duration { return time.Since(g.startedAt) }
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -8,7 +8,7 @@
 	"mothridge/quota"
 )
 
-// recordingHandler keeps the requests that it gets until the test answers them.
+// recordingHandler records the submitted requests. The test responds to them.
 type recordingHandler struct{ requests []*core.Request }
 
 func (h *recordingHandler) Submit(r *core.Request) { h.requests = append(h.requests, r) }
@@ -16,6 +16,8 @@
 func (h *recordingHandler) HasRequest(string) bool { return false }
 func (h *recordingHandler) Ready() bool            { return true }
 
+// testLimits returns limits without loans: a rate of requests over 10 s, and 2 requests in
+// flight.
 func testLimits(rate float64) []quota.Limit {
 	return []quota.Limit{
 		{Dimension: quota.Requests, Rate: rate, Window: 10 * time.Second, Ceiling: rate},
@@ -23,6 +25,7 @@
 	}
 }
 
+// testConfig returns two tenants, each with a child node.
 func testConfig() Config {
 	return Config{
 		Tree: quota.Config{Nodes: []quota.Node{
@@ -45,6 +48,7 @@
 	}
 }
 
+// newGate returns a Gate in front of a recordingHandler.
 func newGate(t *testing.T, config Config) (*Gate, *recordingHandler) {
 	t.Helper()
 	g, err := New(config)
@@ -56,7 +60,8 @@
 	return g, next
 }
 
-// submit sends a request of a tenant and returns it with the responses that it gets.
+// submit submits a request of a tenant. It returns the request and a pointer to its
+// responses, which may arrive later.
 func submit(g *Gate, tenant int) (*core.Request, *[]core.Response) {
 	responses := new([]core.Response)
 	r := &core.Request{Tenant: tenant}
@@ -65,7 +70,7 @@
 	return r, responses
 }
 
-// A request is charged to the deepest node that matches it.
+// TestFindNode checks that a request is charged to the deepest node that matches it.
 func TestFindNode(t *testing.T) {
 	g, _ := newGate(t, testConfig())
 	for _, test := range []struct {
@@ -86,20 +91,21 @@
 			r.Fields = map[string][]string{test.field: {test.value}}
 		}
 		if got := g.findNode(r); got != test.want {
-			t.Errorf("tenant %d, %s %q: %s, want %s", test.tenant, test.field, test.value, got, test.want)
+			t.Errorf("tenant %d, %s %q: got node %s, want %s", test.tenant, test.field, test.value, got, test.want)
 		}
 	}
 }
 
-// Each way that a request can end returns its slot, once; one that never ran gets back
-// all of its charge.
+// TestEndOfRequestReturnsItsCharge guards against slots that are never returned or are
+// returned twice, for each way in which a request can end. A request that never ran gets
+// its whole charge back.
 func TestEndOfRequestReturnsItsCharge(t *testing.T) {
 	respond := func(result core.Result) func(*Gate, *core.Request) {
 		return func(_ *Gate, r *core.Request) { r.Respond(core.Response{Result: result}) }
 	}
 	for name, test := range map[string]struct {
 		end  func(*Gate, *core.Request)
-		left float64 // of the 10 requests that the bucket holds
+		left float64 // of the 10 requests in a full bucket
 	}{
 		"served":      {respond(core.Served), 9},
 		"failed":      {respond(core.Failed), 9},
@@ -115,18 +121,20 @@
 		_, second := submit(g, 0)
 		_, third := submit(g, 0)
 		if len(next.requests) != 2 || len(*second) != 0 {
-			t.Fatalf("%s: %d of two in flight are passed on, the second is answered %+v", name, len(next.requests), *second)
+			t.Fatalf("%s: %d requests passed on, want 2; responses to the second: %+v, want none",
+				name, len(next.requests), *second)
 		}
 		if len(*third) != 1 || (*third)[0].Result != core.Rejected || (*third)[0].Detail == "" {
-			t.Fatalf("%s: the third is answered %+v, want a rejection", name, *third)
+			t.Fatalf("%s: got responses %+v to the third request, want one rejection with a detail", name, *third)
 		}
 		test.end(g, next.requests[0])
 		checkLeft(t, g, name, test.left)
 	}
 }
 
-// checkLeft checks the limits of downs after one request ended; another is in flight,
-// and the clock adds a little.
+// checkLeft checks the limits of downs after one of its two requests ended: a slot is free,
+// and the bucket of requests holds want less the one in flight. The bucket may hold up to
+// 0.5 more because it refills during the test.
 func checkLeft(t *testing.T, g *Gate, name string, want float64) {
 	t.Helper()
 	for _, view := range g.View() {
@@ -135,15 +143,16 @@
 		}
 		requests, slots := view.Limits[0].Left+1, view.Limits[1].Left
 		if requests < want || requests > want+0.5 {
-			t.Errorf("%s: %.2f requests left, want %v", name, requests, want)
+			t.Errorf("%s: got %.2f requests left, want %v to 0.5 more", name, requests, want)
 		}
 		if slots != 1 {
-			t.Errorf("%s: %v slots left, want 1", name, slots)
+			t.Errorf("%s: got %v slots left, want 1", name, slots)
 		}
 	}
 }
 
-// Retry-After stays within its bound, and a share of the quotas is applied.
+// TestRetryAfterAndShare checks that Retry-After stays within Config.MaxRetryAfter, and that
+// a sidecar admits only its Share of the quotas.
 func TestRetryAfterAndShare(t *testing.T) {
 	config := testConfig()
 	config.Share = 0.5
@@ -155,14 +164,15 @@
 			served++
 			r.Respond(core.Response{Result: core.Served})
 		} else if retryAfter := (*responses)[0].RetryAfter; retryAfter <= 0 || retryAfter > time.Second {
-			t.Errorf("Retry-After of %v", retryAfter)
+			t.Errorf("got Retry-After %v, want above 0 and at most 1s", retryAfter)
 		}
 	}
 	if served != 5 {
-		t.Errorf("%d served of half a request a second over 10 s", served)
+		t.Errorf("served %d requests, want 5: half a request a second over 10 s", served)
 	}
 }
 
+// TestLoadRejectsInvalidConfigs checks that Load returns an error for an invalid Config.
 func TestLoadRejectsInvalidConfigs(t *testing.T) {
 	g, _ := newGate(t, testConfig())
 	for name, change := range map[string]func(*Config){
@@ -173,7 +183,7 @@
 		config := testConfig()
 		change(&config)
 		if err := g.Load(config); err == nil {
-			t.Errorf("%s: %+v is loaded", name, config)
+			t.Errorf("%s: config %+v was loaded, want an error", name, config)
 		}
 	}
 }
--- a/internal/quotas/view.go
+++ b/internal/quotas/view.go
@@ -6,8 +6,8 @@
 	"mothridge/quota"
 )
 
-// NodeView is a node's state as the admin socket gives it. Its JSON form is read by
-// other versions of the quota command.
+// NodeView is a node's state on the admin socket. Other versions of the quota command read
+// its JSON, so the JSON must not change.
 type NodeView struct {
 	Name        string      `json:"Name"`
 	Parent      string      `json:"Parent"`
@@ -15,24 +15,24 @@
 	Usage       quota.Usage `json:"Usage"`
 	Limits      []LimitView `json:"Limits"`
 	Debts       []DebtView  `json:"Owes"`
-	Rejection   string      `json:"Refusal,omitempty"`    // the last one; empty if there was none
-	RejectedAgo float64     `json:"RefusedAgo,omitempty"` // seconds since then
+	Rejection   string      `json:"Refusal,omitempty"`    // the last exceeded limit; empty if there was none
+	RejectedAgo float64     `json:"RefusedAgo,omitempty"` // seconds since the last rejection
 }
 
-// LimitView is a limit of this sidecar and what is left of it.
+// LimitView is a limit, scaled to this sidecar's share, and the tokens in its bucket.
 type LimitView struct {
 	Dimension string  `json:"Dimension"`
-	Rate      float64 `json:"Rate"`    // units a second; of concurrent the number in flight
-	Ceiling   float64 `json:"Ceiling"` // as Rate, loans included; 0: no bound
-	Window    string  `json:"Window"`  // as time.Duration has it
-	Left      float64 `json:"Left"`    // below 0 after a repayment
+	Rate      float64 `json:"Rate"`    // units a second; for concurrent, the number of requests in flight
+	Ceiling   float64 `json:"Ceiling"` // highest rate including loans; 0 means no bound
+	Window    string  `json:"Window"`  // in the format of time.Duration
+	Left      float64 `json:"Left"`    // tokens; may be below 0 after a repayment
 }
 
-// DebtView is what a node owes another.
+// DebtView is what a node owes another node in one dimension.
 type DebtView struct {
-	To        string  `json:"To"`
+	To        string  `json:"To"` // name of the creditor
 	Dimension string  `json:"Dimension"`
-	Amount    float64 `json:"Amount"`
+	Amount    float64 `json:"Amount"` // units
 }
 
 // View returns the state of every node, parents before their children.
@@ -45,6 +45,7 @@
 	return views
 }
 
+// states returns the state of every node and the time of the trees' clock.
 func (g *Gate) states() (now time.Duration, states []quota.State) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -52,6 +53,7 @@
 	return now, g.tree.Explain(now)
 }
 
+// nodeView converts a node's state at the time now.
 func nodeView(state *quota.State, now time.Duration) NodeView {
 	view := NodeView{Name: state.Name, Parent: state.Parent, Depth: state.Depth, Usage: state.Usage}
 	for _, limit := range state.Limits {
--- a/quota/admit.go
+++ b/quota/admit.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Admit decides on a request. An admitted request is charged to every limit from its
-// node up to the root, a rejected one to none. A request of an unknown node is
-// rejected without a RetryAfter.
+// Admit decides whether a request is admitted at the time now. An admitted request is
+// charged to every limit from its node up to the root; a rejected request is charged to
+// none. A request for an unknown node is rejected without a RetryAfter.
 func (t *Tree) Admit(now time.Duration, request Request) Decision {
 	leaf := t.byName[request.Node]
 	if leaf == nil {
@@ -29,7 +29,8 @@
 }
 
 // chargeNode charges a request to the limits of one node. It returns the first bucket
-// that is short and that no repayment or loan covers; nil if there is none.
+// that holds too few tokens and whose shortage no repayment or loan covers, or nil if the
+// node admits the request. Charges made before that bucket are left for the caller to undo.
 func (t *Tree) chargeNode(now time.Duration, n *node, request *Request, decision *Decision) *bucket {
 	for dimension, cost := range request.Cost {
 		if cost <= 0 {
@@ -49,7 +50,8 @@
 	return nil
 }
 
-// takeOwn charges the node's own bucket if it holds enough.
+// takeOwn charges the cost to the node's own bucket if the bucket holds enough tokens, and
+// reports whether it did.
 func (n *node) takeOwn(b *bucket, cost float64, receipt *Receipt) bool {
 	if b.tokens >= cost {
 		b.tokens -= cost
@@ -59,8 +61,9 @@
 	return false
 }
 
-// coverShortage takes a cost that a node's bucket is short of from other nodes: as a
-// repayment of their debts, else as a loan.
+// coverShortage charges to another node a cost that the node's own bucket cannot cover: as
+// a repayment of a debt if possible, otherwise as a loan. It reports whether the cost is
+// covered. The root has no siblings and is never covered.
 func (t *Tree) coverShortage(now time.Duration, n *node, b *bucket, cost float64, decision *Decision) bool {
 	if n.parent == nil {
 		return false
@@ -68,11 +71,12 @@
 	return t.takeRepayment(now, n, b, cost, decision.Receipt) || t.takeLoan(now, n, b, cost, decision)
 }
 
-// reject counts a rejection at the request's node. The limit may be an ancestor's.
-func (n *node) reject(now time.Duration, limitOf *node, b *bucket, cost float64) Decision {
+// reject counts a rejection at n, the request's node, and returns the decision. The
+// exceeded limit is that of limitNode, which is n or one of its ancestors.
+func (n *node) reject(now time.Duration, limitNode *node, b *bucket, cost float64) Decision {
 	missing := cost - b.tokens
 	n.usage.Rejected++
-	n.lastRejection = Rejection{Node: limitOf.Name, Dimension: b.Dimension, Window: b.Window, Missing: missing}
+	n.lastRejection = Rejection{Node: limitNode.Name, Dimension: b.Dimension, Window: b.Window, Missing: missing}
 	n.rejectedAt = now
 	decision := Decision{Outcome: Rejected, Rejection: n.lastRejection}
 	if b.Dimension != Concurrent && cost <= b.capacity {
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkAdmit measures a decision in trees of several sizes, within the node's own
-// share and with a loan.
+// BenchmarkAdmit measures Admit and Release in trees of several sizes, both for requests
+// within the node's own share and for requests that take a loan.
 func BenchmarkAdmit(b *testing.B) {
 	for _, siblings := range []int{2, 20, 200} {
 		config := manySiblings(siblings)
@@ -28,6 +28,7 @@
 	}
 }
 
+// manySiblings returns the configuration of a root and its children, each with one limit.
 func manySiblings(siblings int) Config {
 	limits := func(rate float64) []Limit {
 		return []Limit{{Dimension: Requests, Rate: rate, Window: time.Second}}
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -6,27 +6,30 @@
 )
 
 const (
-	// concurrentReserveShare is the share of a Concurrent limit that is not lent.
-	// Config.LenderReserve does not apply to it: a slot comes back only when a request
-	// ends.
+	// concurrentReserveShare is the share of a Concurrent limit's slots that a lender
+	// does not lend. Config.LenderReserve does not apply to Concurrent limits because
+	// time alone does not free a slot: a slot is returned only when its request ends.
 	concurrentReserveShare = 1.0 / 4
-	// maxReserveShare is the share of a bucket's capacity that Config.LenderReserve
-	// keeps at most; a short window would lend nothing otherwise.
+	// maxReserveShare is the largest share of a bucket's capacity that
+	// Config.LenderReserve may reserve. Without this bound, a bucket with a short window
+	// would lend nothing.
 	maxReserveShare = 1.0 / 2
 )
 
-// bucket is the token bucket of one limit. Its two allowances are token buckets
-// too: they bound loans and repayments within the same window.
+// bucket is the token bucket of one limit. Its two allowances are token buckets as well:
+// they bound the loans that the node takes and the repayments that it makes within the
+// limit's window.
 type bucket struct {
 	Limit
-	capacity   float64 // the most that it holds
-	tokens     float64 // what the node may use; below 0 after a repayment
-	refilledAt time.Duration
-	// loanAllowance is what the node may still borrow; it refills at Ceiling - Rate, that
-	// of Concurrent never. It has no meaning where Ceiling is 0.
+	capacity   float64       // maximum of tokens
+	tokens     float64       // available units; may be below 0 after a repayment
+	refilledAt time.Duration // time of the last refill
+	// loanAllowance is how many units the node may still borrow. It refills at
+	// Ceiling - Rate units a second, and never for a Concurrent limit. It is not used if
+	// Ceiling is 0.
 	loanAllowance float64
-	// repaymentAllowance is what the node's lenders may still take back; it refills at
-	// Config.RepaymentShare of Rate.
+	// repaymentAllowance is how many units the node's lenders may still take back. It
+	// refills at Config.RepaymentShare of Rate.
 	repaymentAllowance float64
 }
 
@@ -39,7 +42,7 @@
 	return b
 }
 
-// bucketCapacity is the most that a limit's bucket holds.
+// bucketCapacity returns the maximum number of tokens in the limit's bucket.
 func (l *Limit) bucketCapacity() float64 {
 	if l.Dimension == Concurrent {
 		return l.Rate
@@ -47,11 +50,12 @@
 	return l.Rate * l.Window.Seconds()
 }
 
-// maxLoanAllowance is the most that may be borrowed within a window.
+// maxLoanAllowance returns the maximum of loanAllowance: how many units the node may
+// borrow within a window.
 func (b *bucket) maxLoanAllowance() float64 { return b.capacity * max(0, b.Ceiling/b.Rate-1) }
 
-// refill adds what the bucket gained since its last refill. Slots of a Concurrent
-// limit return with Release instead.
+// refill adds the tokens and allowances that accumulated since the last refill. It does
+// nothing for a Concurrent limit, whose slots are returned by Release.
 func (b *bucket) refill(now time.Duration, repaymentShare float64) {
 	if b.Dimension == Concurrent {
 		return
@@ -63,10 +67,11 @@
 	b.repaymentAllowance = min(b.capacity*repaymentShare, b.repaymentAllowance+elapsed*b.Rate*repaymentShare)
 }
 
-// put returns tokens that were taken.
+// put returns tokens to the bucket, up to its capacity.
 func (b *bucket) put(amount float64) { b.tokens = min(b.capacity, b.tokens+amount) }
 
-// lendable is what the bucket may lend: its tokens less the lender's reserve.
+// lendable returns how many tokens the bucket may lend: its tokens minus the lender's
+// reserve. The result may be negative.
 func (b *bucket) lendable(lenderReserve time.Duration) float64 {
 	if b.Dimension == Concurrent {
 		return b.tokens - math.Ceil(b.Rate*concurrentReserveShare)
@@ -74,7 +79,7 @@
 	return b.tokens - min(b.capacity*maxReserveShare, b.Rate*lenderReserve.Seconds())
 }
 
-// reachesCeiling reports whether a loan would exceed the limit's ceiling.
+// reachesCeiling reports whether a loan of the amount would exceed the limit's ceiling.
 func (b *bucket) reachesCeiling(amount float64) bool {
 	return b.Ceiling > 0 && b.loanAllowance < amount
 }
--- a/quota/golden_test.go
+++ b/quota/golden_test.go
@@ -11,9 +11,12 @@
 	"mothridge/quota"
 )
 
+// goldenSteps is the number of steps of each recorded run.
 const goldenSteps = 30_000
 
-// goldenTree draws a tree of three levels with limits in every dimension.
+// goldenTree returns a random configuration of three levels: 1 root, 3 groups and 3 leaves
+// in each group. All limits are proportional to size; each node limits Requests and a
+// random selection of the other dimensions.
 func goldenTree(rng *rand.Rand, size float64) quota.Config {
 	limits := func(share float64) []quota.Limit {
 		all := []quota.Limit{{Dimension: quota.Requests, Rate: 100 * size * share, Window: 5 * time.Second}}
@@ -40,19 +43,21 @@
 		DebtLifetime:   time.Duration(rng.IntN(90)) * time.Second,
 	}
 	for i := range 3 {
-		club := fmt.Sprint("club-", i)
-		c.Nodes = append(c.Nodes, quota.Node{Name: club, Parent: "root", Weight: float64(i), Limits: limits(0.3)})
+		group := fmt.Sprint("club-", i)
+		c.Nodes = append(c.Nodes, quota.Node{Name: group, Parent: "root", Weight: float64(i), Limits: limits(0.3)})
 		for j := range 3 {
 			c.Nodes = append(c.Nodes, quota.Node{
-				Name: fmt.Sprint(club, "-", j), Parent: club, Weight: float64(j), Limits: limits(0.09),
+				Name: fmt.Sprint(group, "-", j), Parent: group, Weight: float64(j), Limits: limits(0.09),
 			})
 		}
 	}
 	return c
 }
 
-// play returns the digest of all decisions on random requests.
-func play(t *testing.T, seed uint64) string {
+// decisionDigest returns a digest of all decisions on the random requests of a seed, with
+// the number of decisions by outcome. Half-way through the run, a larger tree replaces the
+// first one.
+func decisionDigest(t *testing.T, seed uint64) string {
 	t.Helper()
 	rng, digest := rand.New(rand.NewPCG(seed, 4)), golden.NewDigest()
 	config := goldenTree(rng, 1)
@@ -60,55 +65,57 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var open []*quota.Receipt
+	var openReceipts []*quota.Receipt
 	var outcomes [3]int
-	now, busy := time.Hour, 0
+	now, busyNode := time.Hour, 0
 	for i := range goldenSteps {
 		now += time.Duration(rng.ExpFloat64() * 12 * float64(time.Millisecond))
 		if i%1500 == 0 {
-			busy = rng.IntN(len(config.Nodes))
+			busyNode = rng.IntN(len(config.Nodes))
 		}
-		if len(open) > 0 && rng.IntN(3) > 0 {
-			k := rng.IntN(len(open))
+		if len(openReceipts) > 0 && rng.IntN(3) > 0 {
+			ended := rng.IntN(len(openReceipts))
 			if rng.IntN(6) == 0 {
-				tree.Refund(open[k])
+				tree.Refund(openReceipts[ended])
 			} else {
-				tree.Release(open[k])
+				tree.Release(openReceipts[ended])
 			}
-			open[k] = open[len(open)-1]
-			open = open[:len(open)-1]
+			openReceipts[ended] = openReceipts[len(openReceipts)-1]
+			openReceipts = openReceipts[:len(openReceipts)-1]
 		}
-		node := config.Nodes[busy]
+		node := config.Nodes[busyNode]
 		if rng.IntN(3) == 0 {
 			node = config.Nodes[rng.IntN(len(config.Nodes))]
 		}
-		d := tree.Admit(now, quota.Request{Node: node.Name, Retry: rng.IntN(8) == 0, Cost: quota.Cost{
+		decision := tree.Admit(now, quota.Request{Node: node.Name, Retry: rng.IntN(8) == 0, Cost: quota.Cost{
 			quota.Requests: 1, quota.Priority: rng.Float64() * 4, quota.Bytes: float64(rng.IntN(2000)), quota.Concurrent: 1,
 		}})
-		outcomes[d.Outcome]++
-		if d.Receipt != nil {
-			open = append(open, d.Receipt)
+		outcomes[decision.Outcome]++
+		if decision.Receipt != nil {
+			openReceipts = append(openReceipts, decision.Receipt)
 		}
-		digest.Numbers('d', int64(d.Outcome), int64(d.RetryAfter), int64(d.Rejection.Dimension), int64(d.Rejection.Window))
-		digest.Float('s', d.Rejection.Missing)
-		digest.Text('n', d.Rejection.Node+"\t"+strings.Join(d.Lenders, "\t"))
+		digest.Numbers('d', int64(decision.Outcome), int64(decision.RetryAfter),
+			int64(decision.Rejection.Dimension), int64(decision.Rejection.Window))
+		digest.Float('s', decision.Rejection.Missing)
+		digest.Text('n', decision.Rejection.Node+"\t"+strings.Join(decision.Lenders, "\t"))
 		if i%1000 == 0 {
-			record(digest, tree.Explain(now))
+			digestStates(digest, tree.Explain(now))
 		}
 		if i == goldenSteps/2 {
 			config = goldenTree(rng, 1.5)
-			grown, err := quota.New(config)
+			larger, err := quota.New(config)
 			if err != nil {
 				t.Fatal(err)
 			}
-			grown.RestoreFrom(tree, now)
-			tree, open = grown, nil
+			larger.RestoreFrom(tree, now)
+			tree, openReceipts = larger, nil
 		}
 	}
 	return fmt.Sprintf("%s %d", digest, outcomes)
 }
 
-func record(digest golden.Digest, states []quota.State) {
+// digestStates adds the counters, tokens and debts of each node to the digest.
+func digestStates(digest golden.Digest, states []quota.State) {
 	for _, state := range states {
 		usage := state.Usage
 		digest.Numbers('u', int64(state.Depth), int64(usage.WithinShare), int64(usage.Borrowed),
@@ -123,13 +130,14 @@
 	}
 }
 
-// The decisions stay as they were recorded. Record them anew with
+// TestGoldenDecisions guards against unintended changes of decisions: all decisions on
+// random requests must equal the recorded ones in testdata. To record them again, run
 //
 //	go test ./quota -run Golden -update
 func TestGoldenDecisions(t *testing.T) {
 	var got strings.Builder
 	for seed := range uint64(8) {
-		fmt.Fprintf(&got, "seed %d: %s\n", seed, play(t, seed))
+		fmt.Fprintf(&got, "seed %d: %s\n", seed, decisionDigest(t, seed))
 	}
 	golden.Check(t, "decisions", got.String())
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// twoTenants returns the quotas of two tenants with unequal shares of a service, whose
-// rate is in requests a second over 10 s.
+// twoTenants returns the configuration of a service with two tenants, which have 79% and
+// 21% of its rate. rate is the service's limit in requests a second, over a window of 10 s.
 func twoTenants(rate float64) Config {
 	limits := func(share float64) []Limit {
 		return []Limit{{Dimension: Requests, Rate: rate * share, Window: 10 * time.Second}}
@@ -24,6 +24,7 @@
 	}
 }
 
+// newTree builds a tree and ends the test on an error.
 func newTree(t testing.TB, config Config) *Tree {
 	t.Helper()
 	tree, err := New(config)
@@ -33,16 +34,18 @@
 	return tree
 }
 
+// oneRequest returns a request that costs 1 in the dimension Requests.
 func oneRequest(node string) Request { return Request{Node: node, Cost: Cost{Requests: 1}} }
 
+// oneRetry returns the request of oneRequest, marked as a retry by the client.
 func oneRetry(node string) Request {
 	request := oneRequest(node)
 	request.Retry = true
 	return request
 }
 
-// admitted sends requests at even intervals, at each node's rate a second, and counts
-// those that are admitted.
+// admitted sends requests to each node at even intervals, at the node's rate in requests a
+// second, and returns the number of admitted requests by node.
 func admitted(
 	tree *Tree, from, to time.Duration, rates map[string]float64, request func(node string) Request,
 ) map[string]int {
@@ -73,48 +76,51 @@
 	return counts
 }
 
-// A busy tenant uses what an idle one leaves; the idle one has its share at once when it
-// becomes busy; the loan is repaid; in the long run each is within 5% of its share.
+// TestLendAndRepay checks that a busy tenant uses the capacity that an idle tenant leaves
+// unused, that the idle tenant has its share within the first second after it becomes busy,
+// that the loan is repaid, and that in the long run each tenant is within 5% of its share.
 func TestLendAndRepay(t *testing.T) {
 	tree := newTree(t, twoTenants(100))
 	alone := admitted(tree, 0, 60*time.Second, map[string]float64{"lockyer": 200}, oneRequest)
 	if n := float64(alone["lockyer"]); n < 0.8*100*60 || n > 100*60+1000 {
-		t.Errorf("alone a tenant of 21 a second had %v in a minute, want nearly all of 100 a second", n)
+		t.Errorf("lockyer alone: admitted %v requests in 60 s, want between 4800 and 7000", n)
 	}
 	debts := tree.Explain(60 * time.Second)[2].Debts
 	if len(debts) != 1 || debts[0].To != "downs" || debts[0].Amount > 21*0.1*60+1 || debts[0].Amount < 60 {
-		t.Errorf("its debts are %+v, want something up to a tenth of its minute", debts)
+		t.Errorf("lockyer's debts: got %+v, want one debt to downs between 60 and 127", debts)
 	}
-	both := map[string]float64{"downs": 300, "lockyer": 300}
-	firstSecond := admitted(tree, 60*time.Second, 61*time.Second, both, oneRequest)
+	rates := map[string]float64{"downs": 300, "lockyer": 300}
+	firstSecond := admitted(tree, 60*time.Second, 61*time.Second, rates, oneRequest)
 	if firstSecond["downs"] < 79 {
-		t.Errorf("busy again, the lender had %d of its 79 in the first second", firstSecond["downs"])
+		t.Errorf("lender in its first busy second: admitted %d requests, want at least 79", firstSecond["downs"])
 	}
-	nextMinute := admitted(tree, 61*time.Second, 121*time.Second, both, oneRequest)
+	nextMinute := admitted(tree, 61*time.Second, 121*time.Second, rates, oneRequest)
 	if ratio := float64(nextMinute["downs"]) / (79 * 60); ratio < 1.005 || ratio > 1.05 {
-		t.Errorf("in the minute after, the lender had %.3f of its share, want a little more than all", ratio)
+		t.Errorf("lender in the next minute: admitted %.3f of its share, want between 1.005 and 1.05", ratio)
 	}
-	longRun := admitted(tree, 121*time.Second, 1321*time.Second, both, oneRequest)
+	longRun := admitted(tree, 121*time.Second, 1321*time.Second, rates, oneRequest)
 	for name, share := range map[string]float64{"downs": 79, "lockyer": 21} {
 		if ratio := float64(longRun[name]) / (share * 1200); math.Abs(ratio-1) > 0.05 {
-			t.Errorf("%s had %.3f of its share in the long run", name, ratio)
+			t.Errorf("%s in the long run: admitted %.3f of its share, want between 0.95 and 1.05", name, ratio)
 		}
 	}
 }
 
-// A storm of marked retries is charged to the node's own share alone.
+// TestRetriesBorrowNothing guards against a retry storm that uses up loans: requests
+// marked as retries are charged only to the node's own share.
 func TestRetriesBorrowNothing(t *testing.T) {
 	tree := newTree(t, twoTenants(100))
 	got := admitted(tree, 0, 60*time.Second, map[string]float64{"lockyer": 500}, oneRetry)["lockyer"]
 	if got > 21*60+210+1 {
-		t.Errorf("retries had %d in a minute, want its 21 a second and what was saved", got)
+		t.Errorf("admitted %d retries in 60 s, want at most 1471: 21 a second and a full bucket of 210", got)
 	}
 	if tree.Explain(60 * time.Second)[1].Usage.Lent > 0 {
-		t.Error("retries borrowed")
+		t.Error("retries took loans from downs, want none")
 	}
 }
 
-// Borrowers share by their weight, and one at its ceiling does not hold up the others.
+// TestBorrowersShareByWeight checks that borrowers share loans in proportion to their
+// weights, and that a borrower at its ceiling does not keep its siblings from borrowing.
 func TestBorrowersShareByWeight(t *testing.T) {
 	limits := func(rate, ceiling float64) []Limit {
 		return []Limit{{Dimension: Requests, Rate: rate, Window: 10 * time.Second, Ceiling: ceiling}}
@@ -132,31 +138,34 @@
 	light, heavy := float64(counts["light"])/60-10, float64(counts["heavy"])/60-10
 	capped := float64(counts["capped"]) / 60
 	if light+heavy < 85 || heavy/light < 2.5 || heavy/light > 3.5 {
-		t.Errorf("borrowed a second: %.1f and %.1f, want 95 as 1 to 3", light, heavy)
+		t.Errorf("borrowed a second: light %.1f, heavy %.1f, want a sum of at least 85 and heavy/light of 2.5 to 3.5",
+			light, heavy)
 	}
 	if capped > 15.5 || capped < 14 {
-		t.Errorf("capped at 15 a second: %.1f", capped)
+		t.Errorf("capped: admitted %.1f a second, want between 14 and 15.5", capped)
 	}
 }
 
-// After RetryAfter, and not before, the own share suffices.
+// TestRetryAfter checks that a rejected retry is admitted within its node's own share once
+// RetryAfter has passed, and not before.
 func TestRetryAfter(t *testing.T) {
 	tree := newTree(t, twoTenants(10))
 	for tree.Admit(0, oneRetry("lockyer")).Outcome != Rejected {
 	}
 	decision := tree.Admit(0, oneRetry("lockyer"))
 	if decision.RetryAfter <= 0 || decision.Rejection.Node != "lockyer" || decision.Receipt != nil {
-		t.Fatalf("%+v", decision)
+		t.Fatalf("got %+v, want a rejection by lockyer with a RetryAfter and without a receipt", decision)
 	}
 	if early := tree.Admit(decision.RetryAfter-time.Millisecond, oneRetry("lockyer")); early.Outcome != Rejected {
-		t.Error("admitted before RetryAfter has passed")
+		t.Error("admitted 1 ms before RetryAfter has passed")
 	}
 	if onTime := tree.Admit(decision.RetryAfter, oneRetry("lockyer")); onTime.Outcome != WithinShare {
-		t.Errorf("after RetryAfter: %+v", onTime)
+		t.Errorf("after RetryAfter: got %+v, want the outcome WithinShare", onTime)
 	}
 }
 
-// A tree that replaces another takes over its balances, as shares of its limits.
+// TestRestoreFrom checks that a tree that replaces another one takes over the tokens of each
+// limit as a share of its capacity, and the counters and debts of each node.
 func TestRestoreFrom(t *testing.T) {
 	const reloadAt = 30 * time.Second
 	old := newTree(t, twoTenants(100))
@@ -172,7 +181,7 @@
 	for i, name := range []string{"service", "downs", "new", "lockyer"} {
 		state := tree.Explain(reloadAt)[i]
 		if state.Name != name {
-			t.Errorf("node %d is %s, want %s", i, state.Name, name)
+			t.Errorf("name of node %d: got %s, want %s", i, state.Name, name)
 		}
 		previous, restored := before[name]
 		if !restored {
@@ -180,10 +189,10 @@
 		}
 		doubled := 2 * previous.Limits[0].Left
 		if math.Abs(state.Limits[0].Left-doubled) > 1e-6 {
-			t.Errorf("%s: %v left, before %v", name, state.Limits, previous.Limits)
+			t.Errorf("%s: got limits %v, want twice the tokens of %v", name, state.Limits, previous.Limits)
 		}
 		if state.Usage != previous.Usage || len(state.Debts) != len(previous.Debts) {
-			t.Errorf("%s: %+v, before %+v", name, state, previous)
+			t.Errorf("%s: got state %+v, want the usage and debts of %+v", name, state, previous)
 		}
 	}
 }
--- a/quota/random_test.go
+++ b/quota/random_test.go
@@ -8,34 +8,35 @@
 	"time"
 )
 
-// openRequest is an admitted request that has not ended.
+// openRequest is an admitted request that was neither released nor refunded yet.
 type openRequest struct {
 	node    string
 	receipt *Receipt
 }
 
-// randomRun sends random requests to a random tree, and counts what is admitted without
-// the tree's arithmetic.
+// randomRun sends random requests to a random tree. It counts the admitted requests itself,
+// independently of the tree's arithmetic.
 type randomRun struct {
 	t       *testing.T
 	seed    uint64
 	rng     *rand.Rand
 	config  Config
 	tree    *Tree
-	rate    float64 // of the root
+	rate    float64 // of the root, in requests a second
 	windows []time.Duration
 	now     time.Duration
 
-	admitted map[string]float64 // requests by node, without those that were refunded
-	inFlight map[string]int     // by node
+	admitted map[string]float64 // requests by node, without refunded ones
+	inFlight map[string]int     // requests by node
 	open     []openRequest
 	borrowed int
 	refunds  int
 }
 
-// On random trees and requests: no more is admitted than the buckets held and gained; a
-// charge is returned once and wholly; requests in flight stay within their limit; debts
-// are bounded.
+// TestRandomRequests checks these invariants on random trees and requests: no more is
+// admitted than the buckets held and gained; Release and Refund take effect once; a refund
+// never decreases the tokens; requests in flight stay within their limits; debts are
+// bounded.
 func TestRandomRequests(t *testing.T) {
 	borrowed, refunds, repaid := 0, 0, uint64(0)
 	for seed := range uint64(150) {
@@ -50,10 +51,11 @@
 		}
 	}
 	if borrowed < 1000 || repaid < 10 || refunds < 1000 {
-		t.Errorf("%d loans, %d repayments, %d refunds: that shows little", borrowed, repaid, refunds)
+		t.Errorf("got %d loans, %d repayments, %d refunds, want at least 1000, 10 and 1000", borrowed, repaid, refunds)
 	}
 }
 
+// newRandomRun returns a run with a random tree: a root and 2 to 5 leaves.
 func newRandomRun(t *testing.T, seed uint64) *randomRun {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	config := Config{
@@ -77,6 +79,8 @@
 	}
 }
 
+// randomLimits returns a limit of requests for each window, some with a ceiling, and in half
+// of the cases a Concurrent limit.
 func randomLimits(rng *rand.Rand, windows []time.Duration, rate float64) []Limit {
 	var limits []Limit
 	for _, window := range windows {
@@ -92,11 +96,11 @@
 	return limits
 }
 
-// step ends an open request or sends one, and checks the invariants.
+// step either ends an open request or sends a new one, and checks the invariants.
 func (run *randomRun) step(step int) {
 	run.now += time.Duration(run.rng.ExpFloat64() * float64(time.Second) / run.rate / 1.5)
 	leaves := len(run.config.Nodes) - 1
-	node := fmt.Sprint(1 + run.rng.IntN(leaves)*run.rng.IntN(2)) // the first sends more
+	node := fmt.Sprint(1 + run.rng.IntN(leaves)*run.rng.IntN(2)) // more requests for the first leaf
 	if len(run.open) > 0 && run.rng.IntN(4) == 0 {
 		run.endRequest(step)
 		return
@@ -108,7 +112,8 @@
 	}
 }
 
-// endRequest ends a random open request, then a second time, which must have no effect.
+// endRequest releases or refunds a random open request, then does both again, which must
+// have no effect.
 func (run *randomRun) endRequest(step int) {
 	i := run.rng.IntN(len(run.open))
 	request := run.open[i]
@@ -126,25 +131,25 @@
 	run.tree.Refund(request.receipt)
 	run.tree.Release(request.receipt)
 	if again := run.tree.totalTokens(); math.Abs(again-after) > 1e-9 || after < before-1e-9 {
-		run.t.Fatalf("seed %d, step %d: tokens %v, after the return %v, after a second one %v",
+		run.t.Fatalf("seed %d, step %d: %v tokens, %v after the end (want no fewer), %v after a second end (want the same)",
 			run.seed, step, before, after, again)
 	}
 }
 
-// sendRequest reports whether a request was admitted.
+// sendRequest sends a request to a node and reports whether it was admitted.
 func (run *randomRun) sendRequest(node string) bool {
 	request := Request{Node: node, Cost: Cost{Requests: 1, Concurrent: 1}, Retry: run.rng.IntN(5) == 0}
 	decision := run.tree.Admit(run.now, request)
 	switch decision.Outcome {
 	case Rejected:
 		if decision.Receipt != nil || decision.Rejection == (Rejection{}) {
-			run.t.Fatalf("seed %d: %+v", run.seed, decision)
+			run.t.Fatalf("seed %d: got %+v, want a rejection without a receipt and with its limit", run.seed, decision)
 		}
 		return false
 	case Borrowed:
 		run.borrowed++
 		if len(decision.Lenders) == 0 {
-			run.t.Fatalf("seed %d: borrowed without a lender", run.seed)
+			run.t.Fatalf("seed %d: got outcome borrowed without a lender, want at least one lender", run.seed)
 		}
 	}
 	run.admitted[node]++
@@ -153,8 +158,9 @@
 	return true
 }
 
-// checkAdmitted bounds what was admitted by what all buckets of a window held at first,
-// gained since, and may be below 0 by repayments.
+// checkAdmitted checks, for each window, that no more was admitted than the root's rate
+// allows: its bucket's initial tokens and what it gained since then, plus the share by which
+// repayments may take buckets below 0.
 func (run *randomRun) checkAdmitted(step int) {
 	sum := 0.0
 	for _, n := range run.admitted {
@@ -163,25 +169,28 @@
 	for _, window := range run.windows {
 		bound := run.rate * (window + run.now).Seconds() * (1 + run.config.RepaymentShare)
 		if sum > bound+1e-6 {
-			run.t.Fatalf("seed %d, step %d at %v: %v admitted, %v at the most over %v",
+			run.t.Fatalf("seed %d, step %d at %v: admitted %v requests, want at most %v over a window of %v",
 				run.seed, step, run.now, sum, bound, window)
 		}
 	}
 }
 
+// checkDebts checks that each debt is within RepaymentShare of what the debtor's limits gain
+// in DebtLifetime. The bound is generous: it is the sum over all windows.
 func (run *randomRun) checkDebts() {
 	lifetime := run.config.DebtLifetime.Seconds() * float64(len(run.windows))
 	for _, n := range run.tree.nodes[1:] {
 		bound := n.buckets[Requests][0].Rate * run.config.RepaymentShare * lifetime
 		for _, debt := range n.debts {
 			if debt.dimension == Requests && debt.amount > bound+1e-9 {
-				run.t.Fatalf("seed %d: %s owes %v, %v at the most", run.seed, n.Name, debt.amount, bound)
+				run.t.Fatalf("seed %d: %s owes %v, want at most %v", run.seed, n.Name, debt.amount, bound)
 			}
 		}
 	}
 }
 
-// checkInFlight applies to trees where every leaf has a Concurrent limit.
+// checkInFlight checks that the requests in flight are within the sum of the Concurrent
+// limits. It applies only to trees in which every leaf has a Concurrent limit.
 func (run *randomRun) checkInFlight() {
 	leaves := run.tree.nodes[1:]
 	total, bound := 0, 0.0
@@ -195,11 +204,11 @@
 		}
 	}
 	if float64(total) > bound {
-		run.t.Fatalf("seed %d: %d in flight at %d nodes, %v at the most", run.seed, total, len(leaves), bound)
+		run.t.Fatalf("seed %d: %d requests in flight at %d nodes, want at most %v", run.seed, total, len(leaves), bound)
 	}
 }
 
-// totalTokens is what all buckets hold.
+// totalTokens returns the sum of the tokens of all buckets.
 func (t *Tree) totalTokens() float64 {
 	sum := 0.0
 	for _, n := range t.nodes {
--- a/quota/receipt.go
+++ b/quota/receipt.go
@@ -1,28 +1,28 @@
 package quota
 
-// drawKind is why tokens were taken out of a bucket.
+// drawKind is the reason for which tokens were taken from a bucket.
 type drawKind uint8
 
 const (
-	ownDraw       drawKind = iota // the node's own share
-	loanDraw                      // lent by the source to the recipient
-	repaymentDraw                 // repaid by the source to the recipient
+	ownDraw       drawKind = iota // charge to the node's own share
+	loanDraw                      // loan by the source to the recipient
+	repaymentDraw                 // repayment by the source to the recipient
 )
 
-// draw is an amount taken out of a bucket.
+// draw is an amount of tokens taken from a bucket.
 type draw struct {
 	kind      drawKind
-	source    *node // whose bucket it is
+	source    *node // the node that owns the bucket
 	bucket    *bucket
 	amount    float64
-	recipient *node // of a loan: the borrower; of a repayment: the creditor
-	// recipientBucket, of a loan, is the borrower's, whose loan allowance it used up.
+	recipient *node // for a loan, the borrower; for a repayment, the creditor
+	// recipientBucket is, for a loan, the borrower's bucket whose loan allowance was reduced.
 	recipientBucket *bucket
-	debtIncrease    float64 // of a loan: by how much the borrower's debt grew
+	debtIncrease    float64 // for a loan, by how much the borrower's debt grew
 }
 
-// Receipt is what an admitted request was charged. Each of Release and Refund takes
-// effect once, and Refund only before Release.
+// Receipt records what an admitted request was charged. Release and Refund each take
+// effect once, and Refund takes effect only before Release.
 type Receipt struct {
 	draws    []draw
 	released bool
@@ -31,8 +31,8 @@
 
 func (r *Receipt) add(d draw) { r.draws = append(r.draws, d) }
 
-// Release ends a request that ran: its Concurrent slots are free again. It accepts a
-// nil receipt, and does nothing the second time.
+// Release ends a request that ran: it returns the request's Concurrent slots. It accepts a
+// nil receipt, and does nothing if the receipt was released or refunded before.
 func (t *Tree) Release(r *Receipt) {
 	if r == nil || r.released {
 		return
@@ -45,9 +45,9 @@
 	}
 }
 
-// Refund ends a request that never ran and returns all of its charge. The counts of
-// Usage.WithinShare and Usage.Borrowed stay. It accepts a nil receipt, and does
-// nothing the second time or after Release.
+// Refund ends a request that never ran: it returns everything that was charged. The
+// counters Usage.WithinShare and Usage.Borrowed are not decremented. It accepts a nil
+// receipt, and does nothing if the receipt was released or refunded before.
 func (t *Tree) Refund(r *Receipt) {
 	if r == nil || r.refunded || r.released {
 		return
@@ -56,7 +56,7 @@
 	r.undo()
 }
 
-// undo returns all that was taken, with its loans and repayments.
+// undo returns all tokens that were taken, and reverses the loans and repayments.
 func (r *Receipt) undo() {
 	for _, d := range r.draws {
 		d.bucket.put(d.amount)
@@ -71,6 +71,8 @@
 	r.draws = r.draws[:0]
 }
 
+// undoLoan restores the borrower's loan allowance and virtual time, the lender's counter and
+// the debt.
 func (d *draw) undoLoan() {
 	dimension := d.bucket.Dimension
 	b := d.recipientBucket
@@ -82,6 +84,7 @@
 	}
 }
 
+// undoRepayment restores the debtor's repayment allowance and debt, and the creditor's counter.
 func (d *draw) undoRepayment() {
 	d.bucket.repaymentAllowance += d.amount
 	d.recipient.usage.Repaid--
--- a/quota/state.go
+++ b/quota/state.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Usage counts a node's requests.
+// Usage holds a node's counters of requests, loans and repayments.
 type Usage struct {
-	WithinShare uint64 `json:"Own" metric:"own"`           // its requests admitted within its share
-	Borrowed    uint64 `json:"Borrowed" metric:"borrowed"` // its requests admitted with a loan
-	Rejected    uint64 `json:"Refused" metric:"refused"`   // its requests that exceeded a limit
+	WithinShare uint64 `json:"Own" metric:"own"`           // the node's requests admitted within its share
+	Borrowed    uint64 `json:"Borrowed" metric:"borrowed"` // the node's requests admitted with a loan
+	Rejected    uint64 `json:"Refused" metric:"refused"`   // the node's requests that exceeded a limit
 	Lent        uint64 `json:"Lent" metric:"lent"`         // loans to other nodes
-	Repaid      uint64 `json:"Repaid" metric:"repaid"`     // repayments that it took
+	Repaid      uint64 `json:"Repaid" metric:"repaid"`     // repayments from other nodes
 }
 
-// State is a node's state, as Explain shows it.
+// State is a node's state, as returned by Explain.
 type State struct {
 	Name, Parent  string
 	Depth         int // 0 for the root
@@ -19,23 +19,23 @@
 	Limits        []LimitState
 	Debts         []Debt
 	LastRejection Rejection
-	RejectedAt    time.Duration // when LastRejection was
+	RejectedAt    time.Duration // time of LastRejection
 }
 
-// LimitState is a limit and the tokens left of it; below 0 after a repayment.
+// LimitState is a limit and the tokens in its bucket.
 type LimitState struct {
 	Limit
-	Left float64
+	Left float64 // tokens; may be below 0 after a repayment
 }
 
-// Debt is what a node owes another.
+// Debt is what a node owes another node in one dimension.
 type Debt struct {
-	To        string // the creditor
+	To        string // name of the creditor
 	Dimension Dimension
-	Amount    float64
+	Amount    float64 // units
 }
 
-// Explain returns the state of every node as of now, parents before their children.
+// Explain returns the state of every node at the time now, parents before their children.
 func (t *Tree) Explain(now time.Duration) []State {
 	states := make([]State, 0, len(t.nodes))
 	for _, n := range t.nodes {
@@ -72,9 +72,10 @@
 	return states
 }
 
-// RestoreFrom takes over the balances of a tree that this one replaces, for the nodes
-// and limits that both have. It is called once, before the first Admit. Receipts of the
-// old tree remain the old tree's: their Concurrent slots do not return to this one.
+// RestoreFrom copies the counters, tokens and debts of a tree that t replaces, for the
+// nodes and limits that both trees have. It must be called once, before the first Admit.
+// Receipts of the old tree still belong to the old tree: their Concurrent slots are not
+// returned to t.
 func (t *Tree) RestoreFrom(old *Tree, now time.Duration) {
 	for _, n := range t.nodes {
 		previous := old.byName[n.Name]
@@ -88,8 +89,8 @@
 	}
 }
 
-// restoreTokens fills each bucket to the same share of its capacity as before: a limit
-// that was raised is not full at once.
+// restoreTokens fills each bucket to the same share of its capacity as before, so that a
+// raised limit does not start with a full bucket.
 func (t *Tree) restoreTokens(n, previous *node, now time.Duration) {
 	for dimension := range dimensions {
 		for i := range n.buckets[dimension] {
@@ -105,7 +106,7 @@
 	}
 }
 
-// restoreDebts takes over the debts to nodes that this tree has too.
+// restoreDebts copies the debts to nodes that also exist in t.
 func (t *Tree) restoreDebts(n, previous *node) {
 	for _, d := range previous.debts {
 		if creditor := t.byName[d.creditor.Name]; creditor != nil {
--- a/quota/tree.go
+++ b/quota/tree.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Tree admits requests within the quotas of a Config. It is not safe for concurrent
-// use, and never blocks.
+// Tree admits requests within the quotas of a Config. It is not safe for concurrent use.
+// Its methods never block.
 type Tree struct {
 	config Config
-	nodes  []*node // parents before their children
-	byName map[string]*node
+	nodes  []*node          // parents before their children
+	byName map[string]*node // nodes by Node.Name
 }
 
-// node is a Node with its state.
+// node is a Node of the configuration with its state.
 type node struct {
 	Node
 	parent   *node
 	children []*node
 	depth    int // 0 for the root
 	buckets  [dimensions][]bucket
-	debts    []debt           // what it owes, one entry for each creditor and dimension
-	flows    [dimensions]flow // its place among the siblings that borrow
+	debts    []debt           // what the node owes, one entry for each creditor and dimension
+	flows    [dimensions]flow // state as a borrower, by dimension
 
 	usage         Usage
 	lastRejection Rejection
 	rejectedAt    time.Duration
 }
 
-// New builds a tree whose buckets are full. A fault of a node is a *NodeError, which
-// says what would be right.
+// New builds a tree whose buckets are full. If a node is invalid, the error is a *NodeError
+// that states the violated rule.
 func New(config Config) (*Tree, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 	return t, nil
 }
 
-// add checks a node and puts it under its parent.
+// add validates a node and adds it to the tree. position is its index in Config.Nodes.
 func (t *Tree) add(config Node, position int) error {
 	if err := t.validateIdentity(config, position); err != nil {
 		return err
@@ -66,34 +66,34 @@
 		if err := limit.validate(); err != nil {
 			return err
 		}
-		full := newBucket(limit, t.config.RepaymentShare)
-		n.buckets[limit.Dimension] = append(n.buckets[limit.Dimension], full)
+		fullBucket := newBucket(limit, t.config.RepaymentShare)
+		n.buckets[limit.Dimension] = append(n.buckets[limit.Dimension], fullBucket)
 	}
 	t.byName[n.Name] = n
 	t.nodes = append(t.nodes, n)
 	return nil
 }
 
-// attach links a node to its parent.
+// attach links a node to its parent, which must be in the tree already.
 func (t *Tree) attach(n *node) error {
 	n.parent = t.byName[n.Parent]
 	if n.parent == nil {
-		return fmt.Errorf("the parent %q is not there before it: a cycle, or a name that is wrong", n.Parent)
+		return fmt.Errorf("parent %q must be defined before its children: wrong name or a cycle of parents", n.Parent)
 	}
 	n.depth = n.parent.depth + 1
 	if n.depth >= MaxDepth {
-		return fmt.Errorf("nested %d deep: %d at most", n.depth+1, MaxDepth)
+		return fmt.Errorf("depth of %d exceeds the maximum of %d levels", n.depth+1, MaxDepth)
 	}
 	n.parent.children = append(n.parent.children, n)
 	return nil
 }
 
-// findBucket returns the node's bucket of the same dimension and window as another
-// node's; nil if it has none.
-func (n *node) findBucket(like *bucket) *bucket {
-	buckets := n.buckets[like.Dimension]
+// findBucket returns the node's bucket with the same dimension and window as other, a
+// bucket of another node. It returns nil if there is none.
+func (n *node) findBucket(other *bucket) *bucket {
+	buckets := n.buckets[other.Dimension]
 	for i := range buckets {
-		if buckets[i].Window == like.Window {
+		if buckets[i].Window == other.Window {
 			return &buckets[i]
 		}
 	}
