--- a/internal/plugin/cases.go
+++ b/internal/plugin/cases.go
@@ -8,21 +8,21 @@
 	"mothridge/internal/hook"
 )
 
-// Case is an event with the expected effects of a program.
+// Case is an event and the effects that a program is expected to have on it.
 type Case struct {
 	Name    string    `json:"name"`
 	Event   EventJSON `json:"event"`
-	Repeat  int       `json:"repeat"`  // runs, of which the last one's effects are compared; 0: one
-	Effects []string  `json:"effects"` // as Describe returns them
-	Error   string    `json:"error"`   // a part of the expected error; "": the run succeeds
+	Repeat  int       `json:"repeat"`  // number of runs; the effects of the last run are compared; 0 means 1
+	Effects []string  `json:"effects"` // expected effects, in the format of Describe
+	Error   string    `json:"error"`   // substring of the expected error; empty if the run must succeed
 }
 
-// CasesFile returns the path of a program's cases, which stand beside it.
+// CasesFile returns the path of the file with a program's cases, which is in the program's folder.
 func CasesFile(program string) string { return strings.TrimSuffix(program, ".hook") + ".cases.json" }
 
-// Test runs the cases of a program, each with a state of its own, and calls report with each case's
-// difference, "" if there is none. The error is that of reading the files, or counts the cases that
-// differ; a file without a case is an error too.
+// Test runs the cases of the program at path, each with its own empty state. For each case it calls
+// report with the difference between the expected and the actual effects, which is empty if they are
+// equal. It returns an error if a file cannot be read, if there are no cases or if a case differs.
 func Test(path string, report func(name string, diff string)) error {
 	program, err := hook.Load(path)
 	if err != nil {
@@ -42,14 +42,15 @@
 		report(cases[i].Name, diff)
 	}
 	if differing > 0 {
-		return fmt.Errorf("%s: %d of %d cases went otherwise", file, differing, len(cases))
+		return fmt.Errorf("%s: %d of %d cases failed", file, differing, len(cases))
 	}
 	if len(cases) == 0 {
-		return fmt.Errorf("%s: there is no case", file)
+		return fmt.Errorf("%s: no cases found", file)
 	}
 	return nil
 }
 
+// readCases reads a file of cases. An error names the file and the line.
 func readCases(file string) ([]Case, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return cases, nil
 }
 
-// run runs a case and returns the difference line by line, "" if there is none.
+// run runs a case and returns the difference line by line. It is empty if there is none.
 func (c *Case) run(program *hook.Program) string {
 	effects, err := c.lastEffects(program)
 	switch {
@@ -74,11 +75,13 @@
 	return difference(c.Effects, effects)
 }
 
+// expects reports whether err is the error that the case expects.
 func (c *Case) expects(err error) bool {
 	return err != nil && strings.Contains(err.Error(), c.Error)
 }
 
-// lastEffects runs the program as often as the case says, and returns the last run's effects and error.
+// lastEffects runs the program Repeat times, at least once, and returns the effects and the error of the
+// last run.
 func (c *Case) lastEffects(program *hook.Program) (effects []string, err error) {
 	trial := NewTrial(program, hook.Limits{})
 	for range max(1, c.Repeat) {
@@ -92,8 +95,8 @@
 	return effects, err
 }
 
-// difference compares two lists entry by entry: "- " is before what is missing, "+ " before what is
-// not expected, "  " before what is in both.
+// difference compares two lists entry by entry. In the result, the prefix "- " marks a missing entry,
+// "+ " an unexpected entry, and "  " an entry of both lists. It returns "" if the lists are equal.
 func difference(want, got []string) string {
 	var out strings.Builder
 	isSame := true
--- a/internal/plugin/effects.go
+++ b/internal/plugin/effects.go
@@ -10,30 +10,31 @@
 	"mothridge/internal/hook"
 )
 
-// Bounds of what a plug-in may request.
+// Bounds of a plug-in's effects.
 const (
-	maxHeaderBytes = 16 << 10 // of a request's header with what was set
-	maxReasonBytes = 200      // of a refusal
-	maxPause       = time.Hour
+	maxHeaderBytes = 16 << 10  // size of a request's header after the plug-in's changes
+	maxReasonBytes = 200       // length of the reason of a rejection
+	maxPause       = time.Hour // Retry-After of a rejection
 )
 
-// fieldOverhead is what a header field takes beside its name and value, in bytes.
+// fieldOverhead is the size of a header field without its name and value, in bytes.
 const fieldOverhead = len(": \r\n")
 
-// transaction collects the effects of a request's hook. Nothing is changed before apply.
+// transaction collects the effects of a request hook. The request is not changed before apply.
 type transaction struct {
 	gate    *Gate
 	plugin  *Plugin
 	request *core.Request
 
-	fields   map[string][]string // the header as it is to be; nil: unchanged
-	tenant   int
-	counters []string
-	refusal  *core.Response
+	fields   map[string][]string // the new header; nil if it is unchanged
+	tenant   int                 // the new tenant
+	counters []string            // names of the counters to which 1 is added
+	refusal  *core.Response      // the response, if the plug-in rejects the request
 }
 
-// accept checks all effects and only then carries them out. It returns the response of a refusal.
-func (g *Gate) accept(p *Plugin, r *core.Request, effects []hook.Effect) (refusal *core.Response, err error) {
+// accept checks all effects of a request hook before it applies them. It returns the response if the
+// plug-in rejects the request.
+func (g *Gate) accept(p *Plugin, r *core.Request, effects []hook.Effect) (rejection *core.Response, err error) {
 	t := transaction{gate: g, plugin: p, request: r, tenant: r.Tenant}
 	for i := range effects {
 		if err := t.add(&effects[i]); err != nil {
@@ -50,7 +51,7 @@
 	return t.refusal, nil
 }
 
-// add checks an effect.
+// add checks an effect and adds it to the transaction.
 func (t *transaction) add(e *hook.Effect) error {
 	switch e.Kind {
 	case hook.SetHeader:
@@ -65,12 +66,12 @@
 		t.counters = append(t.counters, e.Name)
 	case hook.Refuse:
 		return t.refuse(e)
-	case hook.Label: // the checker allows it in other hooks only
+	case hook.Label: // the language's checker does not allow labels in request hooks
 	}
 	return nil
 }
 
-// apply changes the request, unless it is refused.
+// apply changes the request, unless the plug-in rejects it.
 func (t *transaction) apply() {
 	if t.refusal != nil {
 		return
@@ -81,7 +82,7 @@
 	t.request.Tenant = t.tenant
 }
 
-// copyFields makes fields a copy of the request's header.
+// copyFields sets fields to a copy of the request's header, unless it is set already.
 func (t *transaction) copyFields() {
 	if t.fields != nil {
 		return
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// sanitizeReason removes control characters and what is beyond the bound.
+// sanitizeReason removes control characters from a reason and truncates it to maxReasonBytes.
 func sanitizeReason(text string) string {
 	text = strings.Map(func(r rune) rune {
 		const deleteCharacter = 0x7f
@@ -161,7 +162,7 @@
 	return text
 }
 
-// headerBytes returns the size of a header.
+// headerBytes returns the size of a header in bytes.
 func headerBytes(fields map[string][]string) int {
 	size := 0
 	for name, values := range fields {
--- a/internal/plugin/event_json.go
+++ b/internal/plugin/event_json.go
@@ -9,10 +9,10 @@
 	"mothridge/internal/hook"
 )
 
-// EventJSON is an event as a file describes it. The fields of the other kinds are ignored.
+// EventJSON is an event in a JSON file. Fields that do not belong to the event's kind are ignored.
 type EventJSON struct {
 	Kind string    `json:"kind"` // request, outcome or member
-	Now  time.Time `json:"now"`  // none: defaultNow
+	Now  time.Time `json:"now"`  // the event's time; zero means defaultNow
 
 	Class  string `json:"class"`
 	Tenant string `json:"tenant"`
@@ -20,8 +20,8 @@
 
 	Key     string            `json:"key"`
 	Target  string            `json:"target"`
-	Size    int64             `json:"size"`    // bytes
-	LeftMS  float64           `json:"left_ms"` // to the deadline
+	Size    int64             `json:"size"`    // of the body, in bytes
+	LeftMS  float64           `json:"left_ms"` // time until the deadline
 	Retry   bool              `json:"retry"`
 	Headers map[string]string `json:"headers"`
 
@@ -31,20 +31,21 @@
 	Name     string `json:"name"`
 	Address  string `json:"address"`
 	Site     string `json:"site"`
-	NodeKind string `json:"node_kind"` // event.kind
+	NodeKind string `json:"node_kind"` // event.kind in a program
 	State    string `json:"state"`
 }
 
-// defaultNow is the time of an event without one, so that a case gives the same result every time.
+// defaultNow is the time of an event that does not set one. It is fixed so that a case has the same
+// result in every run.
 var defaultNow = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// ReadEvent decodes an event from JSON. Unknown fields are an error.
+// ReadEvent decodes an event from JSON. It returns an error for an unknown field.
 func ReadEvent(data []byte) (*EventJSON, error) {
 	var e EventJSON
 	return &e, decodeStrictly(data, &e)
 }
 
-// decodeStrictly decodes JSON without unknown fields. The error names the line.
+// decodeStrictly decodes JSON into target. Unknown fields are an error. The error names the line.
 func decodeStrictly(data []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// event returns the event that a program sees.
+// event converts e to the event that a program reads.
 func (e *EventJSON) event() (*hook.Event, error) {
 	event := &hook.Event{Kind: e.Kind, Now: e.Now}
 	if e.Now.IsZero() {
@@ -75,10 +76,11 @@
 	return event, nil
 }
 
+// fillRequest sets the event's fields of a request.
 func (e *EventJSON) fillRequest(event *hook.Event) {
 	headers := &requestHeaders{fields: make(map[string][]string)}
-	for name, content := range e.Headers {
-		headers.fields[name] = []string{content}
+	for name, value := range e.Headers {
+		headers.fields[name] = []string{value}
 	}
 	event.Headers = headers
 	event.Text = [len(event.Text)]string{
@@ -95,6 +97,7 @@
 	}
 }
 
+// fillOutcome sets the event's fields of an outcome.
 func (e *EventJSON) fillOutcome(event *hook.Event) {
 	event.Text = [len(event.Text)]string{
 		hook.OutcomeClass:  e.Class,
@@ -105,6 +108,7 @@
 	event.Int[hook.OutcomeTook] = nanoseconds(e.TookMS)
 }
 
+// fillMember sets the event's fields of a member.
 func (e *EventJSON) fillMember(event *hook.Event) {
 	event.Text = [len(event.Text)]string{
 		hook.MemberName:    e.Name,
--- a/internal/plugin/gate.go
+++ b/internal/plugin/gate.go
@@ -13,35 +13,36 @@
 
 // Config configures a Gate.
 type Config struct {
-	Classes []string // names by number
-	Tenants []string // names by number; empty: there is one, without a name
+	Classes []string // names, indexed by core.Request.Class
+	Tenants []string // names, indexed by core.Request.Tenant; empty if there is one tenant without a name
 	Specs   []Spec   // in the order in which the plug-ins run
-	// Now returns the time that plug-ins see; nil: time.Now.
+	// Now returns the time of an event; nil means time.Now.
 	Now func() time.Time
 }
 
-// Gate runs the plug-ins. It is a core.Handler for the listener front ends, before the core: request
-// hooks run on the front end's goroutine, outcome hooks on that of Run.
+// Gate runs the plug-ins. It is a core.Handler between the listener front ends and the core: request
+// hooks run on the front end's goroutine, outcome hooks on the goroutine of Run.
 type Gate struct {
-	core.Handler  // the next one
+	core.Handler  // the next handler
 	cfg           Config
-	tenantNumbers map[string]int
+	tenantNumbers map[string]int // tenant numbers by name
 	plugins       atomic.Pointer[pluginSet]
 	workspaces    sync.Pool // of *workspace
 
 	outcomes chan outcome
-	dropped  atomic.Uint64 // outcomes
+	dropped  atomic.Uint64 // number of outcomes that were dropped because the queue was full
 }
 
-// pluginSet is the plug-ins of one load. It is immutable: an event keeps the set with which it began.
+// pluginSet holds the plug-ins of one load. It does not change after the load: a request keeps the set
+// with which its hooks began.
 type pluginSet struct {
 	all     []*Plugin
-	request []*Plugin // those that run for the kind of event
-	outcome []*Plugin
-	member  []*Plugin
+	request []*Plugin // plug-ins that run for a request
+	outcome []*Plugin // plug-ins that run for an outcome
+	member  []*Plugin // plug-ins that run for a member
 }
 
-// add adds a plug-in to the kinds of events for which it runs.
+// add adds a plug-in to the lists of the kinds of events for which it runs.
 func (s *pluginSet) add(p *Plugin) {
 	s.all = append(s.all, p)
 	if p.runsFor(hook.KindRequest) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// find returns a plug-in by its name, nil if there is none.
+// find returns the plug-in with the name, or nil if there is none.
 func (s *pluginSet) find(name string) *Plugin {
 	i := slices.IndexFunc(s.all, func(p *Plugin) bool { return p.spec.Name == name })
 	if i < 0 {
@@ -64,7 +65,8 @@
 	return s.all[i]
 }
 
-// NewGate loads the plug-ins. The error names the first that is wrong, and the position in its program.
+// NewGate returns a Gate with the plug-ins of c loaded. The error names the first invalid plug-in and the
+// position in its program.
 func NewGate(c Config) (*Gate, error) {
 	g := &Gate{
 		cfg:           c,
@@ -79,8 +81,8 @@
 	return g, g.Load(c.Specs)
 }
 
-// Load replaces the plug-ins, all at one instant, or none if one of them is wrong. A plug-in that
-// keeps its name keeps its state. Runs in progress end with the plug-ins with which they began.
+// Load replaces all plug-ins atomically, or none if one of them is invalid. A plug-in that keeps its name
+// keeps its state. Runs in progress continue with the plug-ins with which they began.
 func (g *Gate) Load(specs []Spec) error {
 	old, loaded := g.plugins.Load(), new(pluginSet)
 	for _, spec := range specs {
@@ -97,16 +99,16 @@
 	return nil
 }
 
-// checkNames returns an error if a manifest names a tenant or class that does not exist.
+// checkNames returns an error if a manifest contains the name of a tenant or class that does not exist.
 func (g *Gate) checkNames(spec Spec) error {
 	for _, tenant := range spec.Tenants {
 		if _, known := g.tenantNumbers[tenant]; !known {
-			return fmt.Errorf("plug-in %q: there is no tenant %q: one of %q is meant", spec.Name, tenant, g.cfg.Tenants)
+			return fmt.Errorf("plug-in %q: unknown tenant %q, must be one of %q", spec.Name, tenant, g.cfg.Tenants)
 		}
 	}
 	for _, class := range spec.RejectClasses {
 		if !slices.Contains(g.cfg.Classes, class) {
-			return fmt.Errorf("plug-in %q: there is no class %q: one of %q is meant", spec.Name, class, g.cfg.Classes)
+			return fmt.Errorf("plug-in %q: unknown class %q, must be one of %q", spec.Name, class, g.cfg.Classes)
 		}
 	}
 	return nil
@@ -115,8 +117,8 @@
 // SetNext sets the handler after the plug-ins. It must be called before the first Submit.
 func (g *Gate) SetNext(next core.Handler) { g.Handler = next }
 
-// Plugins calls each for every loaded plug-in with its circuit breaker's state, its counts and its
-// own counters.
+// Plugins calls each for every loaded plug-in, with the name, the state of the circuit breaker, the counts
+// of runs and the counters that the program itself increments.
 func (g *Gate) Plugins(each func(name, state string, c Counts, named map[string]uint64)) {
 	for _, p := range g.plugins.Load().all {
 		each(p.spec.Name, p.breakerState(), p.Counts(), p.Named())
@@ -126,7 +128,8 @@
 // Dropped returns how many outcomes were dropped because the queue was full.
 func (g *Gate) Dropped() uint64 { return g.dropped.Load() }
 
-// Submit runs the request hooks and passes the request on, or responds to it if it is refused.
+// Submit runs the request hooks. It passes the request to the next handler, or responds to it if a hook
+// rejects it.
 func (g *Gate) Submit(r *core.Request) {
 	plugins := g.plugins.Load()
 	if len(plugins.request) > 0 || len(plugins.outcome) > 0 {
@@ -136,15 +139,15 @@
 		g.observeOutcome(plugins, r)
 	}
 	if len(plugins.request) > 0 {
-		if refusal := g.runRequestHooks(plugins, r); refusal != nil {
-			r.Respond(*refusal)
+		if rejection := g.runRequestHooks(plugins, r); rejection != nil {
+			r.Respond(*rejection)
 			return
 		}
 	}
 	g.Handler.Submit(r)
 }
 
-// tenant returns a tenant's name by its number, "" if tenants have no names.
+// tenant returns a tenant's name by its number. It returns "" if tenants have no names.
 func (g *Gate) tenant(number int) string {
 	if number < len(g.cfg.Tenants) {
 		return g.cfg.Tenants[number]
--- a/internal/plugin/member.go
+++ b/internal/plugin/member.go
@@ -7,21 +7,21 @@
 	"mothridge/internal/hook"
 )
 
-// The labels of a member that plug-ins may set; pools match them by patterns.
+// The labels of a member that plug-ins may set. Pools select members by patterns of their labels.
 const (
 	labelSite = "site"
 	labelKind = "kind"
 )
 
-// healthNames are the values of event.state.
+// healthNames holds the values of event.state in programs.
 var healthNames = [...]string{
 	core.Draining: "draining",
 	core.Ready:    "up",
 	core.Removed:  "removed",
 }
 
-// Members returns an update of the endpoint list with the labels of the member hooks. It does not
-// change the update that it is given.
+// Members runs the member hooks and returns the update of the endpoint list with the labels that they
+// set. It does not change its argument.
 func (g *Gate) Members(update core.EndpointUpdate) core.EndpointUpdate {
 	plugins := g.plugins.Load()
 	if len(plugins.member) == 0 {
@@ -38,6 +38,7 @@
 	return update
 }
 
+// runMemberHook runs the member hook of one plug-in and sets the labels of member.
 func (g *Gate) runMemberHook(w *workspace, p *Plugin, member *core.Endpoint) {
 	w.setEvent(hook.KindMember, g.cfg.Now())
 	e := &w.event
@@ -53,7 +54,7 @@
 	})
 }
 
-// acceptMemberEffects checks the effects of a member's hook and only then carries them out.
+// acceptMemberEffects checks all effects of a member hook before it applies them.
 func (p *Plugin) acceptMemberEffects(member *core.Endpoint, effects []hook.Effect) error {
 	site, kind := member.Zone, member.MachineType
 	var counters []string
--- a/internal/plugin/outcome.go
+++ b/internal/plugin/outcome.go
@@ -7,21 +7,22 @@
 	"mothridge/internal/hook"
 )
 
-// outcomeQueueLength is how many outcomes wait for their hooks; further ones are dropped and counted.
+// outcomeQueueLength is the number of outcomes that may wait for their hooks. Further outcomes are
+// dropped and counted.
 const outcomeQueueLength = 1024
 
-// outcome is a final response whose hooks are to run.
+// outcome describes a final response for which the outcome hooks are to run.
 type outcome struct {
 	plugins *pluginSet
 	class   int
 	tenant  int
 	id      string
 	result  core.Result
-	took    time.Duration // from the request's arrival
+	took    time.Duration // time since the request was submitted
 }
 
-// observeOutcome queues the request's outcome when it is responded to. Respond runs on the core's
-// goroutine, which must not block.
+// observeOutcome wraps the request's Respond so that it also queues the request's outcome. If the queue is
+// full, the outcome is dropped: Respond runs on the core's goroutine, which must not block.
 func (g *Gate) observeOutcome(plugins *pluginSet, r *core.Request) {
 	receivedAt, respond := time.Now(), r.Respond
 	observed := outcome{plugins: plugins, class: r.Class, tenant: r.Tenant, id: r.ID}
@@ -37,7 +38,8 @@
 	}
 }
 
-// Run runs the outcome hooks until done is closed. Outcomes that wait then are not run.
+// Run runs the outcome hooks until done is closed. It does not run the hooks of outcomes that are still
+// queued at that time.
 func (g *Gate) Run(done <-chan struct{}) {
 	w := new(workspace)
 	for {
@@ -50,6 +52,7 @@
 	}
 }
 
+// runOutcomeHooks runs the outcome hooks of all plug-ins for one outcome.
 func (g *Gate) runOutcomeHooks(w *workspace, o *outcome) {
 	for _, p := range o.plugins.outcome {
 		w.setEvent(hook.KindOutcome, g.cfg.Now())
@@ -65,8 +68,8 @@
 	}
 }
 
-// acceptOutcomeEffects carries out the effects of an outcome's hook: counts, and labels, which are
-// counted as NAME=TEXT.
+// acceptOutcomeEffects applies the effects of an outcome hook: counts, and labels, which are counted as
+// NAME=TEXT.
 func (p *Plugin) acceptOutcomeEffects(effects []hook.Effect) error {
 	for i := range effects {
 		name := effects[i].Name
--- a/internal/plugin/permissions.go
+++ b/internal/plugin/permissions.go
@@ -13,27 +13,30 @@
 	"mothridge/internal/hook"
 )
 
-// TagField is the header that holds a request's tags. What a client sends of it is dropped.
+// TagField is the header that holds a request's tags, separated by commas. The Gate removes the header
+// from requests of clients.
 const TagField = "Request-Tags"
 
+// maxTagBytes is the maximum length of a tag.
 const maxTagBytes = 64
 
-// protectedHeaders say what a request is and how it goes on; no plug-in may change them.
+// protectedHeaders identify a request or control how it is forwarded. No plug-in may change them.
 var protectedHeaders = []string{
 	"Host", "Content-Length", "Transfer-Encoding", "Connection", "Keep-Alive", "Te", "Trailer", "Upgrade",
 	"Proxy-Connection", "Request-Id", "Request-Class", "Request-Timeout", "Tenant", "Idempotency-Key",
 	"Client-Retry", "Work-Hint", TagField,
 }
 
-// errDenied is an effect that the manifest or a bound does not allow.
+// errDenied is the error of an effect that the manifest or a bound does not allow.
 var errDenied = errors.New("not allowed")
 
-// denied returns an errDenied that names the effect and what would be allowed.
+// denied returns an error that wraps errDenied and describes the effect and the rule that it violates.
 func denied(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errDenied, fmt.Sprintf(format, args...))
 }
 
-// mayChangeHeader reports whether the manifest allows to set or remove a header, by its canonical name.
+// mayChangeHeader reports whether the manifest allows a header to be set or removed. name is the header's
+// canonical name.
 func (p *Plugin) mayChangeHeader(name string) bool {
 	if slices.Contains(protectedHeaders, name) {
 		return false
@@ -44,7 +47,8 @@
 	})
 }
 
-// headerToSet returns the canonical name of a header that is to be set, or an error if it is not allowed.
+// headerToSet returns the canonical name of the header that an effect sets. It returns an error if the
+// name or the value is invalid or the plug-in may not change the header.
 func (p *Plugin) headerToSet(e *hook.Effect) (string, error) {
 	name := textproto.CanonicalMIMEHeaderKey(e.Name)
 	if !httpguts.ValidHeaderFieldName(name) || !httpguts.ValidHeaderFieldValue(e.Text) {
@@ -57,8 +61,8 @@
 	return name, nil
 }
 
-// headerToRemove returns the canonical name of a header that is to be removed, or an error if it is
-// not allowed.
+// headerToRemove returns the canonical name of the header that an effect removes, or an error if the
+// plug-in may not change the header.
 func (p *Plugin) headerToRemove(e *hook.Effect) (string, error) {
 	name := textproto.CanonicalMIMEHeaderKey(e.Name)
 	if !p.mayChangeHeader(name) {
@@ -68,7 +72,8 @@
 	return name, nil
 }
 
-// isTag reports whether a text can be an entry of TagField.
+// isTag reports whether text is a valid tag: not empty, at most maxTagBytes long, valid in a header field,
+// and without commas and blanks.
 func isTag(text string) bool {
 	if text == "" || len(text) > maxTagBytes {
 		return false
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -12,20 +12,20 @@
 	"mothridge/internal/plugin/breaker"
 )
 
-// Bounds of a plug-in's own counters.
+// Bounds of the counters that a program increments.
 const (
 	maxCounters         = 64
 	maxCounterNameBytes = 64
 )
 
-// Counts are what became of a plug-in's runs.
+// Counts holds the numbers of a plug-in's runs by result.
 type Counts struct {
-	Runs      uint64
-	Refused   uint64 // requests, by the plug-in or because it failed
-	Failed    uint64 // runs
-	Exhausted uint64 // of the failed: out of fuel, memory or depth, or a panic
-	Denied    uint64 // of the failed: an effect that the manifest or a bound does not allow
-	Skipped   uint64 // events while the circuit breaker was open
+	Runs      uint64 // runs of the program
+	Refused   uint64 // requests rejected by the program or because the program failed
+	Failed    uint64 // runs that ended with an error
+	Exhausted uint64 // failed runs that ran out of fuel, memory or depth, or panicked
+	Denied    uint64 // failed runs with an effect that the manifest or a bound does not allow
+	Skipped   uint64 // events without a run because the circuit breaker was open
 }
 
 // Plugin is a loaded plug-in. Its methods may be called from any goroutine.
@@ -33,17 +33,19 @@
 	spec    Spec
 	program *hook.Program
 	state   *sharedState
-	started time.Time // the breaker's times count from here
+	started time.Time // origin of the breaker's times and of nextLogAt
 
-	mu        sync.Mutex // of what follows
+	mu        sync.Mutex // guards breaker, counters and nextLogAt
 	breaker   *breaker.Breaker
-	counters  map[string]uint64 // its own
-	nextLogAt time.Duration     // since started
+	counters  map[string]uint64 // counters that the program increments, by name
+	nextLogAt time.Duration     // earliest time of the next log line
 
+	// The fields of Counts.
 	runs, refused, failed, exhausted, denied, skipped atomic.Uint64
 }
 
-// load reads and compiles a plug-in. It continues with the state of the plug-in that it replaces, if any.
+// load reads and compiles a plug-in. Its state is a copy of the state of the plug-in that it replaces, if
+// replaced is not nil.
 func load(spec Spec, replaced *Plugin) (*Plugin, error) {
 	program, err := hook.Load(spec.File)
 	if err != nil {
@@ -51,7 +53,7 @@
 	}
 	for _, kind := range spec.Hooks {
 		if !program.HasHook(kind) {
-			return nil, fmt.Errorf("plug-in %q: %s has no \"on %s\"", spec.Name, spec.File, kind)
+			return nil, fmt.Errorf("plug-in %q: %s has no hook \"on %s\"", spec.Name, spec.File, kind)
 		}
 	}
 	var oldState *sharedState
@@ -74,7 +76,7 @@
 	return isEnabled && p.program.HasHook(kind)
 }
 
-// Counts returns what was counted so far.
+// Counts returns the counts since the plug-in was loaded.
 func (p *Plugin) Counts() Counts {
 	return Counts{
 		Runs:      p.runs.Load(),
@@ -86,14 +88,15 @@
 	}
 }
 
-// breakerState returns the circuit breaker's state for logs and metrics.
+// breakerState returns the name of the circuit breaker's state for metrics.
 func (p *Plugin) breakerState() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.breaker.State().String()
 }
 
-// count adds 1 to one of the plug-in's own counters.
+// count adds 1 to a counter of the program. It returns an error if the counter is new and there are
+// maxCounters already, or its name is too long.
 func (p *Plugin) count(name string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +109,8 @@
 	return nil
 }
 
-// countAll adds 1 to each of the counters, up to the first that is not allowed.
+// countAll adds 1 to each of the counters. It stops at the first counter that is not allowed and returns
+// its error; the counters before it stay incremented.
 func (p *Plugin) countAll(names []string) error {
 	for _, name := range names {
 		if err := p.count(name); err != nil {
@@ -116,7 +120,7 @@
 	return nil
 }
 
-// Named returns a copy of the plug-in's own counters.
+// Named returns a copy of the counters that the program increments, by name.
 func (p *Plugin) Named() map[string]uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/plugin/request.go
+++ b/internal/plugin/request.go
@@ -9,49 +9,51 @@
 	"mothridge/internal/hook"
 )
 
-// failedRetryAfter is the Retry-After of a request that is refused because a plug-in failed.
+// failedRetryAfter is the Retry-After of a request that is rejected because a plug-in failed.
 const failedRetryAfter = time.Second
 
-// runRequestHooks runs the request hooks in their order. It returns the response if the request is
-// refused; the further hooks do not run then.
+// runRequestHooks runs the request hooks in the order of the plug-ins. It stops at the first hook that
+// rejects the request and returns its response.
 func (g *Gate) runRequestHooks(plugins *pluginSet, r *core.Request) *core.Response {
 	w := g.workspaces.Get().(*workspace)
 	defer g.workspaces.Put(w)
 	for _, p := range plugins.request {
-		if refusal := g.runRequestHook(w, p, r); refusal != nil {
+		if rejection := g.runRequestHook(w, p, r); rejection != nil {
 			p.refused.Add(1)
-			return refusal
+			return rejection
 		}
 	}
 	return nil
 }
 
+// runRequestHook runs the request hook of one plug-in. It returns the response if the plug-in rejects the
+// request, or if the plug-in fails and its manifest demands a rejection in this case.
 func (g *Gate) runRequestHook(w *workspace, p *Plugin, r *core.Request) *core.Response {
 	g.setRequestEvent(w, r)
-	var refusal *core.Response
+	var rejection *core.Response
 	skipped, err := p.run(w, func(effects []hook.Effect) error {
 		var err error
-		refusal, err = g.accept(p, r, effects)
+		rejection, err = g.accept(p, r, effects)
 		return err
 	})
 	w.headers.fields = nil
-	if refusal != nil {
-		return refusal
+	if rejection != nil {
+		return rejection
 	}
 	failed := skipped || err != nil
 	if failed && p.refusesOnFailure(g.cfg.Classes[r.Class]) {
-		detail := "the plug-in " + p.spec.Name + " does not work"
+		detail := "plug-in " + p.spec.Name + " failed or was skipped"
 		return &core.Response{Result: core.Rejected, RetryAfter: failedRetryAfter, Detail: detail}
 	}
 	return nil
 }
 
-// refusesOnFailure reports whether requests of a class are refused if the plug-in fails.
+// refusesOnFailure reports whether requests of a class are rejected if the plug-in fails or is skipped.
 func (p *Plugin) refusesOnFailure(class string) bool {
 	return p.spec.RejectOnFailure || slices.Contains(p.spec.RejectClasses, class)
 }
 
-// setRequestEvent makes a request the workspace's event.
+// setRequestEvent sets the workspace's event to a request.
 func (g *Gate) setRequestEvent(w *workspace, r *core.Request) {
 	w.setEvent(hook.KindRequest, g.cfg.Now())
 	w.headers.fields = r.Fields
@@ -72,7 +74,7 @@
 	}
 }
 
-// firstValue returns the first value of a header by its canonical name, "" if there is none.
+// firstValue returns the first value of a header by its canonical name, or "" if there is none.
 func firstValue(fields map[string][]string, name string) string {
 	if values := fields[name]; len(values) > 0 {
 		return values[0]
@@ -80,12 +82,12 @@
 	return ""
 }
 
-// requestHeaders is the header that a program sees.
+// requestHeaders gives a program access to the header of a request.
 type requestHeaders struct{ fields map[string][]string }
 
-// Header returns the first value of a header, "" if there is none.
+// Header returns the first value of a header, or "" if there is none.
 func (h *requestHeaders) Header(name string) string {
-	if values := h.fields[name]; len(values) > 0 { // the name is canonical in most programs
+	if values := h.fields[name]; len(values) > 0 { // most programs use the canonical name
 		return values[0]
 	}
 	return firstValue(h.fields, textproto.CanonicalMIMEHeaderKey(name))
--- a/internal/plugin/run.go
+++ b/internal/plugin/run.go
@@ -9,10 +9,10 @@
 	"mothridge/internal/hook"
 )
 
-// logInterval is the least time between two log lines about a plug-in that fails.
+// logInterval is the minimum time between two log lines about a failing plug-in.
 const logInterval = time.Minute
 
-// workspace is what a run needs; it is used again.
+// workspace holds the data of a run. It is reused by later runs.
 type workspace struct {
 	machine hook.Machine
 	event   hook.Event
@@ -20,19 +20,20 @@
 	headers requestHeaders
 }
 
-// setEvent sets what all kinds of events have. The caller sets the numbers in Int.
+// setEvent sets the fields that all kinds of events have. The caller sets the other fields, in particular
+// the numbers in Int, which are not reset.
 func (w *workspace) setEvent(kind string, now time.Time) {
 	w.event.Kind = kind
 	w.event.Now = now
 	w.event.Headers = nil
 }
 
-// errPanic is a panic in the virtual machine.
+// errPanic is the error of a run that panicked.
 var errPanic = errors.New("the machine failed")
 
-// run runs a plug-in for the workspace's event, and accept with its effects. The changes of the
-// state are kept only if both succeed. While the circuit breaker is open the run is skipped. An
-// error has been counted and, at most once in logInterval, logged.
+// run runs the program for the workspace's event and calls accept with the effects. The run's changes of
+// the state are committed only if both succeed. While the circuit breaker is open, the run is skipped.
+// run counts an error before it returns it, and logs errors at most once in logInterval.
 func (p *Plugin) run(w *workspace, accept func([]hook.Effect) error) (skipped bool, err error) {
 	now := time.Since(p.started)
 	if !p.allow(now) {
@@ -53,22 +54,24 @@
 	return p.breaker.Allow(now)
 }
 
-// finish gives the result of a run to the circuit breaker and logs it if that is due. The counters
-// hold the rest, so that the log does not grow with the failures.
+// finish reports the result of a run to the circuit breaker. It logs an error or a change of the breaker's
+// state at most once in logInterval, so that the log does not grow with the number of failures; the
+// counters include the failures that are not logged.
 func (p *Plugin) finish(startedAt time.Duration, err error) {
 	p.mu.Lock()
 	changed := p.breaker.Done(time.Since(p.started), isExhausted(err))
 	state := p.breaker.State()
-	logs := (err != nil || changed) && startedAt >= p.nextLogAt
-	if logs {
+	shouldLog := (err != nil || changed) && startedAt >= p.nextLogAt
+	if shouldLog {
 		p.nextLogAt = startedAt + logInterval
 	}
 	p.mu.Unlock()
-	if logs {
+	if shouldLog {
 		slog.Warn("plug-in", "plugin", p.spec.Name, "breaker", state.String(), "failed", p.failed.Load(), "err", err)
 	}
 }
 
+// countFailure counts a failed run, by the kind of the failure.
 func (p *Plugin) countFailure(err error) {
 	if err == nil {
 		return
@@ -82,8 +85,8 @@
 	}
 }
 
-// isExhausted reports whether a run used up its budget or broke the machine: the failures that the
-// circuit breaker counts.
+// isExhausted reports whether a run used up its fuel, memory or depth, or panicked. The circuit breaker
+// counts only these failures.
 func isExhausted(err error) bool {
 	for _, reason := range []error{hook.ErrFuel, hook.ErrMemory, hook.ErrDepth, errPanic} {
 		if errors.Is(err, reason) {
@@ -93,7 +96,8 @@
 	return false
 }
 
-// runGuarded runs the program. A panic in the machine is an error of this plug-in alone.
+// runGuarded runs the program and accept, and commits the changes of the state. It recovers from a panic
+// and returns it as an error, so that the panic affects only this plug-in.
 func (p *Plugin) runGuarded(w *workspace, accept func([]hook.Effect) error) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
--- a/internal/plugin/spec.go
+++ b/internal/plugin/spec.go
@@ -5,22 +5,23 @@
 // Spec is a plug-in's manifest, from the operators' file.
 type Spec struct {
 	Name            string
-	File            string   // of the program
-	Hooks           []string // that are run; empty: all that the program has
-	Headers         []string // patterns, as in path.Match, of the headers that it may set and remove
-	Tenants         []string // to which it may assign requests
-	MayReject       bool
-	Limits          hook.Limits // of a run; zero fields: the defaults
-	RejectOnFailure bool        // whether a request is refused if the plug-in fails; else it goes on
-	RejectClasses   []string    // classes whose requests are refused then in any case
+	File            string      // path of the program
+	Hooks           []string    // kinds of events for which the plug-in runs; empty means all hooks of the program
+	Headers         []string    // patterns, as in path.Match, of the headers that the plug-in may set and remove
+	Tenants         []string    // tenants to which the plug-in may assign requests
+	MayReject       bool        // whether the plug-in may reject requests
+	Limits          hook.Limits // bounds of a run; a field of 0 means its default
+	RejectOnFailure bool        // whether a request is rejected if the plug-in fails; otherwise it is passed on
+	RejectClasses   []string    // classes whose requests are rejected if the plug-in fails, even without RejectOnFailure
 }
 
-// withDefaults returns the manifest with the default of each limit that is not set.
+// withDefaults returns the manifest with each unset limit replaced by its default.
 func (s Spec) withDefaults() Spec {
 	s.Limits = limitsOrDefaults(s.Limits)
 	return s
 }
 
+// limitsOrDefaults returns limits with Fuel and Memory replaced by their defaults if they are not above 0.
 func limitsOrDefaults(limits hook.Limits) hook.Limits {
 	if limits.Fuel <= 0 {
 		limits.Fuel = hook.DefaultFuel
--- a/internal/plugin/state_view.go
+++ b/internal/plugin/state_view.go
@@ -6,16 +6,16 @@
 	"mothridge/internal/hook"
 )
 
-// change is a change of the state that a run requests.
+// change is a pending change of one entry of the state.
 type change struct {
-	state    int
+	state    int // index of the declaration
 	key      string
-	n        int64 // to add
-	isForget bool
+	n        int64 // the number to add, unless isForget is set
+	isForget bool  // whether the entry is removed
 }
 
-// stateView is a hook.Store: the shared state as one run sees it, with the run's own changes. Other
-// runs see these after commit.
+// stateView is the hook.Store of one run: the shared state combined with the run's pending changes. Other
+// runs see the changes after commit.
 type stateView struct {
 	shared       *sharedState
 	declarations []hook.State
@@ -23,7 +23,7 @@
 	changes      []change
 }
 
-// reset begins a run without changes.
+// reset prepares the view for a new run, without pending changes.
 func (v *stateView) reset(shared *sharedState, declarations []hook.State, now time.Time) {
 	v.shared = shared
 	v.declarations = declarations
@@ -31,9 +31,10 @@
 	v.changes = v.changes[:0]
 }
 
+// table returns the shared table of a declaration.
 func (v *stateView) table(state int) *table { return v.shared.tables[v.declarations[state].Name] }
 
-// Value returns an entry's value with the run's own changes.
+// Value returns the sum of an entry, including the run's pending changes.
 func (v *stateView) Value(state int, key string) int64 {
 	n := v.sharedValue(state, key)
 	for _, c := range v.changes {
@@ -48,24 +49,25 @@
 	return n
 }
 
+// sharedValue returns the sum of an entry without the run's pending changes.
 func (v *stateView) sharedValue(state int, key string) int64 {
 	v.shared.mu.Lock()
 	defer v.shared.mu.Unlock()
 	return v.table(state).value(key, v.now)
 }
 
-// Add records an addition and returns the sum.
+// Add records the addition of n to an entry and returns the new sum, as Value does.
 func (v *stateView) Add(state int, key string, n int64) int64 {
 	v.changes = append(v.changes, change{state: state, key: key, n: n})
 	return v.Value(state, key)
 }
 
-// Forget records that an entry is deleted.
+// Forget records the removal of an entry.
 func (v *stateView) Forget(state int, key string) {
 	v.changes = append(v.changes, change{state: state, key: key, isForget: true})
 }
 
-// commit carries out the changes, all at one instant.
+// commit applies all pending changes to the shared state atomically.
 func (v *stateView) commit() {
 	if len(v.changes) == 0 {
 		return
--- a/internal/plugin/trial.go
+++ b/internal/plugin/trial.go
@@ -7,7 +7,7 @@
 	"mothridge/internal/hook"
 )
 
-// Trial runs a program by itself, with a state that it keeps from one run to the next.
+// Trial runs a program without a Gate. It keeps the program's state from one run to the next.
 type Trial struct {
 	program   *hook.Program
 	state     *sharedState
@@ -15,7 +15,7 @@
 	workspace workspace
 }
 
-// NewTrial returns a Trial with empty state. Zero limits are the defaults.
+// NewTrial returns a Trial with an empty state. Limits of 0 are replaced by their defaults.
 func NewTrial(program *hook.Program, limits hook.Limits) *Trial {
 	return &Trial{
 		program: program,
@@ -24,7 +24,7 @@
 	}
 }
 
-// Run runs the program for an event. The changes of the state are kept if the run succeeds.
+// Run runs the program for an event. The run's changes of the state are kept only if it succeeds.
 func (t *Trial) Run(e *EventJSON) (hook.Result, error) {
 	event, err := e.event()
 	if err != nil {
@@ -33,6 +33,7 @@
 	return t.run(event)
 }
 
+// run runs the program for an event and commits its changes of the state if it succeeds.
 func (t *Trial) run(event *hook.Event) (hook.Result, error) {
 	view := &t.workspace.view
 	view.reset(t.state, t.program.States, event.Now)
@@ -43,7 +44,7 @@
 	return result, err
 }
 
-// Bench runs the program n times for an event and returns the mean time of a run.
+// Bench runs the program n times for an event and returns the mean duration of a run.
 func (t *Trial) Bench(e *EventJSON, n int) (time.Duration, error) {
 	event, err := e.event()
 	if err != nil {
@@ -58,7 +59,7 @@
 	return time.Since(start) / time.Duration(n), nil
 }
 
-// Describe returns an effect as text: the function's name and its arguments.
+// Describe returns an effect as text: the name of the language's function and its arguments.
 func Describe(e hook.Effect) string {
 	name, text := strconv.Quote(e.Name), strconv.Quote(e.Text)
 	switch e.Kind {
