--- a/internal/plugin/breaker/breaker.go
+++ b/internal/plugin/breaker/breaker.go
@@ -122,9 +122,9 @@
 	return b.allowTrial(now)
 }
 
-// Done records the end of an allowed call. failed tells whether the call exceeded its
-// budget. Done reports, for the log, whether the breaker has opened from Closed or has closed;
-// a failed trial call, which opens a half-open breaker again, is not reported.
+// Done records the end of an allowed call. failed is true if the call exceeded its budget.
+// changed is true if the breaker has closed, or has opened while it was closed, and is meant
+// for the log. It is false if a failed trial call opens the breaker again.
 func (b *Breaker) Done(now time.Duration, failed bool) (changed bool) {
 	switch b.state {
 	case Closed:
