--- a/internal/plugin/cases.go
+++ b/internal/plugin/cases.go
@@ -69,14 +69,14 @@
 	switch {
 	case err != nil && c.Error == "":
 		return "  failed: " + err.Error()
-	case c.Error != "" && !c.expects(err):
+	case c.Error != "" && !c.matchesError(err):
 		return fmt.Sprintf("- an error with %q\n+ %v", c.Error, err)
 	}
 	return difference(c.Effects, effects)
 }
 
-// expects reports whether err is the error that the case expects.
-func (c *Case) expects(err error) bool {
+// matchesError reports whether err is the error that the case expects.
+func (c *Case) matchesError(err error) bool {
 	return err != nil && strings.Contains(err.Error(), c.Error)
 }
 
--- a/internal/plugin/effects.go
+++ b/internal/plugin/effects.go
@@ -26,15 +26,17 @@
 	plugin  *Plugin
 	request *core.Request
 
-	fields   map[string][]string // the new header; nil if it is unchanged
-	tenant   int                 // the new tenant
-	counters []string            // names of the counters to which 1 is added
-	refusal  *core.Response      // the response, if the plug-in rejects the request
+	fields    map[string][]string // the new header; nil if it is unchanged
+	tenant    int                 // the new tenant
+	counters  []string            // names of the counters to which 1 is added
+	rejection *core.Response      // the response, if the plug-in rejects the request
 }
 
-// accept checks all effects of a request hook before it applies them. It returns the response if the
-// plug-in rejects the request.
-func (g *Gate) accept(p *Plugin, r *core.Request, effects []hook.Effect) (rejection *core.Response, err error) {
+// applyRequestEffects checks all effects of a request hook before it applies them. It returns the response
+// if the plug-in rejects the request.
+func (g *Gate) applyRequestEffects(
+	p *Plugin, r *core.Request, effects []hook.Effect,
+) (rejection *core.Response, err error) {
 	t := transaction{gate: g, plugin: p, request: r, tenant: r.Tenant}
 	for i := range effects {
 		if err := t.add(&effects[i]); err != nil {
@@ -48,7 +50,7 @@
 		return nil, err
 	}
 	t.apply()
-	return t.refusal, nil
+	return t.rejection, nil
 }
 
 // add checks an effect and adds it to the transaction.
@@ -65,7 +67,7 @@
 	case hook.Count:
 		t.counters = append(t.counters, e.Name)
 	case hook.Refuse:
-		return t.refuse(e)
+		return t.reject(e)
 	case hook.Label: // the language's checker does not allow labels in request hooks
 	}
 	return nil
@@ -73,7 +75,7 @@
 
 // apply changes the request, unless the plug-in rejects it.
 func (t *transaction) apply() {
-	if t.refusal != nil {
+	if t.rejection != nil {
 		return
 	}
 	if t.fields != nil {
@@ -135,11 +137,11 @@
 	return nil
 }
 
-func (t *transaction) refuse(e *hook.Effect) error {
+func (t *transaction) reject(e *hook.Effect) error {
 	if !t.plugin.spec.MayReject {
 		return denied("a refusal: may_refuse of the plug-in's manifest is not set")
 	}
-	t.refusal = &core.Response{
+	t.rejection = &core.Response{
 		Result:     core.Rejected,
 		RetryAfter: min(max(e.Pause, 0), maxPause),
 		Detail:     sanitizeReason(e.Text),
--- a/internal/plugin/gate.go
+++ b/internal/plugin/gate.go
@@ -119,9 +119,9 @@
 
 // Plugins calls each for every loaded plug-in, with the name, the state of the circuit breaker, the counts
 // of runs and the counters that the program itself increments.
-func (g *Gate) Plugins(each func(name, state string, c Counts, named map[string]uint64)) {
+func (g *Gate) Plugins(each func(name, state string, c Counts, programCounters map[string]uint64)) {
 	for _, p := range g.plugins.Load().all {
-		each(p.spec.Name, p.breakerState(), p.Counts(), p.Named())
+		each(p.spec.Name, p.breakerState(), p.Counts(), p.ProgramCounters())
 	}
 }
 
--- a/internal/plugin/member.go
+++ b/internal/plugin/member.go
@@ -50,12 +50,12 @@
 		hook.MemberState:   healthNames[member.Health],
 	}
 	_, _ = p.run(w, func(effects []hook.Effect) error { // run counts and logs its error
-		return p.acceptMemberEffects(member, effects)
+		return p.applyMemberEffects(member, effects)
 	})
 }
 
-// acceptMemberEffects checks all effects of a member hook before it applies them.
-func (p *Plugin) acceptMemberEffects(member *core.Endpoint, effects []hook.Effect) error {
+// applyMemberEffects checks all effects of a member hook before it applies them.
+func (p *Plugin) applyMemberEffects(member *core.Endpoint, effects []hook.Effect) error {
 	site, kind := member.Zone, member.MachineType
 	var counters []string
 	for i := range effects {
--- a/internal/plugin/outcome.go
+++ b/internal/plugin/outcome.go
@@ -64,13 +64,13 @@
 			hook.OutcomeEnding: o.result.String(),
 		}
 		e.Int[hook.OutcomeTook] = int64(o.took)
-		_, _ = p.run(w, p.acceptOutcomeEffects) // run counts and logs its error
+		_, _ = p.run(w, p.applyOutcomeEffects) // run counts and logs its error
 	}
 }
 
-// acceptOutcomeEffects applies the effects of an outcome hook: counts, and labels, which are counted as
+// applyOutcomeEffects applies the effects of an outcome hook: counts, and labels, which are counted as
 // NAME=TEXT.
-func (p *Plugin) acceptOutcomeEffects(effects []hook.Effect) error {
+func (p *Plugin) applyOutcomeEffects(effects []hook.Effect) error {
 	for i := range effects {
 		name := effects[i].Name
 		if effects[i].Kind == hook.Label {
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -30,10 +30,10 @@
 
 // Plugin is a loaded plug-in. Its methods may be called from any goroutine.
 type Plugin struct {
-	spec    Spec
-	program *hook.Program
-	state   *sharedState
-	started time.Time // origin of the breaker's times and of nextLogAt
+	spec      Spec
+	program   *hook.Program
+	state     *sharedState
+	startedAt time.Time // origin of the breaker's times and of nextLogAt
 
 	mu        sync.Mutex // guards breaker, counters and nextLogAt
 	breaker   *breaker.Breaker
@@ -41,7 +41,7 @@
 	nextLogAt time.Duration     // earliest time of the next log line
 
 	// The fields of Counts.
-	runs, refused, failed, exhausted, denied, skipped atomic.Uint64
+	runs, rejected, failed, exhausted, denied, skipped atomic.Uint64
 }
 
 // load reads and compiles a plug-in. Its state is a copy of the state of the plug-in that it replaces, if
@@ -61,12 +61,12 @@
 		oldState = replaced.state
 	}
 	return &Plugin{
-		spec:     spec.withDefaults(),
-		program:  program,
-		state:    newSharedState(program.States, oldState),
-		started:  time.Now(),
-		breaker:  breaker.New(breaker.Config{}),
-		counters: make(map[string]uint64),
+		spec:      spec.withDefaults(),
+		program:   program,
+		state:     newSharedState(program.States, oldState),
+		startedAt: time.Now(),
+		breaker:   breaker.New(breaker.Config{}),
+		counters:  make(map[string]uint64),
 	}, nil
 }
 
@@ -80,7 +80,7 @@
 func (p *Plugin) Counts() Counts {
 	return Counts{
 		Runs:      p.runs.Load(),
-		Refused:   p.refused.Load(),
+		Refused:   p.rejected.Load(),
 		Failed:    p.failed.Load(),
 		Exhausted: p.exhausted.Load(),
 		Denied:    p.denied.Load(),
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// Named returns a copy of the counters that the program increments, by name.
-func (p *Plugin) Named() map[string]uint64 {
+// ProgramCounters returns a copy of the counters that the program increments, by name.
+func (p *Plugin) ProgramCounters() map[string]uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.counters)
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -253,7 +253,7 @@
 	}
 	go func() { g.Run(done); close(runReturned) }()
 	p := g.plugins.Load().all[0]
-	for deadline := time.Now().Add(10 * time.Second); p.Named()["served-harvest-entry"] < outcomeQueueLength && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); p.ProgramCounters()["served-harvest-entry"] < outcomeQueueLength && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 	}
 	close(done)
 	<-runReturned
@@ -261,7 +261,7 @@
 		{Name: "old-1", MachineType: "m"}, {Name: "new-1", MachineType: "m"}, {Name: "bad", MachineType: "m"},
 	}}
 	got := g.Members(update)
-	if counters := p.Named(); counters["served-harvest-entry"] != outcomeQueueLength ||
+	if counters := p.ProgramCounters(); counters["served-harvest-entry"] != outcomeQueueLength ||
 		counters["club=downs"] != outcomeQueueLength || counters["old"] != 1 {
 		t.Errorf("got counters %v, want 1024 served-harvest-entry, 1024 club=downs, 1 old", counters)
 	}
--- a/internal/plugin/request.go
+++ b/internal/plugin/request.go
@@ -19,7 +19,7 @@
 	defer g.workspaces.Put(w)
 	for _, p := range plugins.request {
 		if rejection := g.runRequestHook(w, p, r); rejection != nil {
-			p.refused.Add(1)
+			p.rejected.Add(1)
 			return rejection
 		}
 	}
@@ -33,7 +33,7 @@
 	var rejection *core.Response
 	skipped, err := p.run(w, func(effects []hook.Effect) error {
 		var err error
-		rejection, err = g.accept(p, r, effects)
+		rejection, err = g.applyRequestEffects(p, r, effects)
 		return err
 	})
 	w.headers.fields = nil
@@ -41,15 +41,15 @@
 		return rejection
 	}
 	failed := skipped || err != nil
-	if failed && p.refusesOnFailure(g.cfg.Classes[r.Class]) {
+	if failed && p.rejectsOnFailure(g.cfg.Classes[r.Class]) {
 		detail := "plug-in " + p.spec.Name + " failed or was skipped"
 		return &core.Response{Result: core.Rejected, RetryAfter: failedRetryAfter, Detail: detail}
 	}
 	return nil
 }
 
-// refusesOnFailure reports whether requests of a class are rejected if the plug-in fails or is skipped.
-func (p *Plugin) refusesOnFailure(class string) bool {
+// rejectsOnFailure reports whether requests of a class are rejected if the plug-in fails or is skipped.
+func (p *Plugin) rejectsOnFailure(class string) bool {
 	return p.spec.RejectOnFailure || slices.Contains(p.spec.RejectClasses, class)
 }
 
--- a/internal/plugin/run.go
+++ b/internal/plugin/run.go
@@ -31,19 +31,19 @@
 // errPanic is the error of a run that panicked.
 var errPanic = errors.New("the machine failed")
 
-// run runs the program for the workspace's event and calls accept with the effects. The run's changes of
-// the state are committed only if both succeed. While the circuit breaker is open, the run is skipped.
+// run runs the program for the workspace's event and calls applyEffects with the effects. The run's changes
+// of the state are committed only if both succeed. While the circuit breaker is open, the run is skipped.
 // run counts an error before it returns it, and logs errors at most once in logInterval.
-func (p *Plugin) run(w *workspace, accept func([]hook.Effect) error) (skipped bool, err error) {
-	now := time.Since(p.started)
+func (p *Plugin) run(w *workspace, applyEffects func([]hook.Effect) error) (skipped bool, err error) {
+	now := time.Since(p.startedAt)
 	if !p.allow(now) {
 		p.skipped.Add(1)
 		return true, nil
 	}
 	p.runs.Add(1)
-	err = p.runGuarded(w, accept)
+	err = p.runRecovered(w, applyEffects)
 	p.countFailure(err)
-	p.finish(now, err)
+	p.recordResult(now, err)
 	return false, err
 }
 
@@ -54,16 +54,16 @@
 	return p.breaker.Allow(now)
 }
 
-// finish reports the result of a run to the circuit breaker. It logs an error or a change of the breaker's
-// state at most once in logInterval, so that the log does not grow with the number of failures; the
-// counters include the failures that are not logged.
-func (p *Plugin) finish(startedAt time.Duration, err error) {
+// recordResult reports the result of a run to the circuit breaker. It logs an error or a change of the
+// breaker's state at most once in logInterval, so that the log does not grow with the number of failures;
+// the counters include the failures that are not logged.
+func (p *Plugin) recordResult(runStartedAt time.Duration, err error) {
 	p.mu.Lock()
-	changed := p.breaker.Done(time.Since(p.started), isExhausted(err))
+	changed := p.breaker.Done(time.Since(p.startedAt), isExhausted(err))
 	state := p.breaker.State()
-	shouldLog := (err != nil || changed) && startedAt >= p.nextLogAt
+	shouldLog := (err != nil || changed) && runStartedAt >= p.nextLogAt
 	if shouldLog {
-		p.nextLogAt = startedAt + logInterval
+		p.nextLogAt = runStartedAt + logInterval
 	}
 	p.mu.Unlock()
 	if shouldLog {
@@ -96,9 +96,9 @@
 	return false
 }
 
-// runGuarded runs the program and accept, and commits the changes of the state. It recovers from a panic
-// and returns it as an error, so that the panic affects only this plug-in.
-func (p *Plugin) runGuarded(w *workspace, accept func([]hook.Effect) error) (err error) {
+// runRecovered runs the program and applyEffects, and commits the changes of the state. It recovers from a
+// panic and returns it as an error, so that the panic affects only this plug-in.
+func (p *Plugin) runRecovered(w *workspace, applyEffects func([]hook.Effect) error) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			w.machine = hook.Machine{}
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	if err := accept(result.Effects); err != nil {
+	if err := applyEffects(result.Effects); err != nil {
 		return err
 	}
 	w.view.commit()
--- a/internal/plugin/state.go
+++ b/internal/plugin/state.go
@@ -117,8 +117,8 @@
 	t.order.MoveToBack(element)
 }
 
-// forget removes the entry with the key, if there is one.
-func (t *table) forget(key string) {
+// removeKey removes the entry with the key, if there is one.
+func (t *table) removeKey(key string) {
 	if element := t.byKey[key]; element != nil {
 		t.remove(element)
 	}
--- a/internal/plugin/state_view.go
+++ b/internal/plugin/state_view.go
@@ -8,10 +8,10 @@
 
 // change is a pending change of one entry of the state.
 type change struct {
-	state    int // index of the declaration
-	key      string
-	n        int64 // the number to add, unless isForget is set
-	isForget bool  // whether the entry is removed
+	state     int // index of the declaration
+	key       string
+	n         int64 // the number to add, unless isRemoval is set
+	isRemoval bool  // whether the entry is removed
 }
 
 // stateView is the hook.Store of one run: the shared state combined with the run's pending changes. Other
@@ -40,7 +40,7 @@
 	for _, c := range v.changes {
 		switch {
 		case c.state != state || c.key != key:
-		case c.isForget:
+		case c.isRemoval:
 			n = 0
 		default:
 			n = saturatingAdd(n, c.n)
@@ -64,7 +64,7 @@
 
 // Forget records the removal of an entry.
 func (v *stateView) Forget(state int, key string) {
-	v.changes = append(v.changes, change{state: state, key: key, isForget: true})
+	v.changes = append(v.changes, change{state: state, key: key, isRemoval: true})
 }
 
 // commit applies all pending changes to the shared state atomically.
@@ -75,8 +75,8 @@
 	v.shared.mu.Lock()
 	defer v.shared.mu.Unlock()
 	for _, c := range v.changes {
-		if c.isForget {
-			v.table(c.state).forget(c.key)
+		if c.isRemoval {
+			v.table(c.state).removeKey(c.key)
 		} else {
 			v.table(c.state).add(c.key, c.n, v.now)
 		}
--- a/quota/admit.go
+++ b/quota/admit.go
@@ -39,7 +39,7 @@
 		for i := range n.buckets[dimension] {
 			b := &n.buckets[dimension][i]
 			b.refill(now, t.config.RepaymentShare)
-			if n.takeOwn(b, cost, decision.Receipt) {
+			if n.chargeOwnBucket(b, cost, decision.Receipt) {
 				continue
 			}
 			if request.Retry || !t.coverShortage(now, n, b, cost, decision) {
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// takeOwn charges the cost to the node's own bucket if the bucket holds enough tokens, and
-// reports whether it did.
-func (n *node) takeOwn(b *bucket, cost float64, receipt *Receipt) bool {
+// chargeOwnBucket charges the cost to the node's own bucket if the bucket holds enough
+// tokens, and reports whether it did.
+func (n *node) chargeOwnBucket(b *bucket, cost float64, receipt *Receipt) bool {
 	if b.tokens >= cost {
 		b.tokens -= cost
-		receipt.add(draw{kind: ownDraw, source: n, bucket: b, amount: cost})
+		receipt.add(withdrawal{kind: ownWithdrawal, source: n, bucket: b, amount: cost})
 		return true
 	}
 	return false
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -10,7 +10,7 @@
 // within the node's own share and for requests that take a loan.
 func BenchmarkAdmit(b *testing.B) {
 	for _, siblings := range []int{2, 20, 200} {
-		config := manySiblings(siblings)
+		config := siblingsConfig(siblings)
 		for name, interval := range map[string]time.Duration{"own": time.Microsecond, "borrowed": 0} {
 			b.Run(fmt.Sprintf("%s/%d", name, siblings), func(b *testing.B) {
 				tree, now := newTree(b, config), time.Duration(0)
@@ -28,8 +28,8 @@
 	}
 }
 
-// manySiblings returns the configuration of a root and its children, each with one limit.
-func manySiblings(siblings int) Config {
+// siblingsConfig returns the configuration of a root and its children, each with one limit.
+func siblingsConfig(siblings int) Config {
 	limits := func(rate float64) []Limit {
 		return []Limit{{Dimension: Requests, Rate: rate, Window: time.Second}}
 	}
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -67,8 +67,8 @@
 	b.repaymentAllowance = min(b.capacity*repaymentShare, b.repaymentAllowance+elapsed*b.Rate*repaymentShare)
 }
 
-// put returns tokens to the bucket, up to its capacity.
-func (b *bucket) put(amount float64) { b.tokens = min(b.capacity, b.tokens+amount) }
+// returnTokens returns tokens to the bucket, up to its capacity.
+func (b *bucket) returnTokens(amount float64) { b.tokens = min(b.capacity, b.tokens+amount) }
 
 // lendable returns how many tokens the bucket may lend: its tokens minus the lender's
 // reserve. The result may be negative.
@@ -79,7 +79,7 @@
 	return b.tokens - min(b.capacity*maxReserveShare, b.Rate*lenderReserve.Seconds())
 }
 
-// reachesCeiling reports whether a loan of the amount would exceed the limit's ceiling.
-func (b *bucket) reachesCeiling(amount float64) bool {
+// exceedsCeiling reports whether a loan of the amount would exceed the limit's ceiling.
+func (b *bucket) exceedsCeiling(amount float64) bool {
 	return b.Ceiling > 0 && b.loanAllowance < amount
 }
--- a/quota/debt.go
+++ b/quota/debt.go
@@ -95,7 +95,9 @@
 	debtorBucket.tokens -= cost
 	debtorBucket.repaymentAllowance -= cost
 	d.amount -= cost
-	receipt.add(draw{kind: repaymentDraw, source: debtor, bucket: debtorBucket, amount: cost, recipient: creditor})
+	receipt.add(withdrawal{
+		kind: repaymentWithdrawal, source: debtor, bucket: debtorBucket, amount: cost, recipient: creditor,
+	})
 	creditor.usage.Repaid++
 	return true
 }
--- a/quota/lending.go
+++ b/quota/lending.go
@@ -32,7 +32,7 @@
 // takeLoan borrows a cost that the node's own bucket cannot cover, and reports whether a
 // lender was found. The node must have a parent.
 func (t *Tree) takeLoan(now time.Duration, n *node, b *bucket, cost float64, decision *Decision) bool {
-	if b.reachesCeiling(cost) {
+	if b.exceedsCeiling(cost) {
 		// A node at its ceiling cannot borrow, so its low virtual time must not keep its
 		// siblings from borrowing.
 		n.flows[b.Dimension].attemptedAt = 0
@@ -86,8 +86,8 @@
 	lenderBucket.tokens -= cost
 	b.loanAllowance -= cost
 	borrower.flows[b.Dimension].virtualTime += cost / borrower.Weight
-	decision.Receipt.add(draw{
-		kind: loanDraw, source: lender, bucket: lenderBucket, amount: cost,
+	decision.Receipt.add(withdrawal{
+		kind: loanWithdrawal, source: lender, bucket: lenderBucket, amount: cost,
 		recipient: borrower, recipientBucket: b, debtIncrease: t.addDebt(now, borrower, lender, b, cost),
 	})
 	lender.usage.Lent++
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -44,9 +44,9 @@
 	return request
 }
 
-// admitted sends requests to each node at even intervals, at the node's rate in requests a
-// second, and returns the number of admitted requests by node.
-func admitted(
+// admittedCounts sends requests to each node at even intervals, at the node's rate in
+// requests a second, and returns the number of admitted requests by node.
+func admittedCounts(
 	tree *Tree, from, to time.Duration, rates map[string]float64, request func(node string) Request,
 ) map[string]int {
 	counts := make(map[string]int)
@@ -81,7 +81,7 @@
 // that the loan is repaid, and that in the long run each tenant is within 5% of its share.
 func TestLendAndRepay(t *testing.T) {
 	tree := newTree(t, twoTenants(100))
-	alone := admitted(tree, 0, 60*time.Second, map[string]float64{"lockyer": 200}, oneRequest)
+	alone := admittedCounts(tree, 0, 60*time.Second, map[string]float64{"lockyer": 200}, oneRequest)
 	if n := float64(alone["lockyer"]); n < 0.8*100*60 || n > 100*60+1000 {
 		t.Errorf("lockyer alone: admitted %v requests in 60 s, want between 4800 and 7000", n)
 	}
@@ -90,15 +90,15 @@
 		t.Errorf("lockyer's debts: got %+v, want one debt to downs between 60 and 127", debts)
 	}
 	rates := map[string]float64{"downs": 300, "lockyer": 300}
-	firstSecond := admitted(tree, 60*time.Second, 61*time.Second, rates, oneRequest)
+	firstSecond := admittedCounts(tree, 60*time.Second, 61*time.Second, rates, oneRequest)
 	if firstSecond["downs"] < 79 {
 		t.Errorf("lender in its first busy second: admitted %d requests, want at least 79", firstSecond["downs"])
 	}
-	nextMinute := admitted(tree, 61*time.Second, 121*time.Second, rates, oneRequest)
+	nextMinute := admittedCounts(tree, 61*time.Second, 121*time.Second, rates, oneRequest)
 	if ratio := float64(nextMinute["downs"]) / (79 * 60); ratio < 1.005 || ratio > 1.05 {
 		t.Errorf("lender in the next minute: admitted %.3f of its share, want between 1.005 and 1.05", ratio)
 	}
-	longRun := admitted(tree, 121*time.Second, 1321*time.Second, rates, oneRequest)
+	longRun := admittedCounts(tree, 121*time.Second, 1321*time.Second, rates, oneRequest)
 	for name, share := range map[string]float64{"downs": 79, "lockyer": 21} {
 		if ratio := float64(longRun[name]) / (share * 1200); math.Abs(ratio-1) > 0.05 {
 			t.Errorf("%s in the long run: admitted %.3f of its share, want between 0.95 and 1.05", name, ratio)
@@ -110,7 +110,7 @@
 // marked as retries are charged only to the node's own share.
 func TestRetriesBorrowNothing(t *testing.T) {
 	tree := newTree(t, twoTenants(100))
-	got := admitted(tree, 0, 60*time.Second, map[string]float64{"lockyer": 500}, oneRetry)["lockyer"]
+	got := admittedCounts(tree, 0, 60*time.Second, map[string]float64{"lockyer": 500}, oneRetry)["lockyer"]
 	if got > 21*60+210+1 {
 		t.Errorf("admitted %d retries in 60 s, want at most 1471: 21 a second and a full bucket of 210", got)
 	}
@@ -133,8 +133,8 @@
 		{Name: "capped", Parent: "root", Weight: 10, Limits: limits(10, 15)},
 	}})
 	rates := map[string]float64{"light": 200, "heavy": 200, "capped": 200}
-	admitted(tree, 0, 30*time.Second, rates, oneRequest)
-	counts := admitted(tree, 30*time.Second, 90*time.Second, rates, oneRequest)
+	admittedCounts(tree, 0, 30*time.Second, rates, oneRequest)
+	counts := admittedCounts(tree, 30*time.Second, 90*time.Second, rates, oneRequest)
 	light, heavy := float64(counts["light"])/60-10, float64(counts["heavy"])/60-10
 	capped := float64(counts["capped"]) / 60
 	if light+heavy < 85 || heavy/light < 2.5 || heavy/light > 3.5 {
@@ -169,7 +169,7 @@
 func TestRestoreFrom(t *testing.T) {
 	const reloadAt = 30 * time.Second
 	old := newTree(t, twoTenants(100))
-	admitted(old, 0, reloadAt, map[string]float64{"lockyer": 200}, oneRequest)
+	admittedCounts(old, 0, reloadAt, map[string]float64{"lockyer": 200}, oneRequest)
 	before := make(map[string]State)
 	for _, state := range old.Explain(reloadAt) {
 		before[state.Name] = state
--- a/quota/receipt.go
+++ b/quota/receipt.go
@@ -1,17 +1,17 @@
 package quota
 
-// drawKind is the reason for which tokens were taken from a bucket.
-type drawKind uint8
+// withdrawalKind is the reason for which tokens were taken from a bucket.
+type withdrawalKind uint8
 
 const (
-	ownDraw       drawKind = iota // charge to the node's own share
-	loanDraw                      // loan by the source to the recipient
-	repaymentDraw                 // repayment by the source to the recipient
+	ownWithdrawal       withdrawalKind = iota // charge to the node's own share
+	loanWithdrawal                            // loan by the source to the recipient
+	repaymentWithdrawal                       // repayment by the source to the recipient
 )
 
-// draw is an amount of tokens taken from a bucket.
-type draw struct {
-	kind      drawKind
+// withdrawal is an amount of tokens taken from a bucket.
+type withdrawal struct {
+	kind      withdrawalKind
 	source    *node // the node that owns the bucket
 	bucket    *bucket
 	amount    float64
@@ -24,12 +24,12 @@
 // Receipt records what an admitted request was charged. Release and Refund each take
 // effect once, and Refund takes effect only before Release.
 type Receipt struct {
-	draws    []draw
-	released bool
-	refunded bool
+	withdrawals []withdrawal
+	released    bool
+	refunded    bool
 }
 
-func (r *Receipt) add(d draw) { r.draws = append(r.draws, d) }
+func (r *Receipt) add(w withdrawal) { r.withdrawals = append(r.withdrawals, w) }
 
 // Release ends a request that ran: it returns the request's Concurrent slots. It accepts a
 // nil receipt, and does nothing if the receipt was released or refunded before.
@@ -38,9 +38,9 @@
 		return
 	}
 	r.released = true
-	for _, d := range r.draws {
-		if d.bucket.Dimension == Concurrent {
-			d.bucket.put(d.amount)
+	for _, w := range r.withdrawals {
+		if w.bucket.Dimension == Concurrent {
+			w.bucket.returnTokens(w.amount)
 		}
 	}
 }
@@ -58,37 +58,37 @@
 
 // undo returns all tokens that were taken, and reverses the loans and repayments.
 func (r *Receipt) undo() {
-	for _, d := range r.draws {
-		d.bucket.put(d.amount)
-		switch d.kind {
-		case ownDraw:
-		case loanDraw:
-			d.undoLoan()
-		case repaymentDraw:
-			d.undoRepayment()
+	for _, w := range r.withdrawals {
+		w.bucket.returnTokens(w.amount)
+		switch w.kind {
+		case ownWithdrawal:
+		case loanWithdrawal:
+			w.undoLoan()
+		case repaymentWithdrawal:
+			w.undoRepayment()
 		}
 	}
-	r.draws = r.draws[:0]
+	r.withdrawals = r.withdrawals[:0]
 }
 
 // undoLoan restores the borrower's loan allowance and virtual time, the lender's counter and
 // the debt.
-func (d *draw) undoLoan() {
-	dimension := d.bucket.Dimension
-	b := d.recipientBucket
-	b.loanAllowance = min(b.maxLoanAllowance(), b.loanAllowance+d.amount)
-	d.recipient.flows[dimension].virtualTime -= d.amount / d.recipient.Weight
-	d.source.usage.Lent--
-	if debt := d.recipient.findDebt(d.source, dimension); debt != nil {
-		debt.amount = max(0, debt.amount-d.debtIncrease)
+func (w *withdrawal) undoLoan() {
+	dimension := w.bucket.Dimension
+	b := w.recipientBucket
+	b.loanAllowance = min(b.maxLoanAllowance(), b.loanAllowance+w.amount)
+	w.recipient.flows[dimension].virtualTime -= w.amount / w.recipient.Weight
+	w.source.usage.Lent--
+	if debt := w.recipient.findDebt(w.source, dimension); debt != nil {
+		debt.amount = max(0, debt.amount-w.debtIncrease)
 	}
 }
 
 // undoRepayment restores the debtor's repayment allowance and debt, and the creditor's counter.
-func (d *draw) undoRepayment() {
-	d.bucket.repaymentAllowance += d.amount
-	d.recipient.usage.Repaid--
-	if debt := d.source.findDebt(d.recipient, d.bucket.Dimension); debt != nil {
-		debt.amount += d.amount
+func (w *withdrawal) undoRepayment() {
+	w.bucket.repaymentAllowance += w.amount
+	w.recipient.usage.Repaid--
+	if debt := w.source.findDebt(w.recipient, w.bucket.Dimension); debt != nil {
+		debt.amount += w.amount
 	}
 }
