--- a/quota/receipt.go
+++ b/quota/receipt.go
@@ -1,53 +1,53 @@
 package quota
 
-// drawKind is why tokens were taken out of a bucket.
-type drawKind uint8
+// withdrawalKind is the reason for which tokens were taken from a bucket.
+type withdrawalKind uint8
 
 const (
-	ownDraw       drawKind = iota // the node's own share
-	loanDraw                      // lent by the source to the recipient
-	repaymentDraw                 // repaid by the source to the recipient
+	ownWithdrawal       withdrawalKind = iota // charge to the node's own share
+	loanWithdrawal                            // loan by the source to the recipient
+	repaymentWithdrawal                       // repayment by the source to the recipient
 )
 
-// draw is an amount taken out of a bucket.
-type draw struct {
-	kind      drawKind
-	source    *node // whose bucket it is
+// withdrawal is an amount of tokens taken from a bucket.
+type withdrawal struct {
+	kind      withdrawalKind
+	source    *node // the node that owns the bucket
 	bucket    *bucket
 	amount    float64
-	recipient *node // of a loan: the borrower; of a repayment: the creditor
-	// recipientBucket, of a loan, is the borrower's, whose loan allowance it used up.
+	recipient *node // for a loan, the borrower; for a repayment, the creditor
+	// recipientBucket is, for a loan, the borrower's bucket whose loan allowance was reduced.
 	recipientBucket *bucket
-	debtIncrease    float64 // of a loan: by how much the borrower's debt grew
+	debtIncrease    float64 // for a loan, by how much the borrower's debt grew
 }
 
-// Receipt is what an admitted request was charged. Each of Release and Refund takes
-// effect once, and Refund only before Release.
+// Receipt records what an admitted request was charged. Release and Refund each take
+// effect once, and Refund takes effect only before Release.
 type Receipt struct {
-	draws    []draw
-	released bool
-	refunded bool
+	withdrawals []withdrawal
+	released    bool
+	refunded    bool
 }
 
-func (r *Receipt) add(d draw) { r.draws = append(r.draws, d) }
+func (r *Receipt) add(w withdrawal) { r.withdrawals = append(r.withdrawals, w) }
 
-// Release ends a request that ran: its Concurrent slots are free again. It accepts a
-// nil receipt, and does nothing the second time.
+// Release ends a request that ran: it returns the request's Concurrent slots. It accepts a
+// nil receipt, and does nothing if the receipt was released or refunded before.
 func (t *Tree) Release(r *Receipt) {
 	if r == nil || r.released {
 		return
 	}
 	r.released = true
-	for _, d := range r.draws {
-		if d.bucket.Dimension == Concurrent {
-			d.bucket.put(d.amount)
+	for _, w := range r.withdrawals {
+		if w.bucket.Dimension == Concurrent {
+			w.bucket.returnTokens(w.amount)
 		}
 	}
 }
 
-// Refund ends a request that never ran and returns all of its charge. The counts of
-// Usage.WithinShare and Usage.Borrowed stay. It accepts a nil receipt, and does
-// nothing the second time or after Release.
+// Refund ends a request that never ran: it returns everything that was charged. The
+// counters Usage.WithinShare and Usage.Borrowed are not decremented. It accepts a nil
+// receipt, and does nothing if the receipt was released or refunded before.
 func (t *Tree) Refund(r *Receipt) {
 	if r == nil || r.refunded || r.released {
 		return
@@ -56,36 +56,39 @@
 	r.undo()
 }
 
-// undo returns all that was taken, with its loans and repayments.
+// undo returns all tokens that were taken, and reverses the loans and repayments.
 func (r *Receipt) undo() {
-	for _, d := range r.draws {
-		d.bucket.put(d.amount)
-		switch d.kind {
-		case ownDraw:
-		case loanDraw:
-			d.undoLoan()
-		case repaymentDraw:
-			d.undoRepayment()
+	for _, w := range r.withdrawals {
+		w.bucket.returnTokens(w.amount)
+		switch w.kind {
+		case ownWithdrawal:
+		case loanWithdrawal:
+			w.undoLoan()
+		case repaymentWithdrawal:
+			w.undoRepayment()
 		}
 	}
-	r.draws = r.draws[:0]
+	r.withdrawals = r.withdrawals[:0]
 }
 
-func (d *draw) undoLoan() {
-	dimension := d.bucket.Dimension
-	b := d.recipientBucket
-	b.loanAllowance = min(b.maxLoanAllowance(), b.loanAllowance+d.amount)
-	d.recipient.flows[dimension].virtualTime -= d.amount / d.recipient.Weight
-	d.source.usage.Lent--
-	if debt := d.recipient.findDebt(d.source, dimension); debt != nil {
-		debt.amount = max(0, debt.amount-d.debtIncrease)
+// undoLoan restores the borrower's loan allowance and virtual time, the lender's counter and
+// the debt.
+func (w *withdrawal) undoLoan() {
+	dimension := w.bucket.Dimension
+	b := w.recipientBucket
+	b.loanAllowance = min(b.maxLoanAllowance(), b.loanAllowance+w.amount)
+	w.recipient.flows[dimension].virtualTime -= w.amount / w.recipient.Weight
+	w.source.usage.Lent--
+	if debt := w.recipient.findDebt(w.source, dimension); debt != nil {
+		debt.amount = max(0, debt.amount-w.debtIncrease)
 	}
 }
 
-func (d *draw) undoRepayment() {
-	d.bucket.repaymentAllowance += d.amount
-	d.recipient.usage.Repaid--
-	if debt := d.source.findDebt(d.recipient, d.bucket.Dimension); debt != nil {
-		debt.amount += d.amount
+// undoRepayment restores the debtor's repayment allowance and debt, and the creditor's counter.
+func (w *withdrawal) undoRepayment() {
+	w.bucket.repaymentAllowance += w.amount
+	w.recipient.usage.Repaid--
+	if debt := w.source.findDebt(w.recipient, w.bucket.Dimension); debt != nil {
+		debt.amount += w.amount
 	}
 }
