--- a/cmd/sidecar/commands.go
+++ b/cmd/sidecar/commands.go
@@ -64,7 +64,7 @@
 			return err
 		}
 	}
-	fmt.Printf("%s is good: %s\n", c.File, f.Summary())
+	fmt.Printf("%s is valid: %s\n", c.File, f.Summary())
 	return nil
 }
 
--- a/internal/operator/admin.go
+++ b/internal/operator/admin.go
@@ -1,19 +1,21 @@
 package operator
 
-// Admin is the [admin] table: the socket that the operators' commands use.
+// Admin is the [admin] table: the socket that the operators' commands connect to.
 type Admin struct {
-	Socket  string `toml:"socket"`  // path of a Unix socket; empty: there is none
-	Metrics bool   `toml:"metrics"` // GET /metrics there, in the Prometheus text format
+	Socket  string `toml:"socket"`  // path of a Unix socket; empty: no admin socket
+	Metrics bool   `toml:"metrics"` // serve GET /metrics on the socket, in the Prometheus text format
 }
 
-// maxSocketPathBytes is what a Unix socket's address holds (unix(7)), less the final 0.
+// maxSocketPathBytes is the longest path that the address of a Unix socket can hold (unix(7)),
+// without the terminating zero byte.
 const maxSocketPathBytes = 107
 
 func (a *Admin) check(d *decoder) {
 	if len(a.Socket) > maxSocketPathBytes {
-		d.reportAt("admin.socket", "a path of %d bytes: a Unix socket's has %d at most", len(a.Socket), maxSocketPathBytes)
+		d.reportAt("admin.socket", "must be a Unix socket path of at most %[2]d bytes, got %[1]d bytes",
+			len(a.Socket), maxSocketPathBytes)
 	}
 	if a.Metrics && a.Socket == "" {
-		d.reportAt("admin.metrics", "they are shown on the admin socket: socket is missing beside it")
+		d.reportAt("admin.metrics", "requires the key socket: metrics are served on the admin socket")
 	}
 }
--- a/internal/operator/classes.go
+++ b/internal/operator/classes.go
@@ -2,15 +2,20 @@
 
 import "fmt"
 
-// Class is a [[class]] table: a kind of requests. There must be one at least.
+// Class is a [[class]] table: one kind of request. A file with a [sidecar] table needs at
+// least one.
 type Class struct {
 	Name             string      `toml:"name"`
 	Idempotency      Idempotency `toml:"effect"`
-	LatencyObjective Duration    `toml:"aim"`      // a response by then earns its full value
-	Deadline         Duration    `toml:"deadline"` // when a client gives up, retries included
-	PriorityWeight   float64     `toml:"worth"`    // against the other classes; 0: 1
-	DedupWindow      Duration    `toml:"window"`   // keyed: how long endpoints drop a repeat, from the first send on
-	DedupScope       DedupScope  `toml:"scope"`    // keyed: which endpoints do; empty: ScopeCell
+	LatencyObjective Duration    `toml:"aim"`      // a response within this time has its full value
+	Deadline         Duration    `toml:"deadline"` // time after which a client gives up, its retries included
+	PriorityWeight   float64     `toml:"worth"`    // value of a response relative to the other classes; 0: 1
+
+	// DedupWindow is how long endpoints drop repeats, from the first send on. For
+	// IdempotentByKey only.
+	DedupWindow Duration `toml:"window"`
+	// DedupScope says which endpoints drop repeats. For IdempotentByKey only; empty: ScopeCell.
+	DedupScope DedupScope `toml:"scope"`
 }
 
 // Idempotency says what a repeat of a request does.
@@ -18,19 +23,19 @@
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = "safe"   // nothing
-	IdempotentByKey Idempotency = "keyed"  // nothing where its key is known
-	NotIdempotent   Idempotency = "unsafe" // its effect once more
+	Idempotent      Idempotency = "safe"   // a repeat has no further effect
+	IdempotentByKey Idempotency = "keyed"  // a repeat has no further effect at an endpoint that knows its key
+	NotIdempotent   Idempotency = "unsafe" // a repeat has its effect once more
 )
 
 func (i Idempotency) check() error {
 	return oneOf(string(i), string(Idempotent), string(IdempotentByKey), string(NotIdempotent))
 }
 
-// DedupScope says which endpoints know a key that one of them has seen.
+// DedupScope says which endpoints know an idempotency key that one of them has seen.
 type DedupScope string
 
-// The scopes. Empty stands for ScopeCell, the strictest.
+// The scopes of deduplication. An empty value means ScopeCell, the strictest.
 const (
 	ScopeCell DedupScope = "cell"
 	ScopeZone DedupScope = "zone"
@@ -42,7 +47,7 @@
 }
 
 func checkClasses(classes []Class, d *decoder) {
-	names := d.newNames("class")
+	names := d.newUniqueNames("class")
 	for i := range classes {
 		path := fmt.Sprintf("class[%d]", i)
 		classes[i].check(path, d)
@@ -51,28 +56,30 @@
 }
 
 func (c *Class) check(path string, d *decoder) {
-	d.require(path, "name", c.Name == "", "the name that requests have for it is meant")
-	d.require(path, "effect", c.Idempotency == "", "%q, %q or %q is meant", Idempotent, IdempotentByKey, NotIdempotent)
-	d.require(path, "aim", c.LatencyObjective == "", "%s is meant", c.LatencyObjective.meant())
-	d.require(path, "deadline", c.Deadline == "", "%s is meant", c.Deadline.meant())
+	d.require(path, "name", c.Name == "", "must be the name by which requests refer to the class")
+	d.require(path, "effect", c.Idempotency == "", "must be %q, %q or %q", Idempotent, IdempotentByKey, NotIdempotent)
+	d.require(path, "aim", c.LatencyObjective == "", "must be %s", c.LatencyObjective.expected())
+	d.require(path, "deadline", c.Deadline == "", "must be %s", c.Deadline.expected())
 	if c.LatencyObjective.Value() > c.Deadline.Value() && c.Deadline != "" {
-		d.reportAt(path+".aim", "%s is after the deadline of %s: no answer would be in time", c.LatencyObjective, c.Deadline)
+		d.reportAt(path+".aim", "must not be after the deadline of %[2]s, got %[1]s: a response by then would be too late",
+			c.LatencyObjective, c.Deadline)
 	}
 	if c.PriorityWeight < 0 {
-		d.reportAt(path+".worth", "%v is negative: a number above 0 is meant", c.PriorityWeight)
+		d.reportAt(path+".worth", "must be a number above 0, or 0 for the default of 1, got %v", c.PriorityWeight)
 	}
 	if c.Idempotency == IdempotentByKey {
-		d.require(path, "window", c.DedupWindow == "", "how long nodes drop a repeat of a keyed request is meant, such as \"600ms\"")
+		d.require(path, "window", c.DedupWindow == "",
+			"must be how long endpoints drop repeats of a keyed request, such as \"600ms\"")
 	} else if c.Idempotency != "" {
 		c.checkNotKeyed(path, d)
 	}
 }
 
-// checkNotKeyed reports keys that only a class that is idempotent by key has a use for.
+// checkNotKeyed reports keys that apply only to a class that is idempotent by key.
 func (c *Class) checkNotKeyed(path string, d *decoder) {
-	for key, set := range map[string]bool{"window": c.DedupWindow != "", "scope": c.DedupScope != ""} {
-		if set {
-			d.reportAt(path+"."+key, "this is for classes with effect = %q", IdempotentByKey)
+	for key, isSet := range map[string]bool{"window": c.DedupWindow != "", "scope": c.DedupScope != ""} {
+		if isSet {
+			d.reportAt(path+"."+key, "applies only to classes with effect = %q", IdempotentByKey)
 		}
 	}
 }
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -10,32 +10,32 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// decoder fills a File from a syntax tree and reports what does not match. Keys are those
-// of the fields' toml tags.
+// decoder fills a File from a syntax tree and reports each key or value that does not match
+// its field. The key of a field is its toml tag.
 type decoder struct {
 	*problemList
-	offsets map[string]int // of each value, by its path
+	offsets map[string]int // offset of each value, by its path
 }
 
-// checker is a type whose values can be wrong by themselves.
+// checker is a type that can tell from a value alone whether it is valid.
 type checker interface{ check() error }
 
 // table fills a struct.
-func (d *decoder) table(v *value, into reflect.Value, path string) {
+func (d *decoder) table(v *value, dst reflect.Value, path string) {
 	d.offsets[path] = v.keyOffset
 	for _, key := range v.keys {
 		member, memberPath := v.members[key], join(path, key)
-		field := fieldByKey(into.Type(), key)
+		field := fieldByKey(dst.Type(), key)
 		if field < 0 {
-			d.report(member.keyOffset, memberPath, "it is not known%s", suggestion(into.Type(), key))
+			d.report(member.keyOffset, memberPath, "unknown key%s", suggestion(dst.Type(), key))
 			continue
 		}
 		d.offsets[memberPath] = member.offset
-		d.value(member, into.Field(field), memberPath)
+		d.value(member, dst.Field(field), memberPath)
 	}
 }
 
-// fieldByKey returns the index of the field for a key; -1 where there is none.
+// fieldByKey returns the index of the field for a key, or -1 if no field has the key.
 func fieldByKey(t reflect.Type, key string) int {
 	for i := range t.NumField() {
 		if t.Field(i).Tag.Get("toml") == key && key != "" {
@@ -46,140 +46,142 @@
 }
 
 // value fills a field or an element of any type.
-func (d *decoder) value(v *value, into reflect.Value, path string) {
-	if v.isTables && !takesTables(into) {
-		d.reportTables(v, into, path)
+func (d *decoder) value(v *value, dst reflect.Value, path string) {
+	if v.isTableArray && !takesTables(dst) {
+		d.reportTables(v, dst, path)
 		return
 	}
-	switch into.Kind() {
+	switch dst.Kind() {
 	case reflect.Pointer:
-		d.pointer(v, into, path)
+		d.pointer(v, dst, path)
 	case reflect.Struct:
 		if v.kind != unstable.Table {
-			d.reportKind(v, into, path)
+			d.reportKind(v, dst, path)
 			return
 		}
-		d.table(v, into, path)
+		d.table(v, dst, path)
 	case reflect.Slice:
-		d.slice(v, into, path)
+		d.slice(v, dst, path)
 	case reflect.Map:
-		d.mapping(v, into, path)
+		d.mapping(v, dst, path)
 	default:
-		d.scalar(v, into, path)
+		d.scalar(v, dst, path)
 	}
 }
 
-// takesTables says whether tables in double brackets may fill a value. Where it is a
-// pointer, that is for what it points to.
-func takesTables(into reflect.Value) bool {
-	switch into.Kind() {
+// takesTables reports whether a destination accepts tables in double brackets. A pointer does
+// here: the check is repeated for the value that it points to.
+func takesTables(dst reflect.Value) bool {
+	switch dst.Kind() {
 	case reflect.Pointer:
 		return true
 	case reflect.Slice:
-		return into.Type().Elem().Kind() == reflect.Struct
+		return dst.Type().Elem().Kind() == reflect.Struct
 	default:
 		return false
 	}
 }
 
-func (d *decoder) reportTables(v *value, into reflect.Value, path string) {
-	if into.Kind() == reflect.Struct {
-		d.report(v.keyOffset, path, "there is one such table at the most: [%s] is meant, in single brackets", path)
+// reportTables reports tables in double brackets whose destination does not accept them.
+func (d *decoder) reportTables(v *value, dst reflect.Value, path string) {
+	if dst.Kind() == reflect.Struct {
+		d.report(v.keyOffset, path, "must be a single table, written as [%s] in single brackets", path)
 		return
 	}
-	d.report(v.keyOffset, path, "%s is meant, not a table", meant(into.Type()))
+	d.report(v.keyOffset, path, "must be %s, got a table", expected(dst.Type()))
 }
 
-func (d *decoder) reportKind(v *value, into reflect.Value, path string) {
-	d.report(v.offset, path, "%s is meant, not %s", meant(into.Type()), describe(v))
+func (d *decoder) reportKind(v *value, dst reflect.Value, path string) {
+	d.report(v.offset, path, "must be %s, got %s", expected(dst.Type()), describe(v))
 }
 
-// pointer stays nil where its value is wrong.
-func (d *decoder) pointer(v *value, into reflect.Value, path string) {
-	target := reflect.New(into.Type().Elem())
+// pointer fills a pointer, which stays nil if its value is invalid.
+func (d *decoder) pointer(v *value, dst reflect.Value, path string) {
+	target := reflect.New(dst.Type().Elem())
 	d.value(v, target.Elem(), path)
 	if !d.reported(path) {
-		into.Set(target)
+		dst.Set(target)
 	}
 }
 
-func (d *decoder) slice(v *value, into reflect.Value, path string) {
-	ofStructs := into.Type().Elem().Kind() == reflect.Struct
-	singleTable := !v.isTables && v.kind == unstable.Table && !v.inline
+func (d *decoder) slice(v *value, dst reflect.Value, path string) {
+	ofStructs := dst.Type().Elem().Kind() == reflect.Struct
+	singleTable := !v.isTableArray && v.kind == unstable.Table && !v.inline
 	switch {
 	case ofStructs && singleTable:
-		d.report(v.keyOffset, path, "there may be several such tables: [[%s]] is meant, in double brackets", path)
+		d.report(v.keyOffset, path, "must be a list of tables, each written as [[%s]] in double brackets", path)
 		return
 	case v.kind != unstable.Array:
-		d.reportKind(v, into, path)
+		d.reportKind(v, dst, path)
 		return
 	}
-	for i, element := range v.list {
-		member, memberPath := reflect.New(into.Type().Elem()).Elem(), fmt.Sprintf("%s[%d]", path, i)
+	for i, element := range v.elements {
+		member, memberPath := reflect.New(dst.Type().Elem()).Elem(), fmt.Sprintf("%s[%d]", path, i)
 		d.offsets[memberPath] = element.offset
 		d.value(element, member, memberPath)
-		into.Set(reflect.Append(into, member))
+		dst.Set(reflect.Append(dst, member))
 	}
 }
 
-func (d *decoder) mapping(v *value, into reflect.Value, path string) {
+func (d *decoder) mapping(v *value, dst reflect.Value, path string) {
 	if v.kind != unstable.Table {
-		d.reportKind(v, into, path)
+		d.reportKind(v, dst, path)
 		return
 	}
-	into.Set(reflect.MakeMap(into.Type()))
+	dst.Set(reflect.MakeMap(dst.Type()))
 	for _, key := range v.keys {
-		member, memberPath := reflect.New(into.Type().Elem()).Elem(), join(path, key)
+		member, memberPath := reflect.New(dst.Type().Elem()).Elem(), join(path, key)
 		d.offsets[memberPath] = v.members[key].offset
 		d.value(v.members[key], member, memberPath)
-		into.SetMapIndex(reflect.ValueOf(key), member)
+		dst.SetMapIndex(reflect.ValueOf(key), member)
 	}
 }
 
-// scalar fills a text, a number or a truth value, and checks it by itself. A wrong one is
-// left at zero, so that what depends on it is not reported on top.
-func (d *decoder) scalar(v *value, into reflect.Value, path string) {
-	if !setScalar(v, into) {
-		d.reportKind(v, into, path)
+// scalar fills a string, a number or a boolean, and checks its value alone. An invalid value is
+// left at zero, so that checks which depend on it report no further problems.
+func (d *decoder) scalar(v *value, dst reflect.Value, path string) {
+	if !setScalar(v, dst) {
+		d.reportKind(v, dst, path)
 		return
 	}
-	c, ok := into.Interface().(checker)
+	c, ok := dst.Interface().(checker)
 	if !ok {
 		return
 	}
 	if err := c.check(); err != nil {
 		d.report(v.offset, path, "%v", err)
-		into.SetZero()
+		dst.SetZero()
 	}
 }
 
-// setScalar says whether the value is of the kind that is wanted.
-func setScalar(v *value, into reflect.Value) bool {
+// setScalar sets a string, a number or a boolean, and reports whether the value has the kind
+// of the destination.
+func setScalar(v *value, dst reflect.Value) bool {
 	digits := strings.ReplaceAll(v.text, "_", "")
-	switch into.Kind() {
+	switch dst.Kind() {
 	case reflect.String:
 		if v.kind != unstable.String {
 			return false
 		}
-		into.SetString(v.text)
+		dst.SetString(v.text)
 	case reflect.Bool:
 		if v.kind != unstable.Bool {
 			return false
 		}
-		into.SetBool(v.text == "true")
+		dst.SetBool(v.text == "true")
 	case reflect.Int, reflect.Int64:
 		n, err := strconv.ParseInt(digits, 0, 64)
 		if v.kind != unstable.Integer || err != nil {
 			return false
 		}
-		into.SetInt(n)
+		dst.SetInt(n)
 	case reflect.Float64:
 		x, err := strconv.ParseFloat(digits, 64)
 		isNumber := v.kind == unstable.Float || v.kind == unstable.Integer
 		if !isNumber || err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
 			return false
 		}
-		into.SetFloat(x)
+		dst.SetFloat(x)
 	default: // no table has a field of another kind
 	}
 	return true
--- a/internal/operator/describe.go
+++ b/internal/operator/describe.go
@@ -7,38 +7,38 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// meaner is a type that says what a value of it looks like.
-type meaner interface{ meant() string }
+// valueDescriber is a type that describes its valid values.
+type valueDescriber interface{ expected() string }
 
-// meant describes what a value of a type looks like.
-func meant(t reflect.Type) string {
-	if m, ok := reflect.Zero(t).Interface().(meaner); ok {
-		return m.meant()
+// expected describes the valid values of a type, as the object of "must be".
+func expected(t reflect.Type) string {
+	if describer, ok := reflect.Zero(t).Interface().(valueDescriber); ok {
+		return describer.expected()
 	}
 	switch t.Kind() {
 	case reflect.Pointer:
-		return meant(t.Elem())
+		return expected(t.Elem())
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Float64:
 		return "a number, such as 0.3"
 	case reflect.String:
-		return "a text in quotes"
+		return "a string in quotes"
 	case reflect.Slice:
 		if t.Elem().Kind() == reflect.Struct {
 			return "a table in double brackets"
 		}
-		return "a list in brackets, each of its values " + meant(t.Elem())
+		return "a list in brackets, each element " + expected(t.Elem())
 	default:
 		return "a table"
 	}
 }
 
-// describe describes the value that a file has.
+// describe describes a value of the file.
 func describe(v *value) string {
 	switch v.kind {
 	case unstable.String:
-		return fmt.Sprintf("the text %.60q", v.text)
+		return fmt.Sprintf("the string %.60q", v.text)
 	case unstable.Integer, unstable.Float:
 		return fmt.Sprintf("the number %.40s", v.text)
 	case unstable.Bool:
--- a/internal/operator/eureka.go
+++ b/internal/operator/eureka.go
@@ -3,20 +3,20 @@
 // Eureka is an [[eureka]] table: a Eureka registry as a source of the endpoint list.
 type Eureka struct {
 	Name          string   `toml:"name"`
-	Replicas      []URL    `toml:"replicas"`    // base URLs, the preferred one first
-	Apps          []string `toml:"apps"`        // applications to read; all where Apps and VIPs are both empty
+	Replicas      []URL    `toml:"replicas"`    // base URLs of the registry's replicas, the preferred one first
+	Apps          []string `toml:"apps"`        // applications to read; all if both Apps and VIPs are empty
 	VIPs          []string `toml:"vips"`        // virtual addresses to read
 	Format        Format   `toml:"format"`      // empty: JSON
-	Interval      Duration `toml:"interval"`    // between two reads; empty: the client's default
-	Timeout       Duration `toml:"timeout"`     // of one read; empty: the client's default
-	MaxResponseMB Count    `toml:"most_mb"`     // in MiB; 0: the client's default
-	UseSecurePort bool     `toml:"secure_port"` // endpoints are reached at their secure port
+	Interval      Duration `toml:"interval"`    // time between two polls; empty: the client's default
+	Timeout       Duration `toml:"timeout"`     // time limit of one poll; empty: the client's default
+	MaxResponseMB Count    `toml:"most_mb"`     // size limit of a response, in MiB; 0: the client's default
+	UseSecurePort bool     `toml:"secure_port"` // connect to endpoints at their secure port
 	Metadata      Metadata `toml:"metadata"`
 	Register      Register `toml:"register"`
 }
 
-// Metadata names the metadata of an instance that say what the registry's own fields do
-// not. Empty names map nothing.
+// Metadata names the keys of an instance's metadata that hold properties for which the registry
+// has no field of its own. A property whose key is empty is not read.
 type Metadata struct {
 	Zone        string `toml:"site"`
 	MachineType string `toml:"kind"`
@@ -26,20 +26,20 @@
 	StartedAtMS string `toml:"started_ms"`
 }
 
-// Register makes the sidecar itself an instance of the registry. App empty: it
-// does not register.
+// Register holds the settings with which the sidecar registers itself as an instance in the
+// registry. The sidecar does not register if App is empty.
 type Register struct {
 	App      string            `toml:"app"`
 	VIP      string            `toml:"vip"`
-	Address  Address           `toml:"address"` // empty: the platform's listener
-	Renew    Duration          `toml:"renew"`   // between two heartbeats; empty: the client's default
+	Address  Address           `toml:"address"` // empty: the address of the platform's listener
+	Renew    Duration          `toml:"renew"`   // time between two heartbeats; empty: the client's default
 	Metadata map[string]string `toml:"metadata"`
 }
 
-// Format is how a registry writes; empty stands for JSON.
+// Format is the format of a registry's responses. An empty value means JSON.
 type Format string
 
-// The formats.
+// The formats of responses.
 const (
 	JSON Format = "json"
 	XML  Format = "xml"
@@ -47,15 +47,16 @@
 
 func (f Format) check() error { return oneOf(string(f), string(JSON), string(XML)) }
 
-// URLs are the replicas' bases.
+// URLs returns the base URLs of the replicas.
 func (e *Eureka) URLs() []string {
-	all := make([]string, len(e.Replicas))
-	for i, r := range e.Replicas {
-		all[i] = string(r)
+	urls := make([]string, len(e.Replicas))
+	for i, replica := range e.Replicas {
+		urls[i] = string(replica)
 	}
-	return all
+	return urls
 }
 
 func (e *Eureka) check(path string, d *decoder) {
-	d.require(path, "replicas", len(e.Replicas) == 0, "a list of URLs is meant, such as [\"http://127.0.0.1:8761/eureka/v2\"]")
+	d.require(path, "replicas", len(e.Replicas) == 0,
+		"must be a list of URLs, such as [\"http://127.0.0.1:8761/eureka/v2\"]")
 }
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -1,8 +1,8 @@
-// Package operator reads the operators' file (deploy/mothridge.toml): all that is set
-// beyond the platform's configuration. Each table has a file of its own here, with its
-// keys, their defaults and their checks. What is absent is off. The file is read strictly,
-// and all that is wrong with it is reported at once, each problem with its position and
-// what would be right.
+// Package operator reads the operators' file (deploy/mothridge.toml), which holds all settings
+// beyond the platform's configuration. Each table has a source file of its own here, with its
+// keys, their defaults and their checks. A feature whose table is absent is off. The file is
+// read strictly: unknown keys are errors, and all problems are reported at once, each with its
+// position and with the rule that the value must meet.
 package operator
 
 import (
@@ -13,9 +13,9 @@
 	"strings"
 )
 
-// File is the operators' file.
+// File is the content of the operators' file.
 type File struct {
-	Sidecar *Sidecar `toml:"sidecar"` // nil: the platform configures it
+	Sidecar *Sidecar `toml:"sidecar"` // nil: the platform configures the sidecar
 	Classes []Class  `toml:"class"`
 	Tenants []Tenant `toml:"tenant"`
 
@@ -32,16 +32,17 @@
 	Lending Lending  `toml:"quotas"`
 	Quotas  []Quota  `toml:"quota"`
 
-	path string // where it was read; empty: nowhere
+	path string // path that Load read; empty if the text did not come from a file
 }
 
-// Path is where the file was read.
+// Path returns the path from which Load read the file; it is empty if Parse made the File.
 func (f *File) Path() string { return f.path }
 
 // maxFileBytes bounds the size of a file.
 const maxFileBytes = 1 << 20
 
-// Load reads and checks a file. What is wrong with its text is a *FileError.
+// Load reads and checks a file. The error is a *FileError if the text has problems. Relative
+// paths of plug-ins are resolved against the directory of the file.
 func Load(name string) (*File, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -60,11 +61,11 @@
 	return f, nil
 }
 
-// Parse reads and checks a text; name stands in errors for the file's. All that is wrong
-// is reported at once, as a *FileError.
+// Parse parses and checks a text. Errors give name as the name of the file. All problems of
+// the text are reported together, as a *FileError.
 func Parse(name string, text []byte) (*File, error) {
 	if len(text) > maxFileBytes {
-		return nil, fmt.Errorf("%s: a file of %d bytes: %d at most", name, len(text), maxFileBytes)
+		return nil, fmt.Errorf("%s: must be at most %[3]d bytes, got %[2]d", name, len(text), maxFileBytes)
 	}
 	problems := newProblemList(text)
 	f := new(File)
@@ -79,7 +80,7 @@
 	return f, nil
 }
 
-// check checks what one value alone does not show, table by table.
+// check checks, table by table, the rules that involve more than one value.
 func (f *File) check(d *decoder) {
 	f.Admin.check(d)
 	checkListeners(f.Listeners, d)
@@ -90,7 +91,7 @@
 	f.checkQuotas(d)
 }
 
-// Summary says in a line what the file sets.
+// Summary returns one line that summarises the settings of the file.
 func (f *File) Summary() string {
 	var parts []string
 	if f.Sidecar != nil {
@@ -99,11 +100,11 @@
 			fmt.Sprintf("%d classes", len(f.Classes)),
 			fmt.Sprintf("%d tenants", len(f.Tenants)))
 	}
-	parts = append(parts, fmt.Sprintf("%d more listeners", len(f.Listeners)), fmt.Sprintf("%d pools", len(f.Pools)))
+	parts = append(parts, fmt.Sprintf("%d additional listeners", len(f.Listeners)), fmt.Sprintf("%d pools", len(f.Pools)))
 	if f.Merges() {
 		parts = append(parts,
 			fmt.Sprintf("%d Eureka registries", len(f.Eureka)),
-			fmt.Sprintf("%d fixed lists", len(f.Static)))
+			fmt.Sprintf("%d static lists", len(f.Static)))
 	}
 	if len(f.Plugins) > 0 {
 		parts = append(parts, fmt.Sprintf("%d plug-ins", len(f.Plugins)))
--- a/internal/operator/membership.go
+++ b/internal/operator/membership.go
@@ -2,32 +2,33 @@
 
 import "fmt"
 
-// Membership is the [membership] table: bounds on what sources of the endpoint list may
-// do. It counts where there is a source beside the platform's discovery. Empty values
-// stand for the defaults of package membership.
+// Membership is the [membership] table: bounds on what a source may change in the endpoint
+// list. It applies only if there is a source other than the platform's discovery. An empty
+// value means the default of package membership.
 type Membership struct {
 	Platform          *bool    `toml:"platform"`      // false: the platform's discovery is not a source
-	MaxLoss           Share    `toml:"max_loss"`      // share of a source's instances that may vanish within LossWindow
-	LossWindow        Duration `toml:"loss_window"`   // in which instances that vanish count together
-	LossHold          Duration `toml:"hold_for"`      // a greater loss is accepted after this
-	SilentAfter       Duration `toml:"silent_after"`  // without a response this long a source is not trusted
+	MaxLoss           Share    `toml:"max_loss"`      // share of a source's instances that may disappear within LossWindow
+	LossWindow        Duration `toml:"loss_window"`   // time in which the losses of a source are summed
+	LossHold          Duration `toml:"hold_for"`      // time after which a greater loss is accepted
+	SilentAfter       Duration `toml:"silent_after"`  // time without a response after which a source is not trusted
 	TombstoneLifetime Duration `toml:"tombstone_for"` // how long a deleted instance is remembered
-	StaleUpdateHold   Duration `toml:"settle"`        // updates that seem old are accepted after this
-	NewProcessPeriod  Duration `toml:"fresh_for"`     // a new process at an old address shares no keys this long
-	MaxNodes          Count    `toml:"most_nodes"`    // of one source; 0: what the memory limit allows
+	StaleUpdateHold   Duration `toml:"settle"`        // time after which an update that looks stale is accepted
+	NewProcessPeriod  Duration `toml:"fresh_for"`     // how long a new process at an old address shares no idempotency keys
+	MaxNodes          Count    `toml:"most_nodes"`    // most instances of one source; 0: derived from the memory limit
 }
 
-// Merges says whether there is a source beside the platform's discovery.
+// Merges reports whether there is a source other than the platform's discovery.
 func (f *File) Merges() bool { return len(f.Eureka)+len(f.Static) > 0 }
 
-// UsesPlatform says whether the platform's discovery is a source.
+// UsesPlatform reports whether the platform's discovery is a source.
 func (f *File) UsesPlatform() bool {
 	return f.Sidecar == nil && (f.Membership.Platform == nil || *f.Membership.Platform)
 }
 
 func (f *File) checkSources(d *decoder) {
 	if f.Sidecar == nil && !f.UsesPlatform() && !f.Merges() {
-		d.reportAt("membership.platform", "it is false and there is no other source: the list would be empty for ever. An [[eureka]] or a [[static]] table is meant beside it")
+		d.reportAt("membership.platform",
+			"must not be false without an [[eureka]] or [[static]] table: the endpoint list would always be empty")
 	}
 	names := map[string]bool{"platform": true}
 	for i := range f.Eureka {
@@ -44,9 +45,9 @@
 
 // checkSourceName reports a name that is missing or that an earlier source has.
 func checkSourceName(names map[string]bool, path, name string, d *decoder) {
-	d.require(path, "name", name == "", "a name of its own is meant")
+	d.require(path, "name", name == "", "must be a unique name")
 	if names[name] {
-		d.reportAt(path+".name", "a source is named %q already: each needs its own name", name)
+		d.reportAt(path+".name", "must be unique: a source is already named %q", name)
 	}
 	names[name] = name != ""
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -11,40 +11,42 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write what broken files give as what they should give")
+var update = flag.Bool("update", false, "write the errors for the broken files to their .want files")
 
-// The files under deploy/ are good, and mean what they say.
-func TestExamples(t *testing.T) {
-	deploy := filepath.Join("..", "..", "deploy")
-	empty, err := Load(filepath.Join(deploy, "mothridge.toml"))
+// TestExampleFiles checks that the files under deploy/ are valid, that mothridge.toml sets nothing
+// and that msgpack-rpc.toml is decoded to the values that it contains.
+func TestExampleFiles(t *testing.T) {
+	deployFolder := filepath.Join("..", "..", "deploy")
+	empty, err := Load(filepath.Join(deployFolder, "mothridge.toml"))
 	if err != nil || len(empty.Listeners)+len(empty.Pools) != 0 || empty.Limits.Slots != 0 {
-		t.Errorf("mothridge.toml sets %+v, %v; it should set nothing", empty, err)
+		t.Errorf("mothridge.toml: got %+v, error %v; want no listeners, no pools and 0 slots", empty, err)
 	}
-	examples, _ := filepath.Glob(filepath.Join(deploy, "examples", "*.toml"))
-	more, _ := filepath.Glob(filepath.Join(deploy, "examples", "*", "*.toml"))
-	if len(examples) == 0 || len(more) == 0 {
-		t.Fatalf("%d and %d examples", len(examples), len(more))
+	examples, _ := filepath.Glob(filepath.Join(deployFolder, "examples", "*.toml"))
+	nested, _ := filepath.Glob(filepath.Join(deployFolder, "examples", "*", "*.toml"))
+	if len(examples) == 0 || len(nested) == 0 {
+		t.Fatalf("got %d examples and %d in folders of their own, want at least 1 each", len(examples), len(nested))
 	}
-	for _, name := range append(examples, more...) {
+	for _, name := range append(examples, nested...) {
 		if _, err := Load(name); err != nil {
 			t.Error(err)
 		}
 	}
-	f, err := Load(filepath.Join(deploy, "examples", "msgpack-rpc.toml"))
+	f, err := Load(filepath.Join(deployFolder, "examples", "msgpack-rpc.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if f.Limits.Slots != 64 || len(f.Listeners) != 1 || f.Listeners[0].Protocol != RPC || f.Listeners[0].Address != "127.0.0.1:7071" ||
 		!f.Uses(RPC) || !f.Pools[0].Matches("records-07", "a", "m") || f.Pools[0].Matches("r-7", "a", "m") || !f.Pools[1].Matches("r-7", "", "") {
-		t.Errorf("the example sets %+v", f)
+		t.Errorf("msgpack-rpc.toml: got %+v, want 64 slots, its msgpack-rpc listener, and records-07 and r-7 in pools 0 and 1", f)
 	}
 }
 
-// For each broken file all that is wrong with it is reported, as its .want file has it.
+// TestBrokenFiles checks that all problems of each broken file are reported, exactly as in its
+// .want file.
 func TestBrokenFiles(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "broken", "*.toml"))
 	if err != nil || len(files) < 60 {
-		t.Fatalf("%d broken files, %v", len(files), err)
+		t.Fatalf("got %d broken files, error %v; want at least 60", len(files), err)
 	}
 	for _, name := range files {
 		text, err := os.ReadFile(name)
@@ -52,72 +54,75 @@
 			t.Fatal(err)
 		}
 		_, err = Parse(filepath.Base(name), text)
-		var m *FileError
-		if !errors.As(err, &m) {
-			t.Errorf("%s: %v; want mistakes", name, err)
+		var fileError *FileError
+		if !errors.As(err, &fileError) {
+			t.Errorf("%s: got error %v, want a *FileError", name, err)
 			continue
 		}
-		got, wanted := m.Error()+"\n", strings.TrimSuffix(name, ".toml")+".want"
+		got, wantFile := fileError.Error()+"\n", strings.TrimSuffix(name, ".toml")+".want"
 		if *update {
-			if err := os.WriteFile(wanted, []byte(got), 0o644); err != nil {
+			if err := os.WriteFile(wantFile, []byte(got), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
-		want, err := os.ReadFile(wanted)
+		want, err := os.ReadFile(wantFile)
 		if err != nil || got != string(want) {
-			t.Errorf("%s: %v\n got %swant %s", name, err, got, want)
+			t.Errorf("%s: error %v\n got %swant %s", name, err, got, want)
 		}
-		sane(t, text, m)
+		checkProblems(t, text, fileError)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none.toml")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("missing file: got error %v, want os.ErrNotExist", err)
 	}
 	if _, err := Parse("f", bytes.Repeat([]byte("#"), maxFileBytes+1)); err == nil || !strings.Contains(err.Error(), "at most") {
-		t.Errorf("a huge file: %v", err)
+		t.Errorf("file above the size limit: got error %v, want one that contains \"at most\"", err)
 	}
 }
 
-// sane checks what holds for any mistakes: each has its place in the text, in
-// order, is one line, and speaks of nothing that only this program's authors know.
-func sane(t *testing.T, text []byte, m *FileError) {
+// checkProblems checks what holds for the problems of any text: there is at least one, they are
+// in the order of lines, each has a position within the text and a message of one line, and no
+// message contains a term of the implementation.
+func checkProblems(t *testing.T, text []byte, fileError *FileError) {
 	t.Helper()
-	lines, last := bytes.Split(text, []byte("\n")), 1
-	for _, x := range m.Problems {
-		if x.Line < last || x.Line > len(lines) || x.Column < 1 || x.Column > len(lines[x.Line-1])+1 || x.Text == "" {
-			t.Errorf("%q: %+v", text, x)
+	lines, previousLine := bytes.Split(text, []byte("\n")), 1
+	for _, problem := range fileError.Problems {
+		if problem.Line < previousLine || problem.Line > len(lines) || problem.Column < 1 ||
+			problem.Column > len(lines[problem.Line-1])+1 || problem.Text == "" {
+			t.Errorf("%q: got %+v, want a position within the text and a message", text, problem)
 		}
-		last = x.Line
-		for _, word := range []string{"\n", "struct", "operator.", "int64", "float64", "reflect"} {
-			if strings.Contains(x.Text, word) && !bytes.Contains(text, []byte(word)) {
-				t.Errorf("%q: %q says %q", text, x.Text, word)
+		previousLine = problem.Line
+		for _, term := range []string{"\n", "struct", "operator.", "int64", "float64", "reflect"} {
+			if strings.Contains(problem.Text, term) && !bytes.Contains(text, []byte(term)) {
+				t.Errorf("%q: message %q contains %q", text, problem.Text, term)
 			}
 		}
 	}
-	if len(m.Problems) == 0 {
-		t.Errorf("%q: mistakes without one", text)
+	if len(fileError.Problems) == 0 {
+		t.Errorf("%q: got a *FileError without problems, want at least 1", text)
 	}
 }
 
-// A thousand mistakes are a thousand messages; a thousand lines that are no TOML too.
-func TestAThousandMistakes(t *testing.T) {
+// TestThousandProblems checks that a file with a thousand unknown or misspelt keys, or a thousand
+// lines that are not valid TOML, gives a thousand problems: the checker stops at none of them.
+func TestThousandProblems(t *testing.T) {
 	for _, line := range []string{"x%d = 1\n", "[[pool]]\nnaem = %d\nname = \"n%[1]d\"\nprotocol = \"http\"\nhosts=[\"x\"]\n", "%d d\n"} {
 		var text strings.Builder
 		for i := range 1000 {
 			fmt.Fprintf(&text, line, i)
 		}
 		_, err := Parse("f", []byte(text.String()))
-		var m *FileError
-		if !errors.As(err, &m) || len(m.Problems) != 1000 {
-			t.Errorf("%q: %d mistakes, %.300v", line, len(m.Problems), err)
+		var fileError *FileError
+		if !errors.As(err, &fileError) || len(fileError.Problems) != 1000 {
+			t.Errorf("%q: got %d problems, want 1000; error %.300v", line, len(fileError.Problems), err)
 		}
 	}
 }
 
-// Any text: no panic, and mistakes that have their place.
+// FuzzParse checks that no text causes a panic, and that every problem of a text has its position.
 func FuzzParse(f *testing.F) {
-	files, _ := filepath.Glob(filepath.Join("testdata", "broken", "*.toml"))
+	brokenFiles, _ := filepath.Glob(filepath.Join("testdata", "broken", "*.toml"))
 	examples, _ := filepath.Glob(filepath.Join("..", "..", "deploy", "examples", "*.toml"))
-	for _, name := range append(files, examples...) {
+	for _, name := range append(brokenFiles, examples...) {
 		if text, err := os.ReadFile(name); err == nil {
 			f.Add(text)
 		}
@@ -125,11 +130,11 @@
 	f.Add([]byte("a.b.c = {d = [1, {e = 2}]}\n[x.y]\n[[x.z]]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		_, err := Parse("f", text)
-		var m *FileError
-		if errors.As(err, &m) {
-			sane(t, text, m)
+		var fileError *FileError
+		if errors.As(err, &fileError) {
+			checkProblems(t, text, fileError)
 		} else if err != nil {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v, want nil or a *FileError", text, err)
 		}
 	})
 }
@@ -138,13 +143,13 @@
 	_, err := Parse("deploy/mothridge.toml", []byte("[[listener]]\nprotocol = \"msgpack\"\nadress = \"127.0.0.1:7071\"\n"))
 	fmt.Println(err)
 	// Output:
-	// deploy/mothridge.toml:1:3: listener[0]: address is missing: an IP address with its port, such as "127.0.0.1:7071" is meant
+	// deploy/mothridge.toml:1:3: listener[0]: address is missing: must be an IP address with a port, such as "127.0.0.1:7071"
 	//     [[listener]]
 	//       ^
-	// deploy/mothridge.toml:2:12: listener[0].protocol: "msgpack" is not known: "http" or "msgpack-rpc" is meant
+	// deploy/mothridge.toml:2:12: listener[0].protocol: must be "http" or "msgpack-rpc", got "msgpack"
 	//     protocol = "msgpack"
 	//                ^
-	// deploy/mothridge.toml:3:1: listener[0].adress: it is not known: "address" is meant?
+	// deploy/mothridge.toml:3:1: listener[0].adress: unknown key; did you mean "address"?
 	//     adress = "127.0.0.1:7071"
 	//     ^
 }
--- a/internal/operator/problems.go
+++ b/internal/operator/problems.go
@@ -10,30 +10,32 @@
 // Problem is one thing that is wrong with a file.
 type Problem struct {
 	Line, Column int    // from 1; the column in characters
-	Key          string // what it is about, such as listener[1].address; empty: the text itself
-	Text         string // what is wrong, and what would be right
-	source       string // the line
+	Key          string // key with the problem, such as listener[1].address; empty: a problem of the syntax
+	Text         string // message that states the problem and the rule
+	source       string // the line of the file, without its line break
 }
 
-// FileError is all that is wrong with a file, in the order of its lines.
+// FileError is the error for a file with problems. It lists all of them, in the order of lines.
 type FileError struct {
 	File     string
 	Problems []Problem
 }
 
-// maxSourceRunes bounds how much of a line is shown, in characters.
+// maxSourceRunes bounds how much of a line a message shows, in characters.
 const maxSourceRunes = 160
 
-// Error shows each problem with its position, its line and a caret below.
+// Error returns each problem with its position, its line and a caret below the line.
 func (e *FileError) Error() string {
 	texts := make([]string, len(e.Problems))
 	for i := range e.Problems {
-		texts[i] = e.Problems[i].show(e.File)
+		texts[i] = e.Problems[i].format(e.File)
 	}
 	return strings.Join(texts, "\n")
 }
 
-func (p *Problem) show(file string) string {
+// format returns the message for the problem in a file. Of a long line it shows the part
+// around the column.
+func (p *Problem) format(file string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s:%d:%d: ", file, p.Line, p.Column)
 	if p.Key != "" {
@@ -43,20 +45,21 @@
 	if p.source == "" {
 		return b.String()
 	}
-	shown, before := []rune(p.source), p.Column-1
+	shown, caret := []rune(p.source), p.Column-1
 	if len(shown) > maxSourceRunes {
-		from := min(max(0, before-maxSourceRunes/2), len(shown)-maxSourceRunes)
-		shown, before = shown[from:from+maxSourceRunes], before-from
+		start := min(max(0, caret-maxSourceRunes/2), len(shown)-maxSourceRunes)
+		shown, caret = shown[start:start+maxSourceRunes], caret-start
 	}
 	b.WriteString("\n    ")
 	for _, r := range shown {
 		b.WriteRune(printable(r))
 	}
-	b.WriteString("\n    " + strings.Repeat(" ", before) + "^")
+	b.WriteString("\n    " + strings.Repeat(" ", caret) + "^")
 	return b.String()
 }
 
-// printable replaces a character that could control the terminal.
+// printable returns a space for a character that could control the terminal, and any other
+// character unchanged.
 func printable(r rune) rune {
 	if r < ' ' || r == 0x7f || r == utf8.RuneError {
 		return ' '
@@ -64,15 +67,15 @@
 	return r
 }
 
-// problemList collects problems by their offset in a text.
+// problemList collects the problems of a text by their offsets.
 type problemList struct {
 	text       []byte
 	lineStarts []int // offset of each line
-	all        []positioned
+	entries    []offsetProblem
 }
 
-// positioned is a problem with its offset in bytes.
-type positioned struct {
+// offsetProblem is a problem with its offset in bytes. Line, Column and source are not set.
+type offsetProblem struct {
 	offset int
 	Problem
 }
@@ -89,20 +92,20 @@
 
 // report adds a problem.
 func (l *problemList) report(offset int, key, format string, args ...any) {
-	l.all = append(l.all, positioned{offset, Problem{Key: key, Text: fmt.Sprintf(format, args...)}})
+	l.entries = append(l.entries, offsetProblem{offset, Problem{Key: key, Text: fmt.Sprintf(format, args...)}})
 }
 
-// reported says whether anything is wrong with a key already.
+// reported reports whether a problem of the key has been added.
 func (l *problemList) reported(key string) bool {
-	for i := range l.all {
-		if l.all[i].Key == key {
+	for i := range l.entries {
+		if l.entries[i].Key == key {
 			return true
 		}
 	}
 	return false
 }
 
-// line returns the line of an offset, from 1.
+// line returns the number of the line at an offset, from 1.
 func (l *problemList) line(offset int) int {
 	n, exact := slices.BinarySearch(l.lineStarts, offset)
 	if exact {
@@ -119,14 +122,14 @@
 	return len(l.text)
 }
 
-// err returns the problems as a *FileError; nil where there is none.
+// err returns the problems as a *FileError, or nil if there are none.
 func (l *problemList) err(file string) error {
-	if len(l.all) == 0 {
+	if len(l.entries) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(l.all, func(a, b positioned) int { return a.offset - b.offset })
+	slices.SortStableFunc(l.entries, func(a, b offsetProblem) int { return a.offset - b.offset })
 	e := &FileError{File: file}
-	for _, p := range l.all {
+	for _, p := range l.entries {
 		p.Line = l.line(p.offset)
 		start := l.lineStarts[p.Line-1]
 		p.source = strings.TrimRight(string(l.text[start:l.lineEnd(p.Line)]), "\r")
--- a/internal/operator/static.go
+++ b/internal/operator/static.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Static is a [[static]] table: a list of endpoints that does not change, as a source.
+// Static is a [[static]] table: a fixed list of endpoints as a source of the endpoint list.
 type Static struct {
 	Name        string    `toml:"name"`
 	Addresses   []Address `toml:"nodes"`
@@ -11,15 +11,15 @@
 }
 
 func (s *Static) check(path string, d *decoder) {
-	d.require(path, "nodes", len(s.Addresses) == 0, "a list of addresses is meant, such as [\"127.0.0.1:7081\"]")
+	d.require(path, "nodes", len(s.Addresses) == 0, "must be a list of addresses, such as [\"127.0.0.1:7081\"]")
 	seen := make(map[Address]bool)
 	for i, address := range s.Addresses {
-		element := fmt.Sprintf("%s.nodes[%d]", path, i)
+		elementPath := fmt.Sprintf("%s.nodes[%d]", path, i)
 		switch {
-		case address == "" && !d.reported(element):
-			d.reportAt(element, "it is empty: %s is meant", address.meant())
+		case address == "" && !d.reported(elementPath):
+			d.reportAt(elementPath, "value is empty: must be %s", address.expected())
 		case address != "" && seen[address]:
-			d.reportAt(element, "%s stands twice in this list", address)
+			d.reportAt(elementPath, "must be unique: %s is already in this list", address)
 		}
 		seen[address] = true
 	}
--- a/internal/operator/suggest.go
+++ b/internal/operator/suggest.go
@@ -6,42 +6,44 @@
 	"strings"
 )
 
-// maxEdits is how many edits away from an unknown key a suggestion may be.
+// maxEdits is the largest edit distance between an unknown key and a suggested key.
 const maxEdits = 2
 
-// suggestion is what follows the report of an unknown key: the known key that is probably
-// meant, or all of them.
+// suggestion returns the end of the message about an unknown key: the most similar known key
+// or, if none is similar, all known keys of the table.
 func suggestion(t reflect.Type, key string) string {
-	if near := nearestKey(t, key); near != "" {
-		return fmt.Sprintf(": %q is meant?", near)
+	if nearest := nearestKey(t, key); nearest != "" {
+		return fmt.Sprintf("; did you mean %q?", nearest)
 	}
-	return ": known here are " + strings.Join(knownKeys(t), ", ")
+	return "; known keys: " + strings.Join(knownKeys(t), ", ")
 }
 
-// knownKeys lists the keys of a table.
+// knownKeys returns the keys of a table, in the order of its fields.
 func knownKeys(t reflect.Type) []string {
 	var keys []string
 	for i := range t.NumField() {
-		if key := t.Field(i).Tag.Get("toml"); key != "" { // else it is no key of the file
+		if key := t.Field(i).Tag.Get("toml"); key != "" { // a field without a tag is not read from the file
 			keys = append(keys, key)
 		}
 	}
 	return keys
 }
 
-// nearestKey is the known key with the smallest distance to an unknown one, or "".
+// nearestKey returns the known key with the smallest edit distance to an unknown key, or "" if
+// none is within maxEdits.
 func nearestKey(t reflect.Type, key string) string {
-	best, smallest := "", maxEdits+1
+	nearest, fewest := "", maxEdits+1
 	for _, name := range knownKeys(t) {
-		// Two edits make any short name of another.
-		if d := distance(key, name); d < smallest && d < max(2, len(name)-1) {
-			best, smallest = name, d
+		// Two edits turn any short name into any other, so the limit is lower for short names.
+		if edits := distance(key, name); edits < fewest && edits < max(2, len(name)-1) {
+			nearest, fewest = name, edits
 		}
 	}
-	return best
+	return nearest
 }
 
-// distance is how many bytes have to be inserted, removed or changed (Levenshtein, 1966).
+// distance returns the number of bytes to insert, remove or change to turn a into b
+// (Levenshtein, 1966). For an a that is much longer than b it returns an upper bound.
 func distance(a, b string) int {
 	if len(a) > len(b)+maxEdits+1 {
 		return len(a)
--- a/internal/operator/tenants.go
+++ b/internal/operator/tenants.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Tenant is a [[tenant]] table: a part of the clients with a bulkhead of its own. With
-// none there is one that requests need not name.
+// Tenant is a [[tenant]] table: a group of clients with a bulkhead of its own. A file without
+// tenants has one tenant, which requests need not name.
 type Tenant struct {
 	Name  string  `toml:"name"`
-	Share float64 `toml:"share"` // of the slots, against the other tenants'
-	Quota float64 `toml:"quota"` // requests a second, of all sidecars together; 0: not known
+	Share float64 `toml:"share"` // share of the slots, relative to the other tenants' shares
+	Quota float64 `toml:"quota"` // requests per second through all sidecars together; 0: unknown
 }
 
 func checkTenants(tenants []Tenant, d *decoder) {
-	names := d.newNames("tenant")
+	names := d.newUniqueNames("tenant")
 	for i := range tenants {
 		path := fmt.Sprintf("tenant[%d]", i)
 		tenants[i].check(path, d)
@@ -20,13 +20,13 @@
 }
 
 func (t *Tenant) check(path string, d *decoder) {
-	d.require(path, "name", t.Name == "", "the name that requests have for it is meant")
-	if _, there := d.offsets[path+".share"]; !there {
-		d.require(path, "share", true, "its part of the slots is meant, such as 0.5")
+	d.require(path, "name", t.Name == "", "must be the name by which requests refer to the tenant")
+	if _, present := d.offsets[path+".share"]; !present {
+		d.require(path, "share", true, "must be the tenant's share of the slots, such as 0.5")
 	} else if !(t.Share > 0) && !d.reported(path+".share") {
-		d.reportAt(path+".share", "%v would leave it no slot: a number above 0 is meant", t.Share)
+		d.reportAt(path+".share", "must be above 0, got %v: the tenant would have no slots", t.Share)
 	}
 	if t.Quota < 0 {
-		d.reportAt(path+".quota", "%v is negative: requests a second are meant, such as 250", t.Quota)
+		d.reportAt(path+".quota", "must be a number of requests per second, such as 250, or 0 if unknown, got %v", t.Quota)
 	}
 }
