--- a/cmd/sidecar/commands.go
+++ b/cmd/sidecar/commands.go
@@ -17,35 +17,36 @@
 	"mothridge/internal/try"
 )
 
-// commands are the operators' commands.
+// commands holds the operators' commands. kong derives the names of commands and flags from the
+// names of fields.
 type commands struct {
-	Run     runCommand     `cmd:"" help:"Run the sidecar, by the platform's variables (ROUTER_CONFIG and others) or by an operators' file that says it all."`
-	Check   checkCommand   `cmd:"" help:"Check an operators' file and say what it sets."`
-	Try     tryCommand     `cmd:"" help:"Play a short day in this process, over loopback, and check the four rules."`
-	Members membersCommand `cmd:"" help:"Ask a running sidecar for its merged list of nodes, with the reason for each state."`
-	Plugin  pluginCommand  `cmd:"" help:"Check, run, test, format and time programs of the hook language."`
-	Quota   quotaCommand   `cmd:"" help:"Ask a running sidecar how its quotas stand: used, lent, owed, and why the last refusal was."`
-	Standin standinCommand `cmd:"" help:"Run a stand-in for an outside system, to play with."`
+	Run     runCommand     `cmd:"" help:"Run the sidecar with the platform's configuration (ROUTER_CONFIG and other variables) or with an operators' file that has a [sidecar] table."`
+	Check   checkCommand   `cmd:"" help:"Check an operators' file and summarise its settings."`
+	Try     tryCommand     `cmd:"" help:"Run a short demo in this process, over loopback, and check the four rules."`
+	Members membersCommand `cmd:"" help:"Print the merged endpoint list of a running sidecar, with the reason for each state."`
+	Plugin  pluginCommand  `cmd:"" help:"Check, run, test, format and time plug-in programs."`
+	Quota   quotaCommand   `cmd:"" help:"Print the quotas of a running sidecar: use, loans, debts and the last rejection."`
+	Standin standinCommand `cmd:"" help:"Run a stand-in for an external system, for trials."`
 }
 
 type runCommand struct {
 	Operator  string `placeholder:"FILE" help:"The operators' file, such as deploy/mothridge.toml."`
-	LogFormat string `enum:"text,json" default:"text" help:"How the log is written: text or json, a line each."`
-	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"What is logged at least: debug, info, warn or error."`
+	LogFormat string `enum:"text,json" default:"text" help:"Format of the log, one line per entry: text or json."`
+	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"Lowest level that is logged: debug, info, warn or error."`
 }
 
-// Run runs the sidecar.
+// Run sets up the log and runs the sidecar.
 func (c *runCommand) Run() error {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.LogLevel)); err != nil {
 		return err
 	}
-	o := &slog.HandlerOptions{Level: level}
-	var h slog.Handler = slog.NewTextHandler(standardError, o)
+	options := &slog.HandlerOptions{Level: level}
+	var handler slog.Handler = slog.NewTextHandler(standardError, options)
 	if c.LogFormat == "json" {
-		h = slog.NewJSONHandler(standardError, o)
+		handler = slog.NewJSONHandler(standardError, options)
 	}
-	slog.SetDefault(slog.New(h))
+	slog.SetDefault(slog.New(handler))
 	return run(c.Operator)
 }
 
@@ -53,7 +54,7 @@
 	File string `arg:"" help:"The file to check."`
 }
 
-// Run checks a file.
+// Run checks an operators' file and the programs of its plug-ins.
 func (c *checkCommand) Run() error {
 	f, err := operator.Load(c.File)
 	if err != nil {
@@ -69,44 +70,44 @@
 }
 
 type tryCommand struct {
-	Protocol string        `enum:"http,rpc" default:"http" help:"What clients and nodes speak: http or rpc (MessagePack-RPC)."`
-	Registry string        `enum:"platform,eureka" default:"platform" help:"Where the list comes from: platform or eureka (a stand-in registry)."`
-	Duration time.Duration `default:"15s" help:"How long the day lasts, at least 4s."`
-	Rate     int           `default:"200" help:"Requests a second."`
-	Seed     uint64        `default:"1" help:"The same seed asks the same requests."`
+	Protocol string        `enum:"http,rpc" default:"http" help:"Protocol of clients and upstreams: http or rpc (MessagePack-RPC)."`
+	Registry string        `enum:"platform,eureka" default:"platform" help:"Source of the endpoint list: platform or eureka (a stand-in registry)."`
+	Duration time.Duration `default:"15s" help:"Duration of the demo, at least 4s."`
+	Rate     int           `default:"200" help:"Requests per second."`
+	Seed     uint64        `default:"1" help:"Seed of the load. The same seed gives the same requests."`
 }
 
-// Run plays a day.
+// Run checks the flags and runs the demo until it ends or a signal stops it.
 func (c *tryCommand) Run() error {
 	if c.Rate < 1 || c.Rate > 5000 {
-		return fmt.Errorf("--rate is %d: 1 to 5000 requests a second are meant", c.Rate)
+		return fmt.Errorf("--rate must be between 1 and 5000 requests per second, got %d", c.Rate)
 	}
 	if c.Duration < try.Shortest || c.Duration > time.Hour {
-		return fmt.Errorf("--duration is %v: %v to 1h is meant", c.Duration, try.Shortest)
+		return fmt.Errorf("--duration must be between %[2]v and 1h, got %[1]v", c.Duration, try.Shortest)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	o := try.Options{Protocol: peers.HTTP, Duration: c.Duration, Rate: c.Rate, Seed: c.Seed, Out: os.Stdout}
-	o.Eureka = c.Registry == "eureka"
+	options := try.Options{Protocol: peers.HTTP, Duration: c.Duration, Rate: c.Rate, Seed: c.Seed, Out: os.Stdout}
+	options.Eureka = c.Registry == "eureka"
 	if c.Protocol == "rpc" {
-		o.Protocol = peers.RPC
+		options.Protocol = peers.RPC
 	}
-	if s, err := os.Stdout.Stat(); err == nil {
-		o.Live = s.Mode()&os.ModeCharDevice != 0
+	if info, err := os.Stdout.Stat(); err == nil {
+		options.Live = info.Mode()&os.ModeCharDevice != 0
 	}
-	return try.Run(ctx, o)
+	return try.Run(ctx, options)
 }
 
-// command runs one of the commands.
-func command(args []string) error {
-	k, err := kong.New(new(commands), kong.Name("sidecar"),
-		kong.Description("The sidecar. Without a command it runs as the platform starts it."))
+// runCommandLine parses the arguments and runs the command that they name.
+func runCommandLine(args []string) error {
+	parser, err := kong.New(new(commands), kong.Name("sidecar"),
+		kong.Description("The mothridge sidecar. Without a command it runs with the platform's configuration."))
 	if err != nil {
 		return err
 	}
-	c, err := k.Parse(args)
+	parsed, err := parser.Parse(args)
 	if err != nil {
 		return err
 	}
-	return c.Run()
+	return parsed.Run()
 }
--- a/cmd/sidecar/log_test.go
+++ b/cmd/sidecar/log_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// shutdownTimeout is within which a planned restart ends, before the platform kills.
+// shutdownTimeout is the time within which the program must end after SIGTERM, before the platform
+// kills it.
 const shutdownTimeout = 6 * time.Second
 
-// fullPipe returns a pipe that takes no further byte.
+// fullPipe returns a pipe whose buffer is full, so that a write to it blocks.
 func fullPipe(t *testing.T) (reader, writer *os.File) {
 	t.Helper()
 	var descriptors [2]int
@@ -24,7 +25,7 @@
 		}
 	}
 	if _, err := syscall.Write(descriptors[1], block[:1]); err != syscall.EAGAIN {
-		t.Fatalf("the pipe is not full: %v", err)
+		t.Fatalf("write to the full pipe: got error %v, want EAGAIN", err)
 	}
 	syscall.SetNonblock(descriptors[1], false)
 	reader, writer = os.NewFile(uintptr(descriptors[0]), "r"), os.NewFile(uintptr(descriptors[1]), "w")
@@ -41,7 +42,8 @@
 	return file
 }
 
-// Whatever becomes of standard error, the program serves and ends on a signal.
+// TestLogDoesNotStopService checks that the program serves requests and ends on SIGTERM even if
+// standard error cannot be written: a blocked or failed write of a log line must not stop it.
 func TestLogDoesNotStopService(t *testing.T) {
 	for name, open := range map[string]func(*testing.T) *os.File{
 		"unread pipe": func(t *testing.T) *os.File {
@@ -60,15 +62,16 @@
 	}
 }
 
+// testServiceWithLog checks a program whose standard error is the given file.
 func testServiceWithLog(t *testing.T, log *os.File) {
 	command, address := startLogging(t, log)
 	awaitService(t, address)
-	for range 20 { // each is a line about a file that is of no use
+	for range 20 { // each SIGHUP causes a reload
 		command.Process.Signal(syscall.SIGHUP)
 		time.Sleep(5 * time.Millisecond)
 	}
 	if status, err := postRequest(address); err != nil {
-		t.Fatalf("no answer after log lines: status %d, %v", status, err)
+		t.Fatalf("request after the reloads: got status %d, error %v; want a response", status, err)
 	}
 	command.Process.Signal(syscall.SIGTERM)
 	ended := make(chan error, 1)
@@ -76,9 +79,9 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("ended with %v, want exit 0", err)
+			t.Errorf("after SIGTERM: got %v, want exit status 0", err)
 		}
 	case <-time.After(shutdownTimeout):
-		t.Error("SIGTERM was not heeded")
+		t.Error("the program still runs at the shutdown timeout after SIGTERM")
 	}
 }
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,6 +1,6 @@
-// Command sidecar runs beside one application process and carries its requests to the
-// upstreams. Without arguments it runs as the platform starts it; its commands are for
-// the operators.
+// Command sidecar runs as a separate process next to one application process and forwards the
+// application's requests to the upstreams. Without arguments it runs with the platform's
+// configuration; its commands are for operators.
 package main
 
 import (
@@ -25,7 +25,7 @@
 // execute runs the program and returns its exit status.
 func execute() int {
 	if len(os.Args) == 1 || os.Args[1] == "run" {
-		// Unhandled, the signal that says 'read your configuration again' would end the program.
+		// SIGHUP requests a reload. Without a handler it would end the program.
 		signal.Notify(reloads, syscall.SIGHUP)
 	}
 	// A log that cannot be written must not end the program.
@@ -34,54 +34,56 @@
 	defer standardError.Flush(logFlushTimeout)
 	var err error
 	if len(os.Args) == 1 {
-		err = run("") // the platform's way: nothing of the command line is set up
+		err = run("") // started by the platform: there is no command line to parse
 	} else {
-		err = command(os.Args[1:])
+		err = runCommandLine(os.Args[1:])
 	}
 	if err == nil {
 		return 0
 	}
-	var mistakes *operator.FileError
-	if errors.As(err, &mistakes) {
-		fmt.Fprintln(standardError, mistakes) // each begins with its place
+	var fileError *operator.FileError
+	if errors.As(err, &fileError) {
+		fmt.Fprintln(standardError, fileError) // each problem begins with its position
 	} else {
 		fmt.Fprintln(standardError, "mothridge:", err)
 	}
 	return 1
 }
 
-// logFlushTimeout bounds the wait for the last lines of the log as the program ends.
+// logFlushTimeout bounds the wait for the last lines of the log when the program ends.
 const logFlushTimeout = 100 * time.Millisecond
 
-// standardError takes the log, and what a failed command says.
+// standardError receives the log and the error of a failed command.
 var standardError = logsink.New(os.Stderr, logsink.DefaultLimit, func(lines uint64) {
 	slog.Warn("log lines lost", "lines", lines)
 })
 
-// reloads holds a reload that came before there was anything to reload, and one of those
-// that come while another is carried out: the file is read once more for all of them.
+// reloads receives the signals that request a reload. Its buffer of one keeps a signal that
+// arrives before the sidecar can reload. Signals that arrive during a reload cause one further
+// reload together.
 var reloads = make(chan os.Signal, 1)
 
-// run runs the sidecar until SIGTERM. operators names their file; empty: there is none.
-func run(operators string) error {
-	stop, done := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer done()
-	c, err := configure(operators)
+// run runs the sidecar until SIGTERM or SIGINT. An empty path means that there is no operators'
+// file.
+func run(operatorFile string) error {
+	stopped, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer cancel()
+	c, err := configure(operatorFile)
 	if err != nil {
 		return err
 	}
 	applyLimits(c.Limits)
 	c.LogLost = standardError.Lost
-	return sidecar.Run(stop, reloads, c)
+	return sidecar.Run(stopped, reloads, c)
 }
 
-// configure reads the platform's configuration and the operators' file, or the
-// latter alone where there is no platform.
-func configure(operators string) (*sidecar.Config, error) {
-	if operators == "" {
+// configure reads the platform's configuration and the operators' file, or the operators' file
+// alone if ROUTER_CONFIG is not set.
+func configure(operatorFile string) (*sidecar.Config, error) {
+	if operatorFile == "" {
 		return sidecar.LoadConfig(os.Getenv)
 	}
-	f, err := operator.Load(operators)
+	f, err := operator.Load(operatorFile)
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +91,8 @@
 		return sidecar.FromOperator(f)
 	}
 	if f.Sidecar != nil {
-		return nil, fmt.Errorf("%s has a [sidecar] table and ROUTER_CONFIG is set: one of the two says what this sidecar is", operators)
+		return nil, fmt.Errorf("%s has a [sidecar] table and ROUTER_CONFIG is set: only one of them may configure the sidecar",
+			operatorFile)
 	}
 	c, err := sidecar.LoadConfig(os.Getenv)
 	if err != nil {
@@ -99,16 +102,16 @@
 	return c, nil
 }
 
-// nonHeapBytes is what the process takes beside the runtime's own memory: the program's
-// text, above all, and what the runtime exceeds its limit by while it collects.
+// nonHeapBytes is the memory that the process uses in addition to the runtime's memory limit:
+// mostly the text of the program, and the excess over the limit during a garbage collection.
 const nonHeapBytes = 13 << 20
 
-// gcPercent lets a small heap grow to five times its size before it is collected.
+// gcPercent lets a small heap grow to five times its size before a garbage collection.
 const gcPercent = 400
 
-// applyLimits keeps the runtime within the platform's limits. Its memory limit is three
-// quarters of the platform's, or what nonHeapBytes leaves where that is less, and a
-// quarter at least.
+// applyLimits keeps the runtime within the limits of the configuration. The runtime's memory limit
+// is three quarters of the configured one, or what remains after nonHeapBytes if that is less, but
+// at least a quarter.
 func applyLimits(l sidecar.Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(l.Cores)))
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -5,15 +5,17 @@
 	"testing"
 )
 
-func TestStartUpErrorIsOnePlainLine(t *testing.T) {
+// TestStartUpErrorIsOneLine checks that a missing or invalid configuration file ends the program
+// with exit status 1 and one line of error, instead of a stack trace.
+func TestStartUpErrorIsOneLine(t *testing.T) {
 	for name, config := range map[string]string{
 		"none":         "",
 		"missing file": "/nonexistent/config.json",
-		"no JSON":      os.Args[0],
+		"not JSON":     os.Args[0],
 	} {
-		_, line, exitCode := runProgram(t, config)
-		if exitCode != 1 || !isOneErrorLine(line) {
-			t.Errorf("%s: exit %d, %q; want exit 1 and one line", name, exitCode, line)
+		_, errorOutput, exitCode := runProgram(t, config)
+		if exitCode != 1 || !isOneErrorLine(errorOutput) {
+			t.Errorf("%s: got exit status %d, errors %q; want 1, one line of error", name, exitCode, errorOutput)
 		}
 	}
 }
--- a/cmd/sidecar/members.go
+++ b/cmd/sidecar/members.go
@@ -15,54 +15,56 @@
 )
 
 type membersCommand struct {
-	Socket string `arg:"" help:"The sidecar's admin socket, as its operators' file names it."`
+	Socket string `arg:"" help:"The sidecar's admin socket, as set in its operators' file."`
 }
 
-// Run prints a table of sources and endpoints.
+// Run prints a table of the sources and a table of the endpoints.
 func (c *membersCommand) Run() error {
-	v, err := fetchMembers(context.Background(), c.Socket)
+	view, err := fetchMembers(context.Background(), c.Socket)
 	if err != nil {
 		return err
 	}
-	return printMembers(os.Stdout, v)
+	return printMembers(os.Stdout, view)
 }
 
-// fetchMembers reads the list a page at a time, so that a long one costs the sidecar little.
+// fetchMembers reads the list page by page, so that each query of a long list takes the sidecar
+// little time.
 func fetchMembers(ctx context.Context, socket string) (*merge.View, error) {
-	all := new(merge.View)
+	view := new(merge.View)
 	for after := ""; ; {
 		var page merge.View
 		if err := admin.Query(ctx, socket, "members?after="+url.QueryEscape(after), &page); err != nil {
 			return nil, err
 		}
-		all.Now, all.Sources, all.Members = page.Now, page.Sources, append(all.Members, page.Members...)
+		view.Now, view.Sources, view.Members = page.Now, page.Sources, append(view.Members, page.Members...)
 		if len(page.Members) == 0 {
-			return all, nil
+			return view, nil
 		}
 		after = page.Members[len(page.Members)-1].Addr
 	}
 }
 
-func printMembers(out io.Writer, v *merge.View) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "source\tlists\theld though lost\tlast heard\ttrusted")
-	for _, s := range v.Sources {
+func printMembers(out io.Writer, view *merge.View) error {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "source\tlisted\tlost but retained\tlast response\ttrusted")
+	for _, source := range view.Sources {
 		lastResponse, trusted := "never", "yes"
-		if s.LastResponseAt > 0 {
-			lastResponse = (v.Now - s.LastResponseAt).Round(100*time.Millisecond).String() + " ago"
+		if source.LastResponseAt > 0 {
+			lastResponse = (view.Now - source.LastResponseAt).Round(100*time.Millisecond).String() + " ago"
 		}
-		if s.Reason != "" {
-			trusted = "no: " + s.Reason
+		if source.Reason != "" {
+			trusted = "no: " + source.Reason
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", s.Name, s.Live, s.Held, lastResponse, trusted)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%s\t%s\n", source.Name, source.Live, source.Held, lastResponse, trusted)
 	}
-	fmt.Fprintln(w, "\t\t\t\t")
-	fmt.Fprintln(w, "address\tnode\tstate\tsite\tcell\twhy")
-	for _, m := range v.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.Addr, m.Name, m.State, m.Zone, m.Cell, m.Reason)
-		if len(m.Claims) > 1 {
-			fmt.Fprintf(w, "\t\t\t\t\t  (%s)\n", strings.Join(m.Claims, "; "))
+	fmt.Fprintln(table, "\t\t\t\t")
+	fmt.Fprintln(table, "address\tname\tstate\tzone\tcell\treason")
+	for _, member := range view.Members {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n",
+			member.Addr, member.Name, member.State, member.Zone, member.Cell, member.Reason)
+		if len(member.Claims) > 1 {
+			fmt.Fprintf(table, "\t\t\t\t\t  (%s)\n", strings.Join(member.Claims, "; "))
 		}
 	}
-	return w.Flush()
+	return table.Flush()
 }
--- a/cmd/sidecar/members_test.go
+++ b/cmd/sidecar/members_test.go
@@ -15,20 +15,22 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// The real program follows a registry, registers with it, and lists its members.
-func TestMembersOfARunningSidecar(t *testing.T) {
+// TestMembersCommand checks the program against a Eureka registry: it lists the instances of the
+// registry with their states and reasons, registers itself, and at its end removes its registration
+// and its admin socket.
+func TestMembersCommand(t *testing.T) {
 	registry := peertest.NewEureka(t)
-	up := peers.EurekaInstance{ID: "records-01", App: "RECORDS", Host: "127.0.0.1", IP: "127.0.0.1", Port: 1, Status: "UP"}
-	registry.Register(up)
-	drained := up
-	drained.ID, drained.Port, drained.Override = "records-02", 2, "OUT_OF_SERVICE"
-	registry.Register(drained)
+	ready := peers.EurekaInstance{ID: "records-01", App: "RECORDS", Host: "127.0.0.1", IP: "127.0.0.1", Port: 1, Status: "UP"}
+	registry.Register(ready)
+	draining := ready
+	draining.ID, draining.Port, draining.Override = "records-02", 2, "OUT_OF_SERVICE"
+	registry.Register(draining)
 	socket := filepath.Join(t.TempDir(), "admin")
 	address := freeAddresses(t, 1)[0]
-	operators := writeFile(t, "mothridge.toml", fmt.Sprintf("[admin]\nsocket = %q\n[membership]\nplatform = false\n"+
+	operatorFile := writeFile(t, "mothridge.toml", fmt.Sprintf("[admin]\nsocket = %q\n[membership]\nplatform = false\n"+
 		"[[eureka]]\nname = \"records\"\nreplicas = [%q]\napps = [\"RECORDS\"]\ninterval = \"20ms\"\n"+
 		"register.app = \"mothridge\"\nregister.renew = \"100ms\"\n", socket, registry.URL()))
-	command := programCommand(platformConfig{listen: address}.write(t), "run", "--operator", operators)
+	command := programCommand(platformConfig{listen: address}.write(t), "run", "--operator", operatorFile)
 	var log bytes.Buffer
 	command.Stderr = &log
 	startProgram(t, command)
@@ -38,27 +40,27 @@
 		"records-01  ready", "records-02  draining", "OUT_OF_SERVICE by records", "UP by records",
 	} {
 		if !strings.Contains(members, want) {
-			t.Errorf("%q is missing:\n%s%s%s", want, members, errorOutput, log.String())
+			t.Errorf("the output does not contain %q:\n%s%s%s", want, members, errorOutput, log.String())
 		}
 	}
 	if instance, _ := registry.Instance(id); instance.Status != "UP" {
-		t.Errorf("registered as %+v", instance)
+		t.Errorf("registration: got %+v, want status UP", instance)
 	}
 	command.Process.Signal(os.Interrupt)
 	var exit *exec.ExitError
 	if err := command.Wait(); errors.As(err, &exit) {
-		t.Errorf("ended with %v\n%s", err, log.String())
+		t.Errorf("after the interrupt: got %v, want exit status 0\n%s", err, log.String())
 	}
 	if _, registered := registry.Instance(id); registered {
-		t.Error("it is still registered after its end")
+		t.Error("the sidecar is still registered after its end")
 	}
 	if _, err := os.Stat(socket); err == nil {
-		t.Error("the socket was not removed")
+		t.Error("the admin socket still exists after the end of the sidecar")
 	}
 }
 
-// awaitMembers runs the command until it lists the drained node and the sidecar has registered
-// under the id, for 10 s at most, and returns what it printed last.
+// awaitMembers runs the members command until it lists the draining instance and the sidecar is
+// registered under the ID, for at most 10 s, and returns the output of the last run.
 func awaitMembers(t *testing.T, socket string, registry *peers.Eureka, id string) (output, errorOutput string) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
--- a/cmd/sidecar/memory_test.go
+++ b/cmd/sidecar/memory_test.go
@@ -13,8 +13,8 @@
 	"mothridge/internal/peers"
 )
 
-// BenchmarkResident starts the real program on a registry of so many instances
-// and reports its resident memory once it holds them all.
+// BenchmarkResident starts the program with a registry of 0 to 10,000 instances and reports its
+// resident memory after it has read all of them.
 func BenchmarkResident(b *testing.B) {
 	for _, instances := range []int{0, 100, 1000, 10000} {
 		b.Run(fmt.Sprint("nodes=", instances), func(b *testing.B) {
@@ -27,7 +27,8 @@
 	}
 }
 
-// residentMemory gives the resident memory of the program, in kB, and its peak.
+// residentMemory starts the program with a registry of the given number of instances, and returns its
+// resident memory and the peak of that, in kB.
 func residentMemory(b *testing.B, instances int) (resident, peak int) {
 	b.Helper()
 	registry, err := peers.StartEureka("")
@@ -37,14 +38,14 @@
 	defer registry.Close()
 	registerMany(registry, instances)
 	socket := filepath.Join(b.TempDir(), "admin")
-	text := "[admin]\nsocket = \"" + socket + "\"\n"
+	settings := "[admin]\nsocket = \"" + socket + "\"\n"
 	if instances > 0 {
-		text += "[membership]\nplatform = false\n[[eureka]]\nname = \"records\"\nreplicas = [\"" + registry.URL() +
+		settings += "[membership]\nplatform = false\n[[eureka]]\nname = \"records\"\nreplicas = [\"" + registry.URL() +
 			"\"]\ninterval = \"1s\"\ntimeout = \"20s\"\n"
 	}
-	operators := writeFile(b, "mothridge.toml", text)
+	operatorFile := writeFile(b, "mothridge.toml", settings)
 	config := platformConfig{listen: freeAddresses(b, 1)[0], memoryMB: 32}.write(b)
-	command := exec.Command(buildProgram(b), "run", "--operator", operators)
+	command := exec.Command(buildProgram(b), "run", "--operator", operatorFile)
 	command.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
 	if err := command.Start(); err != nil {
 		b.Fatal(err)
@@ -57,10 +58,11 @@
 			break
 		}
 	}
-	time.Sleep(2500 * time.Millisecond) // some polls, and what was needed for the list is released
+	time.Sleep(2500 * time.Millisecond) // time for some polls, after which the memory used to read the list is released
 	return readMemory(b, command.Process.Pid)
 }
 
+// registerMany registers the given number of instances, each with an address of its own.
 func registerMany(registry *peers.Eureka, instances int) {
 	for i := range instances {
 		registry.Register(peers.EurekaInstance{
@@ -71,7 +73,7 @@
 	}
 }
 
-// buildProgram builds the program as deploy/balancer.toml has it and returns its path.
+// buildProgram builds the program as deploy/balancer.toml does, and returns its path.
 func buildProgram(b *testing.B) string {
 	b.Helper()
 	path := filepath.Join(b.TempDir(), "mothridge")
@@ -83,7 +85,7 @@
 	return path
 }
 
-// readMemory reads the resident memory of a process and its peak, in kB.
+// readMemory returns the resident memory of a process and the peak of that, in kB.
 func readMemory(b *testing.B, pid int) (resident, peak int) {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
--- a/cmd/sidecar/plugin.go
+++ b/cmd/sidecar/plugin.go
@@ -10,85 +10,87 @@
 	"mothridge/internal/plugin"
 )
 
-// pluginCommand is for those who write plug-ins.
+// pluginCommand holds the commands for authors of plug-ins.
 type pluginCommand struct {
-	Check pluginCheck `cmd:"" help:"Compile programs and tell all that is wrong with them."`
-	Run   pluginRun   `cmd:"" help:"Run a program for one event and print what it asks for and what it spent."`
-	Test  pluginTest  `cmd:"" help:"Run the cases beside a program (NAME.cases.json) and show what went otherwise."`
-	Fmt   pluginFmt   `cmd:"" help:"Set programs in the one form."`
-	Bench pluginBench `cmd:"" help:"Time a program for one event."`
+	Check pluginCheck `cmd:"" help:"Compile programs and print all of their errors."`
+	Run   pluginRun   `cmd:"" help:"Run a program for one event and print its effects and the fuel and memory that it used."`
+	Test  pluginTest  `cmd:"" help:"Run the test cases of programs (NAME.cases.json) and print the differences."`
+	Fmt   pluginFmt   `cmd:"" help:"Format programs in the standard style."`
+	Bench pluginBench `cmd:"" help:"Measure the time of a program for one event."`
 }
 
 type pluginCheck struct {
 	Files []string `arg:"" help:"Programs." type:"path"`
 }
 
-// Run compiles each.
+// Run compiles each program, and prints its hooks or its errors.
 func (c *pluginCheck) Run() error {
-	wrong := 0
-	for _, f := range c.Files {
-		p, err := hook.Load(f)
+	invalid := 0
+	for _, file := range c.Files {
+		program, err := hook.Load(file)
 		if err != nil {
-			wrong++
+			invalid++
 			fmt.Println(err)
 			continue
 		}
 		var hooks []string
 		for _, kind := range []string{"request", "outcome", "member"} {
-			if p.HasHook(kind) {
+			if program.HasHook(kind) {
 				hooks = append(hooks, "on "+kind)
 			}
 		}
-		fmt.Printf("%s: %s; %d states\n", f, strings.Join(hooks, ", "), len(p.States))
+		fmt.Printf("%s: %s; %d states\n", file, strings.Join(hooks, ", "), len(program.States))
 	}
-	if wrong > 0 {
-		return fmt.Errorf("%d of %d programs are wrong", wrong, len(c.Files))
+	if invalid > 0 {
+		return fmt.Errorf("%d of %d programs are invalid", invalid, len(c.Files))
 	}
 	return nil
 }
 
-// trialFlags name a program, an event and the limits of a run.
+// trialFlags are the program, the event and the limits of a trial run.
 type trialFlags struct {
 	File     string `arg:"" help:"Program." type:"path"`
-	Event    string `arg:"" help:"Event, a JSON file; - reads standard input."`
-	Fuel     int64  `help:"Fuel of a run; the default of the operators' file where it is not set."`
-	MemoryKB int64  `help:"Memory of a run."`
+	Event    string `arg:"" help:"JSON file with the event; - reads standard input."`
+	Fuel     int64  `help:"Fuel of a run. Without it the default of operators' files applies."`
+	MemoryKB int64  `help:"Memory limit of a run, in KiB. Without it the default of operators' files applies."`
 }
 
+// load reads the program and the event.
 func (f *trialFlags) load() (*plugin.Trial, *plugin.EventJSON, error) {
-	p, err := hook.Load(f.File)
+	program, err := hook.Load(f.File)
 	if err != nil {
 		return nil, nil, err
 	}
-	var b []byte
+	var data []byte
 	if f.Event == "-" {
-		b, err = io.ReadAll(io.LimitReader(os.Stdin, 1<<20))
+		data, err = io.ReadAll(io.LimitReader(os.Stdin, 1<<20))
 	} else {
-		b, err = os.ReadFile(f.Event)
+		data, err = os.ReadFile(f.Event)
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	e, err := plugin.ReadEvent(b)
+	event, err := plugin.ReadEvent(data)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", f.Event, err)
 	}
-	return plugin.NewTrial(p, hook.Limits{Fuel: f.Fuel, Memory: f.MemoryKB << 10}), e, nil
+	return plugin.NewTrial(program, hook.Limits{Fuel: f.Fuel, Memory: f.MemoryKB << 10}), event, nil
 }
 
 type pluginRun struct{ trialFlags }
 
-// Run runs it once.
+// Run runs the program once, and prints its effects and the fuel and memory that it used, also if
+// the run fails.
 func (c *pluginRun) Run() error {
-	t, e, err := c.load()
+	trial, event, err := c.load()
 	if err != nil {
 		return err
 	}
-	r, err := t.Run(e)
-	for _, x := range r.Effects {
-		fmt.Println(plugin.Describe(x))
+	result, err := trial.Run(event)
+	for _, effect := range result.Effects {
+		fmt.Println(plugin.Describe(effect))
 	}
-	fmt.Printf("fuel %d, memory %d bytes\n", r.Fuel, r.Memory)
+	fmt.Printf("fuel %d, memory %d bytes\n", result.Fuel, result.Memory)
 	return err
 }
 
@@ -96,83 +98,83 @@
 	Files []string `arg:"" help:"Programs." type:"path"`
 }
 
-// Run runs the cases of each.
+// Run runs the test cases of each program, and prints a line for each case with its difference.
 func (c *pluginTest) Run() error {
-	wrong := 0
-	for _, f := range c.Files {
-		err := plugin.Test(f, func(name, diff string) {
+	failed := 0
+	for _, file := range c.Files {
+		err := plugin.Test(file, func(name, diff string) {
 			if diff == "" {
-				fmt.Printf("ok    %s: %s\n", f, name)
+				fmt.Printf("ok    %s: %s\n", file, name)
 			} else {
-				fmt.Printf("WRONG %s: %s\n%s\n", f, name, diff)
+				fmt.Printf("WRONG %s: %s\n%s\n", file, name, diff)
 			}
 		})
 		if err != nil {
-			wrong++
+			failed++
 			fmt.Println(err)
 		}
 	}
-	if wrong > 0 {
-		return fmt.Errorf("%d of %d programs do otherwise than their cases say", wrong, len(c.Files))
+	if failed > 0 {
+		return fmt.Errorf("%d of %d programs failed their test cases", failed, len(c.Files))
 	}
 	return nil
 }
 
 type pluginFmt struct {
 	Files []string `arg:"" help:"Programs." type:"path"`
-	Write bool     `short:"w" help:"Write them back; else those that would change are named."`
+	Write bool     `short:"w" help:"Write the formatted programs back. Without it the names of files that would change are printed."`
 }
 
-// Run formats each.
+// Run formats each program, and prints the name of a file that is not formatted or rewrites it.
 func (c *pluginFmt) Run() error {
-	changed := 0
-	for _, f := range c.Files {
-		b, err := os.ReadFile(f)
+	unformatted := 0
+	for _, file := range c.Files {
+		source, err := os.ReadFile(file)
 		if err != nil {
 			return err
 		}
-		text, err := hook.Format(f, string(b))
+		formatted, err := hook.Format(file, string(source))
 		switch {
 		case err != nil:
 			return err
-		case text == string(b):
+		case formatted == string(source):
 		case c.Write:
-			if err := os.WriteFile(f, []byte(text), 0o644); err != nil {
+			if err := os.WriteFile(file, []byte(formatted), 0o644); err != nil {
 				return err
 			}
 		default:
-			changed++
-			fmt.Println(f)
+			unformatted++
+			fmt.Println(file)
 		}
 	}
-	if changed > 0 {
-		return fmt.Errorf("%d of %d programs are not in the one form: --write sets them in it", changed, len(c.Files))
+	if unformatted > 0 {
+		return fmt.Errorf("%d of %d programs are not formatted: use --write to format them", unformatted, len(c.Files))
 	}
 	return nil
 }
 
 type pluginBench struct {
 	trialFlags
-	Runs int `default:"200000" help:"How many runs."`
+	Runs int `default:"200000" help:"Number of runs."`
 }
 
-// Run times it.
+// Run measures the mean time of a run, after one run that must succeed.
 func (c *pluginBench) Run() error {
-	t, e, err := c.load()
+	trial, event, err := c.load()
 	if err != nil {
 		return err
 	}
 	if c.Runs < 1 || c.Runs > 100_000_000 {
-		return fmt.Errorf("--runs %d: 1 to 100000000 is meant", c.Runs)
+		return fmt.Errorf("--runs must be between 1 and 100000000, got %d", c.Runs)
 	}
-	r, err := t.Run(e)
+	result, err := trial.Run(event)
 	if err != nil {
 		return err
 	}
-	took, err := t.Bench(e, c.Runs)
+	mean, err := trial.Bench(event, c.Runs)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%v a run, fuel %d, memory %d bytes\n", took, r.Fuel, r.Memory)
+	fmt.Printf("%v a run, fuel %d, memory %d bytes\n", mean, result.Fuel, result.Memory)
 	return nil
 }
--- a/cmd/sidecar/program_test.go
+++ b/cmd/sidecar/program_test.go
@@ -16,7 +16,8 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs the program instead of the tests if MOTHRIDGE_RUN_MAIN is set, so that tests can start
+// the test binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("MOTHRIDGE_RUN_MAIN") == "1" {
 		main()
@@ -25,15 +26,16 @@
 	os.Exit(m.Run())
 }
 
-// programCommand makes the command that runs the real program with a platform's
-// configuration, empty for none.
+// programCommand returns a command that runs the program with the path of a platform's
+// configuration. An empty path means no platform.
 func programCommand(config string, arguments ...string) *exec.Cmd {
 	command := exec.Command(os.Args[0], arguments...)
 	command.Env = append(os.Environ(), "MOTHRIDGE_RUN_MAIN=1", "ROUTER_CONFIG="+config)
 	return command
 }
 
-// startProgram starts the command of a program, and kills it at the end of the test if it still runs.
+// startProgram starts a command of programCommand. At the end of the test it kills the process if
+// that still runs.
 func startProgram(t *testing.T, command *exec.Cmd) {
 	t.Helper()
 	if err := command.Start(); err != nil {
@@ -42,12 +44,13 @@
 	t.Cleanup(func() { killProgram(command) })
 }
 
+// killProgram kills the process and waits until it has ended.
 func killProgram(command *exec.Cmd) {
 	command.Process.Kill()
 	command.Process.Wait()
 }
 
-// runProgram runs the program to its end, and returns what it printed and its exit status.
+// runProgram runs the program until it ends, and returns its output and its exit status.
 func runProgram(t *testing.T, config string, arguments ...string) (stdout, stderr string, exitCode int) {
 	t.Helper()
 	command := programCommand(config, arguments...)
@@ -63,18 +66,18 @@
 	return output.String(), errorOutput.String(), exitCode
 }
 
-// platformConfig is what tests vary of a platform's configuration.
+// platformConfig holds the values of a platform's configuration that tests vary.
 type platformConfig struct {
 	listen           string
-	discovery        string        // an address at which nothing listens by default
-	endpoint         string        // the address of the one that is known at the start; empty: none is
-	memoryMB         int           // 192 by default
-	semantics        string        // of the one class, 'a'
-	latencyObjective time.Duration // 500 ms by default
-	deadline         time.Duration // 1 s by default
+	discovery        string        // address of discovery; default: an address without a listener
+	endpoint         string        // address of the only endpoint known at the start; empty: none is known
+	memoryMB         int           // memory limit in MiB; default: 192
+	semantics        string        // semantics of the only class, "a"; empty: not set
+	latencyObjective time.Duration // default: 500 ms
+	deadline         time.Duration // default: 1 s
 }
 
-// text is the configuration as the platform writes it.
+// text returns the configuration in the format of the platform.
 func (config platformConfig) text() string {
 	if config.discovery == "" {
 		config.discovery = "127.0.0.1:1"
@@ -110,7 +113,7 @@
 	return writeFile(t, "config.json", config.text())
 }
 
-// writeFile writes a file in a directory of its own and returns its path.
+// writeFile writes a file in a new directory and returns its path.
 func writeFile(t testing.TB, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -118,6 +121,7 @@
 	return path
 }
 
+// rewriteFile writes the text to a file, which may exist.
 func rewriteFile(t testing.TB, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -125,7 +129,7 @@
 	}
 }
 
-// freeAddresses finds loopback addresses without a listener.
+// freeAddresses returns loopback addresses at which no process listens.
 func freeAddresses(t testing.TB, count int) []string {
 	t.Helper()
 	addresses := make([]string, count)
@@ -140,7 +144,8 @@
 	return addresses
 }
 
-// startLogging starts the program with a log of its own and returns its address.
+// startLogging starts the program with the given file as standard error, closes the file in this process,
+// and returns the address at which the program listens.
 func startLogging(t *testing.T, log *os.File) (command *exec.Cmd, address string) {
 	t.Helper()
 	address = freeAddresses(t, 1)[0]
@@ -151,7 +156,7 @@
 	return command, address
 }
 
-// postRequest sends a request to which any final response will do.
+// postRequest sends a request and returns the status of the response, whatever it is.
 func postRequest(address string) (status int, err error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/api", strings.NewReader("x"))
 	if err != nil {
@@ -166,10 +171,10 @@
 	return response.StatusCode, nil
 }
 
-// awaitService waits until the program responds to a request.
+// awaitService waits until the program responds to requests.
 func awaitService(t *testing.T, address string) {
 	t.Helper()
-	peertest.Until(t, "the program", func() bool {
+	peertest.Until(t, "the program to respond", func() bool {
 		_, err := postRequest(address)
 		return err == nil
 	})
--- a/cmd/sidecar/quota.go
+++ b/cmd/sidecar/quota.go
@@ -14,10 +14,10 @@
 )
 
 type quotaCommand struct {
-	Socket string `arg:"" help:"The sidecar's admin socket, as its operators' file names it."`
+	Socket string `arg:"" help:"The sidecar's admin socket, as set in its operators' file."`
 }
 
-// Run prints the tree of quotas.
+// Run prints the quota tree.
 func (c *quotaCommand) Run() error {
 	var nodes []quotas.NodeView
 	if err := admin.Query(context.Background(), c.Socket, "quotas", &nodes); err != nil {
@@ -26,28 +26,30 @@
 	return printQuotas(os.Stdout, nodes)
 }
 
-// printQuotas writes a row for each node, below its parent, and one for each of
-// its limits.
+// printQuotas writes one row for each node, indented below its parent, and below that one row for
+// each limit of the node.
 func printQuotas(out io.Writer, nodes []quotas.NodeView) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "quota\town\tborrowed\trefused\tlent\trepaid\tleft\towes, and why it last refused")
-	for _, n := range nodes {
-		indent := strings.Repeat("  ", n.Depth)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "quota\twithin share\tborrowed\trejected\tlent\trepaid\tremaining\tdebts and last rejection")
+	for _, node := range nodes {
+		indent := strings.Repeat("  ", node.Depth)
 		var notes []string
-		for _, o := range n.Debts {
-			notes = append(notes, fmt.Sprintf("owes %s %.1f %s", o.To, o.Amount, o.Dimension))
+		for _, debt := range node.Debts {
+			notes = append(notes, fmt.Sprintf("owes %s %.1f %s", debt.To, debt.Amount, debt.Dimension))
 		}
-		if n.Rejection != "" {
-			notes = append(notes, fmt.Sprintf("%v ago: %s", time.Duration(n.RejectedAgo*1e9).Round(100*time.Millisecond), n.Rejection))
+		if node.Rejection != "" {
+			notes = append(notes, fmt.Sprintf("rejected %v ago: %s",
+				time.Duration(node.RejectedAgo*1e9).Round(100*time.Millisecond), node.Rejection))
 		}
-		fmt.Fprintf(w, "%s%s\t%d\t%d\t%d\t%d\t%d\t\t%s\n", indent, n.Name, n.Usage.WithinShare, n.Usage.Borrowed, n.Usage.Rejected, n.Usage.Lent, n.Usage.Repaid, strings.Join(notes, "; "))
-		for _, l := range n.Limits {
-			what := fmt.Sprintf("%g %s a second over %s", l.Rate, l.Dimension, l.Window)
-			if l.Window == "0s" {
-				what = fmt.Sprintf("%g at once", l.Rate)
+		fmt.Fprintf(table, "%s%s\t%d\t%d\t%d\t%d\t%d\t\t%s\n", indent, node.Name, node.Usage.WithinShare,
+			node.Usage.Borrowed, node.Usage.Rejected, node.Usage.Lent, node.Usage.Repaid, strings.Join(notes, "; "))
+		for _, limit := range node.Limits {
+			description := fmt.Sprintf("%g %s per second over %s", limit.Rate, limit.Dimension, limit.Window)
+			if limit.Window == "0s" {
+				description = fmt.Sprintf("%g in flight", limit.Rate)
 			}
-			fmt.Fprintf(w, "%s  %s\t\t\t\t\t\t%.1f\t\n", indent, what, l.Left)
+			fmt.Fprintf(table, "%s  %s\t\t\t\t\t\t%.1f\t\n", indent, description, limit.Left)
 		}
 	}
-	return w.Flush()
+	return table.Flush()
 }
--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -13,6 +13,7 @@
 	"mothridge/internal/peers/peertest"
 )
 
+// createLog creates a file for the log of a program.
 func createLog(t *testing.T) *os.File {
 	t.Helper()
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
@@ -22,12 +23,14 @@
 	return log
 }
 
-// Signals that come twice, early, or while the program ends change nothing of how it ends.
-func TestSignalsThatCross(t *testing.T) {
+// TestOverlappingSignals checks that repeated signals, and a reload that is requested during shutdown, do
+// not change how the program ends: it responds to requests during shutdown, ends with exit status 0 and
+// logs its end.
+func TestOverlappingSignals(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
-		"SIGTERM twice":               {syscall.SIGTERM, syscall.SIGTERM},
-		"a reload while it ends":      {syscall.SIGTERM, syscall.SIGHUP},
-		"reloads in a row, then stop": {syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM},
+		"SIGTERM twice":                  {syscall.SIGTERM, syscall.SIGTERM},
+		"reload during shutdown":         {syscall.SIGTERM, syscall.SIGHUP},
+		"several reloads, then shutdown": {syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM},
 	} {
 		t.Run(name, func(t *testing.T) {
 			log := createLog(t)
@@ -35,31 +38,33 @@
 			awaitService(t, address)
 			for _, signal := range signals {
 				command.Process.Signal(signal)
-				time.Sleep(20 * time.Millisecond) // they come one after the other
+				time.Sleep(20 * time.Millisecond) // keeps the order of the signals
 			}
-			if _, err := postRequest(address); err != nil { // within the 0.4 s in which new connections come
-				t.Errorf("no answer while it ends: %v", err)
+			if _, err := postRequest(address); err != nil { // within the 0.4 s in which new connections still arrive
+				t.Errorf("request during shutdown: got error %v, want a response", err)
 			}
 			if err := command.Wait(); err != nil {
-				t.Errorf("ended with %v, want exit 0", err)
+				t.Errorf("after SIGTERM: got %v, want exit status 0", err)
 			}
 			text, err := os.ReadFile(log.Name())
 			if err != nil || !strings.Contains(string(text), "msg=ended") {
-				t.Errorf("the log ends without its end: %q, error %v", text, err)
+				t.Errorf("log: got %q, error %v; want it to contain \"msg=ended\"", text, err)
 			}
 		})
 	}
 }
 
-// A reload that comes before the listener is open is carried out once it is.
-func TestReloadBeforeTheListenerIsOpen(t *testing.T) {
+// TestReloadDuringStart checks that SIGHUP during the start, before the listener is open, does not end the
+// program. The reload is carried out once the listener is open; the program becomes ready and ends with
+// exit status 0.
+func TestReloadDuringStart(t *testing.T) {
 	command, address := startLogging(t, createLog(t))
-	time.Sleep(30 * time.Millisecond) // a signal to a process that is not the program yet ends it
+	time.Sleep(30 * time.Millisecond) // SIGHUP ends a process that has not installed its handler yet
 	for range 50 {
 		command.Process.Signal(syscall.SIGHUP)
 		time.Sleep(time.Millisecond)
 	}
-	peertest.Until(t, "the program", func() bool {
+	peertest.Until(t, "the program to be ready", func() bool {
 		response, err := http.Get("http://" + address + "/health/ready")
 		if err != nil {
 			return false
@@ -69,13 +74,13 @@
 	})
 	command.Process.Signal(syscall.SIGTERM)
 	if err := command.Wait(); err != nil {
-		t.Errorf("ended with %v, want exit 0", err)
+		t.Errorf("after SIGTERM: got %v, want exit status 0", err)
 	}
 }
 
-// A new configuration is no reason to end. A planned restart is: SIGTERM, and
-// the program ends by itself with 0.
-func TestSIGHUPReloadsAndSIGTERMEndsWithZero(t *testing.T) {
+// TestSIGHUPReloadsAndSIGTERMEnds checks that the program applies a changed configuration on SIGHUP without
+// a restart, and that SIGTERM, which requests a planned restart, ends it with exit status 0.
+func TestSIGHUPReloadsAndSIGTERMEnds(t *testing.T) {
 	config := platformConfig{listen: freeAddresses(t, 1)[0], endpoint: "127.0.0.1:1"}
 	path := config.write(t)
 	command := programCommand(path)
@@ -99,18 +104,18 @@
 		moved = strings.Contains(lines.Text(), "moved") && strings.Contains(lines.Text(), "127.0.0.1:2")
 	}
 	if !moved {
-		t.Error("the program did not go on with the new configuration")
+		t.Error("the log does not say that discovery moved to 127.0.0.1:2, the address of the new configuration")
 	}
 	response, err := http.Get("http://" + config.listen + "/health/ready")
 	if err != nil || response.StatusCode != http.StatusOK {
-		t.Errorf("ready: %v, error %v", response, err)
+		t.Errorf("readiness after the reload: got %v, error %v; want status 200", response, err)
 	}
 	if err := command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for lines.Scan() { // to the end of its log
+	for lines.Scan() { // read the log to its end
 	}
 	if err := command.Wait(); err != nil {
-		t.Errorf("ended with %v, want exit 0", err)
+		t.Errorf("after SIGTERM: got %v, want exit status 0", err)
 	}
 }
--- a/cmd/sidecar/standin.go
+++ b/cmd/sidecar/standin.go
@@ -13,101 +13,103 @@
 	"mothridge/internal/peers"
 )
 
-// standinCommand runs one of the stand-ins.
+// standinCommand holds the commands that run a stand-in.
 type standinCommand struct {
-	Eureka standinEureka `cmd:"" help:"A Eureka registry by its public REST API, on loopback."`
-	Node   standinNode   `cmd:"" help:"A node that serves what a sidecar sends it, on loopback."`
+	Eureka standinEureka `cmd:"" help:"Run a stand-in Eureka registry with the public REST API, on loopback."`
+	Node   standinNode   `cmd:"" help:"Run a stand-in node that serves a sidecar's requests, on loopback."`
 }
 
-// loopback checks an address for a stand-in, which has no authentication.
-func loopback(address string) error {
+// checkLoopback checks that an address is on loopback, because a stand-in has no authentication.
+func checkLoopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("--address %s: a loopback address and a port are meant, such as 127.0.0.1:7081: the stand-in asks nobody who he is", address)
+		return fmt.Errorf("--address must be a loopback address and a port, such as 127.0.0.1:7081, got %s: the stand-in has no authentication",
+			address)
 	}
 	return nil
 }
 
-// waitForSignal waits for a signal, for d at the most.
-func waitForSignal(d time.Duration) {
+// waitForSignal waits for SIGINT or SIGTERM, at most for the given time.
+func waitForSignal(timeout time.Duration) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
 
 type standinNode struct {
 	Address  string        `default:"127.0.0.1:7081" help:"Where to listen, a loopback address."`
-	Name     string        `default:"" help:"What it calls itself in its answers; its address by default."`
-	Protocol string        `enum:"http,rpc" default:"http" help:"What it speaks: http or rpc (MessagePack-RPC)."`
-	Delay    time.Duration `default:"5ms" help:"How long it takes for a request."`
-	Errors   int           `default:"0" help:"How many of 100 requests it fails, after it ran them."`
-	Away     int           `default:"0" help:"How many of 100 requests it turns away."`
-	Hang     int           `default:"0" help:"How many of 100 requests it never answers."`
-	Duration time.Duration `default:"1h" help:"It ends by itself after this."`
+	Name     string        `default:"" help:"Name of the node in its responses. Default: its address."`
+	Protocol string        `enum:"http,rpc" default:"http" help:"Protocol of the node: http or rpc (MessagePack-RPC)."`
+	Delay    time.Duration `default:"5ms" help:"Time until the response to a request."`
+	Errors   int           `default:"0" help:"Percentage of requests that fail after they were executed."`
+	Rejects  int           `name:"away" default:"0" help:"Percentage of requests that are rejected without being executed."`
+	Hang     int           `default:"0" help:"Percentage of requests that never get a response."`
+	Duration time.Duration `default:"1h" help:"Time after which the node ends by itself."`
 }
 
-// Run serves until a signal or the end of its time.
+// Run serves until a signal arrives or Duration has passed.
 func (c *standinNode) Run() error {
-	if err := loopback(c.Address); err != nil {
+	if err := checkLoopback(c.Address); err != nil {
 		return err
 	}
-	if c.Errors < 0 || c.Away < 0 || c.Hang < 0 || c.Errors+c.Away+c.Hang > 100 {
-		return fmt.Errorf("--errors, --away and --hang are parts of 100 requests: %d in all", c.Errors+c.Away+c.Hang)
+	if c.Errors < 0 || c.Rejects < 0 || c.Hang < 0 || c.Errors+c.Rejects+c.Hang > 100 {
+		return fmt.Errorf("--errors, --away and --hang must not be negative and must sum to at most 100, got a sum of %d",
+			c.Errors+c.Rejects+c.Hang)
 	}
 	protocol := peers.HTTP
 	if c.Protocol == "rpc" {
 		protocol = peers.RPC
 	}
 	name := cmp.Or(c.Name, c.Address)
-	n, err := peers.StartUpstreamAt(c.Address, protocol, name, nil, func(call peers.Call) peers.Response {
-		a := peers.Response{Delay: c.Delay, Body: fmt.Appendf(nil, "%s served %s\n", name, call.ID)}
-		switch x := rand.IntN(100); {
-		case x < c.Errors:
-			a.Action = peers.Error
-		case x < c.Errors+c.Away:
-			a.Action = peers.Reject
-		case x < c.Errors+c.Away+c.Hang:
-			a.Action = peers.Hang
+	node, err := peers.StartUpstreamAt(c.Address, protocol, name, nil, func(call peers.Call) peers.Response {
+		response := peers.Response{Delay: c.Delay, Body: fmt.Appendf(nil, "%s served %s\n", name, call.ID)}
+		switch percentile := rand.IntN(100); {
+		case percentile < c.Errors:
+			response.Action = peers.Error
+		case percentile < c.Errors+c.Rejects:
+			response.Action = peers.Reject
+		case percentile < c.Errors+c.Rejects+c.Hang:
+			response.Action = peers.Hang
 		}
-		return a
+		return response
 	})
 	if err != nil {
 		return err
 	}
-	defer n.Close()
-	fmt.Printf("a stand-in node %s at %s over %s for %v\n", name, n.Addr(), protocol, c.Duration)
+	defer node.Close()
+	fmt.Printf("stand-in node %s at %s, protocol %s, for %v\n", name, node.Addr(), protocol, c.Duration)
 	waitForSignal(c.Duration)
 	return nil
 }
 
 type standinEureka struct {
 	Address  string        `default:"127.0.0.1:8761" help:"Where to listen, a loopback address."`
-	Lease    time.Duration `default:"90s" help:"How long a lease lasts without renewal."`
-	Duration time.Duration `default:"1h" help:"It ends by itself after this."`
+	Lease    time.Duration `default:"90s" help:"Time for which a lease lasts without renewal."`
+	Duration time.Duration `default:"1h" help:"Time after which the registry ends by itself."`
 }
 
-// Run serves until a signal or the end of its time.
+// Run serves until a signal arrives or Duration has passed.
 func (c *standinEureka) Run() error {
-	if err := loopback(c.Address); err != nil {
+	if err := checkLoopback(c.Address); err != nil {
 		return err
 	}
-	e, err := peers.StartEureka(c.Address)
+	registry, err := peers.StartEureka(c.Address)
 	if err != nil {
 		return err
 	}
-	defer e.Close()
-	e.SetLeaseDuration(c.Lease)
-	fmt.Printf("a stand-in Eureka registry at %s for %v\n\n", e.URL(), c.Duration)
-	fmt.Printf("register   curl -X POST -H 'Content-Type: application/json' %s/apps/RECORDS -d \\\n", e.URL())
-	fmt.Println(`             '{"instance":{"instanceId":"r1","hostName":"127.0.0.1","app":"RECORDS","ipAddr":"127.0.0.1","status":"UP","port":{"$":8080,"@enabled":"true"},"dataCenterInfo":{"name":"MyOwn"}}}'`)
-	fmt.Printf("take out   curl -X PUT '%s/apps/RECORDS/r1/status?value=OUT_OF_SERVICE'\n", e.URL())
-	fmt.Printf("put back   curl -X DELETE '%s/apps/RECORDS/r1/status?value=UP'\n", e.URL())
-	fmt.Printf("look       curl -H 'Accept: application/json' %s/apps\n", e.URL())
+	defer registry.Close()
+	registry.SetLeaseDuration(c.Lease)
+	fmt.Printf("stand-in Eureka registry at %s, for %v\n\n", registry.URL(), c.Duration)
+	fmt.Printf("register     curl -X POST -H 'Content-Type: application/json' %s/apps/RECORDS -d \\\n", registry.URL())
+	fmt.Println(`               '{"instance":{"instanceId":"r1","hostName":"127.0.0.1","app":"RECORDS","ipAddr":"127.0.0.1","status":"UP","port":{"$":8080,"@enabled":"true"},"dataCenterInfo":{"name":"MyOwn"}}}'`)
+	fmt.Printf("drain        curl -X PUT '%s/apps/RECORDS/r1/status?value=OUT_OF_SERVICE'\n", registry.URL())
+	fmt.Printf("end drain    curl -X DELETE '%s/apps/RECORDS/r1/status?value=UP'\n", registry.URL())
+	fmt.Printf("list         curl -H 'Accept: application/json' %s/apps\n", registry.URL())
 	waitForSignal(c.Duration)
 	return nil
 }
--- a/cmd/sidecar/stopped_process_test.go
+++ b/cmd/sidecar/stopped_process_test.go
@@ -13,8 +13,9 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// A request that came while the process was stopped has less time left than its header
-// says: its upstream gets that, or it is answered at once.
+// TestDeadlineAfterTheProcessWasStopped guards against forwarding a request with more time than its client
+// still waits. A request that arrives while the process is stopped has less time left than its header says.
+// It must be forwarded with the time that is really left, or be answered at once with 503.
 func TestDeadlineAfterTheProcessWasStopped(t *testing.T) {
 	const (
 		timeout = 2 * time.Second
@@ -31,13 +32,13 @@
 	reader := bufio.NewReader(client)
 	writeRequest(client, "first", timeout)
 	if response, err := http.ReadResponse(reader, nil); err != nil || response.StatusCode != http.StatusOK {
-		t.Fatalf("got %v, error %v", response, err)
+		t.Fatalf("first request: got %v, error %v; want status 200", response, err)
 	} else {
 		reader.Discard(int(response.ContentLength))
 	}
-	peertest.Await(t, "the first", upstream.Requests)
+	peertest.Await(t, "the first request", upstream.Requests)
 	command.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(100 * time.Millisecond) // until it has stopped
+	time.Sleep(100 * time.Millisecond) // time for the process to stop
 	writtenAt := time.Now()
 	writeRequest(client, "second", timeout)
 	time.Sleep(stopped)
@@ -48,20 +49,21 @@
 	}
 	if len(upstream.Requests) == 0 {
 		if response.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("not forwarded, and answered %d", response.StatusCode)
+			t.Errorf("request that was not forwarded: got status %d, want 503", response.StatusCode)
 		}
 		return
 	}
 	seconds, _ := strconv.ParseFloat((<-upstream.Requests).Header.Get("Request-Timeout"), 64)
-	if most := timeout - stopped + slack; time.Duration(seconds*float64(time.Second)) > most {
-		t.Errorf("forwarded with %.3f s, %v after it was written: at most %v are left", seconds, time.Since(writtenAt), most)
+	if maxLeft := timeout - stopped + slack; time.Duration(seconds*float64(time.Second)) > maxLeft {
+		t.Errorf("request forwarded %[2]v after it was written: got %.3[1]f s left, want at most %[3]v",
+			seconds, time.Since(writtenAt), maxLeft)
 	}
 }
 
-// dialUntilOpen connects once the program listens.
+// dialUntilOpen connects to the program as soon as it listens.
 func dialUntilOpen(t *testing.T, address string) (client net.Conn) {
 	t.Helper()
-	peertest.Until(t, "the program", func() bool {
+	peertest.Until(t, "the program to listen", func() bool {
 		var err error
 		client, err = net.Dial("tcp", address)
 		return err == nil
@@ -70,6 +72,7 @@
 	return client
 }
 
+// writeRequest writes a request without a body.
 func writeRequest(client net.Conn, id string, timeout time.Duration) {
 	fmt.Fprintf(client, "POST /api HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Class: a\r\n"+
 		"Request-Timeout: %.3f\r\nContent-Length: 0\r\n\r\n", id, timeout.Seconds())
