--- a/internal/transport/httpnode/connection.go
+++ b/internal/transport/httpnode/connection.go
@@ -11,22 +11,22 @@
 	"mothridge/internal/sockets"
 )
 
-// maxKeptBufferBytes bounds the request buffer that an idle connection keeps.
+// maxKeptBufferBytes is the largest request buffer that an idle connection keeps.
 const maxKeptBufferBytes = 8 << 10
 
-// connection is a connection to an upstream. It carries one request at a time and belongs to
-// the goroutine that took it from the pool, or to the pool while it is idle.
+// connection is a connection to an upstream. A connection carries one request at a time. It is
+// owned by the goroutine that took it from the pool, or by the pool while it is idle.
 type connection struct {
 	netConn  net.Conn
 	upstream *httpUpstream
 
 	limit   io.LimitedReader // bounds the bytes read for one response
 	reader  *bufio.Reader    // reads through limit
-	framing http1.Framing    // of the responses
+	framing http1.Framing    // tracks the framing of the responses
 
-	requestBuffer bytes.Buffer // a request is gathered here, so that one write sends it
-	takenAt       time.Time    // when it was last taken from the pool
-	idleSince     time.Time    // when it was last put into the pool
+	requestBuffer bytes.Buffer // the encoded request, so that a single write sends it
+	takenAt       time.Time    // when the connection was last taken from the pool
+	idleSince     time.Time    // when the connection was last put into the pool
 }
 
 func newConnection(upstream *httpUpstream, netConn net.Conn) *connection {
@@ -36,7 +36,7 @@
 	return conn
 }
 
-// observedReader shows to a Framing what is read.
+// observedReader is a reader that passes all bytes it reads to a Framing.
 type observedReader struct {
 	io.Reader
 	framing *http1.Framing
@@ -49,14 +49,14 @@
 	return count, err
 }
 
-// isUsable reports whether an idle connection may carry a request: it is young enough, open and
-// has nothing to read. It does not block.
+// isUsable reports whether an idle connection may carry a request: the connection has been idle for
+// less than idleTimeout, is open and has no unread bytes. isUsable does not block.
 func (conn *connection) isUsable(now time.Time, idleTimeout time.Duration) bool {
 	isYoung := now.Sub(conn.idleSince) < idleTimeout
 	return isYoung && conn.reader.Buffered() == 0 && sockets.IsIdle(conn.netConn)
 }
 
-// releaseLargeBuffer frees a request buffer that is too large to be kept.
+// releaseLargeBuffer frees the request buffer if it is larger than maxKeptBufferBytes.
 func (conn *connection) releaseLargeBuffer() {
 	if conn.requestBuffer.Cap() > maxKeptBufferBytes {
 		conn.requestBuffer = bytes.Buffer{}
--- a/internal/transport/httpnode/counters.go
+++ b/internal/transport/httpnode/counters.go
@@ -1,13 +1,14 @@
 package httpnode
 
-// Counters count events from the start on. Their names in logs and metrics are in the tags.
+// Counters counts events since the start of the transport. A tag contains the field's name in logs
+// and metrics.
 type Counters struct {
-	Dials            uint64 // connections that were opened
-	DialFailures     uint64 `metric:"failed"`  // connections that could not be opened
-	DelimitedByClose uint64 `metric:"unsized"` // responses without a length that were forwarded
+	Dials            uint64 // connections opened
+	DialFailures     uint64 `metric:"failed"`  // connections that failed to open
+	DelimitedByClose uint64 `metric:"unsized"` // forwarded responses without a length
 }
 
-// Counters returns the counts so far.
+// Counters returns the current counts.
 func (transport *Transport) Counters() Counters {
 	return Counters{
 		Dials:            transport.pool.dials.Load(),
--- a/internal/transport/httpnode/dial.go
+++ b/internal/transport/httpnode/dial.go
@@ -7,8 +7,8 @@
 	"mothridge/internal/sockets"
 )
 
-// dial opens a connection within dialTimeout, the wait for a slot included. It blocks, until
-// ctx is done at most.
+// dial opens a connection. It blocks until the connection is open, dialTimeout has passed or ctx is
+// done. dialTimeout includes the wait for a slot.
 func (pool *connectionPool) dial(ctx context.Context, upstream *httpUpstream) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, pool.dialTimeout)
 	defer cancel()
@@ -25,8 +25,8 @@
 	return newConnection(upstream, netConn), nil
 }
 
-// acquireSlot takes a slot. Where none is free it closes the longest idle connection, or waits.
-// Its error is a sockets.ErrConnectionLimit.
+// acquireSlot takes a slot. If no slot is free, it closes the connection that has been idle longest
+// and waits for a slot until ctx is done. Its error wraps sockets.ErrConnectionLimit.
 func (pool *connectionPool) acquireSlot(ctx context.Context) error {
 	select {
 	case pool.slots <- struct{}{}:
@@ -43,8 +43,10 @@
 	}
 }
 
-// startWaiting registers a waiter, for which put frees slots, and closes the longest idle
-// connection: both in one moment, as put may add an idle one.
+// startWaiting registers a waiter and closes the connection that has been idle longest. While there
+// are waiters, put frees slots instead of keeping connections. The waiter is registered and the idle
+// connection is removed under one lock, because a concurrent put could add an idle connection in
+// between.
 func (pool *connectionPool) startWaiting() {
 	pool.mu.Lock()
 	pool.slotWaiters++
@@ -55,6 +57,7 @@
 	}
 }
 
+// stopWaiting unregisters a waiter.
 func (pool *connectionPool) stopWaiting() {
 	pool.mu.Lock()
 	pool.slotWaiters--
--- a/internal/transport/httpnode/helpers_test.go
+++ b/internal/transport/httpnode/helpers_test.go
@@ -14,14 +14,14 @@
 
 // Parts of responses.
 const (
-	statusOK       = "HTTP/1.1 200 OK\r\n"
-	earlyHints     = "HTTP/1.1 103 Early Hints\r\n\r\n"
-	notStarted     = "Not-Started: 1\r\n"
-	emptyBody      = "Content-Length: 0\r\n\r\n"
-	chunkedHead    = statusOK + "Transfer-Encoding: chunked\r\n\r\n"
-	firstChunk     = "5\r\nhoney\r\n"
-	lastChunk      = "0\r\n\r\n"
-	unsizedMessage = statusOK + "\r\nhoney" // the close of the connection ends it
+	statusOK              = "HTTP/1.1 200 OK\r\n"
+	earlyHints            = "HTTP/1.1 103 Early Hints\r\n\r\n"
+	notStartedField       = "Not-Started: 1\r\n"
+	emptyBody             = "Content-Length: 0\r\n\r\n"
+	chunkedHead           = statusOK + "Transfer-Encoding: chunked\r\n\r\n"
+	firstChunk            = "5\r\nhoney\r\n"
+	lastChunk             = "0\r\n\r\n"
+	responseWithoutLength = statusOK + "\r\nhoney" // the end of the body is the close of the connection
 )
 
 func newTestPool(maxConnections int) *connectionPool {
@@ -42,12 +42,12 @@
 	}
 }
 
-// roundTrip performs an attempt with a request "x".
+// roundTrip performs an attempt for a request with the id x.
 func roundTrip(ctx context.Context, upstream *httpUpstream) (policy.AttemptResult, *core.Response) {
 	return upstream.RoundTrip(ctx, newTestMessage())
 }
 
-// getConnection takes a connection from the pool of an upstream.
+// getConnection takes a connection to an upstream from its pool.
 func getConnection(t *testing.T, upstream *httpUpstream) *connection {
 	t.Helper()
 	conn, err := upstream.transport.pool.get(t.Context(), upstream)
@@ -57,7 +57,7 @@
 	return conn
 }
 
-// listenWithoutReading accepts connections and reads nothing from them.
+// listenWithoutReading starts a server that accepts connections and never reads from them.
 func listenWithoutReading(t *testing.T) (address string) {
 	t.Helper()
 	listener := peertest.Listen(t)
--- a/internal/transport/httpnode/idle.go
+++ b/internal/transport/httpnode/idle.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// removeLongestIdleLocked takes out the longest idle connection of all upstreams; nil where none
-// is idle. pool.mu is held.
+// removeLongestIdleLocked removes and returns the connection that has been idle longest, among the
+// connections to all upstreams. It returns nil if no connection is idle. The caller holds pool.mu.
 func (pool *connectionPool) removeLongestIdleLocked() *connection {
 	var longestIdle *connection
-	for upstream := range pool.withIdle {
+	for upstream := range pool.upstreamsWithIdle {
 		candidate := upstream.idle[0]
 		if longestIdle == nil || candidate.idleSince.Before(longestIdle.idleSince) {
 			longestIdle = candidate
@@ -18,17 +18,18 @@
 	return longestIdle
 }
 
-// sweep closes the idle connections that are not usable any more.
+// sweep closes the idle connections that can no longer be used.
 func (pool *connectionPool) sweep(now time.Time) {
 	for _, conn := range pool.removeUnusable(now) {
 		pool.drop(conn)
 	}
 }
 
+// removeUnusable removes the idle connections that can no longer be used, and returns them.
 func (pool *connectionPool) removeUnusable(now time.Time) (unusable []*connection) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	for upstream := range pool.withIdle {
+	for upstream := range pool.upstreamsWithIdle {
 		for i := len(upstream.idle) - 1; i >= 0; i-- {
 			if !upstream.idle[i].isUsable(now, pool.idleTimeout) {
 				unusable = append(unusable, pool.removeIdleLocked(upstream, i))
@@ -38,13 +39,13 @@
 	return unusable
 }
 
-// retire closes the idle connections to an upstream, and lets put close the others.
+// retire closes the idle connections to an upstream. The connections in use are closed by put.
 func (pool *connectionPool) retire(upstream *httpUpstream) {
 	pool.mu.Lock()
 	idle := upstream.idle
 	upstream.idle = nil
 	upstream.retired = true
-	delete(pool.withIdle, upstream)
+	delete(pool.upstreamsWithIdle, upstream)
 	pool.mu.Unlock()
 	for _, conn := range idle {
 		pool.drop(conn)
--- a/internal/transport/httpnode/local_error_test.go
+++ b/internal/transport/httpnode/local_error_test.go
@@ -10,8 +10,8 @@
 	"mothridge/policy"
 )
 
-// What this machine lacks does not count against an upstream; what the network or the other
-// end reports does.
+// A connection that fails because this machine lacks a resource must not count against the upstream.
+// Errors that the network or the upstream reports must count.
 func TestLocalErrorsDoNotCountAgainstAnUpstream(t *testing.T) {
 	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("honey")))
 	for errno, want := range map[syscall.Errno]policy.AttemptResult{
@@ -32,14 +32,14 @@
 			pool.dialer.Control = func(string, string, syscall.RawConn) error { return errno }
 			upstream := newTestUpstream(pool, server.Addr)
 			if got, _ := roundTrip(t.Context(), upstream); got != want {
-				t.Errorf("result %v, want %v", got, want)
+				t.Errorf("got result %v, want %v", got, want)
 			}
 			_, err := upstream.Probe(t.Context())
 			if err == nil || errors.Is(err, core.ErrNotSent) != (want == policy.NotSent) {
-				t.Errorf("probe: %v", err)
+				t.Errorf("probe: got error %v, want one that wraps core.ErrNotSent only for a local error", err)
 			}
 			if len(pool.slots) != 0 {
-				t.Errorf("%d slots are taken", len(pool.slots))
+				t.Errorf("got %d slots in use, want 0", len(pool.slots))
 			}
 		})
 	}
--- a/internal/transport/httpnode/pool.go
+++ b/internal/transport/httpnode/pool.go
@@ -12,50 +12,51 @@
 )
 
 const (
-	// reuseDelay is the least time between a response and the next request on its connection:
-	// bytes that follow a response and belong to no request show by then, and are not taken
-	// for the next response. Second responses were seen up to 5.1 ms late.
+	// reuseDelay is the minimum time between a response and the next request on its connection.
+	// Surplus bytes that an upstream sends after a response arrive within this time, so that they
+	// are not mistaken for the next response. Second responses were seen up to 5.1 ms late.
 	reuseDelay = 10 * time.Millisecond
-	// fastExchangeTime is the mean exchange time below which another connection is opened
-	// rather than waiting out reuseDelay: waiting would cost more than half an exchange.
+	// fastExchangeTime is the mean exchange time below which the pool opens another connection
+	// instead of waiting for reuseDelay to pass: the wait would cost more than half an exchange.
 	fastExchangeTime = 2 * reuseDelay
-	// maxDelayedConnections bounds the connections to an upstream that are in their
-	// reuseDelay at once. It allows 6,400 requests a second without waiting.
+	// maxDelayedConnections is the maximum number of connections to an upstream that are in their
+	// reuseDelay at the same time. It allows 6,400 requests a second without waiting.
 	maxDelayedConnections = 64
 )
 
-// connectionPool keeps idle connections for further requests, and bounds how many connections
-// are open. Its methods may be called from any goroutine.
+// connectionPool keeps idle connections for reuse and limits the number of open connections. Its
+// methods may be called from any goroutine.
 //
-// A connection is taken from the pool with get, and goes back with put or is closed with drop.
+// get takes a connection from the pool. The caller then either returns the connection with put or
+// closes it with drop.
 type connectionPool struct {
 	dialTimeout time.Duration
 	dialer      net.Dialer
-	idleTimeout time.Duration // an idle connection is not used for longer than this
+	idleTimeout time.Duration // a connection that has been idle for this long is not reused
 
-	slots chan struct{} // holds one element for each connection that is open or being opened
+	slots chan struct{} // contains one element for each connection that is open or being opened
 
 	dials, dialFailures atomic.Uint64
 
-	mu          sync.Mutex
-	withIdle    map[*httpUpstream]bool // the upstreams that have idle connections
-	slotWaiters int                    // callers of acquireSlot that wait
+	mu                sync.Mutex
+	upstreamsWithIdle map[*httpUpstream]bool // the upstreams that have idle connections
+	slotWaiters       int                    // number of callers that wait in acquireSlot
 }
 
-// newConnectionPool makes a pool; upstreamIdleTimeout is after how long upstreams close idle
+// newConnectionPool returns a pool. upstreamIdleTimeout is the time after which upstreams close idle
 // connections.
 func newConnectionPool(dialTimeout, upstreamIdleTimeout time.Duration, maxConnections int) *connectionPool {
 	return &connectionPool{
-		dialTimeout: dialTimeout,
-		dialer:      net.Dialer{KeepAlive: -1},
-		idleTimeout: roundtrip.IdleTimeout(upstreamIdleTimeout),
-		slots:       make(chan struct{}, maxConnections),
-		withIdle:    make(map[*httpUpstream]bool),
+		dialTimeout:       dialTimeout,
+		dialer:            net.Dialer{KeepAlive: -1},
+		idleTimeout:       roundtrip.IdleTimeout(upstreamIdleTimeout),
+		slots:             make(chan struct{}, maxConnections),
+		upstreamsWithIdle: make(map[*httpUpstream]bool),
 	}
 }
 
-// get returns a connection to an upstream: an idle one, or else a new one. It blocks while a
-// connection is opened or is in its reuseDelay.
+// get returns a connection to an upstream: an idle connection if one is usable, else a new one. It
+// blocks while a connection is being opened or is in its reuseDelay.
 func (pool *connectionPool) get(ctx context.Context, upstream *httpUpstream) (*connection, error) {
 	for {
 		now := time.Now()
@@ -75,9 +76,10 @@
 	}
 }
 
-// takeIdle takes the idle connection that is to be used next, or returns nil where a new one is
-// to be opened. Of those past their reuseDelay it takes the most recently used, so that surplus
-// connections reach their idle timeout; else the one with the shortest delay left.
+// takeIdle removes and returns the idle connection to use next, or returns nil if the caller must
+// open a new connection. Among the connections past their reuseDelay, takeIdle chooses the most
+// recently used one, so that surplus connections reach their idle timeout. If all are in their
+// reuseDelay, it chooses the one with the shortest remaining delay.
 func (pool *connectionPool) takeIdle(upstream *httpUpstream, now time.Time) *connection {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -90,8 +92,8 @@
 	return pool.removeIdleLocked(upstream, 0)
 }
 
-// reusableLocked returns how many of the idle connections are past their reuseDelay; they are
-// the first ones. The lock of the pool is held.
+// reusableLocked returns the number of idle connections that are past their reuseDelay. These are
+// the first elements of upstream.idle. The caller holds the lock of the pool.
 func (upstream *httpUpstream) reusableLocked(now time.Time) int {
 	reusable := len(upstream.idle)
 	for reusable > 0 && now.Sub(upstream.idle[reusable-1].idleSince) < reuseDelay {
@@ -100,26 +102,26 @@
 	return reusable
 }
 
-// prefersDialLocked reports whether a new connection is to be opened although the upstream has
-// idle ones, which are all in their reuseDelay. pool.mu is held.
+// prefersDialLocked reports whether to open a new connection although the upstream has idle
+// connections. All idle connections must be in their reuseDelay. The caller holds pool.mu.
 func (pool *connectionPool) prefersDialLocked(upstream *httpUpstream) bool {
 	isFast := upstream.meanExchangeTime > 0 && upstream.meanExchangeTime < fastExchangeTime
 	hasSlot := len(pool.slots) < cap(pool.slots)
 	return isFast && len(upstream.idle) < maxDelayedConnections && hasSlot
 }
 
-// removeIdleLocked takes an idle connection out; pool.mu is held.
+// removeIdleLocked removes and returns the idle connection at an index. The caller holds pool.mu.
 func (pool *connectionPool) removeIdleLocked(upstream *httpUpstream, index int) *connection {
 	conn := upstream.idle[index]
 	upstream.idle = slices.Delete(upstream.idle, index, index+1)
 	if len(upstream.idle) == 0 {
-		delete(pool.withIdle, upstream)
+		delete(pool.upstreamsWithIdle, upstream)
 	}
 	return conn
 }
 
-// put takes back a connection whose last response was read to its end. It closes the connection
-// where its slot is waited for or its upstream was retired.
+// put returns a connection to the pool after its last response was read completely. It closes the
+// connection if another caller waits for a slot or if the upstream was retired.
 func (pool *connectionPool) put(conn *connection) {
 	conn.idleSince = time.Now()
 	conn.releaseLargeBuffer()
@@ -132,7 +134,7 @@
 	}
 	upstream.recordExchangeLocked(conn.idleSince.Sub(conn.takenAt))
 	upstream.idle = append(upstream.idle, conn)
-	pool.withIdle[upstream] = true
+	pool.upstreamsWithIdle[upstream] = true
 	pool.mu.Unlock()
 }
 
--- a/internal/transport/httpnode/pool_test.go
+++ b/internal/transport/httpnode/pool_test.go
@@ -9,7 +9,8 @@
 	"mothridge/internal/sockets"
 )
 
-// Of the connections past their reuseDelay the most recently used goes first, and the others age.
+// Among the connections past their reuseDelay, the pool reuses the most recently used one first, so
+// that the others reach their idle timeout.
 func TestPoolReusesTheMostRecentConnection(t *testing.T) {
 	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
 	pool := newTestPool(4)
@@ -25,32 +26,34 @@
 	}
 	for _, want := range []*connection{all[1], all[0]} {
 		if got := pool.takeIdle(upstream, now); got != want {
-			t.Errorf("got %p, want %p", got, want)
+			t.Errorf("got connection %p, want %p", got, want)
 		}
 	}
-	// The last is in its reuseDelay: a slow upstream's is waited for, a fast one gets another.
+	// The remaining connection is in its reuseDelay: for a slow upstream the pool reuses it, for a
+	// fast one the caller must open another connection.
 	upstream.meanExchangeTime = fastExchangeTime
 	if got := pool.takeIdle(upstream, now); got != all[2] {
-		t.Errorf("of a slow upstream got %p, want the delayed one, %p", got, all[2])
+		t.Errorf("slow upstream: got connection %p, want the delayed connection %p", got, all[2])
 	}
 	pool.put(all[2])
 	upstream.meanExchangeTime = fastExchangeTime - 1
 	if got := pool.takeIdle(upstream, all[2].idleSince); got != nil {
-		t.Errorf("of a fast upstream got %p, want another connection", got)
+		t.Errorf("fast upstream: got connection %p, want nil so that another one is opened", got)
 	}
 	if count := len(pool.slots); count != 3 {
-		t.Errorf("%d connections, want 3", count)
+		t.Errorf("got %d connections, want 3", count)
 	}
 }
 
-// What is opened because others are in their reuseDelay is bounded, by upstream and by slots.
+// The number of connections that are opened because others are in their reuseDelay is limited both
+// for each upstream and by the slots of the pool.
 func TestPoolBoundsDelayedConnections(t *testing.T) {
 	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
 	for _, maxConnections := range []int{maxDelayedConnections + 10, 8} {
 		pool := newTestPool(maxConnections)
 		upstream := newTestUpstream(pool, server.Addr)
 		now := time.Now()
-		for range maxDelayedConnections + 5 { // as if each were put back at once
+		for range maxDelayedConnections + 5 { // each connection is returned to the pool immediately
 			conn := pool.takeIdle(upstream, now)
 			if conn == nil {
 				conn = &connection{netConn: &net.TCPConn{}, upstream: upstream, takenAt: now}
@@ -60,54 +63,58 @@
 			conn.idleSince, upstream.meanExchangeTime = now, 1
 		}
 		if want := min(maxConnections, maxDelayedConnections); len(upstream.idle) != want {
-			t.Errorf("%d delayed connections of %d, want %d", len(upstream.idle), maxConnections, want)
+			t.Errorf("got %d delayed connections (maximum %d connections), want %d",
+				len(upstream.idle), maxConnections, want)
 		}
 	}
 }
 
-func TestPoolDropsWhatTheUpstreamClosed(t *testing.T) {
+// A connection that the upstream has closed while it was idle must not be reused.
+func TestPoolDropsConnectionsClosedByTheUpstream(t *testing.T) {
 	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
 	pool := newTestPool(4)
 	upstream := newTestUpstream(pool, server.Addr)
 	conn := getConnection(t, upstream)
 	serverConn := peertest.Await(t, "the connection", server.Accepted)
 	if !sockets.IsIdle(conn.netConn) {
-		t.Error("an open idle connection is taken for a closed one")
+		t.Error("IsIdle returned false for an open idle connection, want true")
 	}
 	pool.put(conn)
 	serverConn.Close()
-	if _, err := conn.reader.Peek(1); err == nil { // returns once the close has arrived
-		t.Fatal("the upstream did not close")
+	if _, err := conn.reader.Peek(1); err == nil { // blocks until the close has arrived
+		t.Fatal("reading succeeded, want an error after the upstream closed the connection")
 	}
 	conn.idleSince = time.Now().Add(-reuseDelay)
 	if got, _ := pool.get(t.Context(), upstream); got == conn {
-		t.Error("a closed connection was given out")
+		t.Error("got a closed connection, want a new one")
 	}
 	if count := len(pool.slots); count != 1 {
-		t.Errorf("%d slots taken, want 1", count)
+		t.Errorf("got %d slots in use, want 1", count)
 	}
 }
 
-func TestPoolClosesBeforeTheUpstreamDoes(t *testing.T) {
+// The pool closes an idle connection at its own idle timeout, before the upstream closes it.
+func TestPoolClosesIdleConnectionsBeforeTheUpstreamDoes(t *testing.T) {
 	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
 	pool := newConnectionPool(time.Second, 10*time.Second, 4)
 	conn := getConnection(t, newTestUpstream(pool, server.Addr))
 	pool.put(conn)
 	pool.sweep(conn.idleSince.Add(pool.idleTimeout - time.Millisecond))
 	if len(pool.slots) != 1 {
-		t.Error("closed too early")
+		t.Error("idle connection was closed before the idle timeout")
 	}
 	if pool.idleTimeout >= 10*time.Second {
-		t.Errorf("idle connections are kept for %v", pool.idleTimeout)
+		t.Errorf("got idle timeout %v, want less than the 10 s of the upstream", pool.idleTimeout)
 	}
 	pool.sweep(conn.idleSince.Add(pool.idleTimeout))
-	peertest.Await(t, "the connection's end", server.Closed)
+	peertest.Await(t, "the connection to close", server.Closed)
 	if len(pool.slots) != 0 {
-		t.Error("the slot was not given back")
+		t.Error("the slot of the closed connection was not freed")
 	}
 }
 
-// At the bound an idle connection is closed for a new one, to whatever upstream that goes.
+// At the maximum number of connections, the pool closes an idle connection to open a new one, even
+// if the two connect to different upstreams. Without an idle connection, the caller waits for a slot.
 func TestPoolBoundsConnections(t *testing.T) {
 	serverA := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
 	serverB := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
@@ -116,26 +123,26 @@
 	first, second := getConnection(t, upstreamA), getConnection(t, upstreamA)
 	pool.put(first)
 	if _, err := pool.get(t.Context(), upstreamB); err != nil {
-		t.Fatalf("no idle connection was closed: %v", err)
+		t.Fatalf("got error %v, want an idle connection closed to free its slot", err)
 	}
-	peertest.Await(t, "the idle connection's end", serverA.Closed)
+	peertest.Await(t, "the idle connection to close", serverA.Closed)
 	waiter := make(chan error, 1)
 	go func() {
 		_, err := pool.get(t.Context(), upstreamB)
 		waiter <- err
 	}()
-	peertest.Await(t, "the second connection", serverA.Accepted) // both were accepted by now
-	pool.put(second)                                             // drops it if the waiter waits already
+	peertest.Await(t, "the second connection", serverA.Accepted) // the first one was accepted earlier
+	pool.put(second)                                             // closes the connection if the waiter already waits
 	if err := peertest.Await(t, "a connection", waiter); err != nil {
-		t.Errorf("a waiting caller got %v", err)
+		t.Errorf("waiting caller: got error %v, want a connection", err)
 	}
 	if count := len(pool.slots); count != 2 {
-		t.Errorf("%d connections, want 2", count)
+		t.Errorf("got %d connections, want 2", count)
 	}
 }
 
-// The address of a retired upstream may become another process's while an attempt at the old
-// one is in flight: its connection is not the new one's.
+// Another process may take over the address of a retired upstream while an attempt to the old
+// process is still in flight. The connection of that attempt must not be reused for the new process.
 func TestConnectionsBelongToTheirUpstream(t *testing.T) {
 	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
 	pool := newTestPool(4)
@@ -143,15 +150,15 @@
 	idle, inUse := getConnection(t, retired), getConnection(t, retired)
 	pool.put(idle)
 	retired.Retire()
-	peertest.Await(t, "the idle connection's end", server.Closed)
+	peertest.Await(t, "the idle connection to close", server.Closed)
 	fresh := getConnection(t, newTestUpstream(pool, server.Addr))
 	if fresh == idle || fresh == inUse {
-		t.Error("the new upstream got the old one's connection")
+		t.Error("the new upstream got a connection of the retired upstream, want a new connection")
 	}
 	pool.put(inUse)
-	peertest.Await(t, "the end of the one in use", server.Closed)
-	if len(pool.slots) != 1 || len(pool.withIdle) != 0 {
-		t.Errorf("%d slots are taken and %d upstreams have idle connections, want 1 and none",
-			len(pool.slots), len(pool.withIdle))
+	peertest.Await(t, "the connection in use to close", server.Closed)
+	if len(pool.slots) != 1 || len(pool.upstreamsWithIdle) != 0 {
+		t.Errorf("got %d slots in use and %d upstreams with idle connections, want 1 and 0",
+			len(pool.slots), len(pool.upstreamsWithIdle))
 	}
 }
--- a/internal/transport/httpnode/probe.go
+++ b/internal/transport/httpnode/probe.go
@@ -13,12 +13,13 @@
 	"mothridge/policy"
 )
 
-// maxLoadReportBytes bounds the part of a probe's response that is read as a load report.
+// maxLoadReportBytes is the maximum length of the part of a probe's response body that is parsed as
+// a load report.
 const maxLoadReportBytes = 4 << 10
 
-// Probe implements core.Upstream: it requests the health of the upstream, and its load report if
-// Config.ProbeLoadReports is set. It blocks for Config.DialTimeout at most. The probe fails
-// without a response of status 200 by then.
+// Probe implements core.Upstream: it requests the health of the upstream, or the load report of the
+// upstream if Config.ProbeLoadReports is set. It blocks for at most Config.DialTimeout. The probe
+// fails if no response with status 200 is received by then.
 func (upstream *httpUpstream) Probe(ctx context.Context) (policy.LoadReport, error) {
 	transport := upstream.transport
 	ctx, cancel := context.WithTimeout(ctx, transport.pool.dialTimeout)
@@ -36,12 +37,13 @@
 		return roundtrip.UnknownLoad(), err
 	}
 	if result.StatusCode != http.StatusOK {
-		return roundtrip.UnknownLoad(), fmt.Errorf("probe: status %d", result.StatusCode)
+		return roundtrip.UnknownLoad(), fmt.Errorf("probe: unexpected status %d", result.StatusCode)
 	}
 	return policy.LoadReport{InFlight: transport.parseInFlight(loadReportOf(&result))}, nil
 }
 
-// loadReportOf returns the load report in a response, which is in a header field or the body.
+// loadReportOf returns the load report of a response: the value of the Server-Load header field, or
+// the body if the response has no such field.
 func loadReportOf(result *response) string {
 	if report := result.Header.Get("Server-Load"); report != "" {
 		return report
@@ -49,8 +51,8 @@
 	return string(result.body[:min(len(result.body), maxLoadReportBytes)])
 }
 
-// parseInFlight returns the number of requests in flight that a load report of the form
-// 'TEXT name=value, name=value' gives, or -1 where it gives no valid one.
+// parseInFlight returns the number of requests in flight from a load report of the form
+// 'TEXT name=value, name=value'. It returns -1 if the report contains no valid number for them.
 func (transport *Transport) parseInFlight(report string) float64 {
 	report, _ = strings.CutPrefix(strings.TrimSpace(report), "TEXT ")
 	for field := range strings.SplitSeq(report, ",") {
@@ -58,12 +60,12 @@
 		if name == "" || name != transport.loadReportField {
 			continue
 		}
-		if number, err := strconv.ParseFloat(value, 64); err == nil && isCount(number) {
+		if number, err := strconv.ParseFloat(value, 64); err == nil && isValidCount(number) {
 			return number
 		}
 	}
 	return -1
 }
 
-// isCount reports whether a number is finite and not negative.
-func isCount(number float64) bool { return number >= 0 && !math.IsInf(number, 0) }
+// isValidCount reports whether number is finite and not negative.
+func isValidCount(number float64) bool { return number >= 0 && !math.IsInf(number, 0) }
--- a/internal/transport/httpnode/probe_test.go
+++ b/internal/transport/httpnode/probe_test.go
@@ -7,6 +7,8 @@
 	"mothridge/internal/peers/peertest"
 )
 
+// A probe reads the load report from the header or the body. An invalid load report does not make the
+// probe fail.
 func TestProbeReadsTheLoadReport(t *testing.T) {
 	const inHeader = statusOK + "Server-Load: TEXT busy_reqs=3\r\n" + emptyBody
 	for name, test := range map[string]struct {
@@ -28,22 +30,24 @@
 			transport := &Transport{pool: newTestPool(1), loadReportField: "busy_reqs", probePath: loadReportPath}
 			load, err := transport.Upstream(server.Addr).Probe(t.Context())
 			if (err == nil) != test.wantSuccess || load.InFlight != test.wantInFlight {
-				t.Errorf("probe: %v, %v; want %v, %v", err, load.InFlight, test.wantSuccess, test.wantInFlight)
+				t.Errorf("probe: got error %v, %v in flight; want success %v, %v in flight",
+					err, load.InFlight, test.wantSuccess, test.wantInFlight)
 			}
 			request := peertest.Await(t, "the probe", server.Requests)
 			if request.URL.Path != "/stats" || request.Header.Get("Request-Id") != "" {
-				t.Errorf("requested %s with %v", request.URL, request.Header)
+				t.Errorf("got request for %s with header %v, want /stats without Request-Id", request.URL, request.Header)
 			}
 		})
 	}
 }
 
-func TestProbeWithoutResponseEnds(t *testing.T) {
+// A probe without a response fails after the dial timeout and closes its connection.
+func TestProbeWithoutResponseTimesOut(t *testing.T) {
 	server := peertest.NewUpstream(t, peertest.Always(""))
 	pool := newConnectionPool(500*time.Millisecond, time.Second, 1)
 	load, err := newTestUpstream(pool, server.Addr).Probe(t.Context())
 	if err == nil || load.InFlight >= 0 {
-		t.Errorf("probe of a silent upstream: %v, %v", err, load)
+		t.Errorf("probe without a response: got error %v, load %v; want an error and unknown load", err, load)
 	}
-	peertest.Await(t, "the connection's end", server.Closed)
+	peertest.Await(t, "the connection to close", server.Closed)
 }
--- a/internal/transport/httpnode/read_response.go
+++ b/internal/transport/httpnode/read_response.go
@@ -9,25 +9,25 @@
 	"mothridge/internal/http1"
 )
 
-// Bounds of what is read for one response. Upstreams send bodies of several times what the
-// protocol names; 1 MiB can be held for each request in flight.
+// Limits on the bytes that are read for one response. Upstreams send bodies that are several times
+// larger than the protocol specifies. 1 MiB of memory is affordable for each request in flight.
 const (
-	maxResponseHeadBytes = 128 << 10 // interim responses included
+	maxResponseHeadBytes = 128 << 10 // including interim responses
 	maxResponseBodyBytes = 1 << 20
-	maxInterimResponses  = 5 // before the final one
+	maxInterimResponses  = 5 // before the final response
 )
 
 var (
 	errBodyTooLarge    = errors.New("body too large")
-	errAmbiguousLength = errors.New("two lengths, or chunks in a version without them")
+	errAmbiguousLength = errors.New("ambiguous body length: Transfer-Encoding with Content-Length or in HTTP/1.0")
 )
 
 // response is the final response of an upstream.
 type response struct {
 	*http.Response
 	head             http1.Head
-	body             []byte // nil where the status alone matters
-	delimitedByClose bool   // the body ended with its connection
+	body             []byte // nil if only the status matters
+	delimitedByClose bool   // the close of the connection marked the end of the body
 }
 
 // isNotStarted reports whether the upstream rejected the request without starting it.
@@ -39,17 +39,18 @@
 	return false
 }
 
-// readResponse blocks until a response is complete or its connection is closed.
+// readResponse reads a response. It blocks until the response is complete or the connection is
+// closed.
 func (conn *connection) readResponse() (result response, err error) {
-	result.Response, result.head, err = conn.readHead() //nolint:bodyclose // left open: see readBody
+	result.Response, result.head, err = conn.readHead() //nolint:bodyclose // not closed: see readBody
 	if err != nil {
 		return result, err
 	}
-	conn.limit.N = maxResponseBodyBytes + 1 // one more shows that there are too many
+	conn.limit.N = maxResponseBodyBytes + 1 // reading one byte more detects a body that is too large
 	return result, conn.readBody(&result)
 }
 
-// readHead reads the head of a response, and drops the interim responses before it.
+// readHead reads the head of the final response and discards the interim responses before it.
 func (conn *connection) readHead() (*http.Response, http1.Head, error) {
 	for interim := 0; ; interim++ {
 		result, err := http.ReadResponse(conn.reader, nil)
@@ -66,18 +67,18 @@
 	}
 }
 
-// readBody reads the body of a response that proves to be complete: it ends after one valid
-// length, after the last chunk or, where the head names neither, with the orderly close of its
-// connection (RFC 9112, section 6.3). A reset does not complete it. A head with two lengths may
-// name two ends: see http1.Framing.
+// readBody reads the body of a response. It returns an error unless the body is certain to be
+// complete. The body ends after the one valid length, after the last chunk or, if the head specifies
+// neither, at the orderly close of the connection (RFC 9112, section 6.3). A reset does not complete
+// the body. A head with two lengths may specify two different ends: see http1.Framing.
 //
-// It does not close the body, which would read on in one that is too large: a connection whose
-// response was not read to its end is closed.
+// readBody does not close the body, because closing would continue to read a body that is too large.
+// The connection is closed instead if its response was not read completely.
 func (conn *connection) readBody(result *response) (err error) {
 	isChunked := len(result.TransferEncoding) > 0
-	isDefinite := isChunked && result.head.Unambiguous()
+	isUnambiguous := isChunked && result.head.Unambiguous()
 	switch {
-	case result.head.HasTransferEncoding && !isDefinite:
+	case result.head.HasTransferEncoding && !isUnambiguous:
 		return errAmbiguousLength
 	case result.ContentLength > maxResponseBodyBytes:
 		return errBodyTooLarge
@@ -85,13 +86,14 @@
 		result.body, err = http1.ReadExactly(result.Body, result.ContentLength)
 		return err
 	case !isChunked && result.StatusCode != http.StatusOK:
-		return nil // the status is enough, and the body may never end
+		return nil // the body is not needed, and reading it could block forever
 	}
 	result.delimitedByClose = !isChunked
 	return conn.readUnsizedBody(result)
 }
 
-// readUnsizedBody reads a body to its last chunk or to the close of the connection.
+// readUnsizedBody reads a body without a Content-Length, up to the last chunk or to the close of the
+// connection.
 func (conn *connection) readUnsizedBody(result *response) (err error) {
 	result.body, err = io.ReadAll(io.LimitReader(result.Body, maxResponseBodyBytes+1))
 	if err != nil {
--- a/internal/transport/httpnode/read_response_test.go
+++ b/internal/transport/httpnode/read_response_test.go
@@ -10,42 +10,45 @@
 	"mothridge/policy"
 )
 
-// outcome is a response and how the attempt that gets it ends.
-type outcome struct {
+// responseCase is a response of an upstream and the expected result of the attempt that receives it.
+type responseCase struct {
 	text  string
-	close bool // the connection is closed after the text
+	close bool // the upstream closes the connection after the text
 	want  policy.AttemptResult
 }
 
-var honey = peertest.Answer200("honey")
+var okResponse = peertest.Answer200("honey")
 
-// The protocol's table: which responses are complete, and whether the request may have run.
-// TestResponsesWithoutALength has more of those that the close of their connection ends.
-func TestOutcomes(t *testing.T) {
+// The result of an attempt for each kind of response that the protocol defines: whether the response
+// is complete, and whether the request may have run. TestResponsesWithoutALength covers the other
+// responses that end at the close of the connection.
+func TestAttemptResults(t *testing.T) {
 	const twoEqualLengths = statusOK + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nhoney"
-	for name, test := range map[string]outcome{
-		"served":                 {text: honey, want: policy.Served},
-		"twice the same length":  {text: twoEqualLengths, want: policy.Served},
-		"followed by another":    {text: honey + peertest.Answer200("again"), want: policy.Served},
-		"no length, and closed":  {text: unsizedMessage, close: true, want: policy.Served},
-		"error":                  {text: "HTTP/1.1 500 x\r\n" + emptyBody, want: policy.ServerError},
-		"rejected with 503":      {text: "HTTP/1.1 503 x\r\n" + notStarted + emptyBody, want: policy.Rejected},
-		"rejected with 504":      {text: "HTTP/1.1 504 x\r\n" + notStarted + emptyBody, want: policy.Rejected},
-		"503 may have run":       {text: "HTTP/1.1 503 x\r\n" + emptyBody, want: policy.ServerError},
-		"504 with another value": {text: "HTTP/1.1 504 x\r\nNot-Started: 0\r\n" + emptyBody, want: policy.ServerError},
-		"500 with Not-Started":   {text: "HTTP/1.1 500 x\r\n" + notStarted + emptyBody, want: policy.ServerError},
-		"429 may have run":       {text: "HTTP/1.1 429 x\r\n" + emptyBody, want: policy.ServerError},
-		"interim response":       {text: "HTTP/1.1 100 Continue\r\n\r\n" + honey, want: policy.Served},
+	for name, test := range map[string]responseCase{
+		"served":                       {text: okResponse, want: policy.Served},
+		"two equal lengths":            {text: twoEqualLengths, want: policy.Served},
+		"followed by another response": {text: okResponse + peertest.Answer200("again"), want: policy.Served},
+		"no length, then closed":       {text: responseWithoutLength, close: true, want: policy.Served},
+		"error":                        {text: "HTTP/1.1 500 x\r\n" + emptyBody, want: policy.ServerError},
+		"rejected with 503":            {text: "HTTP/1.1 503 x\r\n" + notStartedField + emptyBody, want: policy.Rejected},
+		"rejected with 504":            {text: "HTTP/1.1 504 x\r\n" + notStartedField + emptyBody, want: policy.Rejected},
+		"503 may have run":             {text: "HTTP/1.1 503 x\r\n" + emptyBody, want: policy.ServerError},
+		"504 with another value":       {text: "HTTP/1.1 504 x\r\nNot-Started: 0\r\n" + emptyBody, want: policy.ServerError},
+		"500 with Not-Started":         {text: "HTTP/1.1 500 x\r\n" + notStartedField + emptyBody, want: policy.ServerError},
+		"429 may have run":             {text: "HTTP/1.1 429 x\r\n" + emptyBody, want: policy.ServerError},
+		"interim response":             {text: "HTTP/1.1 100 Continue\r\n\r\n" + okResponse, want: policy.Served},
 		"two interim responses": {
-			text: "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + honey,
+			text: "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + okResponse,
 			want: policy.Served,
 		},
 	} {
-		t.Run(name, func(t *testing.T) { checkOutcome(t, test) })
+		t.Run(name, func(t *testing.T) { checkAttemptResult(t, test) })
 	}
 }
 
-func TestChunkedOutcomes(t *testing.T) {
+// A chunked response is complete only if its last chunk was received and its head specifies no other
+// length.
+func TestChunkedResponses(t *testing.T) {
 	const (
 		complete          = chunkedHead + firstChunk + lastChunk
 		severalChunks     = "2;a=b\r\nho\r\n3\r\nney\r\n0\r\nX-Sum: 1\r\n\r\n"
@@ -53,74 +56,77 @@
 		lengthFirst       = statusOK + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"
 	)
 	tooLarge := "200000\r\n" + strings.Repeat("x", 0x200000) + "\r\n"
-	for name, test := range map[string]outcome{
-		"one chunk":                  {text: complete, want: policy.Served},
-		"several chunks, a trailer":  {text: earlyHints + chunkedHead + severalChunks, want: policy.Served},
-		"followed by another":        {text: complete + peertest.Answer200("again"), want: policy.Served},
-		"without the last chunk":     {text: chunkedHead + firstChunk, close: true, want: policy.ConnectionReset},
-		"last chunk without its end": {text: chunkedHead + firstChunk + "0\r\n", close: true, want: policy.ConnectionReset},
-		"too large":                  {text: chunkedHead + tooLarge + lastChunk, want: policy.ConnectionReset},
-		"a length beside chunks":     {text: lengthAfterChunks + firstChunk + lastChunk, want: policy.ConnectionReset},
-		"chunks beside a length":     {text: lengthFirst + firstChunk + lastChunk, want: policy.ConnectionReset},
-		"invalid chunk size":         {text: chunkedHead + firstChunk + "zz\r\n", want: policy.ConnectionReset},
-		"cut within a chunk":         {text: chunkedHead + "5\r\nho", close: true, want: policy.ConnectionReset},
+	for name, test := range map[string]responseCase{
+		"one chunk":                    {text: complete, want: policy.Served},
+		"several chunks and a trailer": {text: earlyHints + chunkedHead + severalChunks, want: policy.Served},
+		"followed by another response": {text: complete + peertest.Answer200("again"), want: policy.Served},
+		"without the last chunk":       {text: chunkedHead + firstChunk, close: true, want: policy.ConnectionReset},
+		"last chunk without its end":   {text: chunkedHead + firstChunk + "0\r\n", close: true, want: policy.ConnectionReset},
+		"too large":                    {text: chunkedHead + tooLarge + lastChunk, want: policy.ConnectionReset},
+		"chunked, then a length":       {text: lengthAfterChunks + firstChunk + lastChunk, want: policy.ConnectionReset},
+		"a length, then chunked":       {text: lengthFirst + firstChunk + lastChunk, want: policy.ConnectionReset},
+		"invalid chunk size":           {text: chunkedHead + firstChunk + "zz\r\n", want: policy.ConnectionReset},
+		"truncated chunk":              {text: chunkedHead + "5\r\nho", close: true, want: policy.ConnectionReset},
 	} {
-		t.Run(name, func(t *testing.T) { checkOutcome(t, test) })
+		t.Run(name, func(t *testing.T) { checkAttemptResult(t, test) })
 	}
 }
 
+// An invalid, truncated or oversized response ends the attempt as a connection reset.
 func TestInvalidResponses(t *testing.T) {
 	const twoLengths = statusOK + "Content-Length: 3\r\nContent-Length: 5\r\n\r\nhoney"
 	const withoutColon = statusOK + "no colon here\r\nContent-Length: 5\r\n\r\nhoney"
 	tooLarge := peertest.Answer200(strings.Repeat("x", maxResponseBodyBytes+1))
 	endlessHead := statusOK + "X: " + strings.Repeat("x", 2*maxResponseHeadBytes)
-	for name, test := range map[string]outcome{
-		"two lengths":          {text: twoLengths},
-		"negative length":      {text: statusOK + "Content-Length: -1\r\n\r\nhoney"},
-		"invalid status":       {text: "HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhoney"},
-		"another protocol":     {text: "ICY 200 OK\r\nContent-Length: 5\r\n\r\nhoney"},
-		"line without a colon": {text: withoutColon},
-		"3 GB announced":       {text: statusOK + "Content-Length: 3000000000\r\n\r\nhoney"},
-		"no response":          {close: true},
-		"cut body":             {text: statusOK + "Content-Length: 10\r\n\r\nhoney", close: true},
-		"not HTTP":             {text: "hello\r\n\r\n", close: true},
-		"too large":            {text: tooLarge},
-		"endless head":         {text: endlessHead},
+	for name, test := range map[string]responseCase{
+		"two lengths":            {text: twoLengths},
+		"negative length":        {text: statusOK + "Content-Length: -1\r\n\r\nhoney"},
+		"invalid status":         {text: "HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhoney"},
+		"another protocol":       {text: "ICY 200 OK\r\nContent-Length: 5\r\n\r\nhoney"},
+		"line without a colon":   {text: withoutColon},
+		"Content-Length of 3 GB": {text: statusOK + "Content-Length: 3000000000\r\n\r\nhoney"},
+		"no response":            {close: true},
+		"truncated body":         {text: statusOK + "Content-Length: 10\r\n\r\nhoney", close: true},
+		"not HTTP":               {text: "hello\r\n\r\n", close: true},
+		"too large":              {text: tooLarge},
+		"endless head":           {text: endlessHead},
 	} {
 		test.want = policy.ConnectionReset
-		t.Run(name, func(t *testing.T) { checkOutcome(t, test) })
+		t.Run(name, func(t *testing.T) { checkAttemptResult(t, test) })
 	}
 }
 
-func checkOutcome(t *testing.T, test outcome) {
+// checkAttemptResult performs an attempt that gets the response of test, and checks the result.
+func checkAttemptResult(t *testing.T, test responseCase) {
 	t.Helper()
 	server := peertest.NewUpstream(t, func(peertest.Received) (string, bool) { return test.text, test.close })
 	got, response := roundTrip(t.Context(), newTestUpstream(newTestPool(2), server.Addr))
 	if got != test.want {
-		t.Errorf("result %v, want %v", got, test.want)
+		t.Errorf("got result %v, want %v", got, test.want)
 	}
 	if (response != nil) != (test.want == policy.Served) || response != nil && string(response.Body) != "honey" {
-		t.Errorf("response %+v", response)
+		t.Errorf("got response %+v, want the body honey if served, else none", response)
 	}
 	request := peertest.Await(t, "the request", server.Requests)
 	if request.Text != "{}" || request.Header.Get("Request-Id") != "x" {
-		t.Errorf("the upstream read %v %q", request.Header, request.Text)
+		t.Errorf("upstream: got header %v, body %q; want Request-Id x, body {}", request.Header, request.Text)
 	}
 }
 
-// A response that is too large ends its attempt when that is seen, not when the rest has come.
-func TestTooLargeResponseIsNotWaitedFor(t *testing.T) {
+// A response that is too large ends its attempt as soon as the limit is exceeded. The attempt must not
+// wait for the rest of the body.
+func TestTooLargeResponseEndsTheAttemptEarly(t *testing.T) {
 	text := peertest.Answer200(strings.Repeat("x", maxResponseBodyBytes+2))
-	server := peertest.NewUpstream(t, peertest.Always(text[:len(text)-1])) // the last byte never comes
+	server := peertest.NewUpstream(t, peertest.Always(text[:len(text)-1])) // the last byte is never sent
 	if got, _ := roundTrip(t.Context(), newTestUpstream(newTestPool(2), server.Addr)); got != policy.ConnectionReset {
-		t.Errorf("result %v, want connection reset", got)
+		t.Errorf("got result %v, want connection reset", got)
 	}
-	peertest.Await(t, "the connection's end", server.Closed)
+	peertest.Await(t, "the connection to close", server.Closed)
 }
 
-// What follows a response and belongs to no request, even a little later, must not be taken
-// for the next request's response.
-func TestSurplusBytesAreNoResponse(t *testing.T) {
+// An upstream may send surplus bytes after a response, at once or some milliseconds later. These
+// bytes must not be used as the response to the next request.
+func TestSurplusBytesAreNotUsedAsResponse(t *testing.T) {
 	const attempts = 20
 	surplus := peertest.Answer200("stale")
 	for name, sendSurplus := range map[string]func(*httpUpstream, peertest.Received){
@@ -128,7 +134,7 @@
 		"later":             func(_ *httpUpstream, request peertest.Received) { io.WriteString(request.Conn, surplus) },
 		"half a line":       func(_ *httpUpstream, request peertest.Received) { io.WriteString(request.Conn, "HTTP/1.1 2") },
 		"some milliseconds later": func(upstream *httpUpstream, request peertest.Received) {
-			upstream.meanExchangeTime = fastExchangeTime // the next one waits out the reuseDelay
+			upstream.meanExchangeTime = fastExchangeTime // the next attempt waits until the reuseDelay has passed
 			time.AfterFunc(5*time.Millisecond, func() { io.WriteString(request.Conn, surplus) })
 		},
 	} {
@@ -142,7 +148,7 @@
 			for i := range attempts {
 				result, response := roundTrip(t.Context(), upstream)
 				if result != policy.Served || string(response.Body) != "good" {
-					t.Fatalf("attempt %d: result %v, response %+v", i, result, response)
+					t.Fatalf("attempt %d: got result %v, response %+v; want served, body good", i, result, response)
 				}
 				request := peertest.Await(t, "the request", server.Requests)
 				if sendSurplus != nil {
@@ -150,19 +156,20 @@
 				}
 			}
 			if len(server.Accepted) != attempts {
-				t.Errorf("%d connections for %d responses with surplus bytes, want one each",
+				t.Errorf("got %d connections for %d responses with surplus bytes, want one for each",
 					len(server.Accepted), attempts)
 			}
 		})
 	}
 }
 
-// Chunked responses leave their connection to the next request, and each head counts alone.
-func TestChunksOnAReusedConnection(t *testing.T) {
+// A connection is reused after a chunked response. The framing of each response depends on its own
+// head only, not on earlier responses on the connection.
+func TestChunkedResponsesOnAReusedConnection(t *testing.T) {
 	const chunks = "2\r\nho\r\n3\r\nney\r\n" + lastChunk
 	const chunked = chunkedHead + chunks
 	const lengthAndChunks = statusOK + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks
-	responses := []string{chunked, honey, chunked, earlyHints + chunked, lengthAndChunks}
+	responses := []string{chunked, okResponse, chunked, earlyHints + chunked, lengthAndChunks}
 	served := 0
 	server := peertest.NewUpstream(t, func(peertest.Received) (string, bool) {
 		served++
@@ -170,17 +177,17 @@
 	})
 	upstream := newTestUpstream(newTestPool(2), server.Addr)
 	for i := range responses {
-		upstream.meanExchangeTime = fastExchangeTime // the one connection is waited for
+		upstream.meanExchangeTime = fastExchangeTime // the attempt waits for the existing connection
 		want := policy.Served
 		if i == len(responses)-1 {
 			want = policy.ConnectionReset
 		}
 		got, response := roundTrip(t.Context(), upstream)
 		if got != want || (response != nil && string(response.Body) != "honey") {
-			t.Errorf("response %d: result %v, %+v", i, got, response)
+			t.Errorf("response %d: got result %v, response %+v; want the body honey if served", i, got, response)
 		}
 	}
 	if len(server.Accepted) != 1 {
-		t.Errorf("%d connections, want 1", len(server.Accepted))
+		t.Errorf("got %d connections, want 1", len(server.Accepted))
 	}
 }
--- a/internal/transport/httpnode/round_trip.go
+++ b/internal/transport/httpnode/round_trip.go
@@ -11,8 +11,8 @@
 	"mothridge/policy"
 )
 
-// RoundTrip implements core.Upstream: it performs one attempt and blocks until that has ended.
-// Until the last byte of the request has been written, the upstream cannot have started it.
+// RoundTrip implements core.Upstream: it performs one attempt and blocks until the attempt has ended.
+// Until the last byte of the request has been written, the upstream cannot have started the request.
 func (upstream *httpUpstream) RoundTrip(
 	ctx context.Context, message *core.Message,
 ) (policy.AttemptResult, *core.Response) {
@@ -29,7 +29,8 @@
 	return upstream.transport.classify(message, &result)
 }
 
-// classify returns how an attempt with a complete response ended.
+// classify returns the result of an attempt that received a complete response. The core.Response is nil
+// unless the result is policy.Served.
 func (transport *Transport) classify(
 	message *core.Message, result *response,
 ) (policy.AttemptResult, *core.Response) {
@@ -52,19 +53,19 @@
 	}
 }
 
-// exchange writes one request and reads the response. It blocks until the response is complete;
-// when ctx is done the connection is closed, which ends it. written says whether the last byte
-// of the request was written.
+// exchange writes one request and reads the response. It blocks until the response is complete. When
+// ctx is done, exchange closes the connection, which ends the read or write. written reports whether
+// the last byte of the request was written.
 //
-// The caller must not use the connection any more: it goes back to the pool if it can be used
-// again, else it is closed.
+// The caller must not use the connection after the call: exchange returns the connection to the pool
+// if it can be reused, else closes it.
 func (conn *connection) exchange(
 	ctx context.Context, message *core.Message,
 ) (result response, written bool, err error) {
 	conn.limit.N = maxResponseHeadBytes
 	stop := context.AfterFunc(ctx, func() { conn.netConn.Close() })
 	defer func() {
-		// If stop comes too late the connection is closed, or about to be.
+		// If stop returns false, the connection is closed or is about to be closed.
 		isOpen := stop() && err == nil && !result.Close
 		conn.release(isOpen)
 	}()
@@ -78,7 +79,8 @@
 	return result, true, nil
 }
 
-// release ends the use of a connection, which is not kept if bytes follow the response.
+// release returns the connection to the pool, or closes it if it is not open or if surplus bytes follow
+// the response.
 func (conn *connection) release(isOpen bool) {
 	pool := conn.upstream.transport.pool
 	if isOpen && conn.reader.Buffered() == 0 {
@@ -88,7 +90,7 @@
 	}
 }
 
-// remainingTime returns how long the response is waited for, 1 ms at least; 0: there is no limit.
+// remainingTime returns the time until the deadline of ctx, at least 1 ms, or 0 if ctx has no deadline.
 func remainingTime(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/internal/transport/httpnode/round_trip_test.go
+++ b/internal/transport/httpnode/round_trip_test.go
@@ -11,16 +11,18 @@
 	"mothridge/policy"
 )
 
+// An attempt that times out closes its connection.
 func TestTimeoutClosesTheConnection(t *testing.T) {
 	server := peertest.NewUpstream(t, peertest.Always(""))
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	if got, _ := roundTrip(ctx, newTestUpstream(newTestPool(2), server.Addr)); got != policy.TimedOut {
-		t.Errorf("result %v, want timed out", got)
+		t.Errorf("got result %v, want timed out", got)
 	}
-	peertest.Await(t, "the connection's end", server.Closed)
+	peertest.Await(t, "the connection to close", server.Closed)
 }
 
+// An attempt that is cancelled closes its connection.
 func TestCancelClosesTheConnection(t *testing.T) {
 	server := peertest.NewUpstream(t, peertest.Always(""))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -29,22 +31,23 @@
 		cancel()
 	}()
 	if got, _ := roundTrip(ctx, newTestUpstream(newTestPool(2), server.Addr)); got != policy.Cancelled {
-		t.Errorf("result %v, want cancelled", got)
+		t.Errorf("got result %v, want cancelled", got)
 	}
-	peertest.Await(t, "the connection's end", server.Closed)
+	peertest.Await(t, "the connection to close", server.Closed)
 }
 
-func TestRefusedConnectionNeverRan(t *testing.T) {
+// A refused connection proves that the request never ran.
+func TestRefusedConnectionFailsTheAttempt(t *testing.T) {
 	listener := peertest.Listen(t)
 	listener.Close()
 	upstream := newTestUpstream(newTestPool(2), listener.Addr().String())
 	if got, _ := roundTrip(t.Context(), upstream); got != policy.ConnectionFailed {
-		t.Errorf("result %v, want connection failed", got)
+		t.Errorf("got result %v, want connection failed", got)
 	}
 }
 
-// No request is retried inside the transport, not even an idempotent one, when a reused
-// connection breaks under it.
+// If a reused connection breaks during an attempt, the transport must not retry the request itself,
+// even if the request is idempotent: only the balancer decides on retries.
 func TestNoHiddenRetries(t *testing.T) {
 	server := peertest.NewUpstream(t, func(request peertest.Received) (string, bool) {
 		if request.Header.Get("Request-Id") == "breaks" {
@@ -63,13 +66,13 @@
 		return result
 	}
 	if got := send("first"); got != policy.Served {
-		t.Fatalf("first: result %v", got)
+		t.Fatalf("first request: got result %v, want served", got)
 	}
-	upstream.idle[0].idleSince = time.Now().Add(-reuseDelay) // so that it is reused
+	upstream.idle[0].idleSince = time.Now().Add(-reuseDelay) // the reuseDelay has passed
 	if got := send("breaks"); got != policy.ConnectionReset {
-		t.Errorf("on a breaking connection: result %v, want connection reset", got)
+		t.Errorf("broken connection: got result %v, want connection reset", got)
 	}
 	if len(server.Requests) != 2 || len(server.Accepted) != 1 {
-		t.Errorf("%d requests on %d connections, want 2 on 1", len(server.Requests), len(server.Accepted))
+		t.Errorf("got %d requests on %d connections, want 2 on 1", len(server.Requests), len(server.Accepted))
 	}
 }
--- a/internal/transport/httpnode/transport.go
+++ b/internal/transport/httpnode/transport.go
@@ -1,8 +1,8 @@
-// Package httpnode is the upstream transport for HTTP/1.1: it performs attempts and probes at
-// upstreams, on connections that it pools.
+// Package httpnode is the upstream transport for HTTP/1.1: it sends attempts and probes to upstreams
+// on pooled connections.
 //
-// A connection carries one request at a time. An attempt that is cancelled or times out closes
-// its connection. See connectionPool for which connection is used.
+// A connection carries one request at a time. An attempt that is cancelled or times out closes its
+// connection. connectionPool describes how the connection for an attempt is chosen.
 package httpnode
 
 import (
@@ -12,16 +12,16 @@
 	"mothridge/internal/core"
 )
 
-// The paths that probes request.
+// The request paths of probes.
 const (
 	livenessPath   = "/health/live"
 	loadReportPath = "/stats"
 )
 
-// Transport makes the upstreams that speak HTTP/1.1; they share its connections. Its methods may
-// be called from any goroutine and do not block.
+// Transport creates the upstreams that use HTTP/1.1. All of them share the connection pool of the
+// Transport. Its methods may be called from any goroutine and do not block.
 //
-// It starts no goroutine: attempts and probes run on their callers'.
+// A Transport starts no goroutines: attempts and probes run on the goroutines of their callers.
 type Transport struct {
 	pool            *connectionPool
 	loadReportField string
@@ -32,24 +32,27 @@
 
 // Config configures a Transport.
 type Config struct {
-	// DialTimeout bounds opening a connection, the wait for a place among MaxConnections
-	// included, and a probe from its start to its response. There is no default.
+	// DialTimeout is the maximum time for opening a connection, including the wait for a free
+	// slot among MaxConnections, and the maximum time of a probe from its start to its response.
+	// There is no default.
 	DialTimeout time.Duration
-	// IdleTimeout is how long a connection is idle before upstreams close it; connections are
-	// closed 2 s before that, or after half of it where that is later. There is no default.
+	// IdleTimeout is the idle time after which upstreams close a connection. The Transport closes
+	// its connections 2 s earlier, or after half of IdleTimeout if that is later. There is no
+	// default.
 	IdleTimeout time.Duration
-	// MaxConnections bounds the connections that are open at once, to all upstreams. Beyond
-	// it the longest idle one is closed, or attempts wait. There is no default.
+	// MaxConnections is the maximum number of connections that are open at the same time, to all
+	// upstreams together. At the maximum, an attempt that needs a new connection closes the one
+	// that has been idle longest, or waits. There is no default.
 	MaxConnections int
-	// LoadReportField is the name in load reports of the number of requests in flight. Empty:
-	// it is not read.
+	// LoadReportField is the name of the field in load reports that contains the number of
+	// requests in flight. If it is empty, that number is not read.
 	LoadReportField string
-	// ProbeLoadReports makes probes request load reports from /stats; otherwise they request
+	// ProbeLoadReports makes probes request load reports from /stats. Otherwise probes request
 	// /health/live.
 	ProbeLoadReports bool
 }
 
-// New makes a Transport. Its Sweep must be called regularly.
+// New returns a Transport. The caller must call Sweep regularly.
 func New(config Config) *Transport {
 	transport := &Transport{
 		pool:            newConnectionPool(config.DialTimeout, config.IdleTimeout, config.MaxConnections),
@@ -62,12 +65,12 @@
 	return transport
 }
 
-// Upstream makes the upstream at an address, without I/O. Each call makes another one, with
-// connections of its own.
+// Upstream returns a new upstream for an address, without I/O. Upstreams never share connections, even
+// if they have the same address.
 func (transport *Transport) Upstream(address string) core.Upstream {
 	return &httpUpstream{transport: transport, address: address}
 }
 
-// Sweep closes the idle connections that cannot be used any more: those that have been idle for
-// too long at now, that their upstream has closed or on which bytes came unrequested.
+// Sweep closes the idle connections that can no longer be used: connections that have been idle for
+// too long at the time now, that the upstream has closed or that have received unexpected bytes.
 func (transport *Transport) Sweep(now time.Time) { transport.pool.sweep(now) }
--- a/internal/transport/httpnode/upstream.go
+++ b/internal/transport/httpnode/upstream.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// httpUpstream is a process that speaks HTTP/1.1. It stands for the process and not for its
-// address, which may become another process's: that one has connections of its own.
+// httpUpstream is an upstream process that uses HTTP/1.1. It represents the process, not the address:
+// another process may later use the same address and then gets an httpUpstream with connections of
+// its own.
 type httpUpstream struct {
 	transport *Transport
 	address   string
 
-	// The lock of the pool guards the fields below.
+	// The lock of the pool guards the following fields.
 
-	idle             []*connection // by idleSince, the earliest first
-	meanExchangeTime time.Duration // moving average of recent exchanges; 0: none has ended
-	retired          bool          // no connection is kept any more
+	idle             []*connection // sorted by idleSince, earliest first
+	meanExchangeTime time.Duration // moving average over recent exchanges; 0 if no exchange has ended yet
+	retired          bool          // connections are closed after use
 }
 
-// exchangeTimeWeight is the inverse weight of one exchange in the mean.
+// exchangeTimeWeight is the inverse of the weight of one exchange in meanExchangeTime.
 const exchangeTimeWeight = 8
 
-// recordExchangeLocked updates the mean; the lock of the pool is held.
+// recordExchangeLocked updates meanExchangeTime. The caller holds the lock of the pool.
 func (upstream *httpUpstream) recordExchangeLocked(duration time.Duration) {
 	if upstream.meanExchangeTime == 0 {
 		upstream.meanExchangeTime = duration
@@ -27,6 +28,6 @@
 	upstream.meanExchangeTime += (duration - upstream.meanExchangeTime) / exchangeTimeWeight
 }
 
-// Retire implements core.Upstream. Idle connections are closed, and the others once their
-// exchange has ended.
+// Retire implements core.Upstream. Idle connections are closed immediately, connections in use are
+// closed when their exchange has ended.
 func (upstream *httpUpstream) Retire() { upstream.transport.pool.retire(upstream) }
--- a/internal/transport/httpnode/write_request.go
+++ b/internal/transport/httpnode/write_request.go
@@ -11,9 +11,9 @@
 	"mothridge/internal/core"
 )
 
-// writeRequest writes a request in one write. It returns nil once the last byte was written. It
-// writes nothing where the attempt was cancelled or message does not allow it any more; the
-// error is core.ErrNotSent in the latter case.
+// writeRequest writes a request with a single write. It returns nil after the last byte was written.
+// It writes nothing if ctx is done or if message.AllowSend forbids the write; in the latter case the
+// error is core.ErrNotSent.
 func (conn *connection) writeRequest(ctx context.Context, message *core.Message) error {
 	conn.requestBuffer.Reset()
 	timeout := remainingTime(ctx)
@@ -24,7 +24,7 @@
 	if !message.AllowSend(time.Now()) {
 		return core.ErrNotSent
 	}
-	if !message.WriteDeadline.IsZero() { // the upstream may be slow to read
+	if !message.WriteDeadline.IsZero() { // the upstream may read slowly
 		conn.netConn.SetWriteDeadline(message.WriteDeadline)
 		defer conn.netConn.SetWriteDeadline(time.Time{})
 	}
@@ -36,9 +36,9 @@
 	return nil
 }
 
-// appendRequest encodes the client's request unchanged, but for its timeout: how long the
-// sidecar waits for the response; 0: none is named. No field holds a line break: the listener
-// front ends check that.
+// appendRequest encodes the client's request unchanged, except for the Request-Timeout field. That
+// field contains timeout, the time for which the sidecar waits for the response; if timeout is 0, the
+// field is omitted. No header field contains a line break: the front ends reject such requests.
 func appendRequest(buffer *bytes.Buffer, message *core.Message, timeout time.Duration) {
 	buffer.WriteString(message.Method)
 	buffer.WriteByte(' ')
@@ -58,7 +58,7 @@
 	buffer.Write(message.Body)
 }
 
-// appendFields encodes the client's header fields without those that appendRequest sets.
+// appendFields encodes the client's header fields, except for the fields that appendRequest sets.
 func appendFields(buffer *bytes.Buffer, fields map[string][]string) {
 	for name, values := range fields {
 		switch name {
--- a/internal/transport/httpnode/write_request_test.go
+++ b/internal/transport/httpnode/write_request_test.go
@@ -13,8 +13,8 @@
 	"mothridge/policy"
 )
 
-// An attempt that ends while it waits for a connection writes nothing.
-func TestEndedBeforeItsConnectionWritesNothing(t *testing.T) {
+// An attempt that is cancelled or times out while it waits for a connection writes nothing.
+func TestAttemptThatEndsBeforeItHasAConnectionWritesNothing(t *testing.T) {
 	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
 	pool := newTestPool(1)
 	upstream := newTestUpstream(pool, server.Addr)
@@ -22,21 +22,22 @@
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if got, _ := roundTrip(cancelled, upstream); got != policy.NotSent {
-		t.Errorf("cancelled: result %v, want not sent", got)
+		t.Errorf("cancelled: got result %v, want not sent", got)
 	}
 	timedOut, stop := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer stop()
-	if got, _ := roundTrip(timedOut, upstream); got != policy.NotSent { // this process has no slot
-		t.Errorf("timed out: result %v, want not sent", got)
+	if got, _ := roundTrip(timedOut, upstream); got != policy.NotSent { // no slot of the pool is free
+		t.Errorf("timed out: got result %v, want not sent", got)
 	}
 	pool.drop(inUse)
 	if len(server.Requests) > 0 {
-		t.Error("a request was written")
+		t.Error("the upstream received a request, want none")
 	}
 }
 
-// A request whose last byte could not be written never ran, however much of it was.
-func TestUnfinishedWriteNeverRan(t *testing.T) {
+// A request whose last byte could not be written never ran, no matter how many bytes were written
+// before.
+func TestIncompleteWriteIsReportedAsNotWritten(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	conn := getConnection(t, newTestUpstream(newTestPool(1), listenWithoutReading(t)))
@@ -44,25 +45,25 @@
 	message := newTestMessage()
 	message.Fields = http.Header{"X": {strings.Repeat("x", 16<<20)}}
 	if _, written, err := conn.exchange(ctx, message); err == nil || written {
-		t.Errorf("written %v, error %v; want an unfinished write", written, err)
+		t.Errorf("got written %v, error %v; want an incomplete write and an error", written, err)
 	}
 }
 
-// What was decided may be out of date once there is a connection: the client has
-// disconnected, or the time is past in which the request may be written. Nothing is written,
-// and it does not count against the upstream.
+// Between the balancer's decision and the open connection, the client may disconnect or the write
+// deadline may pass. Then the transport writes nothing, and the attempt does not count against the
+// upstream.
 func TestPreventedSendWritesNothing(t *testing.T) {
 	disconnected := func() bool { return true }
 	const wait = 50 * time.Millisecond
 	for name, test := range map[string]struct {
 		message      core.Message
-		writeTimeout time.Duration // WriteDeadline, from now on; 0: none
-		wait         time.Duration // for a slot
+		writeTimeout time.Duration // time until WriteDeadline; 0 for no WriteDeadline
+		wait         time.Duration // until a slot is free
 	}{
-		"client gone":              {message: core.Message{ClientGone: disconnected}},
-		"client gone after a wait": {message: core.Message{ClientGone: disconnected}, wait: 20 * time.Millisecond},
-		"too late":                 {writeTimeout: -time.Millisecond},
-		"too late after a wait":    {writeTimeout: 10 * time.Millisecond, wait: wait},
+		"client disconnected":              {message: core.Message{ClientGone: disconnected}},
+		"client disconnected after a wait": {message: core.Message{ClientGone: disconnected}, wait: 20 * time.Millisecond},
+		"deadline passed":                  {writeTimeout: -time.Millisecond},
+		"deadline passed after a wait":     {writeTimeout: 10 * time.Millisecond, wait: wait},
 		"both, after a wait": {
 			message:      core.Message{ClientGone: disconnected},
 			writeTimeout: 10 * time.Millisecond,
@@ -83,22 +84,24 @@
 				time.AfterFunc(test.wait, func() { pool.drop(inUse) })
 			}
 			if got, response := upstream.RoundTrip(t.Context(), message); got != policy.NotSent || response != nil {
-				t.Errorf("result %v, response %+v; want not sent", got, response)
+				t.Errorf("got result %v, response %+v; want not sent and no response", got, response)
 			}
 			another := newTestUpstream(pool, server.Addr)
-			if got, _ := roundTrip(t.Context(), another); got != policy.Served { // the slot is free again
-				t.Errorf("another request: result %v", got)
+			if got, _ := roundTrip(t.Context(), another); got != policy.Served { // the slot was freed
+				t.Errorf("other request: got result %v, want served", got)
 			}
 			request := peertest.Await(t, "the other request", server.Requests)
 			if request.Header.Get("Request-Id") != "x" || len(server.Requests) > 0 {
-				t.Errorf("the upstream read %v and %d more", request.Header, len(server.Requests))
+				t.Errorf("upstream: got header %v and %d more requests, want Request-Id x and no more",
+					request.Header, len(server.Requests))
 			}
 		})
 	}
 }
 
-// An upstream that reads slowly gets the last byte by WriteDeadline or never.
-func TestLastByteIsWrittenInTimeOrNever(t *testing.T) {
+// If an upstream reads slowly, the write of a request stops at WriteDeadline: the last byte is written
+// in time or not at all.
+func TestWriteStopsAtTheWriteDeadline(t *testing.T) {
 	upstream := newTestUpstream(newTestPool(1), listenWithoutReading(t))
 	message := newTestMessage()
 	message.Body = make([]byte, 16<<20)
@@ -106,6 +109,6 @@
 	start := time.Now()
 	got, _ := upstream.RoundTrip(t.Context(), message)
 	if elapsed := time.Since(start); got != policy.NotSent || elapsed > time.Second {
-		t.Errorf("result %v after %v, want not sent after 0.2 s", got, elapsed)
+		t.Errorf("got result %v after %v, want not sent after 0.2 s", got, elapsed)
 	}
 }
--- a/internal/transport/roundtrip/roundtrip.go
+++ b/internal/transport/roundtrip/roundtrip.go
@@ -1,6 +1,6 @@
-// Package roundtrip holds what the upstream transports of all protocols share: how a failed
-// attempt or probe is classified, and the time limits of connections. It does no I/O, and its
-// functions may be called from any goroutine.
+// Package roundtrip contains the code that the upstream transports of all protocols share: the
+// classification of failed attempts and probes, and the time limits of connections. The package
+// does no I/O, and its functions may be called from any goroutine.
 package roundtrip
 
 import (
@@ -14,20 +14,21 @@
 	"mothridge/policy"
 )
 
-// idleTimeoutMargin is the time between the last use of an idle connection and its close by the
-// upstream: a request that is written to a connection as that is closed ends as a reset and may
-// not be retried.
+// idleTimeoutMargin is the minimum time between the last use of an idle connection and the moment
+// the upstream closes it. Without the margin, a request could be written to a connection while the
+// upstream closes it: the attempt then ends as a connection reset, which may not be retried.
 const idleTimeoutMargin = 2 * time.Second
 
-// IdleTimeout returns how long an idle connection may be used, given how long it is idle before
-// the upstream closes it.
+// IdleTimeout returns how long a connection may stay idle and still be reused. upstreamTimeout is
+// the idle time after which the upstream closes the connection.
 func IdleTimeout(upstreamTimeout time.Duration) time.Duration {
 	return max(upstreamTimeout-idleTimeoutMargin, upstreamTimeout/2)
 }
 
-// ConnectContext returns the context in which an attempt waits for its connection: that of the
-// attempt, ended by message.WriteDeadline if there is one, as a connection that comes up later is
-// of no use. The message of a probe is nil. The caller must call cancel.
+// ConnectContext returns the context in which an attempt waits for its connection. The context is
+// derived from ctx, the context of the attempt. If message.WriteDeadline is set, the context also
+// ends then, because a connection that opens later cannot be used. For a probe, message is nil. The
+// caller must call cancel.
 func ConnectContext(
 	ctx context.Context, message *core.Message,
 ) (connectContext context.Context, cancel context.CancelFunc) {
@@ -38,8 +39,8 @@
 }
 
 // FailureResult classifies an attempt that failed with err. ctx is the context of the attempt.
-// written says whether the last byte of the request may have been written: without it the upstream
-// cannot have started the request.
+// written reports whether the last byte of the request may have been written: without that byte,
+// the upstream cannot have started the request.
 func FailureResult(ctx context.Context, message *core.Message, written bool, err error) policy.AttemptResult {
 	switch {
 	case !written && (isPrevented(ctx, message, err) || sockets.IsLocalError(err)):
@@ -54,15 +55,15 @@
 	return policy.ConnectionReset
 }
 
-// isPrevented reports whether nothing was written because the request had ended or was not
-// allowed any more, which does not count against the upstream.
+// isPrevented reports whether the request was not written because it had been cancelled or because
+// sending it was no longer allowed. Such an attempt does not count against the upstream.
 func isPrevented(ctx context.Context, message *core.Message, err error) bool {
 	isCancelled := errors.Is(ctx.Err(), context.Canceled)
 	return isCancelled || errors.Is(err, core.ErrNotSent) || !message.AllowSend(time.Now())
 }
 
-// ProbeError returns the error of a probe that got no connection. It wraps core.ErrNotSent where
-// this machine is the reason, which does not count against the upstream.
+// ProbeError returns the error of a probe that got no connection. The error wraps core.ErrNotSent
+// if this machine caused the failure, which does not count against the upstream.
 func ProbeError(err error) error {
 	if sockets.IsLocalError(err) {
 		return fmt.Errorf("%w: %w", core.ErrNotSent, err)
@@ -70,5 +71,5 @@
 	return err
 }
 
-// UnknownLoad returns the load report of a probe that brought none.
+// UnknownLoad returns the load report for a probe whose response contained none.
 func UnknownLoad() policy.LoadReport { return policy.LoadReport{InFlight: -1} }
--- a/internal/transport/roundtrip/roundtrip_test.go
+++ b/internal/transport/roundtrip/roundtrip_test.go
@@ -19,7 +19,7 @@
 		time.Second:      500 * time.Millisecond,
 	} {
 		if got := IdleTimeout(upstreamTimeout); got != want {
-			t.Errorf("with upstreams that close after %v: %v, want %v", upstreamTimeout, got, want)
+			t.Errorf("IdleTimeout(%v): got %v, want %v", upstreamTimeout, got, want)
 		}
 	}
 }
@@ -30,16 +30,16 @@
 		message *core.Message
 		want    time.Time
 	}{
-		"probe":                    {message: nil},
-		"attempt":                  {message: &core.Message{}},
-		"attempt with a deadline":  {message: &core.Message{WriteDeadline: writeDeadline}, want: writeDeadline},
-		"attempt with a past time": {message: &core.Message{WriteDeadline: time.Unix(1, 0)}, want: time.Unix(1, 0)},
+		"probe":                      {message: nil},
+		"attempt":                    {message: &core.Message{}},
+		"attempt with a deadline":    {message: &core.Message{WriteDeadline: writeDeadline}, want: writeDeadline},
+		"attempt after its deadline": {message: &core.Message{WriteDeadline: time.Unix(1, 0)}, want: time.Unix(1, 0)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := ConnectContext(t.Context(), test.message)
 			defer cancel()
 			if got, _ := ctx.Deadline(); !got.Equal(test.want) {
-				t.Errorf("deadline %v, want %v", got, test.want)
+				t.Errorf("got deadline %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -59,17 +59,17 @@
 		err     error
 		want    policy.AttemptResult
 	}{
-		"no connection":              {err: errReset, want: policy.ConnectionFailed},
-		"no connection in time":      {ctx: timedOut, err: errReset, want: policy.ConnectionFailed},
-		"cancelled before the write": {ctx: cancelled, err: errReset, want: policy.NotSent},
-		"held back by the guard":     {err: fmt.Errorf("write: %w", core.ErrNotSent), want: policy.NotSent},
-		"not allowed any more":       {message: disconnected, err: errReset, want: policy.NotSent},
-		"local error":                {err: syscall.EMFILE, want: policy.NotSent},
-		"reset":                      {written: true, err: errReset, want: policy.ConnectionReset},
-		"reset after a disconnect":   {message: disconnected, written: true, err: errReset, want: policy.ConnectionReset},
-		"local error after it":       {written: true, err: syscall.EMFILE, want: policy.ConnectionReset},
-		"cancelled":                  {ctx: cancelled, written: true, err: errReset, want: policy.Cancelled},
-		"timed out":                  {ctx: timedOut, written: true, err: errReset, want: policy.TimedOut},
+		"no connection":               {err: errReset, want: policy.ConnectionFailed},
+		"no connection in time":       {ctx: timedOut, err: errReset, want: policy.ConnectionFailed},
+		"cancelled before the write":  {ctx: cancelled, err: errReset, want: policy.NotSent},
+		"prevented by the guard":      {err: fmt.Errorf("write: %w", core.ErrNotSent), want: policy.NotSent},
+		"sending no longer allowed":   {message: disconnected, err: errReset, want: policy.NotSent},
+		"local error":                 {err: syscall.EMFILE, want: policy.NotSent},
+		"reset":                       {written: true, err: errReset, want: policy.ConnectionReset},
+		"reset after a disconnect":    {message: disconnected, written: true, err: errReset, want: policy.ConnectionReset},
+		"local error after the write": {written: true, err: syscall.EMFILE, want: policy.ConnectionReset},
+		"cancelled":                   {ctx: cancelled, written: true, err: errReset, want: policy.Cancelled},
+		"timed out":                   {ctx: timedOut, written: true, err: errReset, want: policy.TimedOut},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if test.ctx == nil {
@@ -79,7 +79,7 @@
 				test.message = &core.Message{}
 			}
 			if got := FailureResult(test.ctx, test.message, test.written, test.err); got != test.want {
-				t.Errorf("result %v, want %v", got, test.want)
+				t.Errorf("got result %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -87,9 +87,9 @@
 
 func TestProbeError(t *testing.T) {
 	if err := ProbeError(syscall.EMFILE); !errors.Is(err, core.ErrNotSent) || !errors.Is(err, syscall.EMFILE) {
-		t.Errorf("of a local error: %v", err)
+		t.Errorf("local error: got %v, want one that wraps core.ErrNotSent and EMFILE", err)
 	}
 	if err := ProbeError(syscall.ECONNREFUSED); errors.Is(err, core.ErrNotSent) || !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("of the upstream's error: %v", err)
+		t.Errorf("upstream error: got %v, want one that wraps ECONNREFUSED alone", err)
 	}
 }
