--- a/internal/transport/rpcnode/abandon_test.go
+++ b/internal/transport/rpcnode/abandon_test.go
@@ -10,9 +10,9 @@
 	"mothridge/policy"
 )
 
-// An upstream hangs and ignores cancellations: what runs there is bounded by connection, and a
-// connection with too many abandoned requests is closed when none is waited for any more, so
-// that an upstream which recovers is reached again at once.
+// If an upstream hangs and ignores cancellations, the number of requests that run there is limited for
+// each connection. A connection with too many abandoned requests is closed as soon as no request on it
+// waits for a response. When the upstream recovers, it therefore receives requests again immediately.
 func TestAbandonedRequestsAreBounded(t *testing.T) {
 	const maxInFlight = 8
 	server := newTestServer(t)
@@ -27,7 +27,7 @@
 			if i == 0 {
 				conn = server.accept(t)
 				if previous != nil {
-					peertest.Await(t, fmt.Sprint("the end of connection ", round), previous.closed)
+					peertest.Await(t, fmt.Sprint("the close of connection ", round), previous.closed)
 				}
 			}
 			peertest.Await(t, "the request", conn.calls)
@@ -37,40 +37,41 @@
 		previous = conn
 	}
 	if drained := transport.Counters().DrainedUnanswered; drained < maxConnectionsPerUpstream-1 {
-		t.Errorf("%d connections were drained, want %d or more", drained, maxConnectionsPerUpstream-1)
+		t.Errorf("got %d drained connections, want at least %d", drained, maxConnectionsPerUpstream-1)
 	}
 	recovered := startAttempt(t.Context(), upstream, "recovered")
 	server.accept(t).respondNext(t)
 	awaitResult(t, recovered, policy.Served)
 }
 
-// Where every connection that an upstream may have is full of requests that are waited for,
-// one more ends at once as never run: it is not queued after them.
-func TestRequestAboveAllBoundsNeverRan(t *testing.T) {
+// If the upstream has the maximum number of connections and all of them have the maximum number of
+// requests in flight, another attempt fails immediately and never ran. It is not queued.
+func TestRequestAboveAllBoundsIsNotSent(t *testing.T) {
 	const maxInFlight = 8
 	server := newTestServer(t)
 	upstream := server.upstream(newTestTransport(Config{MaxInFlight: maxInFlight}))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	var attempts []<-chan outcome
+	var attempts []<-chan attemptOutcome
 	for i := range maxInFlight * maxConnectionsPerUpstream {
 		attempts = append(attempts, startAttempt(ctx, upstream, fmt.Sprint(i)))
-		peertest.Until(t, "it to be in flight", func() bool { return upstream.waitingCount() == i+1 })
+		peertest.Until(t, "the request to be in flight", func() bool { return upstream.waitingCount() == i+1 })
 	}
 	awaitResult(t, startAttempt(t.Context(), upstream, "more"), policy.ConnectionFailed)
 	if len(server.conns) != maxConnectionsPerUpstream {
-		t.Errorf("%d connections, want %d", len(server.conns), maxConnectionsPerUpstream)
+		t.Errorf("got %d connections, want %d", len(server.conns), maxConnectionsPerUpstream)
 	}
 	cancel()
 	for _, attempt := range attempts {
-		got := peertest.Await(t, "an end", attempt)
+		got := peertest.Await(t, "the attempt to end", attempt)
 		if got.result != policy.Cancelled && got.result != policy.NotSent {
-			t.Errorf("result %v", got.result)
+			t.Errorf("got result %v, want cancelled or not sent", got.result)
 		}
 	}
 }
 
-// waitingCount returns how many requests the connections of the upstream wait for.
+// waitingCount returns the number of requests that wait for a response, on all connections of the
+// upstream.
 func (upstream *rpcUpstream) waitingCount() int {
 	count := 0
 	for _, conn := range upstream.connections() {
@@ -79,8 +80,8 @@
 	return count
 }
 
-// Where nothing at all comes from an upstream its next request goes out on a new connection:
-// an old one would never show that the machine has vanished.
+// If a request times out and nothing was received on its connection meanwhile, the next request uses a
+// new connection: the old connection would never report that the upstream's machine has disappeared.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	server := newTestServer(t)
 	upstream := server.upstream(newTestTransport(Config{}))
@@ -88,13 +89,14 @@
 	defer cancel()
 	awaitResult(t, startAttempt(ctx, upstream, "silent"), policy.TimedOut)
 	first := server.accept(t)
-	peertest.Await(t, "its end", first.closed)
+	peertest.Await(t, "its close", first.closed)
 	next := startAttempt(t.Context(), upstream, "next")
 	server.accept(t).respondNext(t)
 	awaitResult(t, next, policy.Served)
 }
 
-// One attempt times out while others are answered: the connection stays.
+// If one attempt times out while other requests on the connection get responses, the connection stays
+// in use.
 func TestOneTimeoutKeepsTheConnection(t *testing.T) {
 	server := newTestServer(t)
 	transport := newTestTransport(Config{})
@@ -103,7 +105,7 @@
 	defer cancel()
 	hanging := startAttempt(ctx, upstream, "hanging")
 	conn := server.accept(t)
-	peertest.Await(t, "the hanging one", conn.calls)
+	peertest.Await(t, "the hanging request", conn.calls)
 	other := startAttempt(t.Context(), upstream, "other")
 	conn.respondNext(t)
 	awaitResult(t, other, policy.Served)
@@ -112,6 +114,6 @@
 	conn.respondNext(t)
 	awaitResult(t, after, policy.Served)
 	if dials := transport.Counters().Dials; dials != 1 {
-		t.Errorf("%d connections, want 1", dials)
+		t.Errorf("got %d connections, want 1", dials)
 	}
 }
--- a/internal/transport/rpcnode/close.go
+++ b/internal/transport/rpcnode/close.go
@@ -7,19 +7,20 @@
 )
 
 var (
-	errDrained = errors.New("the connection was drained")
-	errIdle    = errors.New("the connection was idle")
+	errDrained = errors.New("connection closed after draining")
+	errIdle    = errors.New("connection closed after idle timeout")
 )
 
-// drain makes the connection take no more requests; it is closed when none is waited for.
+// drain makes the connection accept no more requests. The connection is closed as soon as no request
+// waits for a response.
 func (conn *connection) drain() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	conn.drainLocked()
-	conn.onAnsweredLocked()
+	conn.checkIdleLocked()
 }
 
-// drainLocked is drain without the close: the caller calls onAnsweredLocked then.
+// drainLocked marks the connection as draining. The caller must call checkIdleLocked afterwards.
 func (conn *connection) drainLocked() {
 	if conn.draining {
 		return
@@ -30,9 +31,10 @@
 	}
 }
 
-// onAnsweredLocked closes a draining connection once no request is waited for. The writer
-// writes the queued cancellations before, as far as the socket takes them.
-func (conn *connection) onAnsweredLocked() {
+// checkIdleLocked records the time if no request waits for a response, and then closes the connection
+// if it is draining. Before the socket is closed, the writer writes the queued cancellations, as far as
+// the socket accepts them.
+func (conn *connection) checkIdleLocked() {
 	if len(conn.waiting) > 0 {
 		return
 	}
@@ -42,7 +44,8 @@
 	}
 }
 
-// closeLocked closes the connection, unless it is closed: the writer closes the socket.
+// closeLocked marks the connection as closed with err, unless it is closed already. The writer then
+// closes the socket.
 func (conn *connection) closeLocked(err error) {
 	if conn.closeErr == nil {
 		conn.closeErr = err
@@ -50,8 +53,8 @@
 	}
 }
 
-// closeIfIdle closes the connection if it has been idle for idleTimeout. Abandoned requests
-// count only while they may run.
+// closeIfIdle closes the connection if it has been idle for idleTimeout. A connection with abandoned
+// requests is idle only when none of them can still run at the upstream.
 func (conn *connection) closeIfIdle(now time.Time, idleTimeout time.Duration) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -61,9 +64,9 @@
 	}
 }
 
-// fail closes the connection and its socket, and ends the requests that are waited for: those
-// not written to their end never ran, the others may have. A nil error is for a connection
-// that is closed already.
+// fail closes the connection and its socket, and ends all requests that wait for a response. Requests
+// that were not completely written never ran; the others may have run. err may be nil if the connection
+// is closed already.
 func (conn *connection) fail(err error) {
 	conn.mu.Lock()
 	if conn.closeErr == nil {
@@ -73,9 +76,9 @@
 	for id, request := range conn.waiting {
 		delete(conn.waiting, id)
 		if request.state == requestQueued {
-			request.reply <- reply{err: fmt.Errorf("%w: %w", errNotWritten, err)}
+			request.completion <- completion{err: fmt.Errorf("%w: %w", errNotWritten, err)}
 		} else {
-			request.reply <- reply{err: err}
+			request.completion <- completion{err: err}
 		}
 	}
 	conn.queue = nil
--- a/internal/transport/rpcnode/connection.go
+++ b/internal/transport/rpcnode/connection.go
@@ -8,30 +8,31 @@
 	"mothridge/internal/core"
 )
 
-// connection is a connection to an upstream. It is open at first:
+// connection is a connection to an upstream. Its initial state is open:
 //
-//	open --drainLocked--> draining --onAnsweredLocked, none waited for--> closed
+//	open --drainLocked--> draining --checkIdleLocked, no request waits--> closed
 //	open, draining --closeIfIdle, fail--> closed
 //
-// Its reader (readLoop) handles messages and ends when the socket does; then it removes the
-// connection. Its writer (writeLoop) writes requests and cancellations, ends once the connection
-// is closed or a write fails, and closes the socket, which ends the reader. Attempts queue their
-// requests and wait for the replies on their own goroutines.
+// Its reader goroutine (readLoop) handles received messages until the socket is closed, and then
+// removes the connection from the upstream. Its writer goroutine (writeLoop) writes requests and
+// cancellations. The writer ends when the connection is closed or a write fails, and closes the socket,
+// which ends the reader. Attempts queue their requests and wait for the completion on their own
+// goroutines.
 type connection struct {
 	upstream   *rpcUpstream
 	netConn    net.Conn
-	wakeWriter chan struct{} // of capacity 1: there is something to write, or the connection is closed
+	wakeWriter chan struct{} // capacity 1; signals data to write or the close of the connection
 
 	mu            sync.Mutex
 	nextID        uint32
-	waiting       map[uint32]*pendingRequest // requests that are waited for, by id
-	abandoned     map[uint32]time.Time       // ids without a response, and until when each may run
-	queue         []*pendingRequest          // to be written, in this order
-	cancellations []uint32                   // ids to be cancelled, to be written
-	lastReadAt    time.Time                  // when the last response came
-	idleSince     time.Time                  // when waiting was last found empty
-	draining      bool                       // takes no request, and is closed when none is waited for
-	closeErr      error                      // why it was closed; nil: it is not
+	waiting       map[uint32]*pendingRequest // requests that wait for a response, by id
+	abandoned     map[uint32]time.Time       // ids of abandoned requests without a response; until when each may run
+	queue         []*pendingRequest          // requests to write, in this order
+	cancellations []uint32                   // ids of cancellations to write
+	lastReadAt    time.Time                  // when the last response was received
+	idleSince     time.Time                  // when waiting was last found to be empty
+	draining      bool                       // accepts no request, and is closed when no request waits
+	closeErr      error                      // why the connection was closed; nil if it is open
 }
 
 func newConnection(upstream *rpcUpstream, netConn net.Conn) *connection {
@@ -47,7 +48,7 @@
 	}
 }
 
-// signalWriter wakes the writer; it does not block.
+// signalWriter wakes the writer. It does not block.
 func (conn *connection) signalWriter() {
 	select {
 	case conn.wakeWriter <- struct{}{}:
@@ -55,8 +56,8 @@
 	}
 }
 
-// checkCapacity reports whether the connection takes a request. It drains one on which
-// too many requests were abandoned.
+// checkCapacity reports whether the connection accepts another request. It starts to drain a
+// connection with too many abandoned requests.
 func (conn *connection) checkCapacity(now time.Time) bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -72,12 +73,14 @@
 	}
 	if conn.hasTooManyAbandonedLocked(now) {
 		conn.drainLocked()
-		conn.onAnsweredLocked() // no other event would close it where none is waited for
+		conn.checkIdleLocked() // if no request waits, no later event would close the connection
 		return false
 	}
 	return true
 }
 
+// hasTooManyAbandonedLocked reports whether the number of abandoned requests has reached MaxAbandoned, or
+// whether abandoned requests that may still run and waiting requests together have reached MaxInFlight.
 func (conn *connection) hasTooManyAbandonedLocked(now time.Time) bool {
 	config := &conn.upstream.transport.config
 	if len(conn.abandoned) >= config.MaxAbandoned {
@@ -86,7 +89,7 @@
 	return len(conn.abandoned) > 0 && len(conn.waiting)+conn.runningAbandonedLocked(now) >= config.MaxInFlight
 }
 
-// runningAbandonedLocked counts the abandoned requests that the upstream may still work on.
+// runningAbandonedLocked returns the number of abandoned requests that may still run at the upstream.
 func (conn *connection) runningAbandonedLocked(now time.Time) int {
 	running := 0
 	for _, until := range conn.abandoned {
@@ -97,8 +100,8 @@
 	return running
 }
 
-// enqueue queues a request; it returns nil where the connection takes none any more. A nil message
-// is a probe's.
+// enqueue queues a request and returns it, or returns nil if the connection accepts no more requests.
+// For a probe, message is nil.
 func (conn *connection) enqueue(message *core.Message, encode encodeFunc, deadline time.Time) *pendingRequest {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -106,12 +109,12 @@
 		return nil
 	}
 	request := &pendingRequest{
-		id:       conn.newIDLocked(),
-		message:  message,
-		encode:   encode,
-		deadline: deadline,
-		queuedAt: time.Now(),
-		reply:    make(chan reply, 1),
+		id:         conn.newIDLocked(),
+		message:    message,
+		encode:     encode,
+		deadline:   deadline,
+		queuedAt:   time.Now(),
+		completion: make(chan completion, 1),
 	}
 	conn.waiting[request.id] = request
 	conn.queue = append(conn.queue, request)
@@ -119,8 +122,8 @@
 	return request
 }
 
-// newIDLocked returns an id for which no response can come. Ids are used in order, and come
-// again after 2^32 requests except for those in use.
+// newIDLocked returns an id that is not in use, so that no response to an earlier request can have this
+// id. Ids are assigned in ascending order. They wrap around after 2^32 requests and skip the ids in use.
 func (conn *connection) newIDLocked() uint32 {
 	for {
 		id := conn.nextID
--- a/internal/transport/rpcnode/counters.go
+++ b/internal/transport/rpcnode/counters.go
@@ -1,15 +1,16 @@
 package rpcnode
 
-// Counters count events from the start on. Their names in logs and metrics are in the tags.
+// Counters counts events since the start of the transport. A tag contains the field's name in logs
+// and metrics.
 type Counters struct {
 	LateResponses     uint64 `metric:"late"`    // responses to abandoned requests
 	UnknownResponses  uint64 `metric:"unknown"` // responses to ids that are not in use
-	Malformed         uint64 // messages that could not be read
-	DrainedUnanswered uint64 `metric:"condemned"` // connections drained with abandoned requests that had no response
-	Dials             uint64 // connections that were to be opened, failures included
+	Malformed         uint64 // messages that could not be parsed
+	DrainedUnanswered uint64 `metric:"condemned"` // connections drained while abandoned requests had no response
+	Dials             uint64 // attempts to open a connection, including failed ones
 }
 
-// Counters returns the counts so far.
+// Counters returns the current counts.
 func (transport *Transport) Counters() Counters {
 	return Counters{
 		LateResponses:     transport.late.Load(),
--- a/internal/transport/rpcnode/dial.go
+++ b/internal/transport/rpcnode/dial.go
@@ -7,17 +7,18 @@
 	"mothridge/internal/sockets"
 )
 
-var errNoSlot = fmt.Errorf("%w: all slots are taken", sockets.ErrConnectionLimit)
+var errNoSlot = fmt.Errorf("%w: all slots are in use", sockets.ErrConnectionLimit)
 
-// pendingDial is a connection that is being opened, for all attempts that wait for it.
+// pendingDial is a connection that is being opened. All attempts that need a connection to the upstream
+// wait for the same pendingDial.
 type pendingDial struct {
-	done chan struct{} // closed when the dial has ended
-	err  error         // why it failed; set before done is closed
+	done chan struct{} // closed when the dial has succeeded or failed
+	err  error         // why the dial failed; set before done is closed
 }
 
-// dial opens a connection and starts its goroutines, on a goroutine of its own. It has a timeout
-// of its own, and none of an attempt's: an attempt with less time stops waiting, and the others
-// need no second dial.
+// dial opens a connection and starts its reader and writer. It runs on its own goroutine. Its timeout
+// is independent of the deadlines of attempts: an attempt with an earlier deadline stops waiting, and
+// the other attempts need no second dial.
 func (upstream *rpcUpstream) dial(pending *pendingDial) {
 	conn, err := upstream.open()
 	upstream.mu.Lock()
@@ -39,8 +40,8 @@
 	go conn.readLoop()
 }
 
-// open opens a connection. It blocks for Config.DialTimeout at most. Its error is a
-// sockets.ErrConnectionLimit where no slot is free.
+// open opens a connection. It blocks for at most Config.DialTimeout. If no slot is free, the error wraps
+// sockets.ErrConnectionLimit.
 func (upstream *rpcUpstream) open() (*connection, error) {
 	transport := upstream.transport
 	select {
--- a/internal/transport/rpcnode/helpers_test.go
+++ b/internal/transport/rpcnode/helpers_test.go
@@ -12,24 +12,24 @@
 	"mothridge/policy"
 )
 
-// testServer is an upstream whose messages the test writes.
+// testServer is an upstream whose responses are written by the test.
 type testServer struct {
 	listener net.Listener
 	conns    chan *serverConn
 }
 
-// serverConn is a connection as the upstream sees it.
+// serverConn is the upstream's end of a connection.
 type serverConn struct {
 	net.Conn
 	calls   chan receivedCall
-	cancels chan uint32   // the ids
-	closed  chan struct{} // closed when reading has ended
+	cancels chan uint32   // ids of cancelled requests
+	closed  chan struct{} // closed when no more can be read from the connection
 }
 
-// receivedCall is a request as the upstream read it.
+// receivedCall is a request that the upstream has read.
 type receivedCall struct {
 	id   uint32
-	call *msgrpc.Call // nil: a probe
+	call *msgrpc.Call // nil for a probe
 }
 
 func newTestServer(t *testing.T) *testServer {
@@ -55,6 +55,7 @@
 	return server
 }
 
+// read reads messages until the connection is closed or a message is invalid.
 func (conn *serverConn) read() {
 	defer close(conn.closed)
 	framer := msgrpc.NewFramer(conn, msgrpc.MaxRequestBytes, time.Minute)
@@ -70,7 +71,7 @@
 	}
 }
 
-// receive hands a message to the test; false where it is not valid.
+// receive passes a message to the test. It returns false if the message is invalid.
 func (conn *serverConn) receive(message *msgrpc.Message) bool {
 	switch {
 	case message.Kind == msgrpc.Notification:
@@ -93,7 +94,7 @@
 	conn.Write(result.Append(nil, id))
 }
 
-// respondNext awaits the next request and responds to it.
+// respondNext waits for the next request and responds to it.
 func (conn *serverConn) respondNext(t *testing.T) receivedCall {
 	t.Helper()
 	call := peertest.Await(t, "the request", conn.calls)
@@ -141,49 +142,49 @@
 	}
 }
 
-// outcome is how an attempt ended.
-type outcome struct {
+// attemptOutcome is the result of an attempt and its response.
+type attemptOutcome struct {
 	result   policy.AttemptResult
 	response *core.Response
 }
 
-// startAttempt starts an attempt of a request id.
-func startAttempt(ctx context.Context, upstream core.Upstream, id string) <-chan outcome {
-	ended := make(chan outcome, 1)
+// startAttempt starts an attempt for a request with the given id. The channel receives the outcome.
+func startAttempt(ctx context.Context, upstream core.Upstream, id string) <-chan attemptOutcome {
+	ended := make(chan attemptOutcome, 1)
 	go func() {
 		result, response := upstream.RoundTrip(ctx, newTestMessage(id))
-		ended <- outcome{result, response}
+		ended <- attemptOutcome{result, response}
 	}()
 	return ended
 }
 
-// awaitResult awaits the end of an attempt and checks its result.
-func awaitResult(t *testing.T, attempt <-chan outcome, want policy.AttemptResult) outcome {
+// awaitResult waits for the end of an attempt and checks its result.
+func awaitResult(t *testing.T, attempt <-chan attemptOutcome, want policy.AttemptResult) attemptOutcome {
 	t.Helper()
-	got := peertest.Await(t, "the attempt's end", attempt)
+	got := peertest.Await(t, "the attempt to end", attempt)
 	if got.result != want {
-		t.Fatalf("result %v, want %v", got.result, want)
+		t.Fatalf("got result %v, want %v", got.result, want)
 	}
 	return got
 }
 
-// awaitBody awaits a response and checks its body.
-func awaitBody(t *testing.T, attempt <-chan outcome, want string) {
+// awaitBody waits for the response to an attempt and checks its body.
+func awaitBody(t *testing.T, attempt <-chan attemptOutcome, want string) {
 	t.Helper()
 	got := awaitResult(t, attempt, policy.Served)
 	if string(got.response.Body) != want {
-		t.Errorf("response %+v, want %q", got.response, want)
+		t.Errorf("got response %+v, want body %q", got.response, want)
 	}
 }
 
-// waitingCount returns how many requests the connection waits for.
+// waitingCount returns the number of requests on the connection that wait for a response.
 func (conn *connection) waitingCount() int {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	return len(conn.waiting)
 }
 
-// awaitConnection awaits the one connection of an upstream.
+// awaitConnection waits until the upstream has exactly one connection, and returns it.
 func awaitConnection(t *testing.T, upstream *rpcUpstream) *connection {
 	t.Helper()
 	peertest.Until(t, "the connection", func() bool { return len(upstream.connections()) == 1 })
--- a/internal/transport/rpcnode/probe.go
+++ b/internal/transport/rpcnode/probe.go
@@ -8,17 +8,17 @@
 	"mothridge/policy"
 )
 
-// Probe implements core.Upstream: it requests the health of the upstream and its load. It blocks
-// for Config.DialTimeout at most. The probe fails without a result by then.
+// Probe implements core.Upstream: it requests the health and the load of the upstream. It blocks for at
+// most Config.DialTimeout. The probe fails if no result is received by then.
 func (upstream *rpcUpstream) Probe(ctx context.Context) (policy.LoadReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, upstream.transport.config.DialTimeout)
 	defer cancel()
-	answer, _ := upstream.exchange(ctx, nil, encodeProbe)
-	if answer.err != nil {
-		return roundtrip.UnknownLoad(), roundtrip.ProbeError(answer.err)
+	completed, _ := upstream.exchange(ctx, nil, encodeProbe)
+	if completed.err != nil {
+		return roundtrip.UnknownLoad(), roundtrip.ProbeError(completed.err)
 	}
-	if answer.fault != nil {
-		return roundtrip.UnknownLoad(), errors.New("probe: " + answer.fault.Kind)
+	if completed.fault != nil {
+		return roundtrip.UnknownLoad(), errors.New("probe: " + completed.fault.Kind)
 	}
-	return policy.LoadReport{InFlight: answer.result.InFlight}, nil
+	return policy.LoadReport{InFlight: completed.result.InFlight}, nil
 }
--- a/internal/transport/rpcnode/read_responses.go
+++ b/internal/transport/rpcnode/read_responses.go
@@ -7,18 +7,19 @@
 	"mothridge/internal/msgrpc"
 )
 
-// responseReadTimeout bounds reading a response, from its first byte to its last.
+// responseReadTimeout is the maximum time for reading a response, from its first byte to its last.
 const responseReadTimeout = 5 * time.Second
 
-// readLoop is the reader: it handles messages until the socket ends, and removes the connection.
+// readLoop is the reader goroutine: it handles messages until reading from the socket fails, and then
+// removes the connection.
 func (conn *connection) readLoop() {
 	err := conn.readMessages()
 	conn.fail(fmt.Errorf("read: %w", err))
-	conn.upstream.forget(conn)
+	conn.upstream.removeConnection(conn)
 	<-conn.upstream.transport.slots
 }
 
-// readMessages returns the error that ended reading.
+// readMessages reads and handles messages. It returns the error that ended the reading.
 func (conn *connection) readMessages() error {
 	framer := msgrpc.NewFramer(conn.netConn, msgrpc.MaxResponseBytes, responseReadTimeout)
 	for {
@@ -47,12 +48,12 @@
 func (conn *connection) handleResponse(message *msgrpc.Message) {
 	request := conn.findRequest(message.ID)
 	if request != nil {
-		conn.complete(request, parseReply(message)) // parsed without the lock
+		conn.complete(request, parseCompletion(message)) // parsed without the lock
 	}
 }
 
-// findRequest returns the request that a response belongs to, or counts the response and returns
-// nil.
+// findRequest returns the request that a response belongs to. If there is none, it counts the response
+// as late or unknown and returns nil.
 func (conn *connection) findRequest(id uint32) *pendingRequest {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -61,7 +62,7 @@
 	if request != nil && request.state != requestQueued {
 		return request
 	}
-	// It is no response to a request that is still queued.
+	// A request that is still queued cannot have a response: such a response counts as unknown.
 	if _, isAbandoned := conn.abandoned[id]; isAbandoned {
 		delete(conn.abandoned, id)
 		conn.upstream.transport.late.Add(1)
@@ -71,18 +72,18 @@
 	return nil
 }
 
-func parseReply(message *msgrpc.Message) (answer reply) {
+func parseCompletion(message *msgrpc.Message) (completed completion) {
 	if message.Fault != nil {
-		answer.fault, answer.err = msgrpc.ParseFault(message.Fault)
+		completed.fault, completed.err = msgrpc.ParseFault(message.Fault)
 	} else {
-		answer.result, answer.err = msgrpc.ParseResult(message.Result)
+		completed.result, completed.err = msgrpc.ParseResult(message.Result)
 	}
-	return answer
+	return completed
 }
 
-// complete ends a request with its response, unless it was abandoned or its connection failed
-// since findRequest.
-func (conn *connection) complete(request *pendingRequest, answer reply) {
+// complete ends a request with its completion, unless the request was abandoned or its connection failed
+// after the call of findRequest.
+func (conn *connection) complete(request *pendingRequest, completed completion) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if conn.waiting[request.id] != request {
@@ -91,6 +92,6 @@
 		return
 	}
 	delete(conn.waiting, request.id)
-	request.reply <- answer
-	conn.onAnsweredLocked()
+	request.completion <- completed
+	conn.checkIdleLocked()
 }
--- a/internal/transport/rpcnode/read_responses_test.go
+++ b/internal/transport/rpcnode/read_responses_test.go
@@ -13,8 +13,9 @@
 	"mothridge/policy"
 )
 
-// A response to an abandoned id, one to an id that never was in use and a second one to the
-// same id are dropped and counted; none gets to another request.
+// Three kinds of unexpected responses are dropped and counted: a response to an abandoned id, to an id
+// that was never in use, and a second response to the same id. None of them may complete another
+// request.
 func TestUnexpectedResponses(t *testing.T) {
 	server := newTestServer(t)
 	transport := newTestTransport(Config{})
@@ -26,12 +27,12 @@
 	cancel()
 	awaitResult(t, abandoned, policy.Cancelled)
 	if id := peertest.Await(t, "the cancel", conn.cancels); id != first.id {
-		t.Errorf("cancelled %d, want %d", id, first.id)
+		t.Errorf("got cancelled id %d, want %d", id, first.id)
 	}
 	waiting := startAttempt(t.Context(), upstream, "waiting")
 	second := peertest.Await(t, "the second request", conn.calls)
 	if second.id == first.id {
-		t.Fatal("an id is used again while its response may still come")
+		t.Fatal("an abandoned id was reused before its response was received")
 	}
 	conn.respond(first.id, "late")
 	conn.respond(77, "unknown")
@@ -39,31 +40,31 @@
 	conn.respond(second.id, "twice")
 	awaitBody(t, waiting, "good")
 	third := startAttempt(t.Context(), upstream, "third")
-	conn.respond(peertest.Await(t, "the third", conn.calls).id, "third")
+	conn.respond(peertest.Await(t, "the third request", conn.calls).id, "third")
 	awaitBody(t, third, "third")
 	if counts := transport.Counters(); counts.LateResponses != 1 || counts.UnknownResponses != 2 || counts.Dials != 1 {
-		t.Errorf("counters %+v", counts)
+		t.Errorf("got counters %+v, want 1 late, 2 unknown and 1 dial", counts)
 	}
 	client := awaitConnection(t, upstream)
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if len(client.abandoned) != 0 {
-		t.Errorf("%d ids stay reserved after their response, want none", len(client.abandoned))
+		t.Errorf("got %d ids reserved after their response, want 0", len(client.abandoned))
 	}
 }
 
-// Ids run on past 2^32 and skip those that are abandoned or waited for.
+// Ids wrap around after 2^32 and skip the ids of requests that are abandoned or wait for a response.
 func TestIDsWrapAround(t *testing.T) {
 	server := newTestServer(t)
 	upstream := server.upstream(newTestTransport(Config{}))
 	ctx, cancel := context.WithCancel(t.Context())
 	abandoned := startAttempt(ctx, upstream, "abandoned")
 	conn := server.accept(t)
-	abandonedID := peertest.Await(t, "the first", conn.calls).id
+	abandonedID := peertest.Await(t, "the first request", conn.calls).id
 	cancel()
-	peertest.Await(t, "its end", abandoned)
+	peertest.Await(t, "the attempt to end", abandoned)
 	waiting := startAttempt(t.Context(), upstream, "waiting")
-	waitingID := peertest.Await(t, "the second", conn.calls).id
+	waitingID := peertest.Await(t, "the second request", conn.calls).id
 	client := awaitConnection(t, upstream)
 	client.mu.Lock()
 	client.nextID = math.MaxUint32 - 1
@@ -76,14 +77,14 @@
 	}
 	want := []uint32{math.MaxUint32 - 1, math.MaxUint32, 2, 3}
 	if !slices.Equal(ids, want) || abandonedID != 0 || waitingID != 1 {
-		t.Errorf("ids %d after %d and %d, want %d", ids, abandonedID, waitingID, want)
+		t.Errorf("got ids %d after ids %d and %d, want %d after 0 and 1", ids, abandonedID, waitingID, want)
 	}
 	conn.respond(waitingID, "at last")
 	awaitBody(t, waiting, "at last")
 }
 
-// After a drain notification no more requests go out on that connection, and those in flight on
-// it are still answered.
+// After a drain notification, no more requests are sent on that connection. The requests in flight on it
+// still get their responses, and then the connection is closed.
 func TestDrainNotification(t *testing.T) {
 	server := newTestServer(t)
 	upstream := server.upstream(newTestTransport(Config{}))
@@ -100,5 +101,5 @@
 	second.respond(nextRequest.id, "ok")
 	awaitResult(t, inFlight, policy.Served)
 	awaitResult(t, next, policy.Served)
-	peertest.Await(t, "the drained connection's end", first.closed)
+	peertest.Await(t, "the drained connection to close", first.closed)
 }
--- a/internal/transport/rpcnode/request.go
+++ b/internal/transport/rpcnode/request.go
@@ -8,54 +8,55 @@
 	"mothridge/internal/msgrpc"
 )
 
-// maxTimeout is the timeout that an upstream is given where an attempt has no deadline.
+// maxTimeout is the timeout that is sent to an upstream if the attempt has no deadline.
 const maxTimeout = time.Hour
 
-// errNotWritten says that the last byte of a request was not written: the upstream cannot have
-// started it.
-var errNotWritten = errors.New("the request was not written to its end")
+// errNotWritten reports that the last byte of a request was not written, so that the upstream cannot
+// have started the request.
+var errNotWritten = errors.New("request was not completely written")
 
-// reply is how a request ended; one of its fields is set.
-type reply struct {
+// completion describes how a request ended. Exactly one of its fields is set.
+type completion struct {
 	err    error
 	fault  *msgrpc.Fault
 	result *msgrpc.Result
 }
 
 // mayHaveRun reports whether the last byte of the request may have been written.
-func (answer *reply) mayHaveRun() bool { return !errors.Is(answer.err, errNotWritten) }
+func (completed *completion) mayHaveRun() bool { return !errors.Is(completed.err, errNotWritten) }
 
-// encodeFunc appends the encoded request of an id, whose response is waited for until timeout.
+// encodeFunc appends an encoded request with an id to buffer. timeout is the time for which the sender
+// waits for the response.
 type encodeFunc func(buffer []byte, id uint32, timeout time.Duration) []byte
 
 // requestState is the state of a request on its connection:
 //
-//	queued --encodeQueueLocked--> writing --onWritten, to its last byte--> written
-//	writing --onWritten, not to its last byte--> queued
+//	queued --encodeQueueLocked--> writing --onWritten, completely--> written
+//	writing --onWritten, not completely--> queued
 type requestState int
 
 const (
-	requestQueued  requestState = iota // its last byte was not written
-	requestWriting                     // some of its bytes may have been written
-	requestWritten                     // all of its bytes were written
+	requestQueued  requestState = iota // the last byte was not written
+	requestWriting                     // some bytes may have been written
+	requestWritten                     // all bytes were written
 )
 
-// pendingRequest is an attempt or a probe on a connection, whose lock guards it.
+// pendingRequest is an attempt or a probe on a connection. The lock of the connection guards its fields.
 type pendingRequest struct {
 	id       uint32
-	message  *core.Message // of the attempt; nil: it is a probe
-	encode   encodeFunc    // called when it is written: only then is its timeout known
-	deadline time.Time     // until when the response is waited for; zero: there is none
+	message  *core.Message // the attempt's message; nil for a probe
+	encode   encodeFunc    // called right before the write, when the timeout is known
+	deadline time.Time     // until when to wait for the response; zero for no deadline
 	queuedAt time.Time
 	state    requestState
 
-	timeout time.Duration // as the upstream is given it; set with size
-	size    int           // in bytes, encoded
+	timeout time.Duration // as sent to the upstream; set together with size
+	size    int           // encoded size in bytes
 
-	reply chan reply // of capacity 1: takes the one reply
+	completion chan completion // capacity 1; receives the single value
 }
 
-// appendTo appends the encoded request.
+// appendTo appends the encoded request to buffer, and sets timeout and size.
 func (request *pendingRequest) appendTo(buffer []byte, now time.Time) []byte {
 	request.timeout = maxTimeout
 	if !request.deadline.IsZero() {
@@ -67,20 +68,20 @@
 	return buffer
 }
 
-// encodeCall returns what encodes an attempt's request.
+// encodeCall returns the encodeFunc for the request of an attempt.
 func encodeCall(message *core.Message) encodeFunc {
 	return func(buffer []byte, id uint32, timeout time.Duration) []byte {
 		return newCall(message, timeout).Append(buffer, id)
 	}
 }
 
-// encodeProbe appends a probe. It carries no timeout.
+// encodeProbe is the encodeFunc for a probe. A probe contains no timeout.
 func encodeProbe(buffer []byte, id uint32, _ time.Duration) []byte {
 	return msgrpc.AppendRequestWithoutParams(buffer, id, msgrpc.MethodProbe)
 }
 
-// newCall maps an attempt's request to a call. Header fields that have a key of their own go
-// there.
+// newCall converts the request of an attempt to a call. A header field that has its own key in the
+// mapping is stored under that key, any other field in Call.Fields.
 func newCall(message *core.Message, timeout time.Duration) *msgrpc.Call {
 	call := &msgrpc.Call{Timeout: timeout, Target: message.Target, Host: message.Host, Body: message.Body}
 	others := 0
--- a/internal/transport/rpcnode/transport.go
+++ b/internal/transport/rpcnode/transport.go
@@ -1,15 +1,15 @@
-// Package rpcnode is the upstream transport for MessagePack-RPC: it performs attempts and
-// probes at upstreams, many at once on one connection.
+// Package rpcnode is the upstream transport for MessagePack-RPC: it sends attempts and probes to
+// upstreams, with many requests in flight on one connection.
 //
-// Other than with HTTP/1.1, an attempt that ends early cannot close its connection. It is
-// abandoned: a cancellation goes to the upstream, and the id stays reserved until the response
-// comes or the connection ends; the response is dropped. It counts as running at the
-// upstream until then, or until the timeout that the upstream was given has passed and
-// abandonedGrace more. Config bounds how many requests run so. See
+// Unlike with HTTP/1.1, an attempt that ends early cannot close its connection, because other requests
+// share it. The request is abandoned: a cancellation is sent to the upstream, and the request's id stays
+// reserved until its response is received or the connection is closed. The response is dropped. An
+// abandoned request counts as running at the upstream until then, but no longer than abandonedGrace
+// after the timeout that was sent to the upstream. Config limits the number of such requests. See
 // docs/protocol/msgpack-rpc.md.
 //
-// An upstream has one connection that takes requests at most, and others that are draining.
-// Each connection has a reader and a writer: see connection.
+// An upstream has at most one connection that accepts requests. Its other connections are draining or
+// have reached their capacity. Each connection has a reader and a writer goroutine: see connection.
 package rpcnode
 
 import (
@@ -24,46 +24,50 @@
 
 // Config configures a Transport.
 type Config struct {
-	// DialTimeout bounds opening a connection, a write, and a probe from its start to its
-	// response. There is no default.
+	// DialTimeout is the maximum time for opening a connection, for a write, and for a probe from
+	// its start to its response. There is no default.
 	DialTimeout time.Duration
-	// IdleTimeout is how long a connection is idle before upstreams close it; connections are
-	// closed 2 s before that, or after half of it where that is later. There is no default.
+	// IdleTimeout is the idle time after which upstreams close a connection. The Transport closes
+	// its connections 2 s earlier, or after half of IdleTimeout if that is later. There is no
+	// default.
 	IdleTimeout time.Duration
-	// MaxConnections bounds the connections that are open at once, to all upstreams. Beyond it
-	// attempts that need a new one end as policy.NotSent. There is no default.
+	// MaxConnections is the maximum number of connections that are open at the same time, to all
+	// upstreams together. At the maximum, attempts that need a new connection end as
+	// policy.NotSent. There is no default.
 	MaxConnections int
-	// MaxInFlight bounds the requests on a connection that are waited for or that were
-	// abandoned and may still run. Beyond it further ones go to another connection. 0:
-	// DefaultMaxInFlight.
+	// MaxInFlight is the maximum number of requests on a connection that wait for a response or
+	// that were abandoned and may still run. At the maximum, further requests use another
+	// connection. 0 means DefaultMaxInFlight.
 	MaxInFlight int
-	// MaxAbandoned bounds the requests on a connection that were abandoned and have no response,
-	// however old they are. At the bound the connection drains. 0: DefaultMaxAbandoned.
+	// MaxAbandoned is the maximum number of abandoned requests without a response on a connection,
+	// regardless of their age. At the maximum, the connection is drained. 0 means
+	// DefaultMaxAbandoned.
 	MaxAbandoned int
 }
 
-// The defaults of Config.
+// Default values of Config.
 const (
 	DefaultMaxInFlight  = 128
 	DefaultMaxAbandoned = 1024
 )
 
-// Transport makes the upstreams that speak MessagePack-RPC. Its methods may be called from any
-// goroutine and do not block.
+// Transport creates the upstreams that use MessagePack-RPC. Its methods may be called from any goroutine
+// and do not block.
 //
-// It starts a goroutine for each dial, and two for each connection, which end with it.
+// A Transport starts one goroutine for each dial and two for each connection. They end with the dial or
+// the connection.
 type Transport struct {
 	config Config
-	slots  chan struct{} // holds one element for each connection that is open or being opened
+	slots  chan struct{} // contains one element for each connection that is open or being opened
 
-	// mu is taken after the lock of an upstream.
+	// Lock order: mu is locked after the lock of an upstream.
 	mu        sync.Mutex
-	connected map[*rpcUpstream]struct{} // the upstreams that have connections
+	connected map[*rpcUpstream]struct{} // upstreams that have connections
 
 	late, unknown, malformed, drainedUnanswered, dials atomic.Uint64
 }
 
-// New makes a Transport. Its Sweep must be called regularly.
+// New returns a Transport. The caller must call Sweep regularly.
 func New(config Config) *Transport {
 	if config.MaxInFlight == 0 {
 		config.MaxInFlight = DefaultMaxInFlight
@@ -78,13 +82,13 @@
 	}
 }
 
-// Upstream makes the upstream at an address, without I/O. Each call makes another one, with
-// connections of its own.
+// Upstream returns a new upstream for an address, without I/O. Upstreams never share connections, even
+// if they have the same address.
 func (transport *Transport) Upstream(address string) core.Upstream {
 	return &rpcUpstream{transport: transport, address: address}
 }
 
-// Sweep closes the connections that have been idle for too long at now.
+// Sweep closes the connections that have been idle for too long at the time now.
 func (transport *Transport) Sweep(now time.Time) {
 	idleTimeout := roundtrip.IdleTimeout(transport.config.IdleTimeout)
 	for _, upstream := range transport.connectedUpstreams() {
@@ -94,6 +98,7 @@
 	}
 }
 
+// connectedUpstreams returns the upstreams that have connections.
 func (transport *Transport) connectedUpstreams() []*rpcUpstream {
 	transport.mu.Lock()
 	defer transport.mu.Unlock()
@@ -104,7 +109,7 @@
 	return upstreams
 }
 
-// connections returns a copy of the open connections.
+// connections returns a copy of the list of the upstream's connections.
 func (upstream *rpcUpstream) connections() []*connection {
 	upstream.mu.Lock()
 	defer upstream.mu.Unlock()
--- a/internal/transport/rpcnode/upstream.go
+++ b/internal/transport/rpcnode/upstream.go
@@ -8,29 +8,28 @@
 	"time"
 )
 
-// maxConnectionsPerUpstream bounds the connections to one upstream: one that takes requests,
-// and those that wait for responses or are draining.
+// maxConnectionsPerUpstream is the maximum number of connections to one upstream: at most one connection
+// that accepts requests, and connections that are draining or have reached their capacity.
 const maxConnectionsPerUpstream = 4
 
 var (
-	errRetired          = errors.New("the upstream was retired")
-	errConnectionsInUse = errors.New("every connection to the upstream waits for responses")
+	errRetired          = errors.New("upstream was retired")
+	errConnectionsInUse = errors.New("all connections to the upstream are at capacity or draining")
 )
 
-// rpcUpstream is a process that speaks MessagePack-RPC.
+// rpcUpstream is an upstream process that uses MessagePack-RPC.
 type rpcUpstream struct {
 	transport *Transport
 	address   string
 
-	// mu is taken before the lock of a connection and before that of the transport.
+	// Lock order: mu is locked before the lock of a connection and before the lock of the transport.
 	mu      sync.Mutex
-	conns   []*connection // open, or closed and not forgotten yet
-	dialing *pendingDial  // nil: no connection is being opened
-	retired bool          // no request is taken any more
+	conns   []*connection // open connections, and closed ones that are not removed yet
+	dialing *pendingDial  // nil if no connection is being opened
+	retired bool          // no more requests are accepted
 }
 
-// Retire implements core.Upstream: requests in flight end normally, and no more are
-// taken.
+// Retire implements core.Upstream: requests in flight end normally, and no more requests are accepted.
 func (upstream *rpcUpstream) Retire() {
 	upstream.mu.Lock()
 	upstream.retired = true
@@ -41,8 +40,8 @@
 	}
 }
 
-// connect returns the connection that takes requests, or opens one. It blocks until that is
-// open, ctx is done or the dial has failed.
+// connect returns the connection that accepts requests, or opens a new one. It blocks until a connection
+// is open, ctx is done or the dial has failed.
 func (upstream *rpcUpstream) connect(ctx context.Context) (*connection, error) {
 	for {
 		if err := ctx.Err(); err != nil {
@@ -63,7 +62,8 @@
 	}
 }
 
-// findOrDial returns the connection that takes requests, else the dial to wait for.
+// findOrDial returns the connection that accepts requests. If there is none, it returns the dial to wait
+// for, and starts that dial if necessary.
 func (upstream *rpcUpstream) findOrDial() (*connection, *pendingDial, error) {
 	upstream.mu.Lock()
 	defer upstream.mu.Unlock()
@@ -85,7 +85,7 @@
 	return nil, upstream.dialing, nil
 }
 
-// addLocked adds an open connection; upstream.mu is held.
+// addLocked adds an open connection. The caller holds upstream.mu.
 func (upstream *rpcUpstream) addLocked(conn *connection) {
 	upstream.conns = append(upstream.conns, conn)
 	transport := upstream.transport
@@ -94,8 +94,8 @@
 	transport.connected[upstream] = struct{}{}
 }
 
-// forget removes a closed connection.
-func (upstream *rpcUpstream) forget(conn *connection) {
+// removeConnection removes a closed connection from the upstream.
+func (upstream *rpcUpstream) removeConnection(conn *connection) {
 	upstream.mu.Lock()
 	defer upstream.mu.Unlock()
 	if i := slices.Index(upstream.conns, conn); i >= 0 {
--- a/internal/transport/rpcnode/write_requests.go
+++ b/internal/transport/rpcnode/write_requests.go
@@ -8,33 +8,33 @@
 	"mothridge/internal/msgrpc"
 )
 
-// maxKeptBufferBytes bounds the buffer that a writer keeps between two writes.
+// maxKeptBufferBytes is the largest buffer that a writer keeps between two writes.
 const maxKeptBufferBytes = 32 << 10
 
-// writeBatch is what the writer writes at once.
+// writeBatch contains the requests and cancellations that the writer sends with one write.
 type writeBatch struct {
 	requests []*pendingRequest
-	buffer   []byte    // the encoded requests, then cancellations
-	deadline time.Time // of the write
-	isLast   bool      // the connection is closed after it
+	buffer   []byte    // the encoded requests, followed by cancellations
+	deadline time.Time // deadline of the write
+	isLast   bool      // the connection is closed after this batch
 }
 
-// reset empties the batch and keeps its memory.
+// reset empties the batch and keeps its memory for reuse.
 func (batch *writeBatch) reset(deadline time.Time) {
 	batch.requests = batch.requests[:0]
 	batch.buffer = batch.buffer[:0]
 	batch.deadline = deadline
 }
 
-// releaseLargeBuffer frees a buffer that is too large to be kept.
+// releaseLargeBuffer frees the buffer if it is larger than maxKeptBufferBytes.
 func (batch *writeBatch) releaseLargeBuffer() {
 	if cap(batch.buffer) > maxKeptBufferBytes {
 		batch.buffer = nil
 	}
 }
 
-// limitDeadline makes the write end by the message's WriteDeadline, if it has one. A nil message
-// is a probe's.
+// limitDeadline limits the deadline of the write to the message's WriteDeadline, if that is set. For a
+// probe, message is nil.
 func (batch *writeBatch) limitDeadline(message *core.Message) {
 	if message == nil || message.WriteDeadline.IsZero() {
 		return
@@ -44,9 +44,9 @@
 	}
 }
 
-// writeLoop is the writer. One write takes all that waits to be written.
+// writeLoop is the writer goroutine. Each write sends everything that is queued.
 func (conn *connection) writeLoop() {
-	defer conn.netConn.Close() // ends the reader too
+	defer conn.netConn.Close() // also ends the reader
 	var batch writeBatch
 	for range conn.wakeWriter {
 		conn.takeBatch(&batch)
@@ -62,8 +62,8 @@
 	}
 }
 
-// takeBatch moves what waits to be written into a batch. On a closed connection that is
-// cancellations alone.
+// takeBatch moves all queued requests and cancellations into a batch. On a closed connection, it moves
+// cancellations only.
 func (conn *connection) takeBatch(batch *writeBatch) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -79,7 +79,7 @@
 	conn.cancellations = conn.cancellations[:0]
 }
 
-// encodeQueueLocked encodes the queued requests that may still go out, and ends the others.
+// encodeQueueLocked encodes the queued requests that may still be sent, and ends the others.
 func (conn *connection) encodeQueueLocked(batch *writeBatch, now time.Time) {
 	for _, request := range conn.queue {
 		if request.message != nil && !request.message.AllowSend(now) {
@@ -94,14 +94,14 @@
 	conn.queue = conn.queue[:0]
 }
 
-// preventLocked ends a request that AllowSend holds back.
+// preventLocked ends a request that core.Message.AllowSend has forbidden.
 func (conn *connection) preventLocked(request *pendingRequest) {
 	delete(conn.waiting, request.id)
-	request.reply <- reply{err: fmt.Errorf("%w: %w", errNotWritten, core.ErrNotSent)}
-	conn.onAnsweredLocked()
+	request.completion <- completion{err: fmt.Errorf("%w: %w", errNotWritten, core.ErrNotSent)}
+	conn.checkIdleLocked()
 }
 
-// write writes a batch, which may be empty.
+// write writes a batch. The batch may be empty.
 func (conn *connection) write(batch *writeBatch) error {
 	if len(batch.buffer) == 0 {
 		return nil
@@ -112,8 +112,9 @@
 	return err
 }
 
-// onWritten records how much of a batch was written: an upstream starts a request when its last
-// byte has come, so that one that was cut never ran.
+// onWritten records which requests of a batch were completely written, where count is the number of bytes
+// written. An upstream starts a request only after it has received the last byte, so that a partly
+// written request never ran.
 func (conn *connection) onWritten(requests []*pendingRequest, count int, err error) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
--- a/internal/transport/rpcnode/write_requests_test.go
+++ b/internal/transport/rpcnode/write_requests_test.go
@@ -31,8 +31,8 @@
 	})
 }
 
-// A connection is reset with 50 requests in flight: those written to their end may have run,
-// the others never ran.
+// When a connection is reset with 50 requests in flight, the requests that were completely written may
+// have run, and the others never ran.
 func TestResetWithFiftyInFlight(t *testing.T) {
 	const attempts, complete = 50, 10
 	listener := peertest.Listen(t)
@@ -53,23 +53,24 @@
 	for range attempts - 1 {
 		results.start(t.Context(), upstream, large)
 	}
-	// The upstream does not read on: the writer is blocked with a batch that exceeds the
-	// buffers, and the others are queued.
-	peertest.Until(t, "all to be in flight", func() bool { return client.waitingCount() == attempts })
+	// The upstream stops reading: the writer blocks with a batch that exceeds the socket buffers, and
+	// the other requests are queued.
+	peertest.Until(t, "all requests to be in flight", func() bool { return client.waitingCount() == attempts })
 	readRequests(t, framer, complete-1)
 	serverConn.(*net.TCPConn).SetLinger(0)
 	serverConn.Close()
 	results.attempts.Wait()
 	counts := results.counts
 	if len(counts) > 2 || counts[policy.ConnectionReset]+counts[policy.ConnectionFailed] != attempts {
-		t.Fatalf("results %v", counts)
+		t.Fatalf("got results %v, want connection reset and connection failed alone", counts)
 	}
 	if counts[policy.ConnectionReset] < complete {
-		t.Errorf("%d count as maybe run, though %d reached the upstream complete",
+		t.Errorf("got %d results that say the request may have run, want at least %d",
 			counts[policy.ConnectionReset], complete)
 	}
 }
 
+// readRequests reads count requests and discards them.
 func readRequests(t *testing.T, framer *msgrpc.Framer, count int) {
 	t.Helper()
 	for range count {
@@ -79,19 +80,21 @@
 	}
 }
 
-// encodeBytes encodes a request as so many bytes.
+// encodeBytes returns an encodeFunc that appends count zero bytes.
 func encodeBytes(count int) encodeFunc {
 	return func(buffer []byte, _ uint32, _ time.Duration) []byte { return append(buffer, make([]byte, count)...) }
 }
 
-// newUnconnected makes a connection without goroutines.
-func newUnconnected() *connection {
+// newConnectionWithoutGoroutines returns a connection without reader and writer, on a socket that is not
+// connected.
+func newConnectionWithoutGoroutines() *connection {
 	return newConnection(newTestUpstream(newTestTransport(Config{}), ""), &net.TCPConn{})
 }
 
-// A request that was not written to its end is distinguished from one that was.
-func TestUnfinishedWriteNeverRan(t *testing.T) {
-	conn := newUnconnected()
+// A request that was not completely written is reported as not written, so that it counts as never run.
+// A completely written request is not.
+func TestIncompleteWriteIsReportedAsNotWritten(t *testing.T) {
+	conn := newConnectionWithoutGoroutines()
 	var requests []*pendingRequest
 	for range 4 {
 		requests = append(requests, conn.enqueue(nil, encodeBytes(10), time.Time{}))
@@ -101,37 +104,39 @@
 		request.state = requestWriting
 	}
 	conn.queue = conn.queue[3:]
-	conn.onWritten(requests[:3], 25, errors.New("cut")) // two complete, half of the third
+	conn.onWritten(requests[:3], 25, errors.New("cut")) // two requests and half of the third
 	conn.fail(errors.New("reset"))
 	for i, notWritten := range []bool{false, false, true, true} {
-		answer := peertest.Await(t, "the end", requests[i].reply)
-		if errors.Is(answer.err, errNotWritten) != notWritten {
-			t.Errorf("request %d: %v; want not written: %v", i, answer.err, notWritten)
+		completed := peertest.Await(t, "the completion", requests[i].completion)
+		if errors.Is(completed.err, errNotWritten) != notWritten {
+			t.Errorf("request %d: got error %v, want one that wraps errNotWritten: %v", i, completed.err, notWritten)
 		}
 	}
 }
 
-// An attempt that ends while its request is queued does not count against the upstream, and
-// the request is not written later.
+// If an attempt ends while its request is queued, the request is removed from the queue and is not
+// written later. The attempt does not count against the upstream.
 func TestCancelledWhileQueuedIsNotWritten(t *testing.T) {
-	conn := newUnconnected()
+	conn := newConnectionWithoutGoroutines()
 	request := conn.enqueue(nil, encodeBytes(1), time.Time{})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if answer, written := conn.await(ctx, request); written || answer.err == nil {
-		t.Errorf("written %v, error %v", written, answer.err)
+	if completed, written := conn.await(ctx, request); written || completed.err == nil {
+		t.Errorf("got written %v, error %v; want not written and an error", written, completed.err)
 	}
 	if len(conn.queue)+len(conn.waiting)+len(conn.abandoned) != 0 {
-		t.Errorf("%d queued, %d waiting, %d abandoned", len(conn.queue), len(conn.waiting), len(conn.abandoned))
+		t.Errorf("got %d queued, %d waiting and %d abandoned requests, want none",
+			len(conn.queue), len(conn.waiting), len(conn.abandoned))
 	}
 }
 
-// What was decided may be out of date once it is to be written: see core.Message.AllowSend.
-// Nothing is written, and other requests on the connection go on.
+// Between the balancer's decision and the write, the client may disconnect or the write deadline may
+// pass: see core.Message.AllowSend. Then the request is not written, and other requests on the connection
+// are not affected.
 func TestPreventedSendWritesNothing(t *testing.T) {
 	for name, message := range map[string]*core.Message{
-		"client gone": {ClientGone: func() bool { return true }},
-		"too late":    {WriteDeadline: time.Now().Add(-time.Millisecond)},
+		"client disconnected": {ClientGone: func() bool { return true }},
+		"deadline passed":     {WriteDeadline: time.Now().Add(-time.Millisecond)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newTestServer(t)
@@ -141,13 +146,13 @@
 			conn.respondNext(t)
 			awaitResult(t, first, policy.Served)
 			if got, response := upstream.RoundTrip(t.Context(), message); got != policy.NotSent || response != nil {
-				t.Errorf("result %v, response %+v; want not sent", got, response)
+				t.Errorf("got result %v, response %+v; want not sent and no response", got, response)
 			}
 			other := startAttempt(t.Context(), upstream, "other")
 			request := conn.respondNext(t)
 			awaitResult(t, other, policy.Served)
 			if request.call.ID != "other" || len(conn.calls) > 0 {
-				t.Errorf("the upstream read %+v", request.call)
+				t.Errorf("upstream: got call %+v, want the call with id other alone", request.call)
 			}
 		})
 	}
