--- a/internal/msgrpc/call.go
+++ b/internal/msgrpc/call.go
@@ -8,23 +8,23 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Call is one request of the application. Empty strings and zeros are absent.
+// Call is one request of the application. An empty string or a zero value means that the key is absent.
 type Call struct {
-	ID             string // printable ASCII, at most MaxNameBytes
+	ID             string // printable ASCII of at most MaxNameBytes
 	Class          string
 	Tenant         string
 	IdempotencyKey string
-	Timeout        time.Duration // how long the sender waits, from when it wrote this
-	ClientRetry    bool          // known to be a retry by the client
-	ExpectedWork   time.Duration // an estimate
+	Timeout        time.Duration // time for which the sender waits after it has written the call
+	ClientRetry    bool          // the request is known to be a retry by the client
+	ExpectedWork   time.Duration // an estimate; 0 if unknown
 	AffinityKey    string
-	Target         string              // path and query; "/" where absent
+	Target         string              // path and query; "/" if absent
 	Host           string              // host name of the request
 	Fields         map[string][]string // further header fields, by canonical name
 	Body           []byte
 }
 
-// Append appends the call as a request of that msgid.
+// Append appends the call as a request with the msgid id.
 func (call *Call) Append(b []byte, id uint32) []byte {
 	b = msgp.AppendArrayHeader(AppendRequest(b, id, MethodCall), 1)
 	texts := call.optionalTexts()
@@ -49,11 +49,11 @@
 	return b
 }
 
-// keyedText is a text and its key.
+// keyedText is a string value and its key.
 type keyedText struct{ key, value string }
 
-// optionalTexts returns the texts that are written where they are not empty, in the order of
-// the wire.
+// optionalTexts returns the string values that Append omits if they are empty, in the order in which it
+// writes them.
 func (call *Call) optionalTexts() [6]keyedText {
 	return [...]keyedText{
 		{keyClass, call.Class},
@@ -65,7 +65,7 @@
 	}
 }
 
-// keyCount returns how many keys Append writes.
+// keyCount returns the number of keys that Append writes.
 func (call *Call) keyCount(texts *[6]keyedText) uint32 {
 	count := uint32(2) // id and timeout
 	for i := range texts {
@@ -82,8 +82,8 @@
 	return count
 }
 
-// ParseCall parses the params of a call. Its error names the key and what is expected.
-// The call does not point into params.
+// ParseCall parses the params of a call. The error contains the key and the rule that its value breaks.
+// The call does not reference the memory of params.
 func ParseCall(params []byte) (*Call, error) {
 	entries, err := unwrapParams(params)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return call, nil
 }
 
-// parseValue parses the value of a key and returns the bytes after it.
+// parseValue parses the value of a key and returns the bytes after the value.
 func (call *Call) parseValue(key string, b []byte) (rest []byte, err error) {
 	switch key {
 	case keyID:
@@ -135,15 +135,15 @@
 	return rest, err
 }
 
-// check checks that what every call has is there.
+// check checks that the mandatory keys are present and that the target is a path.
 func (call *Call) check() error {
 	switch {
 	case call.ID == "":
-		return errors.New("id is missing: a text that no other request of this client has")
+		return errors.New("id is missing: must be a string that is unique among the client's requests")
 	case call.Class == "":
-		return errors.New("class is missing: the request's class by its name in the settings")
+		return errors.New("class is missing: must be the name of a request class in the settings")
 	case call.Timeout == 0:
-		return errors.New("left_ms is missing: how long the client will wait, in milliseconds")
+		return errors.New("left_ms is missing: must be the time in milliseconds for which the client waits")
 	case call.Target[0] != '/':
 		return fmt.Errorf("target %.40q: it begins with '/'", call.Target)
 	}
--- a/internal/msgrpc/doc.go
+++ b/internal/msgrpc/doc.go
@@ -1,9 +1,9 @@
-// Package msgrpc speaks MessagePack-RPC as its public specification has it
-// (github.com/msgpack-rpc/msgpack-rpc, spec.md) and holds the project's mapping
-// of requests and responses onto it, which docs/protocol/msgpack-rpc.md describes
-// for those who write a client or a node.
+// Package msgrpc implements MessagePack-RPC according to its public specification
+// (github.com/msgpack-rpc/msgpack-rpc, spec.md), and this project's mapping of requests and
+// responses to it. docs/protocol/msgpack-rpc.md describes the mapping for authors of clients and
+// nodes.
 //
-// A stream carries one MessagePack array after the other. Framer finds where
-// each ends, in bounded memory and without trusting a length; Parse decodes the
-// envelope; Call, Result and Fault are the mapping.
+// A stream consists of consecutive MessagePack arrays, one for each message. Framer finds the end of
+// each message, with limited memory and without trusting any encoded length. Parse decodes the
+// envelope of a message. Call, Result and Fault implement the mapping.
 package msgrpc
--- a/internal/msgrpc/fault.go
+++ b/internal/msgrpc/fault.go
@@ -12,27 +12,27 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Fault is a response that does not serve a call: the error of MessagePack-RPC.
+// Fault is the error of a MessagePack-RPC response, which is set if the request was not served.
 type Fault struct {
-	Kind       string        // one of the kinds of the mapping, or of a later version
-	RetryAfter time.Duration // of KindRefused: how long to wait before a retry; 0: not said
-	Text       string        // for people; may be empty
+	Kind       string        // one of the kinds of the mapping, or a kind of a later version
+	RetryAfter time.Duration // for KindRefused: time to wait before a retry; 0 if not specified
+	Text       string        // message for people; may be empty
 }
 
 const (
-	// maxFaultTextBytes bounds Fault.Text where it is written.
+	// maxFaultTextBytes is the maximum length of an encoded Fault.Text.
 	maxFaultTextBytes = 1 << 10
-	// retryAfterPrefix starts RetryAfter in the text form.
+	// retryAfterPrefix precedes the value of RetryAfter in the text form.
 	retryAfterPrefix = keyRetryAfter + "="
 	ellipsis         = "..."
 )
 
-// faultKinds are those that the text form of a fault may start with.
+// faultKinds are the kinds that the text form of a fault may start with.
 var faultKinds = []string{
 	KindRefused, KindFailed, KindTimeout, KindRejected, KindDuplicate, KindNotStarted, KindError, KindCancelled,
 }
 
-// Append appends the fault as a response of that msgid, as a map.
+// Append appends a response with the msgid id whose error is the fault, encoded as a map.
 func (fault *Fault) Append(b []byte, id uint32) []byte {
 	text := sanitize(fault.Text)
 	keyCount := uint32(1)
@@ -53,14 +53,14 @@
 	return msgp.AppendNil(b)
 }
 
-// AppendText appends the fault as a response whose error is a str, for codecs
-// that can read no other: see String.
+// AppendText appends a response with the msgid id whose error is the fault, encoded as a string: see
+// String. It is for codecs that can read an error only if it is a string.
 func (fault *Fault) AppendText(b []byte, id uint32) []byte {
 	return msgp.AppendNil(msgp.AppendString(appendResponse(b, id), fault.String()))
 }
 
-// String returns the text form of a fault: its kind, then " pause_ms=" with a number where
-// RetryAfter is set, then ": " and Text where there is one, such as
+// String returns the text form of a fault: its kind, then " pause_ms=" and a number if RetryAfter is
+// set, then ": " and Text if Text is not empty. For example:
 //
 //	refused pause_ms=120: too many at once on one connection
 func (fault *Fault) String() string {
@@ -74,8 +74,8 @@
 	return form
 }
 
-// sanitize cuts a text to what may stand in a fault: valid UTF-8 of bounded
-// length without control bytes, as some readers lose their stream on others.
+// sanitize makes a text valid for a fault: UTF-8 of at most maxFaultTextBytes bytes without control
+// characters. Some readers cannot continue to read their stream after any other text.
 func sanitize(text string) string {
 	if len(text) > maxFaultTextBytes {
 		text = text[:maxFaultTextBytes-len(ellipsis)] + ellipsis
@@ -86,6 +86,7 @@
 	return strings.Map(replaceControl, text)
 }
 
+// replaceControl returns a space for a control character, and any other character unchanged.
 func replaceControl(r rune) rune {
 	if r < ' ' || r == 0x7f {
 		return ' '
@@ -93,7 +94,8 @@
 	return r
 }
 
-// ParseFault parses the error of a response: a map, or a text: see ParseFaultText.
+// ParseFault parses the error of a response. The error is a map or a string; ParseFaultText describes the
+// string.
 func ParseFault(b []byte) (*Fault, error) {
 	if msgp.NextType(b) == msgp.StrType {
 		raw, _, err := msgp.ReadStringZC(b)
@@ -112,7 +114,7 @@
 	return fault, nil
 }
 
-// parseValue parses the value of a key and returns the bytes after it.
+// parseValue parses the value of a key and returns the bytes after the value.
 func (fault *Fault) parseValue(key string, b []byte) (rest []byte, err error) {
 	switch key {
 	case keyKind:
@@ -127,8 +129,8 @@
 	return rest, err
 }
 
-// ParseFaultText parses the text form of a fault, as String writes it. Any other text, as
-// the codecs of other people send, becomes a KindError with that text.
+// ParseFaultText parses the text form of a fault, in the format that String returns. Other codecs may
+// send any other text, which becomes a fault of KindError with that text.
 func ParseFaultText(form string) *Fault {
 	head, text, _ := strings.Cut(form, ": ")
 	kind, option, hasOption := strings.Cut(head, " ")
@@ -146,7 +148,7 @@
 	return fault
 }
 
-// parseRetryAfter parses "pause_ms=" and a number of milliseconds, of 0 or more.
+// parseRetryAfter parses "pause_ms=" followed by a number of milliseconds, which must be 0 or more.
 func parseRetryAfter(option string) (retryAfter time.Duration, ok bool) {
 	digits, hasPrefix := strings.CutPrefix(option, retryAfterPrefix)
 	value, err := strconv.ParseFloat(digits, 64)
--- a/internal/msgrpc/fault_test.go
+++ b/internal/msgrpc/fault_test.go
@@ -10,8 +10,9 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// What is written either way reads back the same, whatever a fault says.
-func TestFaultsBothWays(t *testing.T) {
+// A fault with a random kind, RetryAfter and Text is parsed back unchanged from both encodings, map and
+// text, apart from the sanitized Text.
+func TestFaultRoundTrip(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -31,17 +32,18 @@
 			}
 			got, err := ParseFault(message.Fault)
 			if err != nil || got.Kind != fault.Kind || got.RetryAfter != fault.RetryAfter || got.Text != sanitize(fault.Text) {
-				t.Fatalf("%s: %q and then %+v, %v", form, fault, got, err)
+				t.Fatalf("%s: encoded %q, got %+v, error %v", form, fault, got, err)
 			}
 			if !utf8.ValidString(got.Text) || strings.ContainsFunc(got.Text, func(r rune) bool { return r < ' ' || r == 0x7f }) {
-				t.Fatalf("%s: it says %q", form, got.Text)
+				t.Fatalf("%s: got text %q, want valid UTF-8 without control characters", form, got.Text)
 			}
 		}
 	}
 }
 
-// What other people's codecs send where an error is, and how long a text gets.
-func TestFaultsAsTexts(t *testing.T) {
+// Other codecs may send any string as the error. A string that is not the text form of a fault becomes
+// the text of a KindError. A long text is truncated.
+func TestParseFaultText(t *testing.T) {
 	long := strings.Repeat("x\x01", 50_000)
 	for text, want := range map[string]Fault{
 		"refused": {Kind: KindRefused},
@@ -61,10 +63,10 @@
 	} {
 		fault, err := ParseFault(msgp.AppendString(nil, text))
 		if err != nil || *fault != want {
-			t.Errorf("%.60q: %.200v, %v; want %.200v", text, fault, err, want)
+			t.Errorf("%.60q: got %.200v, error %v; want %.200v", text, fault, err, want)
 		}
 	}
 	if b := (&Fault{Kind: KindRejected, Text: long}).AppendText(nil, 1); len(b) > maxFaultTextBytes+100 {
-		t.Errorf("a text of 100 kB is written as %d bytes", len(b))
+		t.Errorf("text of 100 kB: got %d encoded bytes, want at most maxFaultTextBytes+100", len(b))
 	}
 }
--- a/internal/msgrpc/framer.go
+++ b/internal/msgrpc/framer.go
@@ -8,31 +8,33 @@
 
 const (
 	initialBufferBytes = 4 << 10
-	// maxKeptBufferBytes bounds the buffer that is kept while it is empty.
+	// maxKeptBufferBytes is the largest buffer that a Framer keeps while the buffer is empty.
 	maxKeptBufferBytes = 16 << 10
 )
 
-// Framer reads messages off a connection, one at a time. Its memory is bounded by the
-// largest message and grows only as bytes come. One goroutine at a time may use it.
+// Framer reads messages from a connection, one at a time. Its memory is limited by the maximum message
+// size and grows only with the bytes received, not with the lengths that a message claims. A Framer must
+// not be used by several goroutines concurrently.
 type Framer struct {
 	conn           net.Conn
 	maxBytes       int
 	messageTimeout time.Duration
 	buffer         []byte
-	start          int // of the message that is read
-	end            int // of what was read
+	start          int // start of the current message in buffer
+	end            int // end of the received bytes in buffer
 	scanner        scanner
 }
 
-// NewFramer reads messages of maxBytes at most from conn. A message has to be complete
-// within messageTimeout of its first byte, or Next returns the deadline's error.
+// NewFramer returns a Framer that reads messages of at most maxBytes from conn. If a message is not
+// complete within messageTimeout after its first byte, Next returns the error of the exceeded read
+// deadline.
 func NewFramer(conn net.Conn, maxBytes int, messageTimeout time.Duration) *Framer {
 	return &Framer{conn: conn, maxBytes: maxBytes, messageTimeout: messageTimeout}
 }
 
-// Next blocks until the next message is complete and returns it; it is valid until the next
-// call. After an error the stream cannot be read on. io.EOF says that it ended between
-// two messages.
+// Next blocks until the next message is complete and returns it. The message is valid until the next
+// call. After an error, no more messages can be read from the stream. The error is io.EOF if the stream
+// ended between two messages.
 func (framer *Framer) Next() ([]byte, error) {
 	deadlineSet := false
 	for {
@@ -59,7 +61,7 @@
 	}
 }
 
-// takeMessage returns the message that the scanner has found.
+// takeMessage returns the complete message that the scanner has found, and prepares for the next one.
 func (framer *Framer) takeMessage() []byte {
 	message := framer.buffer[framer.start : framer.start+framer.scanner.position]
 	framer.start += framer.scanner.position
@@ -67,7 +69,7 @@
 	return message
 }
 
-// fill reads once; it returns an error only where nothing was read.
+// fill reads from the connection once. It returns an error only if no bytes were read.
 func (framer *Framer) fill() error {
 	framer.ensureSpace()
 	count, err := framer.conn.Read(framer.buffer[framer.end:])
@@ -76,15 +78,15 @@
 		return nil
 	}
 	if framer.Buffered() > 0 {
-		return fmt.Errorf("message cut after %d bytes: %w", framer.Buffered(), err)
+		return fmt.Errorf("message incomplete after %d bytes: %w", framer.Buffered(), err)
 	}
 	return err
 }
 
-// Buffered returns how many bytes were read after the message that Next returned last.
+// Buffered returns the number of bytes that were read after the last message that Next returned.
 func (framer *Framer) Buffered() int { return framer.end - framer.start }
 
-// ensureSpace makes space in the buffer to read into.
+// ensureSpace provides free space in the buffer for the next read.
 func (framer *Framer) ensureSpace() {
 	if framer.start == framer.end {
 		framer.start, framer.end = 0, 0
@@ -99,7 +101,7 @@
 		return
 	}
 	target := framer.buffer
-	if framer.start <= len(framer.buffer)/2 { // moving alone would free little
+	if framer.start <= len(framer.buffer)/2 { // moving the bytes to the start would free little space
 		target = make([]byte, min(2*len(framer.buffer), framer.maxBytes+initialBufferBytes))
 	}
 	framer.end = copy(target, framer.buffer[framer.start:framer.end])
--- a/internal/msgrpc/framer_test.go
+++ b/internal/msgrpc/framer_test.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// stream is a connection that is read from a reader.
-type stream struct {
+// readerConn is a connection whose input comes from a reader.
+type readerConn struct {
 	net.Conn
 	io.Reader
 }
 
-func (s stream) Read(b []byte) (int, error) { return s.Reader.Read(b) }
+func (conn readerConn) Read(b []byte) (int, error) { return conn.Reader.Read(b) }
 
-func (stream) SetReadDeadline(time.Time) error { return nil }
+func (readerConn) SetReadDeadline(time.Time) error { return nil }
 
-// frames reads all messages that come from reader.
-func frames(reader io.Reader, maxBytes int) ([][]byte, error) {
-	framer := NewFramer(stream{Reader: reader}, maxBytes, time.Second)
+// readMessages reads all messages from reader. It returns the error that ended the reading.
+func readMessages(reader io.Reader, maxBytes int) ([][]byte, error) {
+	framer := NewFramer(readerConn{Reader: reader}, maxBytes, time.Second)
 	var all [][]byte
 	for {
 		message, err := framer.Next()
@@ -34,33 +34,35 @@
 	}
 }
 
-// However the bytes come, the same messages are found.
-func TestFramerTakesPieces(t *testing.T) {
-	var text []byte
+// The framer finds the same messages no matter how the bytes are split into reads.
+func TestFramerReadsMessagesInPieces(t *testing.T) {
+	var encoded []byte
 	var want int
 	for i := range 50 {
 		call := exampleCall()
 		call.Body = make([]byte, i*1000)
-		text = call.Append(text, uint32(i))
-		text = AppendDrain(AppendCancel(text, 3))
+		encoded = call.Append(encoded, uint32(i))
+		encoded = AppendDrain(AppendCancel(encoded, 3))
 		want += 3
 	}
 	for name, reader := range map[string]io.Reader{
-		"at once":        bytes.NewReader(text),
-		"bytes":          iotest.OneByteReader(bytes.NewReader(text)),
-		"halves":         iotest.HalfReader(bytes.NewReader(text)),
-		"with the error": iotest.DataErrReader(bytes.NewReader(text)),
+		"single read":    bytes.NewReader(encoded),
+		"bytes":          iotest.OneByteReader(bytes.NewReader(encoded)),
+		"halves":         iotest.HalfReader(bytes.NewReader(encoded)),
+		"with the error": iotest.DataErrReader(bytes.NewReader(encoded)),
 	} {
-		all, err := frames(reader, MaxRequestBytes)
-		if err != io.EOF || len(all) != want || !bytes.Equal(bytes.Join(all, nil), text) {
-			t.Errorf("%s: %d messages, %v", name, len(all), err)
+		all, err := readMessages(reader, MaxRequestBytes)
+		if err != io.EOF || len(all) != want || !bytes.Equal(bytes.Join(all, nil), encoded) {
+			t.Errorf("%s: got %d messages, error %v; want all messages unchanged and EOF", name, len(all), err)
 		}
 	}
-	if _, err := frames(bytes.NewReader(text[:len(text)-1]), MaxRequestBytes); err == io.EOF || !errors.Is(err, io.EOF) {
-		t.Errorf("a cut message: %v", err)
+	if _, err := readMessages(bytes.NewReader(encoded[:len(encoded)-1]), MaxRequestBytes); err == io.EOF || !errors.Is(err, io.EOF) {
+		t.Errorf("truncated message: got error %v, want one that wraps io.EOF", err)
 	}
 }
 
+// A message that exceeds a limit or is invalid ends the reading with an error, and does not make the
+// buffer grow beyond its limit.
 func TestFramerBounds(t *testing.T) {
 	const maxBytes = 10 << 10
 	for name, test := range map[string]struct {
@@ -69,35 +71,35 @@
 	}{
 		"4 GB bin":           {"\x91\xc6\xff\xff\xff\xff", ErrTooLarge},
 		"4 GB str":           {"\x91\xdb\xff\xff\xff\xff", ErrTooLarge},
-		"4 G values":         {"\xdd\xff\xff\xff\xff", ErrTooLarge},
+		"4 G elements":       {"\xdd\xff\xff\xff\xff", ErrTooLarge},
 		"4 G pairs":          {"\x91\xdf\xff\xff\xff\xff", ErrTooLarge},
 		"one byte too large": {"\x91\xc5\x27\xfd" + strings.Repeat("x", 0x27fd), ErrTooLarge},
-		"many small":         {"\xdc\x27\xfe" + strings.Repeat("\xa1x", 0x27fe), ErrTooLarge},
-		"17 deep":            {strings.Repeat("\x91", 17) + "\x00", ErrTooDeep},
+		"many small values":  {"\xdc\x27\xfe" + strings.Repeat("\xa1x", 0x27fe), ErrTooLarge},
+		"nested 17 deep":     {strings.Repeat("\x91", 17) + "\x00", ErrTooDeep},
 		"ext 8":              {"\x91\xc7\x01\x01x", ErrExtension},
 		"fixext":             {"\x91\xd8", ErrExtension},
 		"reserved":           {"\x91\xc1", ErrReserved},
 		"a map":              {"\x80", ErrNotArray},
 		"a number":           {"\x01", ErrNotArray},
-		"16 deep":            {strings.Repeat("\x91", 16) + "\x00", io.EOF},
-		"just right":         {"\x91\xc5\x27\xfc" + strings.Repeat("x", 0x27fc), io.EOF},
+		"nested 16 deep":     {strings.Repeat("\x91", 16) + "\x00", io.EOF},
+		"maximum size":       {"\x91\xc5\x27\xfc" + strings.Repeat("x", 0x27fc), io.EOF},
 		"empty":              {"\x90", io.EOF},
 	} {
-		framer := NewFramer(stream{Reader: strings.NewReader(test.text)}, maxBytes, time.Second)
+		framer := NewFramer(readerConn{Reader: strings.NewReader(test.text)}, maxBytes, time.Second)
 		var err error
 		for err == nil {
 			_, err = framer.Next()
 		}
 		if !errors.Is(err, test.want) {
-			t.Errorf("%s: %v, want %v", name, err, test.want)
+			t.Errorf("%s: got error %v, want %v", name, err, test.want)
 		}
 		if len(framer.buffer) > 2*maxBytes+initialBufferBytes {
-			t.Errorf("%s: a buffer of %d bytes", name, len(framer.buffer))
+			t.Errorf("%s: got a buffer of %d bytes, want at most 2*maxBytes+initialBufferBytes", name, len(framer.buffer))
 		}
 	}
 }
 
-// A buffer that one large message needed is not kept.
+// The framer releases a buffer that has grown for one large message.
 func TestFramerReleasesLargeBuffers(t *testing.T) {
 	call := exampleCall()
 	call.Body = make([]byte, MaxRequestBodyBytes)
@@ -107,13 +109,13 @@
 		writer.Write(AppendDrain(nil))
 		writer.Close()
 	}()
-	framer := NewFramer(stream{Reader: reader}, MaxRequestBytes, time.Second)
+	framer := NewFramer(readerConn{Reader: reader}, MaxRequestBytes, time.Second)
 	for range 2 {
 		if _, err := framer.Next(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if len(framer.buffer) > maxKeptBufferBytes {
-		t.Errorf("%d bytes are kept", len(framer.buffer))
+		t.Errorf("got a buffer of %d bytes, want at most maxKeptBufferBytes", len(framer.buffer))
 	}
 }
--- a/internal/msgrpc/fuzz_test.go
+++ b/internal/msgrpc/fuzz_test.go
@@ -12,7 +12,8 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-func seeds(f *testing.F) {
+// addSeeds adds valid and invalid messages to the seed corpus.
+func addSeeds(f *testing.F) {
 	f.Add(exampleCall().Append(nil, 1))
 	f.Add((&Result{Body: []byte("x"), InFlight: 1}).Append(nil, 2))
 	f.Add((&Fault{Kind: KindRefused, RetryAfter: time.Second, Text: "t"}).Append(nil, 3))
@@ -25,30 +26,32 @@
 	f.Add([]byte{})
 }
 
-// Any bytes: no panic, bounded memory, the same messages in whatever pieces,
-// and each of them what the library takes for one value.
+// For any input, the framer does not panic, uses limited memory and finds the same messages no matter how
+// the bytes are split into reads. The msgp library reads each message as exactly one value.
 func FuzzFramer(f *testing.F) {
-	seeds(f)
-	f.Fuzz(func(t *testing.T, text []byte) {
+	addSeeds(f)
+	f.Fuzz(func(t *testing.T, data []byte) {
 		const maxBytes = 4 << 10
-		atOnce, err := frames(bytes.NewReader(text), maxBytes)
-		pieces, errInPieces := frames(iotest.OneByteReader(bytes.NewReader(text)), maxBytes)
+		atOnce, err := readMessages(bytes.NewReader(data), maxBytes)
+		pieces, errInPieces := readMessages(iotest.OneByteReader(bytes.NewReader(data)), maxBytes)
 		if !reflect.DeepEqual(atOnce, pieces) || (err == io.EOF) != (errInPieces == io.EOF) {
-			t.Fatalf("%d messages, %v; in pieces %d, %v", len(atOnce), err, len(pieces), errInPieces)
+			t.Fatalf("single read: got %d messages, error %v; byte by byte: got %d, %v",
+				len(atOnce), err, len(pieces), errInPieces)
 		}
 		for _, message := range atOnce {
 			if rest, err := msgp.Skip(message); err != nil || len(rest) != 0 || len(message) > maxBytes {
-				t.Fatalf("a message of %d bytes: %d too many, %v", len(message), len(rest), err)
+				t.Fatalf("message of %d bytes: got %d surplus bytes, error %v", len(message), len(rest), err)
 			}
 		}
 	})
 }
 
-// Any message: no panic, and what is parsed is written and parsed again the same.
+// For any message, parsing does not panic. A message that was parsed, encoded and parsed again is
+// unchanged.
 func FuzzMapping(f *testing.F) {
-	seeds(f)
-	f.Fuzz(func(t *testing.T, text []byte) {
-		all, _ := frames(bytes.NewReader(text), MaxResponseBytes)
+	addSeeds(f)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		all, _ := readMessages(bytes.NewReader(data), MaxResponseBytes)
 		for _, frame := range all {
 			message, err := Parse(frame)
 			if err != nil {
@@ -63,59 +66,65 @@
 	})
 }
 
+// checkCall checks that a valid call is unchanged when encoded and parsed again, and that its HTTP header
+// fields contain no line break or NUL, which could end a header line early.
 func checkCall(t *testing.T, message Message) {
 	t.Helper()
 	call, err := ParseCall(message.Params)
 	if err != nil {
 		return
 	}
-	again, err := Parse(call.Append(nil, message.ID))
+	reencoded, err := Parse(call.Append(nil, message.ID))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if reparsed, err := ParseCall(again.Params); err != nil || !sameCall(call, reparsed) {
-		t.Fatalf("%+v and then %+v, %v", call, reparsed, err)
+	if reparsed, err := ParseCall(reencoded.Params); err != nil || !sameCall(call, reparsed) {
+		t.Fatalf("call %+v: got %+v, error %v after encoding", call, reparsed, err)
 	}
 	for name, values := range call.HTTPFields() {
 		for _, value := range append(values, name) {
 			if strings.ContainsAny(value, "\r\n\x00") {
-				t.Fatalf("field %q %q could end a header's line", name, values)
+				t.Fatalf("field %q with values %q contains a line break or NUL", name, values)
 			}
 		}
 	}
 }
 
+// checkResult checks that a valid result is unchanged when encoded and parsed again.
 func checkResult(t *testing.T, message Message) {
 	t.Helper()
 	result, err := ParseResult(message.Result)
 	if err != nil {
 		return
 	}
-	again, _ := Parse(result.Append(nil, message.ID))
-	reparsed, err := ParseResult(again.Result)
+	reencoded, _ := Parse(result.Append(nil, message.ID))
+	reparsed, err := ParseResult(reencoded.Result)
 	if err != nil || !bytes.Equal(result.Body, reparsed.Body) || result.InFlight != reparsed.InFlight {
-		t.Fatalf("%+v and then %+v, %v", result, reparsed, err)
+		t.Fatalf("result %+v: got %+v, error %v after encoding", result, reparsed, err)
 	}
 }
 
+// checkFault checks that a valid fault is unchanged, except for the sanitized text, when encoded and parsed
+// again, and that its text form can be parsed.
 func checkFault(t *testing.T, message Message) {
 	t.Helper()
 	fault, err := ParseFault(message.Fault)
 	if err != nil {
 		return
 	}
-	again, _ := Parse(fault.Append(nil, message.ID))
-	reparsed, err := ParseFault(again.Fault)
+	reencoded, _ := Parse(fault.Append(nil, message.ID))
+	reparsed, err := ParseFault(reencoded.Fault)
 	if err != nil || reparsed.Kind != fault.Kind || reparsed.Text != sanitize(fault.Text) {
-		t.Fatalf("%+v and then %+v, %v", fault, reparsed, err)
+		t.Fatalf("fault %+v: got %+v, error %v after encoding", fault, reparsed, err)
 	}
-	again, _ = Parse(fault.AppendText(nil, message.ID))
-	if _, err := ParseFault(again.Fault); err != nil {
-		t.Fatalf("%+v as a text: %v", fault, err)
+	reencoded, _ = Parse(fault.AppendText(nil, message.ID))
+	if _, err := ParseFault(reencoded.Fault); err != nil {
+		t.Fatalf("fault %+v in text form: got error %v", fault, err)
 	}
 }
 
-// sameCall allows for what a float of milliseconds cannot hold.
+// sameCall reports whether two calls are equal. Durations may differ by 1 µs, because they are encoded as
+// floating-point numbers.
 func sameCall(a, b *Call) bool {
 	x, y := *a, *b
 	near := func(p, q time.Duration) bool { return (p - q).Abs() <= time.Microsecond }
--- a/internal/msgrpc/http_fields.go
+++ b/internal/msgrpc/http_fields.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// HasOwnKey reports whether a header field has a key of its own in the mapping.
+// HasOwnKey reports whether a header field has its own key in the mapping.
 func HasOwnKey(field string) bool { return new(Call).SetHTTPField(field, nil) }
 
-// SetHTTPField sets the key that stands for a field of an HTTP request, and reports
-// whether there is one. A field that each hop sets itself is dropped.
+// SetHTTPField stores a header field of an HTTP request under its own key, and reports whether the field
+// has one. For a field that each hop sets itself, SetHTTPField stores nothing and returns true, so that
+// the field is dropped.
 func (call *Call) SetHTTPField(field string, values []string) bool {
 	value := ""
 	if len(values) > 0 {
@@ -37,7 +38,7 @@
 	return true
 }
 
-// setWorkHint sets the expected work, in microseconds, where the text is a number above 0.
+// setWorkHint sets ExpectedWork if text is a number greater than 0. The number is in microseconds.
 func (call *Call) setWorkHint(text string) {
 	value, err := strconv.ParseFloat(text, 64)
 	if err == nil && value > 0 {
@@ -45,14 +46,14 @@
 	}
 }
 
-// HTTPFields returns the fields that an HTTP request has for this call, but for its
-// timeout, which the transport sets. It changes and returns call.Fields where that is set.
+// HTTPFields returns the header fields of an HTTP request for this call, except for the timeout, which the
+// transport sets. If call.Fields is not nil, HTTPFields modifies and returns that map.
 func (call *Call) HTTPFields() map[string][]string {
 	fields := call.Fields
 	if fields == nil {
 		fields = make(map[string][]string, 4)
 	}
-	for name := range fields { // a field that has a key counts by the key alone
+	for name := range fields { // for a field with its own key, only the value of that key is used
 		if HasOwnKey(name) {
 			delete(fields, name)
 		}
@@ -77,8 +78,8 @@
 	return fields
 }
 
-// IsHopByHopField reports whether a field of a response concerns one hop alone, or its
-// framing, and is not forwarded.
+// IsHopByHopField reports whether a header field of a response applies to a single hop or to its framing.
+// Such a field is not forwarded.
 func IsHopByHopField(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
--- a/internal/msgrpc/mapping.go
+++ b/internal/msgrpc/mapping.go
@@ -4,41 +4,41 @@
 
 // The methods of the mapping.
 const (
-	MethodCall          = "call"           // request: one of the application's requests
-	MethodProbe         = "probe"          // request, to a node: a health check that returns its load
-	MethodReady         = "ready"          // request, to a sidecar: does it hold an endpoint list?
-	MethodCancel        = "cancel"         // notification: the request of a msgid is abandoned
-	MethodDrain         = "drain"          // notification: send nothing new on this connection
-	MethodProtocolError = "protocol_error" // notification: a message was ignored, and why
+	MethodCall          = "call"           // request: a request of the application
+	MethodProbe         = "probe"          // request to a node: a health check that returns the load of the node
+	MethodReady         = "ready"          // request to a sidecar: whether it has an endpoint list
+	MethodCancel        = "cancel"         // notification: the sender has abandoned the request with the given msgid
+	MethodDrain         = "drain"          // notification: the receiver must send no new requests on this connection
+	MethodProtocolError = "protocol_error" // notification: a message was ignored, with the reason
 )
 
 // The kinds of a Fault.
 const (
-	KindRefused    = "refused"     // a retry is harmless; pause_ms says when
-	KindFailed     = "failed"      // it may have run
-	KindTimeout    = "timeout"     // it may have run, and its time has passed
-	KindRejected   = "rejected"    // it did not run: the request is invalid
-	KindDuplicate  = "duplicate"   // it did not run: one of this id is in flight
-	KindNotStarted = "not_started" // of a node: it did not run
-	KindError      = "error"       // of a node: it may have run
-	KindCancelled  = "cancelled"   // of a node: cancelled; it may have run
+	KindRefused    = "refused"     // a retry is safe; pause_ms is the time to wait before the retry
+	KindFailed     = "failed"      // the request may have run
+	KindTimeout    = "timeout"     // the request may have run, and its timeout has passed
+	KindRejected   = "rejected"    // the request did not run because it is invalid
+	KindDuplicate  = "duplicate"   // the request did not run: a request with the same id is in flight
+	KindNotStarted = "not_started" // from a node: the request did not run
+	KindError      = "error"       // from a node: the request may have run
+	KindCancelled  = "cancelled"   // from a node: the request was cancelled and may have run
 )
 
-// Bounds of the mapping, in bytes.
+// Maximum sizes in the mapping, in bytes.
 const (
 	MaxRequestBodyBytes = 64 << 10                     // body of a request
-	MaxRequestBytes     = MaxRequestBodyBytes + 24<<10 // request with its envelope
-	MaxResponseBytes    = 1<<20 + 128<<10              // response of a node with its envelope
+	MaxRequestBytes     = MaxRequestBodyBytes + 24<<10 // request including its envelope
+	MaxResponseBytes    = 1<<20 + 128<<10              // response of a node including its envelope
 	MaxNameBytes        = 256                          // id, class and tenant of a request
-	maxTextBytes        = 20 << 10                     // any other text: as much as an HTTP header may hold
+	maxTextBytes        = 20 << 10                     // any other text: the maximum size of an HTTP header
 )
 
 const (
-	// maxDuration bounds every duration on the wire; a longer one is cut to it.
+	// maxDuration is the maximum of any received duration; longer durations are reduced to it.
 	maxDuration = time.Hour
-	// maxMapKeys bounds the keys of a call, a result or a fault.
+	// maxMapKeys is the maximum number of keys of a call, a result or a fault.
 	maxMapKeys = 64
-	// maxFields bounds the header fields of a message.
+	// maxFields is the maximum number of header fields of a message.
 	maxFields = 4096
 )
 
@@ -62,7 +62,7 @@
 	keyText           = "text"
 )
 
-// internKey returns a key without allocating where it is one of the mapping's.
+// internKey returns raw as a string. It does not allocate if raw is a key of the mapping.
 func internKey(raw []byte) string {
 	switch string(raw) {
 	case keyID:
--- a/internal/msgrpc/message.go
+++ b/internal/msgrpc/message.go
@@ -7,34 +7,34 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Kind is the first value of a message.
+// Kind is the type of a message: its first value.
 type Kind int
 
-// The kinds of the specification.
+// The message types of the specification.
 const (
 	Request      Kind = 0
 	Response     Kind = 1
 	Notification Kind = 2
 )
 
-// The number of values of a message.
+// The number of values in a message.
 const (
-	callValues         = 4 // of a request or a response
+	callValues         = 4 // in a request or a response
 	notificationValues = 3
 )
 
-// Message is a message's envelope. Its slices point into the frame.
+// Message is the envelope of a message. Its slices reference the memory of the frame.
 type Message struct {
 	Kind   Kind
-	ID     uint32 // msgid of a request, or of the one that a response answers
-	Method []byte // of a request or notification
-	Params []byte // of a request or notification; MessagePack: an array
-	Fault  []byte // of a response; MessagePack; nil where there is none
-	Result []byte // of a response; MessagePack
+	ID     uint32 // msgid of a request, or of the request to which a response belongs
+	Method []byte // method of a request or notification
+	Params []byte // params of a request or notification; an encoded MessagePack array
+	Fault  []byte // error of a response in MessagePack; nil if there is none
+	Result []byte // result of a response in MessagePack
 }
 
-// Parse parses the envelope of a message. After an error the stream can be read on: the
-// frame was complete, but it is none of the specification's messages.
+// Parse parses the envelope of a message. After an error, further messages can be read from the stream:
+// the frame is complete, but it is not a valid message of the specification.
 func Parse(frame []byte) (Message, error) {
 	var message Message
 	rest, err := message.parseKind(frame)
@@ -54,7 +54,7 @@
 	return message, err
 }
 
-// parseKind parses the kind, checks the number of values and returns the rest.
+// parseKind parses the kind, checks the number of values and returns the bytes after the kind.
 func (message *Message) parseKind(frame []byte) (rest []byte, err error) {
 	count, rest, err := msgp.ReadArrayHeaderBytes(frame)
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 	kind, rest, err := msgp.ReadIntBytes(rest)
 	if err != nil {
-		return nil, fmt.Errorf("type of the message: %w", err)
+		return nil, fmt.Errorf("message type: %w", err)
 	}
 	message.Kind = Kind(kind)
 	want := uint32(callValues)
@@ -71,15 +71,15 @@
 	case Notification:
 		want = notificationValues
 	default:
-		return nil, fmt.Errorf("type of the message is %d: 0, 1 or 2 is meant", kind)
+		return nil, fmt.Errorf("message type must be 0, 1 or 2, got %d", kind)
 	}
 	if count != want {
-		return nil, fmt.Errorf("message of type %d has %d values: %d are meant", kind, count, want)
+		return nil, fmt.Errorf("message of type %d has %d values, must have %d", kind, count, want)
 	}
 	return rest, nil
 }
 
-// parseResponse parses error and result of a response.
+// parseResponse parses the error and the result of a response.
 func (message *Message) parseResponse(b []byte) error {
 	result, err := msgp.Skip(b)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// parseMethod parses method and params of a request or a notification.
+// parseMethod parses the method and the params of a request or a notification.
 func (message *Message) parseMethod(b []byte) error {
 	method, params, err := msgp.ReadStringZC(b)
 	if err != nil {
@@ -100,13 +100,13 @@
 	}
 	message.Method = method
 	if msgp.NextType(params) != msgp.ArrayType {
-		return errors.New("params: an array is meant")
+		return errors.New("params must be an array")
 	}
 	message.Params = params
 	return nil
 }
 
-// AppendRequest appends a request up to its params, which the caller appends.
+// AppendRequest appends a request without its params. The caller must append the params.
 func AppendRequest(b []byte, id uint32, method string) []byte {
 	b = msgp.AppendArrayHeader(b, callValues)
 	b = msgp.AppendInt(b, int(Request))
@@ -114,26 +114,26 @@
 	return msgp.AppendString(b, method)
 }
 
-// AppendRequestWithoutParams appends a request without params.
+// AppendRequestWithoutParams appends a complete request whose params are empty.
 func AppendRequestWithoutParams(b []byte, id uint32, method string) []byte {
 	return msgp.AppendArrayHeader(AppendRequest(b, id, method), 0)
 }
 
-// AppendNotification appends a notification up to its params, which the caller appends.
+// AppendNotification appends a notification without its params. The caller must append the params.
 func AppendNotification(b []byte, method string) []byte {
 	b = msgp.AppendArrayHeader(b, notificationValues)
 	b = msgp.AppendInt(b, int(Notification))
 	return msgp.AppendString(b, method)
 }
 
-// appendResponse appends a response up to its error and result.
+// appendResponse appends a response without its error and result. The caller must append both.
 func appendResponse(b []byte, id uint32) []byte {
 	b = msgp.AppendArrayHeader(b, callValues)
 	b = msgp.AppendInt(b, int(Response))
 	return msgp.AppendUint32(b, id)
 }
 
-// AppendCancel appends the notification that cancels a request.
+// AppendCancel appends the notification that cancels the request with the msgid id.
 func AppendCancel(b []byte, id uint32) []byte {
 	b = msgp.AppendArrayHeader(AppendNotification(b, MethodCancel), 1)
 	return msgp.AppendUint32(b, id)
@@ -146,30 +146,30 @@
 		return 0, err
 	}
 	if count != 1 {
-		return 0, fmt.Errorf("cancel has %d params: the msgid alone is meant", count)
+		return 0, fmt.Errorf("cancel has %d params, must have one: the msgid", count)
 	}
 	id, _, err := msgp.ReadUint32Bytes(rest)
 	return id, err
 }
 
-// AppendDrain appends the notification to send nothing new on the connection.
+// AppendDrain appends the notification that the receiver must send no new requests on the connection.
 func AppendDrain(b []byte) []byte {
 	return msgp.AppendArrayHeader(AppendNotification(b, MethodDrain), 0)
 }
 
-// AppendProtocolError appends the notification why a message was ignored that cannot be
-// answered.
+// AppendProtocolError appends the notification that a message was ignored. It is used for messages to which
+// no response is possible. text contains the reason.
 func AppendProtocolError(b []byte, text string) []byte {
 	b = msgp.AppendArrayHeader(AppendNotification(b, MethodProtocolError), 1)
 	return msgp.AppendString(b, text)
 }
 
-// AppendReady appends the response to a request of MethodReady.
+// AppendReady appends the response to a MethodReady request.
 func AppendReady(b []byte, id uint32, ready bool) []byte {
 	return msgp.AppendBool(msgp.AppendNil(appendResponse(b, id)), ready)
 }
 
-// ParseReady parses the result of MethodReady.
+// ParseReady parses the result of a MethodReady request.
 func ParseReady(result []byte) (bool, error) {
 	ready, _, err := msgp.ReadBoolBytes(result)
 	return ready, err
--- a/internal/msgrpc/parse.go
+++ b/internal/msgrpc/parse.go
@@ -10,28 +10,27 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// unwrapParams returns the one map that params have to consist of.
+// unwrapParams returns the only element of params, which must be a map.
 func unwrapParams(params []byte) ([]byte, error) {
 	count, rest, err := msgp.ReadArrayHeaderBytes(params)
 	if err != nil {
 		return nil, fmt.Errorf("params: %w", err)
 	}
 	if count != 1 {
-		return nil, fmt.Errorf("params has %d values: one map is meant", count)
+		return nil, fmt.Errorf("params has %d values, must have one: a map", count)
 	}
 	return rest, nil
 }
 
-// parseMap parses a map with texts as keys; parseValue parses the value of a key and
-// returns the bytes after it. A key that comes twice is an error: two readers might take two
-// different ones.
+// parseMap parses a map with string keys. parseValue parses the value of a key and returns the bytes after
+// the value. A duplicate key is an error, because two readers could use different values.
 func parseMap(b []byte, parseValue func(key string, b []byte) (rest []byte, err error)) error {
 	count, b, err := msgp.ReadMapHeaderBytes(b)
 	if err != nil {
-		return fmt.Errorf("a map is meant: %w", err)
+		return fmt.Errorf("value must be a map: %w", err)
 	}
 	if count > maxMapKeys {
-		return fmt.Errorf("a map of %d keys: %d at most", count, maxMapKeys)
+		return fmt.Errorf("map has %d keys, must have at most %d", count, maxMapKeys)
 	}
 	var keys [maxMapKeys]string
 	for i := range count {
@@ -42,7 +41,7 @@
 		key := internKey(raw)
 		for _, earlier := range keys[:i] {
 			if earlier == key {
-				return fmt.Errorf("%.40q stands twice", key)
+				return fmt.Errorf("duplicate key %.40q", key)
 			}
 		}
 		keys[i] = key
@@ -53,14 +52,15 @@
 	return nil
 }
 
-// parseText parses a text that can stand in a header field: without control bytes.
+// parseText parses a string that is valid in a header field: at most maxBytes long and without control
+// bytes.
 func parseText(b []byte, maxBytes int) (string, []byte, error) {
 	raw, rest, err := msgp.ReadStringZC(b)
 	if err != nil {
 		return "", rest, err
 	}
 	if len(raw) > maxBytes {
-		return "", rest, fmt.Errorf("%d bytes: %d at most", len(raw), maxBytes)
+		return "", rest, fmt.Errorf("%d bytes exceed the maximum of %d", len(raw), maxBytes)
 	}
 	for _, char := range raw {
 		if isControl(char) {
@@ -70,10 +70,11 @@
 	return string(raw), rest, nil
 }
 
+// isControl reports whether a byte is a control byte. A tab is not.
 func isControl(char byte) bool { return char < ' ' && char != '\t' || char == 0x7f }
 
-// IsPlainText reports whether a text may stand in the mapping: it has no control bytes and
-// is not too long.
+// IsPlainText reports whether a string is valid as a text of the mapping: it has no control bytes and is not
+// too long.
 func IsPlainText(text string) bool {
 	for i := range len(text) {
 		if isControl(text[i]) {
@@ -83,7 +84,7 @@
 	return len(text) <= maxTextBytes
 }
 
-// parseBytes parses bytes, also where an encoder without a bin type wrote a str.
+// parseBytes parses a bin value, or a str value from an encoder without a bin type.
 func parseBytes(b []byte, maxBytes int) (data, rest []byte, err error) {
 	var raw []byte
 	if msgp.NextType(b) == msgp.StrType {
@@ -95,12 +96,12 @@
 		return nil, rest, err
 	}
 	if len(raw) > maxBytes {
-		return nil, rest, fmt.Errorf("%d bytes: %d at most", len(raw), maxBytes)
+		return nil, rest, fmt.Errorf("%d bytes exceed the maximum of %d", len(raw), maxBytes)
 	}
 	return append([]byte(nil), raw...), rest, nil
 }
 
-// parseNumber parses an integer, or a float that is finite.
+// parseNumber parses an integer or a finite floating-point number.
 func parseNumber(b []byte) (float64, []byte, error) {
 	switch msgp.NextType(b) {
 	case msgp.IntType:
@@ -112,56 +113,57 @@
 	case msgp.Float32Type:
 		value, rest, err := msgp.ReadFloat32Bytes(b)
 		return checkFinite(float64(value), rest, err)
-	default: // an error where it is no float either
+	default: // ReadFloat64Bytes returns an error if the value is not a float
 		value, rest, err := msgp.ReadFloat64Bytes(b)
 		return checkFinite(value, rest, err)
 	}
 }
 
+// checkFinite returns its arguments, with an error if the value is NaN or infinite.
 func checkFinite(value float64, rest []byte, err error) (float64, []byte, error) {
 	if err == nil && (math.IsNaN(value) || math.IsInf(value, 0)) {
-		err = fmt.Errorf("%v is no number", value)
+		err = fmt.Errorf("must be a finite number, got %v", value)
 	}
 	return value, rest, err
 }
 
-// parsePositiveMilliseconds parses a duration above 0.
+// parsePositiveMilliseconds parses a duration in milliseconds, which must be greater than 0.
 func parsePositiveMilliseconds(b []byte) (time.Duration, []byte, error) {
 	value, rest, err := parseNumber(b)
 	if err != nil {
 		return 0, rest, err
 	}
 	if value <= 0 {
-		return 0, rest, fmt.Errorf("%v: a time above 0 is meant", value)
+		return 0, rest, fmt.Errorf("must be greater than 0, got %v", value)
 	}
 	return toDuration(value, time.Millisecond), rest, nil
 }
 
-// parseDuration parses a duration of 0 or more, in a unit.
+// parseDuration parses a duration in a unit. The duration must be 0 or more.
 func parseDuration(b []byte, unit time.Duration) (time.Duration, []byte, error) {
 	value, rest, err := parseNumber(b)
 	if err != nil {
 		return 0, rest, err
 	}
 	if value < 0 {
-		return 0, rest, fmt.Errorf("%v: a time of 0 or more is meant", value)
+		return 0, rest, fmt.Errorf("must be 0 or more, got %v", value)
 	}
 	return toDuration(value, unit), rest, nil
 }
 
-// toDuration converts a value in a unit; it is cut to maxDuration.
+// toDuration converts a value in a unit to a duration of at most maxDuration.
 func toDuration(value float64, unit time.Duration) time.Duration {
 	return time.Duration(min(value, float64(maxDuration/unit)) * float64(unit))
 }
 
-// parseFields parses fields that can stand in an HTTP header.
+// parseFields parses a map of fields that are valid in an HTTP header.
 func parseFields(b []byte) (map[string][]string, []byte, error) {
 	count, b, err := msgp.ReadMapHeaderBytes(b)
 	if err != nil {
 		return nil, b, err
 	}
 	if count > maxFields {
-		return nil, b, fmt.Errorf("%d fields: %d at most", count, maxFields)
+		return nil, b, fmt.Errorf("%d fields exceed the maximum of %d", count, maxFields)
 	}
 	fields := make(map[string][]string, min(count, 32))
 	for range count {
@@ -170,7 +172,7 @@
 			return nil, b, err
 		}
 		if fields[name] != nil {
-			return nil, b, fmt.Errorf("field %s stands twice", name)
+			return nil, b, fmt.Errorf("duplicate field %s", name)
 		}
 		var values []string
 		if values, b, err = parseFieldValues(b); err != nil {
@@ -181,7 +183,7 @@
 	return fields, b, nil
 }
 
-// parseFieldName returns the canonical name.
+// parseFieldName parses the name of a header field and returns its canonical form.
 func parseFieldName(b []byte) (string, []byte, error) {
 	name, rest, err := parseText(b, maxTextBytes)
 	if err != nil {
@@ -189,12 +191,12 @@
 	}
 	if name == "" || strings.ContainsFunc(name, isNotTokenChar) {
 		return "", rest, fmt.Errorf(
-			"field %.40q: a name has letters, digits, hyphens and what else RFC 9110 allows in a token", name)
+			"field name %.40q must be a token of letters, digits, hyphens and others (RFC 9110, section 5.6.2)", name)
 	}
 	return textproto.CanonicalMIMEHeaderKey(name), rest, nil
 }
 
-// parseFieldValues parses one text or an array of them.
+// parseFieldValues parses the values of a header field: a string or an array of strings.
 func parseFieldValues(b []byte) ([]string, []byte, error) {
 	if msgp.NextType(b) != msgp.ArrayType {
 		value, rest, err := parseText(b, maxTextBytes)
@@ -215,7 +217,7 @@
 	return values, b, nil
 }
 
-// isNotTokenChar reports what cannot stand in a field's name (RFC 9110, section 5.6.2).
+// isNotTokenChar reports whether a character is not allowed in a field name (RFC 9110, section 5.6.2).
 func isNotTokenChar(r rune) bool {
 	isLetter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
 	isDigit := r >= '0' && r <= '9'
--- a/internal/msgrpc/result.go
+++ b/internal/msgrpc/result.go
@@ -7,14 +7,14 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Result is a response that serves a call.
+// Result is the result of a response, which is set if the call was served.
 type Result struct {
 	Fields   map[string][]string // header fields, by canonical name
 	Body     []byte
-	InFlight float64 // requests that the node reports to have in flight; negative: not reported
+	InFlight float64 // number of requests in flight reported by the node; negative if not reported
 }
 
-// Append appends the result as a response of that msgid.
+// Append appends the result as a response with the msgid id.
 func (result *Result) Append(b []byte, id uint32) []byte {
 	b = msgp.AppendNil(appendResponse(b, id))
 	keyCount := uint32(1)
@@ -32,7 +32,7 @@
 	return msgp.AppendBytes(msgp.AppendString(b, keyBody), result.Body)
 }
 
-// ParseResult parses a result. It does not point into b.
+// ParseResult parses a result. The result does not reference the memory of b.
 func ParseResult(b []byte) (*Result, error) {
 	result := &Result{InFlight: -1}
 	hasBody := false
@@ -59,11 +59,11 @@
 	return result, nil
 }
 
-// parseCount parses a number of 0 or more.
+// parseCount parses a number, which must be 0 or more.
 func parseCount(b []byte) (float64, []byte, error) {
 	count, rest, err := parseNumber(b)
 	if err == nil && count < 0 {
-		err = fmt.Errorf("%v: a count is meant", count)
+		err = fmt.Errorf("must be 0 or more, got %v", count)
 	}
 	return count, rest, err
 }
--- a/internal/msgrpc/scanner.go
+++ b/internal/msgrpc/scanner.go
@@ -5,33 +5,32 @@
 	"fmt"
 )
 
-// MaxDepth bounds how deep arrays and maps may be nested. The mapping needs four; what is
-// deeper is rejected before anything recurses into it.
+// MaxDepth is the maximum nesting depth of arrays and maps. The mapping needs four levels. A message that is
+// nested more deeply is rejected before any code processes it recursively.
 const MaxDepth = 16
 
-// Errors of a stream that cannot be read on: where the next message starts is not known,
-// so the connection has to be closed.
+// Errors after which no more messages can be read from the stream. The start of the next message is
+// unknown, so that the connection must be closed.
 var (
-	ErrTooLarge  = errors.New("message is larger than allowed")
-	ErrTooDeep   = fmt.Errorf("more than %d arrays and maps in one another", MaxDepth)
-	ErrExtension = errors.New("extension type: the mapping has none")
-	ErrReserved  = errors.New("byte 0xc1, which MessagePack never uses")
-	ErrNotArray  = errors.New("a message is an array")
+	ErrTooLarge  = errors.New("message exceeds the maximum size")
+	ErrTooDeep   = fmt.Errorf("arrays and maps must be nested at most %d levels deep", MaxDepth)
+	ErrExtension = errors.New("extension types are not supported")
+	ErrReserved  = errors.New("invalid byte 0xc1, which MessagePack never uses")
+	ErrNotArray  = errors.New("message must be an array")
 )
 
-// scanner finds the end of one MessagePack value in bytes that come in pieces. It scans
-// each byte once, does not allocate and does not recurse. The zero scanner is at a
-// value's start.
+// scanner finds the end of one MessagePack value in bytes that arrive in several reads. It scans each byte
+// once, does not allocate and does not recurse. The zero scanner is at the start of a value.
 type scanner struct {
-	position  int              // bytes scanned
-	skip      int              // bytes of a text or of a number that are to be skipped
-	depth     int              // arrays and maps that are open
-	remaining [MaxDepth]uint32 // values to come in each of them
+	position  int              // number of bytes scanned
+	skip      int              // remaining bytes of a string, binary or number value to skip
+	depth     int              // number of open arrays and maps
+	remaining [MaxDepth]uint32 // remaining values of each open array or map
 	started   bool
 }
 
-// advance scans data, which starts where the value does, and reports whether the value is
-// complete; it then ends at position. maxBytes bounds the value's size.
+// advance scans data and reports whether the value is complete. data must begin with the first byte of the
+// value. A complete value ends at position. maxBytes is the maximum size of the value.
 func (scanner *scanner) advance(data []byte, maxBytes int) (complete bool, err error) {
 	for {
 		if !scanner.skipContent(len(data)) {
@@ -63,8 +62,8 @@
 	}
 }
 
-// skipContent skips content up to length, the number of bytes that have come; it reports
-// whether all of the content has been skipped.
+// skipContent skips the content of a value, up to length, the number of bytes received. It reports whether
+// the whole content has been skipped.
 func (scanner *scanner) skipContent(length int) bool {
 	count := min(scanner.skip, length-scanner.position)
 	scanner.position += count
@@ -72,22 +71,22 @@
 	return scanner.skip == 0
 }
 
-// closeContainers closes the arrays and maps that are complete.
+// closeContainers closes the innermost arrays and maps that are complete.
 func (scanner *scanner) closeContainers() {
 	for scanner.depth > 0 && scanner.remaining[scanner.depth-1] == 0 {
 		scanner.depth--
 	}
 }
 
-// enter starts a value whose header was scanned: it opens an array or a map, or has the
-// content skipped.
+// enter starts a value after its header was scanned. It opens an array or a map; for any other value, it sets
+// the number of content bytes to skip.
 func (scanner *scanner) enter(header valueHeader, size uint64, maxBytes int) error {
 	if scanner.depth > 0 {
 		scanner.remaining[scanner.depth-1]--
 	}
 	scanner.started = true
 	if header.valuesPerEntry > 0 {
-		size *= uint64(header.valuesPerEntry) // each value takes one byte at least
+		size *= uint64(header.valuesPerEntry) // each value takes at least one byte
 	}
 	if size > uint64(max(0, maxBytes-scanner.position)) {
 		return ErrTooLarge
@@ -104,15 +103,15 @@
 	return nil
 }
 
-// valueHeader is what the first byte of a value says.
+// valueHeader is the information in the first byte of a value.
 type valueHeader struct {
-	size           int // of the content: bytes, or entries of an array or a map; where lengthBytes is 0
-	lengthBytes    int // bytes of the content's size that follow, big-endian
-	valuesPerEntry int // 1 for an array, 2 for a map, else 0
+	size           int // content size if lengthBytes is 0: in bytes, or in entries of an array or a map
+	lengthBytes    int // number of following bytes that contain the content size, big-endian
+	valuesPerEntry int // 1 for an array, 2 for a map, 0 for any other value
 	isArray        bool
 }
 
-// contentSize returns the size of the content; length are the bytes that follow the first.
+// contentSize returns the size of the content. length contains the lengthBytes bytes after the first byte.
 func (header valueHeader) contentSize(length []byte) uint64 {
 	size := uint64(header.size)
 	for _, digit := range length {
@@ -121,6 +120,7 @@
 	return size
 }
 
+// parseHeader parses the first byte of a value.
 func parseHeader(first byte) (valueHeader, error) {
 	switch {
 	case first < 0x80 || first >= 0xe0: // fixint
@@ -135,7 +135,7 @@
 	return parseLongHeader(first)
 }
 
-// parseLongHeader parses the first bytes from 0xc0 to 0xdf, which hold no size.
+// parseLongHeader parses a first byte from 0xc0 to 0xdf. These bytes contain no content size.
 func parseLongHeader(first byte) (valueHeader, error) {
 	switch first {
 	case 0xc0, 0xc2, 0xc3: // nil, false, true
