--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -2,13 +2,13 @@
 
 import "mothridge/policy"
 
-// Config returns the configuration of the decisions. The error is a *ValueError, of the
-// first value that cannot be used.
+// Config returns the configuration of package policy. The error is a *ValueError for the first
+// invalid value.
 func (s *Settings) Config() (policy.Config, error) {
 	config := s.scalars()
-	s.requirePositive(keyFleetSize, "balancers in all")
-	s.requirePositive(keyMaxAttempts, "attempts for a request")
-	s.requirePositive(keyClasses+suffixCount, "classes of requests")
+	s.requirePositive(keyFleetSize, "balancers in the fleet")
+	s.requirePositive(keyMaxAttempts, "attempts per request")
+	s.requirePositive(keyClasses+suffixCount, "request classes")
 	if s.err != nil {
 		return config, s.err
 	}
@@ -21,7 +21,7 @@
 	return config, s.err
 }
 
-// scalars reads what stands in no list.
+// scalars reads the values that are not part of a list.
 func (s *Settings) scalars() policy.Config {
 	return policy.Config{
 		FleetSize:               s.count(keyFleetSize),
@@ -65,9 +65,9 @@
 	}
 }
 
-// idempotency takes an unknown word for the strictest.
-func idempotency(word string) policy.Idempotency {
-	switch word {
+// idempotency converts a value of keyIdempotency. An unknown value becomes the strictest.
+func idempotency(value string) policy.Idempotency {
+	switch value {
 	case idempotent:
 		return policy.Idempotent
 	case idempotentByKey:
@@ -77,9 +77,9 @@
 	}
 }
 
-// dedupScope takes an unknown word for the strictest.
-func dedupScope(word string) policy.DedupScope {
-	switch word {
+// dedupScope converts a value of keyDedupScope. An unknown value becomes the strictest.
+func dedupScope(value string) policy.DedupScope {
+	switch value {
 	case dedupScopeAll:
 		return policy.ScopeAll
 	case dedupScopeZone:
--- a/internal/settings/form_test.go
+++ b/internal/settings/form_test.go
@@ -10,7 +10,7 @@
 	"mothridge/policy"
 )
 
-// Every key that is read, with a value that is not its default.
+// everyKey contains every key that is read, with a value that differs from its default.
 const everyKey = `balancers=4
 caps.conn_idle_ms=30000.0
 caps.dial_timeout_ms=250.0
@@ -62,8 +62,8 @@
 zones=anzac-st-depot,range
 `
 
-// The simulator's and the platform's keys and words stay: each one reaches the
-// configuration.
+// Guards the simulator's and the platform's keys and values against renaming: each of them must
+// set its field of the configuration.
 func TestEveryKey(t *testing.T) {
 	want := policy.Config{
 		FleetSize: 4, Zone: 1, MaxAttempts: 5, CancelAllowed: true, ProbesAllowed: true, ProbeLoadReports: true,
@@ -94,47 +94,47 @@
 	}
 	got, err := s.Config()
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("config %+v, error %v, want %+v", got, err, want)
+		t.Errorf("got config %+v, error %v, want %+v", got, err, want)
 	}
-	checkLists(t, s)
+	checkOtherSettings(t, s)
 	silent, err := Parse([]byte(strings.ReplaceAll(everyKey, "how=pull", "how=silent")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := silent.Config(); err != nil || !got.ProbesAllowed || got.ProbeLoadReports {
-		t.Errorf("silent telemetry: %+v, error %v, want probes without load reports", got, err)
+		t.Errorf("silent telemetry: got %+v, error %v, want probes without load reports", got, err)
 	}
 }
 
-// checkLists checks what Config does not hold.
-func checkLists(t *testing.T, s *Settings) {
+// checkOtherSettings checks the settings that are not part of policy.Config.
+func checkOtherSettings(t *testing.T, s *Settings) {
 	t.Helper()
 	if names := s.ClassNames(); !slices.Equal(names, []string{"weight-reading", "harvest-entry", "swarm-alert"}) {
-		t.Errorf("classes %q", names)
+		t.Errorf("class names: got %q", names)
 	}
 	if names := s.TenantNames(); !slices.Equal(names, []string{"downs-apiarists", "lockyer-keepers"}) {
-		t.Errorf("tenants %q", names)
+		t.Errorf("tenant names: got %q", names)
 	}
 	if zones := s.ZoneNames(); !slices.Equal(zones, []string{"anzac-st-depot", "range"}) {
-		t.Errorf("zones %q", zones)
+		t.Errorf("zone names: got %q", zones)
 	}
 	if column, field := s.InFlightColumn(), s.InFlightField(); column != 1 || field != "busy_reqs" {
-		t.Errorf("column %d, field %q", column, field)
+		t.Errorf("requests in flight: got column %d, field %q; want 1, busy_reqs", column, field)
 	}
 	checkTimeouts(t, s, 250*time.Millisecond, 30*time.Second, 2*time.Second)
 	checkTimeouts(t, new(Settings), time.Hour, time.Hour, time.Hour)
 }
 
-// checkTimeouts checks the durations that have a fallback, of an hour here.
+// checkTimeouts checks the durations that have a fallback. The fallback is an hour here.
 func checkTimeouts(t *testing.T, s *Settings, dial, idle, drain time.Duration) {
 	t.Helper()
 	if got := s.DialTimeout(time.Hour); got != dial {
-		t.Errorf("dial timeout %v, want %v", got, dial)
+		t.Errorf("dial timeout: got %v, want %v", got, dial)
 	}
 	if got := s.IdleConnTimeout(time.Hour); got != idle {
-		t.Errorf("idle connections are kept for %v, want %v", got, idle)
+		t.Errorf("idle connection timeout: got %v, want %v", got, idle)
 	}
 	if got := s.DrainGrace(time.Hour); got != drain {
-		t.Errorf("drain grace %v, want %v", got, drain)
+		t.Errorf("drain grace: got %v, want %v", got, drain)
 	}
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -1,6 +1,6 @@
 package settings
 
-// The settings' keys, by the term that the program uses.
+// The keys of the settings. Each constant is named after the term that the program uses.
 const (
 	keyFleetSize               = "balancers"
 	keyZone                    = "zone"
@@ -28,9 +28,9 @@
 	keyTenants = "orgs"    // a list of tenants
 )
 
-// The keys within an object of a list.
+// The keys of an object in a list.
 const (
-	keyName = "name" // of a class or a tenant
+	keyName = "name" // key of a class and of a tenant
 
 	keyLatencyObjective = "aim_ms"
 	keyObjectiveStretch = "aim_stretch"
@@ -45,21 +45,21 @@
 	keyTenantQuota = "quota_per_s"
 )
 
-// The words that stand as values.
+// The values that are compared as text.
 const (
 	flagSet = "true"
 
-	discoveryOnRequest = "ask"    // of keyDiscovery: the endpoint list has to be requested
-	loadReportsNone    = "silent" // of keyLoadReports
+	discoveryOnRequest = "ask"    // value of keyDiscovery: the sidecar has to request its watches of the endpoint list
+	loadReportsNone    = "silent" // value of keyLoadReports: upstreams send no load reports
 
-	idempotent      = "free"    // of keyIdempotency; any other word: not idempotent
-	idempotentByKey = "guarded" //
+	idempotent      = "free"    // value of keyIdempotency; any value not listed here means not idempotent
+	idempotentByKey = "guarded" // value of keyIdempotency
 
-	dedupScopeAll  = "all"  // of keyDedupScope; any other word: the cell
-	dedupScopeZone = "zone" //
+	dedupScopeAll  = "all"  // value of keyDedupScope; any value not listed here means the cell
+	dedupScopeZone = "zone" // value of keyDedupScope
 
-	columnInFlight = "busy_reqs" // of keyLoadReportColumns
+	columnInFlight = "busy_reqs" // element of keyLoadReportColumns: requests in flight
 )
 
-// suffixCount is what ends the path of a list of objects where its length stands.
+// suffixCount is appended to the path of a list of objects to form the path of its length.
 const suffixCount = ".count"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,8 @@
-// Package settings decodes the settings that an instance starts with, which the
-// simulator gives as lines of path=value and the platform as JSON, into the
-// configuration of package policy.
+// Package settings decodes the start-up settings of an instance into the configuration of
+// package policy. The simulator sends them as lines of path=value, the platform as JSON.
 //
-// The keys and words are theirs. keys.go lists those that are read, each beside the term
-// that the rest of the program uses; all others are ignored.
+// The simulator and the platform define the keys and values. keys.go lists the keys that are
+// read, with the term that the rest of the program uses for each; other keys are ignored.
 package settings
 
 import (
@@ -13,55 +12,55 @@
 	"time"
 )
 
-// Settings are the start-up settings of an instance. Values are checked when they are
-// read. It is not safe for concurrent use.
+// Settings are the start-up settings of an instance. Each value is validated when it is read,
+// not when it is parsed. A Settings is not safe for concurrent use.
 type Settings struct {
 	values map[string]string // by path
-	err    error             // the first value that cannot be used
+	err    error             // a *ValueError for the first invalid value; nil: none so far
 }
 
-// ValueError is a value that cannot be used.
+// ValueError reports an invalid or missing value.
 type ValueError struct {
-	Key     string // its path
-	Problem string // what it is, and what would be right
+	Key     string // path of the value
+	Problem string // the rule and the value, such as "must be above 0, got -1"
 }
 
-// Error names the value before its problem.
+// Error returns the key followed by the problem.
 func (e *ValueError) Error() string { return "settings: " + e.Key + " " + e.Problem }
 
-// ClassNames returns the names of the request classes, by policy.Request.Class.
+// ClassNames returns the names of the request classes, indexed by policy.Request.Class.
 func (s *Settings) ClassNames() []string { return s.names(keyClasses) }
 
-// TenantNames returns the names of the tenants, by policy.Request.Tenant.
+// TenantNames returns the names of the tenants, indexed by policy.Request.Tenant.
 func (s *Settings) TenantNames() []string { return s.names(keyTenants) }
 
-// ZoneNames returns the names of the zones, by policy.Config.Zone.
-func (s *Settings) ZoneNames() []string { return s.words(keyZones) }
+// ZoneNames returns the names of the zones, indexed by policy.Config.Zone.
+func (s *Settings) ZoneNames() []string { return s.stringList(keyZones) }
 
-// DialTimeout is how long a connection may take to open; fallback where it is not set.
+// DialTimeout returns how long opening a connection may take, or fallback if that is not set.
 func (s *Settings) DialTimeout(fallback time.Duration) time.Duration {
 	return s.durationOr(keyDialTimeout, fallback)
 }
 
-// IdleConnTimeout is how long an idle connection is kept; fallback where it is not set.
+// IdleConnTimeout returns how long an idle connection is kept, or fallback if that is not set.
 func (s *Settings) IdleConnTimeout(fallback time.Duration) time.Duration {
 	return s.durationOr(keyIdleConnTimeout, fallback)
 }
 
-// DrainGrace is how long attempts may still start at an endpoint that is draining or
-// removed; fallback where it is not set.
+// DrainGrace returns how long attempts may still start at an endpoint after it began to drain
+// or was removed, or fallback if that is not set.
 func (s *Settings) DrainGrace(fallback time.Duration) time.Duration {
 	return s.durationOr(keyDrainGrace, fallback)
 }
 
-// InFlightColumn is the index, in a load report, of the number of requests in flight; -1
-// where reports do not have it.
+// InFlightColumn returns the index of the number of requests in flight in a load report, or -1
+// if load reports do not contain that number.
 func (s *Settings) InFlightColumn() int {
-	return slices.Index(s.words(keyLoadReportColumns), columnInFlight)
+	return slices.Index(s.stringList(keyLoadReportColumns), columnInFlight)
 }
 
-// InFlightField is the name, in a load report, of the number of requests in flight; empty
-// where reports do not have it.
+// InFlightField returns the name of the number of requests in flight in a load report, or ""
+// if load reports do not contain that number.
 func (s *Settings) InFlightField() string {
 	if s.InFlightColumn() < 0 {
 		return ""
@@ -69,7 +68,7 @@
 	return columnInFlight
 }
 
-// names returns the names of the objects in a list, in their order.
+// names returns the names of the objects in a list, in list order.
 func (s *Settings) names(list string) []string {
 	names := make([]string, s.count(list+suffixCount))
 	for i := range names {
@@ -78,16 +77,16 @@
 	return names
 }
 
-// words returns the plain values of a list.
-func (s *Settings) words(list string) []string {
-	joined := s.text(list)
+// stringList returns the elements of a list of plain values; nil if the list is absent or empty.
+func (s *Settings) stringList(key string) []string {
+	joined := s.text(key)
 	if joined == "" {
 		return nil
 	}
 	return strings.Split(joined, ",")
 }
 
-// durationOr reads a value in milliseconds; fallback stands for one that is not above 0.
+// durationOr reads a value in milliseconds. It returns fallback if the value is not above 0.
 func (s *Settings) durationOr(key string, fallback time.Duration) time.Duration {
 	if d := s.duration(key); d > 0 {
 		return d
@@ -95,5 +94,5 @@
 	return fallback
 }
 
-// item is the path of an object in a list, up to the name of one of its values.
+// item returns the prefix of the paths of an object's values, such as "classes.0.".
 func item(list string, index int) string { return fmt.Sprintf("%s.%d.", list, index) }
