--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,10 +1,10 @@
-// Package metrics shows a running sidecar's figures in the Prometheus text
-// format (version 0.0.4). It is off unless the operators' file turns it on, and
-// counts nothing by itself but how long responses take: the rest is read at each scrape.
+// Package metrics exports the metrics of a running sidecar in the Prometheus text format
+// (version 0.0.4). It is off unless the operators' file turns it on. It records only the latency
+// of responses itself; all other values are read at each scrape.
 //
-// The library is VictoriaMetrics' rather than Prometheus' own: linked in and not
-// used, that one costs a sidecar 1.8 MB of its 32, through what its protocol
-// buffers set up at the start; this one costs nothing that shows.
+// The package uses the client library of VictoriaMetrics instead of Prometheus' own. Prometheus'
+// library costs a sidecar 1.8 MB of its 32 MB even when it is linked in but not used, because its
+// protocol buffers set up data at start-up. The library of VictoriaMetrics has no measurable cost.
 package metrics
 
 import (
@@ -23,69 +23,74 @@
 
 const latency = "mothridge_request_seconds"
 
-// buckets are upper bounds in seconds, from the response of a fast upstream to the
-// longest time that a request may take.
+// buckets are the upper bounds of the latency histogram in seconds, from the response of a fast
+// upstream to the longest time that a request may take.
 var buckets = []float64{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5}
 
-// Metrics are a sidecar's figures.
+// Metrics holds a sidecar's metrics and serves them over HTTP. It is safe for concurrent use.
 type Metrics struct {
 	set     *metrics.Set
-	answers [][]*metrics.PrometheusHistogram // by class and ending
+	answers [][]*metrics.PrometheusHistogram // latencies by class number and result number
 
 	mu      sync.Mutex
 	sources []Source
 }
 
-// New makes Metrics for requests of classes that end with some result, each by number.
-func New(classes, endings []string) *Metrics {
+// New returns Metrics for requests of the given classes and results. Both are the names by number.
+func New(classes, results []string) *Metrics {
 	m := &Metrics{set: metrics.NewSet(), answers: make([][]*metrics.PrometheusHistogram, len(classes))}
 	for i, class := range classes {
-		for _, ending := range endings {
-			name := latency + labels([]string{"class", class, "ending", ending})
+		for _, result := range results {
+			name := latency + labels([]string{"class", class, "ending", result})
 			m.answers[i] = append(m.answers[i], m.set.GetOrCreatePrometheusHistogramExt(name, buckets))
 		}
 	}
 	return m
 }
 
-// Answered records a request's response. It may be called concurrently and does not block.
-func (m *Metrics) Answered(class, ending int, took time.Duration) {
-	m.answers[class][ending].Update(took.Seconds())
+// Answered records the latency of a response. The class and the result are indexes of the names
+// given to New. It may be called concurrently and does not block.
+func (m *Metrics) Answered(class, result int, duration time.Duration) {
+	m.answers[class][result].Update(duration.Seconds())
 }
 
-// Source adds its figures to one scrape. It is called on the goroutine of the scrape.
+// Source adds its values to one scrape. It is called on the goroutine of the scrape.
 type Source func(*Show)
 
-// Add adds a source.
+// Add registers a source for all later scrapes.
 func (m *Metrics) Add(s Source) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.sources = append(m.sources, s)
 }
 
-// Show collects the figures of one scrape.
+// Show collects the values of one scrape. It is not safe for concurrent use.
 type Show struct {
 	order    []string
 	families map[string]*bytes.Buffer
 }
 
-// Count shows a number that only grows; labels are pairs of a name and a value.
+// Count adds a sample of a counter, a value that only grows. The labels are pairs of a name and a
+// value.
 func (s *Show) Count(name, help string, n float64, labels ...string) {
 	s.show("counter", name, help, n, labels)
 }
 
-// Gauge shows a number that goes up and down.
+// Gauge adds a sample of a gauge, a value that can increase and decrease. The labels are pairs of
+// a name and a value.
 func (s *Show) Gauge(name, help string, n float64, labels ...string) {
 	s.show("gauge", name, help, n, labels)
 }
 
-// Counters shows each count of a struct, distinguished by the label by.
+// Counters adds one counter sample for each uint64 field of the struct counts. The label named by
+// contains the name of the field, see counters.Each.
 func (s *Show) Counters(name, help, by string, counts any, labels ...string) {
 	counters.Each(counts, func(event string, n uint64) {
 		s.Count(name, help, float64(n), append(labels[:len(labels):len(labels)], by, event)...)
 	})
 }
 
+// show adds a sample to its family, with HELP and TYPE lines before the family's first sample.
 func (s *Show) show(kind, name, help string, n float64, pairs []string) {
 	b := s.families[name]
 	if b == nil {
@@ -97,9 +102,10 @@
 	fmt.Fprintf(b, "mothridge_%s%s %s\n", name, labels(pairs), strconv.FormatFloat(n, 'g', -1, 64))
 }
 
-// escape escapes a label's value as the text format wants it.
+// escape escapes a label's value as the text format requires.
 var escape = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
+// labels formats pairs of a name and a value as the label set of a sample.
 func labels(pairs []string) string {
 	if len(pairs) == 0 {
 		return ""
@@ -114,7 +120,7 @@
 	return b.String() + "}"
 }
 
-// ServeHTTP answers with all figures.
+// ServeHTTP responds with all metrics.
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	m.mu.Lock()
 	sources := m.sources
@@ -129,7 +135,7 @@
 			return // the client has disconnected
 		}
 	}
-	fmt.Fprintf(w, "# HELP %s From when a request was taken to its final answer.\n# TYPE %[1]s histogram\n", latency)
+	fmt.Fprintf(w, "# HELP %s Time from the acceptance of a request to its response.\n# TYPE %[1]s histogram\n", latency)
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
