--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -11,22 +11,22 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// file is one whose writes wait or fail as the test says.
+// file is an output whose writes block or fail as the test configures.
 type file struct {
-	mu   sync.Mutex
-	text strings.Builder
-	take int           // bytes that the next write takes before it fails; negative: all
-	hold chan struct{} // writes wait for it, where it is set
+	mu      sync.Mutex
+	text    strings.Builder
+	limit   int           // bytes that each write accepts before it fails; negative: writes succeed
+	unblock chan struct{} // writes block until it is closed; nil: writes do not block
 }
 
 func (f *file) Write(b []byte) (int, error) {
-	if f.hold != nil {
-		<-f.hold
+	if f.unblock != nil {
+		<-f.unblock
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.take >= 0 {
-		n := min(f.take, len(b))
+	if f.limit >= 0 {
+		n := min(f.limit, len(b))
 		f.text.Write(b[:n])
 		return n, errors.New("no space left on device")
 	}
@@ -34,9 +34,9 @@
 	return len(b), nil
 }
 
-func (f *file) set(take int) {
+func (f *file) setLimit(limit int) {
 	f.mu.Lock()
-	f.take = take
+	f.limit = limit
 	f.mu.Unlock()
 }
 
@@ -46,10 +46,10 @@
 	return f.text.String()
 }
 
-// While a write waits lines are taken up to the bound and lost beyond it; once it goes
-// on, the loss is reported.
+// While a write to the file blocks, lines are queued up to the limit and lost beyond it, and Write
+// must not block. When the write returns, the loss must be reported.
 func TestWrite_NeverBlocks(t *testing.T) {
-	f := &file{take: -1, hold: make(chan struct{})}
+	f := &file{limit: -1, unblock: make(chan struct{})}
 	losses := make(chan uint64, 1)
 	s := New(f, 100, func(n uint64) { losses <- n })
 	line := []byte("0123456789\n")
@@ -57,40 +57,41 @@
 		s.Write(line)
 	}
 	if s.Flush(time.Millisecond) {
-		t.Error("flushed while nothing can be written")
+		t.Error("Flush: got true while the write is blocked, want false")
 	}
-	close(f.hold)
+	close(f.unblock)
 	if n := peertest.Await(t, "the loss", losses); n != 41 || s.Lost() != n {
-		t.Errorf("told of %d, %d in all, want 41", n, s.Lost())
+		t.Errorf("got %d reported losses and %d in total, want 41", n, s.Lost())
 	}
 	if !s.Flush(peertest.WaitTimeout) || f.String() != strings.Repeat(string(line), 9) {
-		t.Errorf("wrote %q", f)
+		t.Errorf("got %q written, want 9 lines", f)
 	}
-	for i := range 100 { // the queue is free again
+	for i := range 100 { // the queue has room again
 		s.Write(fmt.Appendf(nil, "%d\n", i))
 		s.Flush(peertest.WaitTimeout)
 	}
 	if s.Lost() != 41 {
-		t.Errorf("%d lost later", s.Lost()-41)
+		t.Errorf("got %d later losses, want none", s.Lost()-41)
 	}
 }
 
-// A write that fails loses its line and no other; the next begins on a line of its own.
-func TestWrite_FailureIsCounted(t *testing.T) {
-	f := &file{take: 3}
+// A failed write loses its own line and no other line. After a partially written line, the next
+// line must start on a new line.
+func TestWrite_FailureLosesOneLine(t *testing.T) {
+	f := &file{limit: 3}
 	losses := make(chan uint64, 1)
 	s := New(f, DefaultLimit, func(n uint64) { losses <- n })
 	s.Write([]byte("first\n"))
 	s.Flush(peertest.WaitTimeout)
-	f.set(0)
+	f.setLimit(0)
 	s.Write([]byte("second\n"))
 	s.Flush(peertest.WaitTimeout)
-	f.set(-1)
+	f.setLimit(-1)
 	s.Write([]byte("third\n"))
 	if n := peertest.Await(t, "the loss", losses); n != 2 {
-		t.Errorf("told of %d lines, want 2", n)
+		t.Errorf("got %d reported losses, want 2", n)
 	}
 	if got := f.String(); got != "fir\nthird\n" {
-		t.Errorf("wrote %q", got)
+		t.Errorf("got %q written, want the start of the first line and the third line", got)
 	}
 }
