--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -9,10 +9,11 @@
 	"mothridge/internal/admin"
 )
 
-// membersPerPage is how many endpoints one answer of the admin socket holds.
+// membersPerPage is the maximum number of endpoints in one response of the admin socket.
 const membersPerPage = 250
 
-// openAdmin opens the socket that the operators' commands use, if their file names one.
+// openAdmin opens the admin socket and serves it in a goroutine, if the operators' file sets the
+// socket's path. The goroutine ends with closeAdmin.
 func (s *service) openAdmin() error {
 	if s.config.Operator.Admin.Socket == "" {
 		return nil
--- a/internal/sidecar/client_connections_test.go
+++ b/internal/sidecar/client_connections_test.go
@@ -14,8 +14,8 @@
 	"mothridge/internal/sockets"
 )
 
-// startWithFewSockets runs a sidecar with as few descriptors as it accepts and
-// returns the bound on its client connections too.
+// startWithFewSockets runs a sidecar with minSockets, the smallest accepted limit. It returns the
+// sidecar's address and its maximum number of client connections.
 func startWithFewSockets(t *testing.T) (address string, maxConnections int) {
 	t.Helper()
 	upstream := newServingUpstream(t, "ok")
@@ -25,8 +25,9 @@
 	return address, maxConnections
 }
 
-// Idle connections make way at the bound, and a waiting client is served in the end.
-func TestClientConnectionsAreBounded(t *testing.T) {
+// At the maximum number of client connections, idle connections must be closed so that new clients
+// are accepted and served.
+func TestClientConnectionsAreLimited(t *testing.T) {
 	address, maxConnections := startWithFewSockets(t)
 	var clients []*rawClient
 	for i := range 3 * minSockets / 2 {
@@ -34,14 +35,14 @@
 		client.sendRequest(fmt.Sprint(i))
 		response, err := http.ReadResponse(client.reader, nil)
 		if err != nil || response.StatusCode != http.StatusOK {
-			t.Fatalf("connection %d: %v, error %v", i, response, err)
+			t.Fatalf("connection %d: got %v, error %v, want 200", i, response, err)
 		}
 		if body, err := io.ReadAll(response.Body); err != nil || string(body) != "ok" {
-			t.Fatalf("connection %d: body %q, error %v", i, body, err)
+			t.Fatalf("connection %d: got body %q, error %v, want ok", i, body, err)
 		}
 		clients = append(clients, client)
 	}
-	// The last ones were accepted only after as many older ones had been closed.
+	// The last clients were accepted only after the same number of older connections had been closed.
 	open := 0
 	for _, client := range clients {
 		if sockets.IsIdle(client.TCPConn) {
@@ -49,85 +50,87 @@
 		}
 	}
 	if open > maxConnections {
-		t.Errorf("%d connections are open, at most %d may be", open, maxConnections)
+		t.Errorf("got %d open connections, want at most %d", open, maxConnections)
 	}
 }
 
-// A response is due soon after a client connects, and one that sends nothing more
-// must not hold a connection for longer.
-func TestUnfinishedRequestsEndSoon(t *testing.T) {
+// A client that connects and does not finish its request must not occupy a connection: the sidecar
+// must close the connection within 3 s.
+func TestUnfinishedRequestIsClosedSoon(t *testing.T) {
 	upstream := newServingUpstream(t, "ok")
 	address, _, _ := startWithUpstream(t, upstream)
 	texts := map[string]string{
-		"nothing":           "",
-		"half a header":     postHeader("a"),
-		"half a body":       postHeader("b") + "Content-Length: 10\r\n\r\nhalf",
-		"a body to come":    postHeader("c") + "Content-Length: 100000\r\n\r\n",
-		"a rejected body":   unknownClassHeader("d") + "Content-Length: 10\r\n\r\nhalf",
-		"a chunk to come":   postHeader("e") + chunked + "5\r\n",
-		"an endless header": "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 32<<10),
-	}
-	type end struct {
+		"nothing":                             "",
+		"half a header":                       postHeader("a"),
+		"half a body":                         postHeader("b") + "Content-Length: 10\r\n\r\nhalf",
+		"body not sent":                       postHeader("c") + "Content-Length: 100000\r\n\r\n",
+		"half the body of a rejected request": unknownClassHeader("d") + "Content-Length: 10\r\n\r\nhalf",
+		"chunk not sent":                      postHeader("e") + chunked + "5\r\n",
+		"an endless header":                   "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 32<<10),
+	}
+	type closeEvent struct {
 		name string
 		took time.Duration
 	}
-	ends := make(chan end, len(texts))
+	closes := make(chan closeEvent, len(texts))
 	for name, text := range texts {
 		client := dial(t, address)
 		start := time.Now()
 		go func() {
 			io.WriteString(client, text)
 			io.Copy(io.Discard, client)
-			ends <- end{name, time.Since(start)}
+			closes <- closeEvent{name, time.Since(start)}
 		}()
 	}
 	for range texts {
-		if got := peertest.Await(t, "an end", ends); got.took > 3*time.Second {
-			t.Errorf("%s: ended after %v, want 3 s at the most", got.name, got.took)
+		if got := peertest.Await(t, "the close of a connection", closes); got.took > 3*time.Second {
+			t.Errorf("%s: got closed after %v, want at most 3 s", got.name, got.took)
 		}
 	}
 	if len(upstream.Requests) > 0 {
-		t.Errorf("%d requests were forwarded", len(upstream.Requests))
+		t.Errorf("got %d forwarded requests, want none", len(upstream.Requests))
 	}
 }
 
-// Connections with nothing, or half a request, give way to clients with requests,
-// before those that are kept.
-func TestConnectionsWithoutRequestGiveWay(t *testing.T) {
+// At the maximum number of client connections, connections without a complete request must be closed
+// in favour of clients with requests, and before kept-alive connections that served a request.
+// Otherwise clients that send nothing, or half a request, could keep others out.
+func TestIncompleteRequestsAreClosedFirst(t *testing.T) {
 	for name, text := range map[string]string{
 		"silent":        "",
 		"half a header": postHeader("half"),
 		"half a body":   postHeader("half") + "Content-Length: 10\r\n\r\nhalf",
 	} {
-		t.Run(name, func(t *testing.T) { testConnectionsGiveWay(t, text) })
+		t.Run(name, func(t *testing.T) { testIncompleteRequestsAreClosedFirst(t, text) })
 	}
 }
 
-func testConnectionsGiveWay(t *testing.T, unfinished string) {
+func testIncompleteRequestsAreClosedFirst(t *testing.T, unfinished string) {
 	address, _ := startWithFewSockets(t)
 	kept := dial(t, address)
 	requestOnKept := func(id string) {
 		t.Helper()
 		io.WriteString(kept, postHeader(id)+noBody)
-		kept.expectServed("on the kept connection")
+		kept.expectServed("request on the kept-alive connection")
 	}
 	requestOnKept("first")
-	for range 2 * minSockets { // far above the bound
+	for range 2 * minSockets { // far above the maximum
 		io.WriteString(dial(t, address), unfinished)
 	}
 	start := time.Now()
 	if got := (peertest.Call{Class: "once", ID: "fresh"}).Do(t, address); got.Status != http.StatusOK {
-		t.Errorf("on a new connection: %+v", got)
+		t.Errorf("request on a new connection: got %+v, want 200", got)
 	}
 	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("a new connection was served after %v: it waited for unfinished ones to time out", took)
+		t.Errorf("new connection: got served after %v, want at most 2 s, before unfinished requests time out", took)
 	}
 	requestOnKept("again")
 }
 
-// Clients with one request that stay hold connections that count as theirs: unless
-// some are closed, long before the sidecar's own bound, they can open no more.
-func TestIdleConnectionsAreFew(t *testing.T) {
+// Clients that stay connected after one request use up their own limit of connections. The sidecar
+// must close the longest idle connections early, far below its own maximum, or these clients could
+// not open new ones.
+func TestLongestIdleConnectionIsClosedEarly(t *testing.T) {
 	address, maxConnections := startWithFewSockets(t)
 	start := time.Now()
 	var clients []*rawClient
@@ -136,19 +139,19 @@
 		io.WriteString(client, postHeader(fmt.Sprint(i))+noBody)
 		client.expectServed(fmt.Sprint("connection ", i))
 		if i == 0 {
-			// The listener takes a connection for idle some time after its client has the response:
-			// without a pause the next one may be idle first.
+			// The listener marks a connection as idle some time after its client has received the
+			// response. Without a pause the next connection might be marked first.
 			time.Sleep(200 * time.Millisecond)
 		}
 		clients = append(clients, client)
 	}
 	if _, err := clients[0].reader.Peek(1); err != io.EOF || time.Since(start) > 3*time.Second/2 {
-		t.Errorf("the longest idle one: %v after %v, want it closed well before it was idle too long", err, time.Since(start))
+		t.Errorf("longest idle connection: got error %v after %v, want EOF within 1.5 s", err, time.Since(start))
 	}
 	for i, client := range clients[1:] {
 		client.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 		if _, err := client.reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("connection %d: %v, want it open", i+1, err)
+			t.Errorf("connection %d: got error %v, want an open connection", i+1, err)
 		}
 	}
 }
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -11,6 +11,8 @@
 	"mothridge/internal/peers/peertest"
 )
 
+// When a client disconnects, its attempt in flight must be cancelled, its id must become free and no
+// further attempt may start. Otherwise an upstream would work for nobody.
 func TestClientDisconnectEndsItsAttempt(t *testing.T) {
 	upstream := peertest.NewUpstream(t, peertest.Always(""))
 	address, _, _ := startWithUpstream(t, upstream)
@@ -18,48 +20,48 @@
 	peertest.Call{Class: "once", Body: "{}"}.Request(t, address).Write(client)
 	peertest.Await(t, "the attempt", upstream.Requests)
 	client.Close()
-	peertest.Await(t, "the end of the attempt's connection", upstream.Closed)
-	// Its id is free again, and no further attempt of it is made.
+	peertest.Await(t, "the close of the attempt's connection", upstream.Closed)
+	// The id is free again, and the request of the disconnected client gets no further attempt.
 	again := peertest.Call{Class: "once", Timeout: "0.6"}.Do(t, address)
 	if again.Status != http.StatusGatewayTimeout || len(upstream.Requests) != 1 {
-		t.Errorf("got %+v and %d more attempts, want 504 and one", again, len(upstream.Requests))
+		t.Errorf("second request with the id: got %+v and %d attempts, want 504 and 1 attempt", again, len(upstream.Requests))
 	}
 }
 
-// Nothing is forwarded for a client that has disconnected, whatever else it had
-// written on its connection. See docs/design/crossings.md.
+// A client may disconnect before an attempt for its request starts. No attempt may then start,
+// whatever else the client has written on the connection. See docs/design/crossings.md.
 func TestClientDisconnectsBeforeAnAttempt(t *testing.T) {
-	for name, more := range map[string]string{
-		"after its request":     "",
-		"after half of another": "POST /api HTTP/1.1\r\nHo",
-		"after sixty others":    strings.Repeat(postHeader("more")+noBody, 60),
+	for name, afterRequest := range map[string]string{
+		"after its request":             "",
+		"after half of another request": "POST /api HTTP/1.1\r\nHo",
+		"after sixty other requests":    strings.Repeat(postHeader("more")+noBody, 60),
 	} {
-		t.Run("queued, "+name, func(t *testing.T) { testQueuedClientDisconnects(t, more) })
+		t.Run("queued, "+name, func(t *testing.T) { testQueuedClientDisconnects(t, afterRequest) })
 	}
 	t.Run("between two attempts", testClientDisconnectsBetweenAttempts)
 }
 
-func testQueuedClientDisconnects(t *testing.T, more string) {
+func testQueuedClientDisconnects(t *testing.T, afterRequest string) {
 	upstream := newGatedUpstream(t)
 	address, _, _ := startSidecar(t, singleSlotConfig(t, upEndpoint("s-1", upstream.Addr)))
-	first, leaves := dial(t, address), dial(t, address)
+	first, disconnecting := dial(t, address), dial(t, address)
 	first.sendRequest("first")
-	peertest.Await(t, "the first", upstream.Requests)
-	leaves.sendRequest("leaves")
-	io.WriteString(leaves, more)
-	peertest.Await(t, "both held", requestHeld(t, address, "leaves"))
-	leaves.Close()
+	peertest.Await(t, "the first request", upstream.Requests)
+	disconnecting.sendRequest("leaves")
+	io.WriteString(disconnecting, afterRequest)
+	peertest.Await(t, "the second request to be queued", requestAccepted(t, address, "leaves"))
+	disconnecting.Close()
 	time.Sleep(schedulingMargin)
 	close(upstream.responses)
 	first.readResponse()
-	first.sendRequest("marker") // gets the slot after all that were queued
+	first.sendRequest("marker") // gets the slot after all queued requests
 	for {
-		received := peertest.Await(t, "the marker", upstream.Requests)
+		received := peertest.Await(t, "the marker request", upstream.Requests)
 		id := received.Header.Get("Request-Id")
 		if id == "marker" {
 			break
 		}
-		t.Errorf("%q was forwarded, whose client has disconnected", id)
+		t.Errorf("got request %q forwarded after its client disconnected", id)
 	}
 }
 
@@ -68,20 +70,20 @@
 	received := func() int { return len(upstreams[0].Requests) + len(upstreams[1].Requests) }
 	address, _, _ := startSidecar(t, testConfig(t, testOptions{}, noDiscovery,
 		upEndpoint("s-1", upstreams[0].Addr), upEndpoint("s-2", upstreams[1].Addr)))
-	leaves := dial(t, address)
-	leaves.sendRequest("leaves")
-	peertest.Until(t, "an attempt", func() bool { return received() > 0 })
-	io.WriteString(leaves, postHeader("more")+noBody)
-	leaves.Close()
+	disconnecting := dial(t, address)
+	disconnecting.sendRequest("leaves")
+	peertest.Until(t, "the first attempt", func() bool { return received() > 0 })
+	io.WriteString(disconnecting, postHeader("more")+noBody)
+	disconnecting.Close()
 	time.Sleep(schedulingMargin)
 	for _, upstream := range upstreams {
 		upstream.responses <- rejectedNotStarted
 		close(upstream.responses)
 	}
-	for i := range 4 { // each endpoint gets one, after whatever else there was to forward
+	for i := range 4 { // each endpoint gets one, after any request that was still queued
 		dial(t, address).sendRequest(fmt.Sprint(i))
 	}
-	peertest.Until(t, "the others", func() bool { return received() >= 5 })
+	peertest.Until(t, "the other requests", func() bool { return received() >= 5 })
 	attempts := 0
 	for _, upstream := range upstreams {
 		for len(upstream.Requests) > 0 {
@@ -91,6 +93,6 @@
 		}
 	}
 	if attempts != 1 {
-		t.Errorf("%d attempts for a client that disconnected during the first", attempts)
+		t.Errorf("got %d attempts for a client that disconnected during the first, want 1", attempts)
 	}
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -11,26 +11,27 @@
 	"mothridge/policy"
 )
 
-// Config is what one sidecar is configured with at its start. LoadConfig and FromOperator make it.
+// Config is the start-up configuration of one sidecar. LoadConfig, ParseConfig and FromOperator
+// return it.
 type Config struct {
 	Name      string
-	Listen    string            // the platform's listener, address and port
-	Discovery string            // the platform's discovery, address and port
-	Seed      uint64            // of all random draws
-	Known     *platform.Listing // the endpoint list as last held; nil where there is none
+	Listen    string            // address and port of the platform's listener
+	Discovery string            // address and port of the platform's discovery; empty: there is none
+	Seed      uint64            // of all random number generators
+	Known     *platform.Listing // the cached endpoint list that the platform provides; nil: none
 	Limits    Limits
-	Operator  operator.File // what the operators set; nothing unless their file was named
-	LogLost   func() uint64 // log lines that could not be written; nil: not known
-	path      string        // the platform's file; empty: there is none
+	Operator  operator.File // the operators' file; its zero value without such a file
+	LogLost   func() uint64 // returns the number of lost log lines; nil: unknown
+	path      string        // path of the platform's configuration file; empty: none
 
 	Policy      policy.Config
-	Classes     []string      // names by number
-	Tenants     []string      // names by number; empty: there is one, and requests need not name it
-	Zones       []string      // names by number
-	LoadField   string        // a load report's name for the number of requests in flight
-	DialTimeout time.Duration // a connection not made by then counts as failed
-	DrainGrace  time.Duration // no attempt may start later than this after its endpoint began to drain
-	ConnIdle    time.Duration // upstreams close a connection that was idle this long
+	Classes     []string      // names of the request classes, by number
+	Tenants     []string      // names of the tenants, by number; empty: one tenant, which requests need not name
+	Zones       []string      // names of the zones, by number
+	LoadField   string        // field of load reports with the number of requests in flight; empty: none
+	DialTimeout time.Duration // a connection that is not established within this time counts as failed
+	DrainGrace  time.Duration // no attempt starts later than this after its endpoint began to drain
+	ConnIdle    time.Duration // idle time after which upstreams close a connection
 }
 
 const (
@@ -38,6 +39,7 @@
 	defaultConnIdle    = 15 * time.Second
 )
 
+// checkDiscovery returns an error unless Discovery is an IP address and a port.
 func (c *Config) checkDiscovery() error {
 	if _, err := netip.ParseAddrPort(c.Discovery); err != nil {
 		return fmt.Errorf("discovery address: %w", err)
@@ -45,8 +47,8 @@
 	return nil
 }
 
-// cachedEndpoints is the list as last held; nil where sources are merged, as the merger
-// takes it then.
+// cachedEndpoints returns the cached endpoint list for the core, or nil if there is none. It also
+// returns nil if sources are merged, because the merger receives the cached list then.
 func (c *Config) cachedEndpoints() *core.EndpointUpdate {
 	if c.Known == nil || c.Operator.Merges() {
 		return nil
@@ -55,7 +57,7 @@
 	return &update
 }
 
-// idempotencies are those of the classes, by number.
+// idempotencies returns the idempotency of each class, by number.
 func (c *Config) idempotencies() []policy.Idempotency {
 	all := make([]policy.Idempotency, len(c.Policy.Classes))
 	for i, class := range c.Policy.Classes {
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -9,7 +9,9 @@
 	"mothridge/internal/peers/peertest"
 )
 
-func TestSilentUpstreamIsAnsweredForBeforeTheDeadline(t *testing.T) {
+// An upstream that never responds must not make the client wait beyond its timeout: the sidecar must
+// respond with 504 itself and close the connection of the attempt.
+func TestUnresponsiveUpstreamGets504AtDeadline(t *testing.T) {
 	upstream := peertest.NewUpstream(t, peertest.Always(""))
 	address, _, _ := startWithUpstream(t, upstream)
 	start := time.Now()
@@ -17,11 +19,12 @@
 	if took := time.Since(start); got.Status != http.StatusGatewayTimeout || took > 450*time.Millisecond {
 		t.Errorf("got %+v after %v, want 504 within 0.45 s", got, took)
 	}
-	peertest.Await(t, "the end of the attempt's connection", upstream.Closed)
+	peertest.Await(t, "the close of the attempt's connection", upstream.Closed)
 }
 
-// A pipelined request waits for the response to the one before it, and its client
-// counts that time: it is answered by then, and its upstream gets what is left.
+// A pipelined request waits for the response to the previous request, and its timeout includes that
+// wait. The sidecar must respond within the timeout, and forward only the remaining time to the
+// upstream.
 func TestDeadlineOfAPipelinedRequest(t *testing.T) {
 	const (
 		timeout = 600 * time.Millisecond
@@ -35,13 +38,13 @@
 	if err := (peertest.Call{Class: "once", ID: "second", Timeout: "0.6"}).Request(t, "x").Write(client); err != nil {
 		t.Fatal(err)
 	}
-	peertest.Await(t, "the first", upstream.Requests)
+	peertest.Await(t, "the first request", upstream.Requests)
 	time.Sleep(time.Until(start.Add(wait)))
 	upstream.responses <- peertest.Answer200("ok")
 	client.readResponse()
-	second := peertest.Await(t, "the second", upstream.Requests)
+	second := peertest.Await(t, "the second request", upstream.Requests)
 	if left, ok := parseSeconds(second.Header.Get("Request-Timeout")); !ok || left > timeout-wait {
-		t.Errorf("the second has %v left, of 0.6 s that began 0.3 s ago", left)
+		t.Errorf("second request: got a forwarded timeout of %v, want at most 0.3 s of its 0.6 s", left)
 	}
 	status, _ := client.readResponse()
 	if took := time.Since(start); status != http.StatusGatewayTimeout || took > timeout+schedulingMargin/2 {
@@ -49,13 +52,13 @@
 	}
 }
 
-// A keyed repeat is dropped by upstreams only as long as they remember the first: one
-// whose connection comes up after that is not written.
-func TestKeyedRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
-	late := peertest.NewStalledListener(t)
-	breaks := peertest.NewUpstream(t, func(peertest.Received) (string, bool) { return "", true })
-	first := strings.Replace(upEndpoint("s-1", breaks.Addr), `"share":1.0`, `"share":100`, 1)
-	config := testConfig(t, testOptions{}, noDiscovery, first, upEndpoint("s-2", late.Addr))
+// Upstreams drop a repeated keyed request only within the deduplication window of its first attempt.
+// A retry whose connection is established after the window must not be sent, or it would run again.
+func TestKeyedRetryIsNotSentAfterItsWindow(t *testing.T) {
+	stalled := peertest.NewStalledListener(t)
+	failing := peertest.NewUpstream(t, func(peertest.Received) (string, bool) { return "", true })
+	failingEndpoint := strings.Replace(upEndpoint("s-1", failing.Addr), `"share":1.0`, `"share":100`, 1)
+	config := testConfig(t, testOptions{}, noDiscovery, failingEndpoint, upEndpoint("s-2", stalled.Addr))
 	config.DialTimeout = 3 * time.Second
 	for i := range config.Policy.Classes {
 		config.Policy.Classes[i].DedupWindow = 400 * time.Millisecond
@@ -63,15 +66,15 @@
 	address, _, _ := startSidecar(t, config)
 	start := time.Now()
 	result := peertest.Call{Class: "keyed", ID: "x"}.Start(t, address)
-	peertest.Await(t, "the first attempt", breaks.Requests)
+	peertest.Await(t, "the first attempt", failing.Requests)
 	time.Sleep(time.Until(start.Add(500 * time.Millisecond)))
-	reached := late.Admit(t) // the window has ended, and the system connects again 1 s after the first time
-	if got := peertest.Await(t, "the answer", result); got.Status == http.StatusOK {
-		t.Errorf("served after %v by a repeat that no upstream would know", time.Since(start))
+	lateRequests := stalled.Admit(t) // the window has ended; the kernel retries the connect 1 s after its first attempt
+	if got := peertest.Await(t, "the response", result); got.Status == http.StatusOK {
+		t.Errorf("got 200 after %v from a retry sent after the deduplication window", time.Since(start))
 	}
-	// Had anything waited for the connection, it would be up now, and used.
+	// A connection that an attempt still waited for would be established and used by now.
 	time.Sleep(time.Until(start.Add(1500 * time.Millisecond)))
-	if n := len(reached); n != 0 {
-		t.Errorf("%d requests were written after the window", n)
+	if n := len(lateRequests); n != 0 {
+		t.Errorf("got %d requests sent after the window, want none", n)
 	}
 }
--- a/internal/sidecar/descriptors_test.go
+++ b/internal/sidecar/descriptors_test.go
@@ -11,12 +11,15 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// startSilentAgent is a discovery that accepts calls and says nothing, until answer is
-// closed: from then on each call gets the list.
-func startSilentAgent(t *testing.T, list string, answer <-chan struct{}) (address string, calls <-chan net.Conn) {
+// startUnresponsiveDiscovery starts a discovery that accepts connections and does not respond until
+// respond is closed. From then on each connection gets the list. The channel gets the connections
+// without a response.
+func startUnresponsiveDiscovery(t *testing.T, list string, respond <-chan struct{}) (
+	address string, connections <-chan net.Conn,
+) {
 	t.Helper()
 	listener := peertest.Listen(t)
-	silent := make(chan net.Conn, 1000)
+	unanswered := make(chan net.Conn, 1000)
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -25,28 +28,30 @@
 			}
 			t.Cleanup(func() { conn.Close() })
 			select {
-			case <-answer:
+			case <-respond:
 				conn.Read(make([]byte, 4<<10))
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+list)
 			default:
-				silent <- conn
+				unanswered <- conn
 			}
 		}
 	}()
-	return listener.Addr().String(), silent
+	return listener.Addr().String(), unanswered
 }
 
-// expectServedSoon sends a request that may be probed and retried.
+// expectServedSoon sends a request that may be probed and retried, and fails the test unless the
+// response is 200 within 2 s.
 func expectServedSoon(t *testing.T, address, id string) {
 	t.Helper()
 	start := time.Now()
 	got := peertest.Call{Class: "read", ID: id}.Do(t, address)
 	if got.Status != http.StatusOK || time.Since(start) > 2*time.Second {
-		t.Errorf("%s: %+v after %v", id, got, time.Since(start))
+		t.Errorf("%s: got %+v after %v, want 200 within 2 s", id, got, time.Since(start))
 	}
 }
 
-// countProbes reads all requests that the upstreams have received.
+// countProbes removes all requests that the upstreams have received and returns how many of them
+// were probes.
 func countProbes(upstreams ...*peertest.Upstream) int {
 	probes := 0
 	for _, upstream := range upstreams {
@@ -59,29 +64,29 @@
 	return probes
 }
 
-// Idle clients fill their part of the descriptors while discovery is down: clients
-// with requests, upstreams, probes and discovery have theirs.
+// Idle clients use up the descriptors reserved for clients while discovery is down. Clients with
+// requests, upstreams, probes and discovery must still get the descriptors that they need.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
-	drained, stays := newServingUpstream(t, "ok"), newServingUpstream(t, "ok")
-	answer := make(chan struct{})
-	discovery, calls := startSilentAgent(t, peertest.ListText(2, true, upEndpoint("s-2", stays.Addr)), answer)
+	drained, remaining := newServingUpstream(t, "ok"), newServingUpstream(t, "ok")
+	respond := make(chan struct{})
+	discovery, connections := startUnresponsiveDiscovery(t, peertest.ListText(2, true, upEndpoint("s-2", remaining.Addr)), respond)
 	address, _, _ := startSidecar(t, testConfig(t, testOptions{sockets: minSockets, probes: true}, discovery,
-		upEndpoint("s-1", drained.Addr), upEndpoint("s-2", stays.Addr)))
-	peertest.Await(t, "a call to the silent agent", calls)
+		upEndpoint("s-1", drained.Addr), upEndpoint("s-2", remaining.Addr)))
+	peertest.Await(t, "a connection to the unresponsive discovery", connections)
 	for i := range 4 * minSockets {
 		idle := dial(t, address)
 		if i%4 == 0 {
-			io.WriteString(idle, "POST /api HT") // and no more
+			io.WriteString(idle, "POST /api HT") // and nothing after that
 		}
 	}
 	for i := range 8 {
 		expectServedSoon(t, address, fmt.Sprint("down", i))
 	}
 	if status, err := readyStatus(address); err != nil || status != http.StatusOK {
-		t.Errorf("ready: %d, error %v", status, err)
+		t.Errorf("readiness check: got %d, error %v, want 200", status, err)
 	}
-	close(answer)
-	peertest.Until(t, "the drain to be followed", func() bool { // its idle connections are closed with it
+	close(respond)
+	peertest.Until(t, "the drain to take effect", func() bool { // a drain closes idle connections
 		select {
 		case <-drained.Closed:
 			return true
@@ -89,11 +94,11 @@
 			return false
 		}
 	})
-	probes := countProbes(drained, stays)
+	probes := countProbes(drained, remaining)
 	for i := range 8 {
 		expectServedSoon(t, address, fmt.Sprint("drained", i))
 	}
 	if len(drained.Requests) > 0 || probes == 0 {
-		t.Errorf("%d requests at the drained one, %d probes", len(drained.Requests), probes)
+		t.Errorf("got %d requests at the drained upstream and %d probes, want 0 and at least 1", len(drained.Requests), probes)
 	}
 }
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -13,60 +13,62 @@
 	"mothridge/membership"
 )
 
-// followSources starts to follow the sources of the endpoint list. Where the platform's
-// discovery is the only one, its updates go to the core as they come; else the membership
-// package merges them.
-func (s *service) followSources(running context.Context) error {
+// followSources starts to follow the sources of the endpoint list until ctx ends. If the platform's
+// discovery is the only source, its updates go to the core unchanged. Otherwise package membership
+// merges the updates of all sources.
+func (s *service) followSources(ctx context.Context) error {
 	update := s.core.Update
 	if s.plugins != nil {
 		update = func(u core.EndpointUpdate) { s.core.Update(s.plugins.Members(u)) }
 	}
 	if s.config.Operator.Merges() {
 		var err error
-		if update, err = s.startMerger(running, update); err != nil {
+		if update, err = s.startMerger(ctx, update); err != nil {
 			return err
 		}
 		if !s.config.Operator.UsesPlatform() {
 			return nil
 		}
 	}
-	s.followPlatform(running, update)
+	s.followPlatform(ctx, update)
 	return nil
 }
 
-// followPlatform follows the platform's discovery in a goroutine that ends with running.
-func (s *service) followPlatform(running context.Context, update func(core.EndpointUpdate)) {
+// followPlatform follows the platform's discovery in a goroutine that ends with ctx.
+func (s *service) followPlatform(ctx context.Context, update func(core.EndpointUpdate)) {
 	s.discovery = platform.New(s.config.Discovery, s.config.Known, update)
 	if s.config.Policy.WatchOnRequest {
 		s.discovery.WatchOnRequest(s.core.WatchRequests(), s.core.UpdateFailed, s.config.Seed)
 	}
-	go s.discovery.Run(running)
+	go s.discovery.Run(ctx)
 }
 
-// startMerger merges all sources and follows those of the operators' file. It returns what
-// takes the platform's updates; update takes the merged ones.
-func (s *service) startMerger(running context.Context, update func(core.EndpointUpdate)) (func(core.EndpointUpdate), error) {
+// startMerger starts the merger of all sources and follows the sources of the operators' file until
+// ctx ends. The merger calls update with each merged update. The returned function passes the
+// updates of the platform's discovery to the merger.
+func (s *service) startMerger(ctx context.Context, update func(core.EndpointUpdate)) (func(core.EndpointUpdate), error) {
 	set, err := s.config.newMembership()
 	if err != nil {
 		return nil, err
 	}
 	s.merger = merge.New(set, update)
-	s.background.Go(func() { s.merger.Run(running) })
+	s.background.Go(func() { s.merger.Run(ctx) })
 	const platformSource = 0
-	next := platformSource
+	firstOperatorSource := platformSource
 	if s.config.Operator.UsesPlatform() {
-		next++
+		firstOperatorSource++
 		if s.config.Known != nil {
 			s.merger.UpdatePlatform(platformSource, s.config.Known.EndpointUpdate())
 		}
 	}
-	if err := s.followOperatorSources(running, next); err != nil {
+	if err := s.followOperatorSources(ctx, firstOperatorSource); err != nil {
 		return nil, err
 	}
 	return func(u core.EndpointUpdate) { s.merger.UpdatePlatform(platformSource, u) }, nil
 }
 
-// newMembership makes the merged view of all sources; they are numbered in this order.
+// newMembership returns the merged view of all sources. The sources are numbered in this order: the
+// platform's discovery, the Eureka registries, the fixed lists.
 func (c *Config) newMembership() (*membership.Set, error) {
 	var sources []membership.Source
 	if c.Operator.UsesPlatform() {
@@ -91,12 +93,12 @@
 	}, sources...)
 }
 
-// followOperatorSources starts the registries and fixed lists of the operators' file;
-// number is the first one's.
-func (s *service) followOperatorSources(running context.Context, number int) error {
+// followOperatorSources follows the registries of the operators' file until ctx ends, and adds the
+// fixed lists of the file. The first source gets number, each later source the next number.
+func (s *service) followOperatorSources(ctx context.Context, number int) error {
 	for i := range s.config.Operator.Eureka {
 		registry := &s.config.Operator.Eureka[i]
-		if err := s.followEureka(running, registry, number, s.config.Seed+uint64(i)); err != nil {
+		if err := s.followEureka(ctx, registry, number, s.config.Seed+uint64(i)); err != nil {
 			return err
 		}
 		number++
@@ -108,8 +110,9 @@
 	return nil
 }
 
-// followEureka follows one registry as source number, in a goroutine that ends with running.
-func (s *service) followEureka(running context.Context, registry *operator.Eureka, number int, seed uint64) error {
+// followEureka follows one Eureka registry as the source with the given number, in a goroutine that
+// ends with ctx.
+func (s *service) followEureka(ctx context.Context, registry *operator.Eureka, number int, seed uint64) error {
 	mapping := merge.Mapping{
 		Zone:          registry.Metadata.Zone,
 		MachineType:   registry.Metadata.MachineType,
@@ -133,10 +136,11 @@
 	if err != nil {
 		return fmt.Errorf("registry %s: %w", registry.Name, err)
 	}
-	s.background.Go(func() { client.Run(running) })
+	s.background.Go(func() { client.Run(ctx) })
 	return nil
 }
 
+// staticInstances returns the instances of a fixed list. The address of each is also its ID.
 func staticInstances(list *operator.Static) []membership.Instance {
 	instances := make([]membership.Instance, 0, len(list.Addresses))
 	for _, address := range list.Addresses {
@@ -148,8 +152,9 @@
 	return instances
 }
 
-// register registers the sidecar itself where the operators' file says so, until registered ends.
-func (s *service) register(registered context.Context) error {
+// register registers the sidecar with each registry for which the operators' file sets an
+// application name. One goroutine per registry renews the registration until ctx ends.
+func (s *service) register(ctx context.Context) error {
 	for i := range s.config.Operator.Eureka {
 		registry := &s.config.Operator.Eureka[i]
 		if registry.Register.App == "" {
@@ -168,7 +173,7 @@
 		if err != nil {
 			return fmt.Errorf("registry %s: %w", registry.Name, err)
 		}
-		s.background.Go(func() { registrar.Run(registered) })
+		s.background.Go(func() { registrar.Run(ctx) })
 	}
 	return nil
 }
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -9,7 +9,8 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// A sidecar that requests its watches has one again after a failure, through the program.
+// In the mode in which the sidecar requests its watches, it must request a new watch after the
+// previous one has failed. The test covers the path through the whole program.
 func TestRequestedWatchIsOpenedAgain(t *testing.T) {
 	registry := peertest.NewDiscovery(t)
 	upstream := newServingUpstream(t, "ok")
@@ -18,9 +19,10 @@
 	close(peertest.Await(t, "the watch", registry.Watches).Lines)
 	watch := peertest.Await(t, "the next watch", registry.Watches)
 	watch.Lines <- peertest.ListText(2, false, upEndpoint("s-1", upstream.Addr))
-	serveSoon(t, address)
+	awaitServed(t, address)
 }
 
+// A sidecar without an endpoint list cannot serve requests and must not report ready.
 func TestReadyOnceThereIsAList(t *testing.T) {
 	registry := peertest.NewDiscovery(t)
 	address, _, _ := startSidecar(t, testConfig(t, testOptions{}, registry.Addr))
@@ -31,32 +33,33 @@
 		}
 		return status
 	}
-	peertest.Await(t, "the call for the list", registry.ListRequests)
+	peertest.Await(t, "the request for the list", registry.ListRequests)
 	if got := ready(); got != http.StatusServiceUnavailable {
-		t.Errorf("ready is %d without a list", got)
+		t.Errorf("readiness check without a list: got %d, want 503", got)
 	}
 	upstream := newServingUpstream(t, "ok")
 	registry.ListResponses <- peertest.ListText(5, true, upEndpoint("s-1", upstream.Addr))
 	if watch := peertest.Await(t, "the watch", registry.Watches); watch.From != "5" {
-		t.Errorf("the watch begins from %s, want 5", watch.From)
+		t.Errorf("start of the watch: got version %s, want 5", watch.From)
 	}
 	for deadline := time.Now().Add(peertest.WaitTimeout); ready() != http.StatusOK; {
 		if time.Now().After(deadline) {
-			t.Fatal("never ready")
+			t.Fatal("readiness check: got no 200 in time")
 		}
 	}
 }
 
-func TestDrainActsAtOnce(t *testing.T) {
+// Once an update that drains an endpoint has arrived, no new request may go to that endpoint.
+func TestDrainTakesEffectAtOnce(t *testing.T) {
 	registry := peertest.NewDiscovery(t)
 	drained, other := newServingUpstream(t, "a"), newServingUpstream(t, "b")
 	address, _, _ := startSidecar(t, testConfig(t, testOptions{}, registry.Addr, upEndpoint("s-1", drained.Addr)))
 	watch := peertest.Await(t, "the watch", registry.Watches)
-	serveSoon(t, address)
+	awaitServed(t, address)
 	peertest.Await(t, "a request", drained.Requests)
 	watch.Lines <- peertest.ListText(2, false,
 		peertest.HostText("s-1", drained.Addr, "draining", 0), upEndpoint("s-2", other.Addr))
-	for i := range 1000 { // until the update has arrived; from then on everything goes to the other
+	for i := range 1000 { // until the update has arrived; from then on all requests go to the other upstream
 		if got := (peertest.Call{Class: "once", ID: fmt.Sprint(i)}).Do(t, address); got.Body == "b" {
 			break
 		}
@@ -64,10 +67,10 @@
 	before := len(drained.Requests)
 	for i := range 20 {
 		if got := (peertest.Call{Class: "once", ID: fmt.Sprint("later-", i)}).Do(t, address); got.Body != "b" {
-			t.Errorf("got %+v", got)
+			t.Errorf("request after the drain: got %+v, want body b", got)
 		}
 	}
 	if len(drained.Requests) != before {
-		t.Error("a request went to a draining upstream")
+		t.Error("got a request at the draining upstream, want none")
 	}
 }
--- a/internal/sidecar/forward_test.go
+++ b/internal/sidecar/forward_test.go
@@ -19,36 +19,37 @@
 		"Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Trace": {"a", "b"},
 	}}.Do(t, address)
 	if got.Status != http.StatusOK || got.Body != "ok" {
-		t.Fatalf("got %+v", got)
+		t.Fatalf("got %+v, want 200 and body ok", got)
 	}
 	received := peertest.Await(t, "the request", upstream.Requests)
 	if received.Method != "POST" || received.RequestURI != "/api/a%2Fb?q=1&r=%20" || received.Text != body ||
 		received.Header.Get("Request-Id") != t.Name() || received.Header.Get("Idempotency-Key") != "5c0f6e1a" {
-		t.Errorf("the upstream read %s %s %v, %d bytes",
+		t.Errorf("upstream: got %s %s %v, %d bytes",
 			received.Method, received.RequestURI, received.Header, len(received.Text))
 	}
 	if received.Header.Get("X-Hop") != "" || len(received.Header["X-Trace"]) != 2 {
-		t.Errorf("header %v: a hop's own field was forwarded, or another was not", received.Header)
+		t.Errorf("upstream: got header %v, want X-Trace twice and no hop-by-hop field X-Hop", received.Header)
 	}
 	timeout := received.Header.Get("Request-Timeout")
-	if wait, ok := parseSeconds(timeout); !ok || wait > 3250*time.Millisecond || wait < 2*time.Second {
-		t.Errorf("Request-Timeout %q, want what is left of 3.25", timeout)
+	if remaining, ok := parseSeconds(timeout); !ok || remaining > 3250*time.Millisecond || remaining < 2*time.Second {
+		t.Errorf("upstream: got Request-Timeout %q, want the rest of 3.25", timeout)
 	}
 }
 
 func TestResponseBodyIsForwardedUnchanged(t *testing.T) {
-	body := strings.Repeat("\x00honey\r\n", 60000) // upstreams do respond with that much
+	body := strings.Repeat("\x00honey\r\n", 60000) // real upstreams send responses of this size
 	upstream := peertest.NewUpstream(t, peertest.Always(fmt.Sprintf(
 		"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer-Load: TEXT busy_reqs=1\r\nX-Ledger: 4\r\n\r\n%s", len(body), body)))
 	address, _, _ := startWithUpstream(t, upstream)
 	got := peertest.Call{Class: "once", Body: "{}"}.Do(t, address)
 	if got.Status != http.StatusOK || got.Body != body ||
 		got.Header.Get("X-Ledger") != "4" || got.Header.Get("Server-Load") != "" {
-		t.Errorf("status %d, %d bytes, header %v, error %v", got.Status, len(got.Body), got.Header, got.Err)
+		t.Errorf("got status %d, %d bytes, header %v, error %v", got.Status, len(got.Body), got.Header, got.Err)
 	}
 }
 
-// A failure is never worded 429 or 503: these promise that a retry is harmless.
+// A failure of an upstream must never be sent as 429 or 503: these promise that the request did not
+// run and a retry is harmless.
 func TestUpstreamFailureIsNoRejection(t *testing.T) {
 	for _, status := range []int{500, 503, 504, 429, 400, 302} {
 		response := fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: 4\r\n\r\nlate", status)
@@ -56,17 +57,19 @@
 		address, _, _ := startWithUpstream(t, upstream)
 		got := peertest.Call{Class: "once"}.Do(t, address)
 		if got.Status != http.StatusBadGateway || got.Body != "" || got.Header.Get("Retry-After") != "" {
-			t.Errorf("upstream's %d: got %+v, want a plain 502", status, got)
+			t.Errorf("upstream status %d: got %+v, want 502 without body and Retry-After", status, got)
 		}
 		if len(upstream.Requests) != 1 {
-			t.Errorf("upstream's %d: %d attempts of a request that may have run", status, len(upstream.Requests))
+			t.Errorf("upstream status %d: got %d attempts of a request that may have run, want 1", status, len(upstream.Requests))
 		}
 	}
 }
 
+// A request that no endpoint can serve within the latency objective must be rejected early, with a
+// Retry-After header, and not only when the client's timeout ends.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	upstream := peertest.NewUpstream(t, peertest.Always(rejectedNotStarted))
-	// The decisions reject once a response would be late for the objective.
+	// Package policy rejects a request once its response would miss the latency objective.
 	options := testOptions{latencyObjective: 200 * time.Millisecond}
 	config := testConfig(t, options, noDiscovery, upEndpoint("s-1", upstream.Addr))
 	address, _, _ := startSidecar(t, config)
@@ -74,15 +77,15 @@
 	got := peertest.Call{Class: "once"}.Do(t, address)
 	pause, ok := parseSeconds(got.Header.Get("Retry-After"))
 	if got.Status != http.StatusServiceUnavailable || !ok || pause > 1200*time.Millisecond {
-		t.Errorf("got %+v, want 503 with a pause in decimals", got)
+		t.Errorf("got %+v, want 503 with Retry-After of at most 1.2 s", got)
 	}
 	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("rejected after %v of the 4.5 s that the client waits, not at once", took)
+		t.Errorf("got the rejection after %v, want at most 2 s of the 4.5 s that the client waits", took)
 	}
 }
 
-// An upstream that takes its time gets no further connection for the rest that
-// each needs: see httpnode for those that are quick.
+// Sequential requests to a slow upstream must reuse its connections instead of opening a connection
+// for each request. Package httpnode tests the same for fast upstreams.
 func TestUpstreamConnectionsAreReused(t *testing.T) {
 	upstream := peertest.NewUpstream(t, func(peertest.Received) (string, bool) {
 		time.Sleep(5 * time.Millisecond)
@@ -92,10 +95,10 @@
 	address, _, _ := startSidecar(t, config)
 	for i := range 40 {
 		if got := (peertest.Call{Class: "keyed", ID: fmt.Sprint(i)}).Do(t, address); got.Status != http.StatusOK {
-			t.Fatalf("got %+v", got)
+			t.Fatalf("sequential request: got %+v, want 200", got)
 		}
 	}
-	if n := len(upstream.Accepted); n > 4 { // one, and one more for each probe that may be in flight meanwhile
-		t.Errorf("%d connections for 40 requests one after the other", n)
+	if n := len(upstream.Accepted); n > 4 { // one, plus one for each probe that may be in flight concurrently
+		t.Errorf("got %d connections for 40 sequential requests, want at most 4", n)
 	}
 }
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -16,12 +16,13 @@
 )
 
 const (
-	noDiscovery      = "127.0.0.1:1"          // nothing listens there
-	schedulingMargin = 100 * time.Millisecond // of a busy machine
+	noDiscovery      = "127.0.0.1:1"          // no process listens on this port
+	schedulingMargin = 100 * time.Millisecond // tolerance for scheduling delays of a busy machine
 )
 
-// testSettings has one class of each idempotency and two tenants. It is a format
-// for whether probes are allowed, the latency objective in ms and the mode of discovery.
+// testSettings are settings with one class of each idempotency and two tenants. It is a format
+// string. Its arguments are whether probes are allowed, the latency objective in ms and the mode of
+// discovery.
 const testSettings = `{"balancers":1,"caps":{"may_cancel":true,"probes":%v,"most_tries":3,"dial_timeout_ms":250,
 	"conn_idle_ms":30000,"max_retry_after_ms":1200,"a_later_key":[null,{"x":1}]},
 	"classes":[{"name":"read","semantics":"free","aim_ms":%d,"hard_limit_ms":5000,"worth":1},
@@ -30,15 +31,15 @@
 	"discovery":%[3]q,"orgs":[{"name":"acme","share":0.8},{"name":"zeta","share":0.2}],
 	"telemetry":{"columns":["failed_ps","busy_reqs"],"how":"pull"},"zones":["a"],"rules":{"cold_from":0.3,"cold_ms":8000,"fall_multiple":2.5}}`
 
-// testOptions are what tests vary of a sidecar.
+// testOptions are the options of testConfig. The zero value selects the defaults.
 type testOptions struct {
 	latencyObjective time.Duration // 4 s by default
 	probes           bool
-	watchOnRequest   bool // discovery by watches that the sidecar requests
+	watchOnRequest   bool // the sidecar requests its watches of discovery
 	sockets          int  // 200 by default
 }
 
-// testConfig reads a configuration with a discovery address and the endpoints known at the start.
+// testConfig returns a configuration with a discovery address and a cached list of endpoints.
 func testConfig(t *testing.T, options testOptions, discovery string, endpoints ...string) *Config {
 	t.Helper()
 	if options.latencyObjective == 0 {
@@ -66,7 +67,7 @@
 	return config
 }
 
-// singleSlotConfig allows one request of a tenant in flight.
+// singleSlotConfig returns a configuration that allows one request in flight per tenant.
 func singleSlotConfig(t *testing.T, endpoints ...string) *Config {
 	t.Helper()
 	config := testConfig(t, testOptions{}, noDiscovery, endpoints...)
@@ -74,16 +75,18 @@
 	return config
 }
 
-// upEndpoint is an entry of the endpoint list that may be used.
+// upEndpoint returns an entry of the endpoint list in the state up.
 func upEndpoint(name, address string) string { return peertest.HostText(name, address, "up", 0) }
 
-// startSidecar runs a sidecar until the test ends; shutdown stops it as a planned restart does.
+// startSidecar runs a sidecar until the test ends. Calling shutdown stops it as SIGTERM does in a
+// planned restart; ended then gets the result of Serve.
 func startSidecar(t *testing.T, config *Config) (address string, shutdown func(), ended <-chan error) {
 	t.Helper()
 	return startReloadableSidecar(t, config, nil)
 }
 
-// startReloadableSidecar does the same for one that reads its configuration again.
+// startReloadableSidecar runs a sidecar as startSidecar does. The sidecar reloads its configuration
+// for each value from reload.
 func startReloadableSidecar(t *testing.T, config *Config, reload <-chan os.Signal) (
 	address string, shutdown func(), ended <-chan error,
 ) {
@@ -100,7 +103,7 @@
 	return listener.Addr().String(), cancel, done
 }
 
-// startWithUpstream runs a sidecar with one endpoint, that of the upstream.
+// startWithUpstream runs a sidecar with one endpoint, the given upstream.
 func startWithUpstream(t *testing.T, upstream *peertest.Upstream) (
 	address string, shutdown func(), ended <-chan error,
 ) {
@@ -108,16 +111,16 @@
 	return startSidecar(t, testConfig(t, testOptions{}, noDiscovery, upEndpoint("s-1", upstream.Addr)))
 }
 
-// newServingUpstream serves each request with a body.
+// newServingUpstream starts an upstream that responds to each request with 200 and body.
 func newServingUpstream(t *testing.T, body string) *peertest.Upstream {
 	t.Helper()
 	return peertest.NewUpstream(t, peertest.Always(peertest.Answer200(body)))
 }
 
-// gatedUpstream answers a request once it has read from responses.
+// gatedUpstream is an upstream that responds to each request with the next text from responses.
 type gatedUpstream struct {
 	*peertest.Upstream
-	responses chan string // closed: 200 for each request
+	responses chan string // if closed, each request gets 200
 }
 
 func newGatedUpstream(t *testing.T) *gatedUpstream {
@@ -130,15 +133,15 @@
 		return peertest.Answer200("ok"), false
 	})
 	t.Cleanup(func() {
-		defer func() { recover() }() // the test has closed it
+		defer func() { recover() }() // the test may have closed the channel
 		close(upstream.responses)
 	})
 	return upstream
 }
 
-// newHoldingUpstream serves each request with a body, but the one with the id 'held' only
-// once release is closed.
-func newHoldingUpstream(t *testing.T, body string, release <-chan struct{}) *peertest.Upstream {
+// newBlockingUpstream starts an upstream that responds to each request with 200 and body. It responds
+// to the request with the id 'held' only after release is closed.
+func newBlockingUpstream(t *testing.T, body string, release <-chan struct{}) *peertest.Upstream {
 	t.Helper()
 	return peertest.NewUpstream(t, func(received peertest.Received) (string, bool) {
 		if received.Header.Get("Request-Id") == "held" {
@@ -148,7 +151,7 @@
 	})
 }
 
-// readyStatus requests the health check of the sidecar.
+// readyStatus returns the status of the sidecar's readiness check.
 func readyStatus(address string) (int, error) {
 	response, err := http.Get("http://" + address + "/health/ready")
 	if err != nil {
@@ -158,29 +161,30 @@
 	return response.StatusCode, nil
 }
 
-// awaitDraining waits until the sidecar announces its shutdown.
+// awaitDraining waits until the readiness check of the sidecar announces the shutdown.
 func awaitDraining(t *testing.T, address string) {
 	t.Helper()
-	peertest.Until(t, "the announcement", func() bool {
+	peertest.Until(t, "the announcement of the shutdown", func() bool {
 		status, err := readyStatus(address)
 		return err == nil && status == http.StatusServiceUnavailable
 	})
 }
 
-// serveSoon sends requests until one is served: an endpoint update is on its way.
-func serveSoon(t *testing.T, address string) {
+// awaitServed sends requests until one is served, because an endpoint update has yet to arrive.
+func awaitServed(t *testing.T, address string) {
 	t.Helper()
 	for i, deadline := 0, time.Now().Add(peertest.WaitTimeout); ; i++ {
 		if got := (peertest.Call{Class: "once", ID: fmt.Sprint("soon-", i)}).Do(t, address); got.Status == http.StatusOK {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("never served")
+			t.Fatal("got no served request in time")
 		}
 	}
 }
 
-// parseSeconds reads a duration as HTTP fields have it here.
+// parseSeconds parses a duration in decimal seconds, as in Request-Timeout and Retry-After. It
+// returns false for an invalid number.
 func parseSeconds(text string) (time.Duration, bool) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	return time.Duration(seconds * float64(time.Second)), err == nil
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -5,23 +5,24 @@
 	"mothridge/membership"
 )
 
-// Limits are the platform's limits on this process.
+// Limits are the resource limits of this process, set by the platform or the operators' file.
 type Limits struct {
-	Cores    float64 `json:"cores"`     // 0: not limited
-	MemoryMB int64   `json:"memory_mb"` // in MiB; 0: not limited
-	Sockets  int     `json:"sockets"`   // open at once; 0: defaultSockets
+	Cores    float64 `json:"cores"`     // 0: unlimited
+	MemoryMB int64   `json:"memory_mb"` // in MiB; 0: unlimited
+	Sockets  int     `json:"sockets"`   // maximum number of open file descriptors; 0: defaultSockets
 }
 
 const (
 	defaultSockets = 1024
-	minSockets     = 64 // below, neither side could hold a handful of connections
-	// reservedSockets are standard streams, listeners, the poller and what the runtime opens.
+	minSockets     = 64 // fewer leave less than a handful of connections for clients or for upstreams
+	// reservedSockets is the number of descriptors reserved for the standard streams, the listeners,
+	// the poller and files that the runtime opens.
 	reservedSockets = 32
-	// clientTenths is how many tenths of the rest are for clients.
+	// clientTenths is the clients' share of the remaining sockets, in tenths. Upstreams get the rest.
 	clientTenths = 6
 )
 
-// connections divides the sockets between the two sides.
+// connections returns the maximum numbers of client and of upstream connections.
 func (l Limits) connections() (clients, upstreams int) {
 	available := l.Sockets - reservedSockets - platform.MaxConnections
 	clients = available * clientTenths / 10
@@ -29,16 +30,18 @@
 }
 
 const (
-	// bytesPerNode is what an endpoint takes in all packages together, and while its list is
-	// read for the first time (docs/benchmarks.md).
+	// bytesPerNode is the memory for one endpoint in all packages together, including the peak while
+	// the list is read for the first time (docs/benchmarks.md).
 	bytesPerNode = 2200
-	// baseMemory is what the program takes without endpoints, with some for requests, in bytes.
+	// baseMemory is the memory of the program without endpoints, including a reserve for requests,
+	// in bytes.
 	baseMemory = 16 << 20
 	minNodes   = 500
 )
 
-// maxNodes is how many endpoints a source may list: what the operators' file says, or
-// else what fits into the memory of this process.
+// maxNodes returns the maximum number of endpoints that a source may list: the value of the
+// operators' file, or otherwise the number that fits into the memory limit of this process, from
+// minNodes to membership.DefaultMaxNodes. Without a memory limit it is the latter.
 func (c *Config) maxNodes() int {
 	if n := int(c.Operator.Membership.MaxNodes); n > 0 {
 		return n
@@ -46,6 +49,6 @@
 	if c.Limits.MemoryMB <= 0 {
 		return membership.DefaultMaxNodes
 	}
-	fitting := (c.Limits.MemoryMB<<20 - baseMemory) / bytesPerNode
-	return int(min(max(fitting, minNodes), membership.DefaultMaxNodes))
+	fittingNodes := (c.Limits.MemoryMB<<20 - baseMemory) / bytesPerNode
+	return int(min(max(fittingNodes, minNodes), membership.DefaultMaxNodes))
 }
--- a/internal/sidecar/listeners.go
+++ b/internal/sidecar/listeners.go
@@ -10,18 +10,18 @@
 	"mothridge/internal/operator"
 )
 
-// frontEnd reads requests of one protocol from a listener and writes their responses.
+// frontEnd serves one protocol on one listener: it reads requests and writes their responses.
 type frontEnd interface {
-	// Serve accepts connections until Shutdown; another end is an error.
+	// Serve accepts connections and blocks until Shutdown. It returns an error if it ends earlier.
 	Serve() error
-	// Drain signals clients to send nothing new. What still comes is served.
+	// Drain signals clients to send no new requests. Requests that still arrive are served.
 	Drain()
-	// Shutdown closes the listener, finishes the requests in flight and ends, at the
-	// latest when its context does.
+	// Shutdown closes the listener and blocks until the requests in flight have ended, at most
+	// until its context ends.
 	Shutdown(context.Context) error
 }
 
-// listen opens the platform's listener and those of the operators' file, in its order.
+// listen opens the platform's listener, then the listeners of the operators' file in file order.
 func (c *Config) listen() ([]net.Listener, error) {
 	addresses := []string{c.Listen}
 	for _, l := range c.Operator.Listeners {
@@ -45,27 +45,28 @@
 	}
 }
 
-// newFrontEnds makes the front end of each listener; they share the clients' connections evenly.
+// newFrontEnds returns a front end for each listener. Each front end gets an equal share of the
+// maximum number of client connections.
 func (s *service) newFrontEnds(listeners []net.Listener) []frontEnd {
 	clients, _ := s.config.Limits.connections()
-	each := clients / len(listeners)
-	all := make([]frontEnd, len(listeners))
+	connectionsPerListener := clients / len(listeners)
+	frontEnds := make([]frontEnd, len(listeners))
 	for i, listener := range listeners {
-		settings := operator.Listener{Protocol: operator.HTTP} // the platform's
+		settings := operator.Listener{Protocol: operator.HTTP} // of the platform's listener
 		if i > 0 {
 			settings = s.config.Operator.Listeners[i-1]
 		}
 		if settings.Protocol == operator.HTTP {
-			f := s.newHTTPFrontEnd(listener, each)
-			all[i] = f
+			f := s.newHTTPFrontEnd(listener, connectionsPerListener)
+			frontEnds[i] = f
 			s.showListener(listener, settings.Protocol, func() any { return f.Counters() })
 		} else {
-			f := s.newRPCFrontEnd(listener, each, settings)
-			all[i] = f
+			f := s.newRPCFrontEnd(listener, connectionsPerListener, settings)
+			frontEnds[i] = f
 			s.showListener(listener, settings.Protocol, func() any { return f.Counters() })
 		}
 	}
-	return all
+	return frontEnds
 }
 
 func (s *service) newHTTPFrontEnd(listener net.Listener, connections int) *httpfront.Front {
@@ -91,13 +92,13 @@
 	}, s.handler, listener)
 }
 
-// showListener adds a listener's counters to the metrics, if there are any.
+// showListener adds a listener's counters to the metrics, if metrics are on.
 func (s *service) showListener(listener net.Listener, protocol operator.Protocol, counters func() any) {
 	if s.metrics == nil {
 		return
 	}
 	s.metrics.Add(func(show *metrics.Show) {
-		show.Counters("front_total", "What came on a listener, by event.", "event", counters(),
+		show.Counters("front_total", "Events on a listener, by event.", "event", counters(),
 			"listener", listener.Addr().String(), "protocol", string(protocol))
 	})
 }
--- a/internal/sidecar/operator_config.go
+++ b/internal/sidecar/operator_config.go
@@ -9,10 +9,11 @@
 	"mothridge/policy"
 )
 
-// errNoSidecarTable says that neither the platform nor the operators' file configures a sidecar.
-var errNoSidecarTable = errors.New("ROUTER_CONFIG is not set, and the operators' file has no [sidecar] table that would say the same")
+// errNoSidecarTable means that neither the platform nor the operators' file configures a sidecar.
+var errNoSidecarTable = errors.New("ROUTER_CONFIG is not set and the operators' file has no [sidecar] table")
 
-// The operators' words for what repeating a request may do, and where repeats are dropped.
+// The values of the operators' file for the idempotency of a class, and for the scope in which
+// upstreams drop repeated requests.
 var (
 	idempotencyByEffect = map[operator.Idempotency]policy.Idempotency{
 		operator.Idempotent:      policy.Idempotent,
@@ -27,8 +28,8 @@
 	}
 )
 
-// FromOperator makes the configuration of a sidecar that no platform starts:
-// the operators' file says all of it.
+// FromOperator returns the configuration of a sidecar without a platform, which the operators' file
+// configures completely. The file must have a [sidecar] table.
 func FromOperator(f *operator.File) (*Config, error) {
 	s := f.Sidecar
 	if s == nil {
@@ -70,6 +71,7 @@
 	return c, nil
 }
 
+// operatorClass converts a class of the operators' file. The default priority weight is 1.
 func operatorClass(class *operator.Class) policy.Class {
 	return policy.Class{
 		LatencyObjective: class.LatencyObjective.Value(),
--- a/internal/sidecar/platform_config.go
+++ b/internal/sidecar/platform_config.go
@@ -16,12 +16,12 @@
 	"mothridge/internal/settings"
 )
 
-// errNoConfig says that the platform has named no configuration file.
+// errNoConfig means that the platform has not set the path of the configuration file.
 var errNoConfig = errors.New("ROUTER_CONFIG is not set")
 
-// LoadConfig reads the configuration file that ROUTER_CONFIG names. ROUTER_NAME,
-// ROUTER_LISTEN and ROUTER_DISCOVERY take precedence. The error names the
-// file, and line and column where there are any.
+// LoadConfig reads the configuration file whose path is in ROUTER_CONFIG. The variables ROUTER_NAME,
+// ROUTER_LISTEN and ROUTER_DISCOVERY take precedence over the file. An error in the file contains
+// the path, and the line and column if they are known.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -45,6 +45,7 @@
 	return c, c.checkDiscovery()
 }
 
+// readConfig reads the platform's configuration file.
 func readConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return c, nil
 }
 
-// configFile is the platform's configuration file.
+// configFile is the JSON form of the platform's configuration file.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -68,14 +69,15 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// ParseConfig reads the text of a configuration file.
+// ParseConfig parses and checks the text of the platform's configuration file. It does not check
+// the addresses.
 func ParseConfig(text []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, withPosition(text, err)
 	}
 	if file.Settings == nil {
-		return nil, fmt.Errorf("settings are missing: the object that an instance starts with is needed")
+		return nil, fmt.Errorf("settings are missing, must be a JSON object")
 	}
 	c := &Config{
 		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits, Known: parseKnown(file.Known),
@@ -85,21 +87,21 @@
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed is %.40q: up to 16 hexadecimal digits are needed", file.Seed)
+		return nil, fmt.Errorf("seed must have 1 to 16 hexadecimal digits, got %.40q", file.Seed)
 	}
 	if slices.Contains(c.Classes, "") || slices.Contains(c.Tenants, "") {
-		return nil, fmt.Errorf("settings: a class or tenant has no name")
+		return nil, fmt.Errorf("settings: the name of each class and tenant must not be empty")
 	}
 	if c.Limits.Sockets == 0 {
 		c.Limits.Sockets = defaultSockets
 	}
 	if c.Limits.Sockets < minSockets {
-		return nil, fmt.Errorf("limits: %d sockets, at least %d are needed", c.Limits.Sockets, minSockets)
+		return nil, fmt.Errorf("limits.sockets must be at least %[2]d, got %[1]d", c.Limits.Sockets, minSockets)
 	}
 	return c, nil
 }
 
-// applySettings applies the settings, the object that an instance starts with.
+// applySettings decodes the start-up settings into c. On an error c may be changed partially.
 func (c *Config) applySettings(text []byte) error {
 	s, err := settings.ParseJSON(text)
 	if err != nil {
@@ -118,16 +120,17 @@
 	return nil
 }
 
-// withPosition adds line and column to an error of a JSON text, if it has an offset.
+// withPosition adds the line and column in text to a JSON decoding error, if the error has an
+// offset.
 func withPosition(text []byte, err error) error {
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+	var syntaxError *json.SyntaxError
+	var typeError *json.UnmarshalTypeError
 	var offset int64
 	switch {
-	case errors.As(err, &syntax):
-		offset = syntax.Offset
-	case errors.As(err, &kind):
-		offset = kind.Offset
+	case errors.As(err, &syntaxError):
+		offset = syntaxError.Offset
+	case errors.As(err, &typeError):
+		offset = typeError.Offset
 	default:
 		return err
 	}
@@ -137,8 +140,8 @@
 	return fmt.Errorf("line %d, column %d: %w", line+1, column, err)
 }
 
-// parseKnown reads the list as last held. One that cannot be read is ignored, as
-// discovery brings another.
+// parseKnown parses the cached endpoint list; nil if there is none. An invalid list is ignored,
+// because discovery provides a new one.
 func parseKnown(text json.RawMessage) *platform.Listing {
 	if len(text) == 0 || string(text) == "null" {
 		return nil
--- a/internal/sidecar/plugins.go
+++ b/internal/sidecar/plugins.go
@@ -9,8 +9,9 @@
 	"mothridge/internal/plugin"
 )
 
-// addPlugins puts the operators' plug-ins before the handler there is, if there are any.
-func (s *service) addPlugins(running context.Context) error {
+// addPlugins adds the gate that runs the operators' plug-ins in front of s.handler, if the
+// operators' file has plug-ins. A goroutine runs the gate's outcome hooks until ctx ends.
+func (s *service) addPlugins(ctx context.Context) error {
 	if len(s.config.Operator.Plugins) == 0 {
 		return nil
 	}
@@ -23,7 +24,7 @@
 		return err
 	}
 	gate.SetNext(s.handler)
-	s.background.Go(func() { gate.Run(running.Done()) })
+	s.background.Go(func() { gate.Run(ctx.Done()) })
 	if s.metrics != nil {
 		s.metrics.Add(func(show *metrics.Show) { showPlugins(show, gate) })
 	}
@@ -31,18 +32,19 @@
 	return nil
 }
 
+// showPlugins adds the plug-ins' counters and states to a scrape.
 func showPlugins(show *metrics.Show, gate *plugin.Gate) {
 	gate.Plugins(func(name, state string, counts plugin.Counts, named map[string]uint64) {
-		show.Counters("plugin_total", "What became of a plug-in's runs, by event.", "event", counts, "plugin", name)
-		show.Gauge("plugin_suspended", "Whether a plug-in is left out for using up its budget.", suspended(state), "plugin", name)
+		show.Counters("plugin_total", "Runs of a plug-in, by event.", "event", counts, "plugin", name)
+		show.Gauge("plugin_suspended", "Whether a plug-in is suspended for exhausting its budget (1) or not (0).", suspended(state), "plugin", name)
 		for n, count := range named {
-			show.Gauge("plugin_counts", "What a plug-in counts of its own.", float64(count), "plugin", name, "count", n)
+			show.Gauge("plugin_counts", "Counters that a plug-in maintains itself.", float64(count), "plugin", name, "count", n)
 		}
 	})
-	show.Gauge("plugin_outcomes_dropped", "Outcomes whose hooks were not run as too many waited.", float64(gate.Dropped()))
+	show.Gauge("plugin_outcomes_dropped", "Outcomes whose hooks did not run because too many outcomes were queued.", float64(gate.Dropped()))
 }
 
-// suspended is 1 for all states of a breaker but the one in which calls go through.
+// suspended returns 0 if the state of a circuit breaker lets calls through ("closed"), else 1.
 func suspended(state string) float64 {
 	if state == "closed" {
 		return 0
@@ -50,7 +52,7 @@
 	return 1
 }
 
-// pluginSpecs are the plug-ins that an operators' file names.
+// pluginSpecs returns the plug-ins of an operators' file.
 func pluginSpecs(f *operator.File) []plugin.Spec {
 	var specs []plugin.Spec
 	for i := range f.Plugins {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -12,17 +12,18 @@
 	"mothridge/quota"
 )
 
-// The terms of loans where the operators' file sets none.
+// The defaults for lending between quotas, and the share of a quota that one sidecar may use.
 const (
 	defaultLenderReserve  = time.Second
 	defaultRepaymentShare = 0.1
 	defaultDebtLifetime   = time.Minute
-	// unevenShares is how many even shares of a quota one sidecar may use, as traffic is
-	// uneven and sidecars share no state. The bulkheads of the decisions do the same.
+	// unevenShares is the number of even shares of a quota that one sidecar may use, because traffic
+	// is uneven and sidecars share no state. The bulkheads of package policy use the same factor.
 	unevenShares = 2.0
 )
 
-// addQuotas puts the operators' quotas before the handler there is, if there are any.
+// addQuotas adds the gate that enforces the operators' quotas in front of s.handler, if the
+// operators' file has quotas.
 func (s *service) addQuotas() error {
 	if len(s.config.Operator.Quotas) == 0 {
 		return nil
@@ -39,17 +40,18 @@
 	return nil
 }
 
+// showQuotas adds the quotas' counters and limits to a scrape.
 func showQuotas(show *metrics.Show, gate *quotas.Gate) {
 	for _, n := range gate.View() {
-		show.Counters("quota_total", "What became of requests by the quota they count in, by event.", "event", n.Usage, "quota", n.Name)
+		show.Counters("quota_total", "Requests of a quota, by event.", "event", n.Usage, "quota", n.Name)
 		for _, l := range n.Limits {
-			show.Gauge("quota_left", "What is left of a limit.", l.Left, "quota", n.Name, "dimension", l.Dimension, "window", l.Window)
+			show.Gauge("quota_left", "Tokens left of a limit, below 0 after a repayment.", l.Left, "quota", n.Name, "dimension", l.Dimension, "window", l.Window)
 		}
 	}
 }
 
-// reloadQuotas takes another operators' file's quotas; balances stay. A file without quotas
-// changes nothing.
+// reloadQuotas replaces the quotas by the quotas of f and keeps their balances. It does nothing if
+// f has no quotas or the sidecar started without quotas. On an error nothing changes.
 func (s *service) reloadQuotas(f *operator.File) error {
 	if s.quotas == nil || len(f.Quotas) == 0 {
 		return nil
@@ -61,11 +63,11 @@
 	return nil
 }
 
-// quotaConfig is what an operators' file says of quotas.
+// quotaConfig returns the quota configuration of an operators' file.
 func (c *Config) quotaConfig(f *operator.File) quotas.Config {
 	lending := &f.Lending
 	evenShare := unevenShares / float64(max(1, c.Policy.FleetSize))
-	out := quotas.Config{
+	config := quotas.Config{
 		Tree: quota.Config{
 			LenderReserve:  cmp.Or(lending.LenderReserve.Value(), defaultLenderReserve),
 			RepaymentShare: cmp.Or(float64(lending.RepaymentShare), defaultRepaymentShare),
@@ -77,23 +79,24 @@
 		Share:         cmp.Or(lending.SidecarShare, min(1, evenShare)),
 	}
 	for _, class := range c.Policy.Classes {
-		out.PriorityWeights = append(out.PriorityWeights, class.PriorityWeight)
+		config.PriorityWeights = append(config.PriorityWeights, class.PriorityWeight)
 	}
 	for i := range f.Quotas {
 		q := &f.Quotas[i]
-		out.Tree.Nodes = append(out.Tree.Nodes, quota.Node{
+		config.Tree.Nodes = append(config.Tree.Nodes, quota.Node{
 			Name: q.Name, Parent: q.Parent, Weight: q.Weight, Limits: quotaLimits(q),
 		})
 		if q.Tenant != "" || q.Header != "" || q.Tag != "" {
-			out.Matches[q.Name] = quotas.Match{
+			config.Matches[q.Name] = quotas.Match{
 				Tenant: q.Tenant, Header: textproto.CanonicalMIMEHeaderKey(q.Header), Value: q.Value, Tag: q.Tag,
 			}
 		}
 	}
-	return out
+	return config
 }
 
-// quotaLimits are the limits of one node: each rate in each window, and requests at once.
+// quotaLimits returns the limits of one node of the quota tree: one for each rate and window, and
+// one for concurrent requests. The default windows are 1 s and 10 s.
 func quotaLimits(q *operator.Quota) []quota.Limit {
 	windows := []time.Duration{time.Second, 10 * time.Second}
 	if len(q.Windows) > 0 {
--- a/internal/sidecar/raw_client_test.go
+++ b/internal/sidecar/raw_client_test.go
@@ -13,14 +13,14 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// rawClient is a client's connection on which a test writes what it likes.
+// rawClient is a client connection on which a test can write arbitrary bytes.
 type rawClient struct {
 	*net.TCPConn
 	t      *testing.T
 	reader *bufio.Reader
 }
 
-// dial opens a connection, which is closed at the end of the test.
+// dial opens a connection to the sidecar. It is closed at the end of the test.
 func dial(t *testing.T, address string) *rawClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -32,52 +32,56 @@
 	return &rawClient{conn.(*net.TCPConn), t, bufio.NewReader(conn)}
 }
 
-// sendRequest writes a request that may run only once.
+// sendRequest writes a request of the class once, which is not idempotent.
 func (client *rawClient) sendRequest(id string) {
 	client.t.Helper()
 	if err := (peertest.Call{Class: "once", ID: id}).Request(client.t, "x").Write(client); err != nil {
-		client.t.Errorf("sending a request: %v", err) // after a reset
+		client.t.Errorf("send a request: got error %v", err) // after a reset
 	}
 }
 
-// readResponse reads a response; last is whether it announces that the connection closes.
+// readResponse reads a response. It returns the status, and whether the response announces the close
+// of the connection.
 func (client *rawClient) readResponse() (status int, last bool) {
 	client.t.Helper()
 	response, err := http.ReadResponse(client.reader, nil)
 	if err != nil {
-		client.t.Fatalf("no answer: %v", err)
+		client.t.Fatalf("read a response: got error %v", err)
 	}
 	io.Copy(io.Discard, response.Body)
 	return response.StatusCode, response.Close
 }
 
-// expectServed reads a response that must be 200.
+// expectServed reads a response that must be 200. The message of a failure begins with what.
 func (client *rawClient) expectServed(what string) {
 	client.t.Helper()
 	response, err := http.ReadResponse(client.reader, nil)
 	if err != nil || response.StatusCode != http.StatusOK {
-		client.t.Fatalf("%s: %v, error %v", what, response, err)
+		client.t.Fatalf("%s: got %v, error %v, want 200", what, response, err)
 	}
 	io.Copy(io.Discard, response.Body)
 }
 
-// expectLastResponse reads a response that must have a status and announce the close.
+// expectLastResponse reads a response that must have the given status and announce the close of the
+// connection.
 func (client *rawClient) expectLastResponse(want int) {
 	client.t.Helper()
 	if status, last := client.readResponse(); status != want || !last {
-		client.t.Errorf("got %d, last %v; want %d and the announcement that it is the last", status, last, want)
+		client.t.Errorf("got status %d, last %v; want %d and the announcement of the close", status, last, want)
 	}
 }
 
-// expectClose reads the end, which must be no reset: that could take a response with it.
+// expectClose expects the connection to end with EOF. A reset could destroy a response that the
+// client has not read yet.
 func (client *rawClient) expectClose() {
 	client.t.Helper()
 	if rest, err := io.ReadAll(client.reader); err != nil || len(rest) > 0 {
-		client.t.Errorf("the connection ended with %v after %q, want a plain end", err, rest)
+		client.t.Errorf("end of the connection: got error %v after %q, want EOF without further bytes", err, rest)
 	}
 }
 
-// exchange sends text on a connection of its own and reads until that is closed.
+// exchange sends text on a new connection and returns everything that it reads until the connection
+// is closed.
 func exchange(t *testing.T, address, text string) string {
 	t.Helper()
 	client := dial(t, address)
@@ -85,7 +89,7 @@
 	go io.WriteString(client, text)
 	got, err := io.ReadAll(client)
 	if err != nil && len(got) == 0 {
-		t.Errorf("no answer before the close: %v", err)
+		t.Errorf("read until the close: got error %v and no bytes", err)
 	}
 	return string(got)
 }
@@ -95,32 +99,35 @@
 	chunked = "Transfer-Encoding: chunked\r\n\r\n"
 )
 
-// postHeader is the header of a good request up to its framing.
+// postHeader returns the header of a valid request, without its framing fields and final empty line.
 func postHeader(id string) string {
 	return "POST /api HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id +
 		"\r\nRequest-Class: once\r\nTenant: acme\r\nRequest-Timeout: 4\r\n"
 }
 
-// unknownClassHeader is the header of a request that is rejected for its class.
+// unknownClassHeader returns the header of a request that is rejected because its class is unknown.
 func unknownClassHeader(id string) string { return strings.Replace(postHeader(id), "once", "many", 1) }
 
-// requestHeld closes its channel once the sidecar holds a request of that id: a further one under it is rejected.
-func requestHeld(t *testing.T, address, id string) <-chan struct{} {
+// requestAccepted returns a channel that is closed once the sidecar handles a request with the id. It
+// detects this by sending further requests with the id until one is rejected. The channel is also
+// closed after an error or after peertest.WaitTimeout.
+func requestAccepted(t *testing.T, address, id string) <-chan struct{} {
 	t.Helper()
-	held := make(chan struct{})
+	accepted := make(chan struct{})
 	go func() {
-		defer close(held)
-		for end := time.Now().Add(peertest.WaitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-			if isHeld, err := isRequestHeld(address, id); isHeld || err != nil {
+		defer close(accepted)
+		for deadline := time.Now().Add(peertest.WaitTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+			if inUse, err := isIDInUse(address, id); inUse || err != nil {
 				return
 			}
 		}
 	}()
-	return held
+	return accepted
 }
 
-// isRequestHeld sends a header under the id; it is seen before its body, which never comes.
-func isRequestHeld(address, id string) (bool, error) {
+// isIDInUse reports whether the sidecar rejects a request with the id with 409. It sends only the
+// header of the request; the sidecar checks the id before it reads the body.
+func isIDInUse(address, id string) (bool, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false, err
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -7,30 +7,31 @@
 	"mothridge/internal/operator"
 )
 
-// errNoPlatformFile says that a sidecar which the operators' file alone configures has no
-// platform's file to read again.
-var errNoPlatformFile = errors.New("the operators' file says all of it, and takes a restart")
+// errNoPlatformFile means that the operators' file alone configures the sidecar, so there is no
+// platform's file to reload.
+var errNoPlatformFile = errors.New("configured by the operators' file alone; applying its changes requires a restart")
 
-// reload reads the configuration again: plug-ins and quotas from the operators' file,
-// discovery's address from the platform's. What cannot be used is logged and changes nothing.
+// reload applies plug-ins and quotas from the operators' file, and the address of discovery from
+// the platform's file. Errors are logged, and the part with the error keeps its old configuration.
 func (s *service) reload() {
 	s.reloadOperatorFile()
 	standalone := s.config.Operator.Sidecar != nil
 	if standalone && (s.plugins != nil || s.quotas != nil) {
-		return // there is no platform's file, and what can be read again was
+		return // there is no platform's file, and the operators' file was reloaded
 	}
-	before := s.config.Discovery
+	oldAddress := s.config.Discovery
 	if err := s.config.reloadDiscovery(); err != nil {
 		slog.Error("configuration: the old one stays in force", "err", err)
 		return
 	}
-	if s.config.Discovery != before && s.discovery != nil {
+	if s.config.Discovery != oldAddress && s.discovery != nil {
 		s.discovery.SetAddress(s.config.Discovery)
 	}
 }
 
-// reloadOperatorFile takes the plug-ins of the operators' file, all of them or none, and its
-// quotas, where there were some at the start. To remove or add the first takes a restart.
+// reloadOperatorFile applies the plug-ins of the operators' file, all of them or none, and its
+// quotas, each only if the sidecar started with some. Adding the first plug-in, adding the first
+// quota or removing all quotas requires a restart.
 func (s *service) reloadOperatorFile() {
 	if s.plugins == nil && s.quotas == nil || s.config.Operator.Path() == "" {
 		return
@@ -53,19 +54,19 @@
 	slog.Info("plug-ins were read again", "number", len(file.Plugins))
 }
 
-// reloadDiscovery reads the platform's file again and applies discovery's address. The
-// environment is that of the start, so here the file alone counts. On an error c stays as it is.
+// reloadDiscovery applies the address of discovery from the platform's file. It ignores
+// ROUTER_DISCOVERY: the environment cannot have changed since the start. On an error c is unchanged.
 func (c *Config) reloadDiscovery() error {
 	if c.path == "" {
 		return errNoPlatformFile
 	}
-	fresh, err := readConfig(c.path)
+	reloaded, err := readConfig(c.path)
 	if err != nil {
 		return err
 	}
-	if err := fresh.checkDiscovery(); err != nil {
+	if err := reloaded.checkDiscovery(); err != nil {
 		return err
 	}
-	c.Discovery = fresh.Discovery
+	c.Discovery = reloaded.Discovery
 	return nil
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -18,19 +18,20 @@
 	}
 }
 
-// reloadText is a platform's file that differs from that of testConfig in what a reload may change.
+// reloadText returns a platform's file that differs from the file of testConfig only in values that a
+// reload may change.
 func reloadText(discovery string) string {
 	settings := fmt.Sprintf(testSettings, false, 500, "push")
 	return fmt.Sprintf(`{"discovery":%q,"seed":"1","settings":%s}`, discovery, settings)
 }
 
-// A new configuration under way: requests that are held are answered, the held
-// list stays in force until the new address has brought another, and a file
-// that cannot be used changes nothing.
+// A reload moves discovery to another address while requests are in flight. The requests in flight
+// must get their responses, the old endpoint list must be used until the new address has sent a list,
+// and an invalid file must change nothing.
 func TestReloadMovesDiscovery(t *testing.T) {
 	oldRegistry, newRegistry := peertest.NewDiscovery(t), peertest.NewDiscovery(t)
 	release := make(chan struct{})
-	oldUpstream, newUpstream := newHoldingUpstream(t, "a", release), newServingUpstream(t, "b")
+	oldUpstream, newUpstream := newBlockingUpstream(t, "a", release), newServingUpstream(t, "b")
 	config := testConfig(t, testOptions{}, oldRegistry.Addr, upEndpoint("s-1", oldUpstream.Addr))
 	config.path = filepath.Join(t.TempDir(), "config.json")
 	signals := make(chan os.Signal)
@@ -41,32 +42,32 @@
 	}
 	address, _, _ := startReloadableSidecar(t, config, signals)
 	watch := peertest.Await(t, "the watch", oldRegistry.Watches)
-	held := peertest.Call{Class: "once", ID: "held"}.Start(t, address)
-	peertest.Await(t, "the held one", oldUpstream.Requests)
-	unresolved := peertest.ValidJSON(t, reloadText("discovery.internal"))
-	for _, wrong := range []string{"", "{", unresolved, `{"discovery":"127.0.0.1:1"}`} {
-		reload(wrong)
+	inFlight := peertest.Call{Class: "once", ID: "held"}.Start(t, address)
+	peertest.Await(t, "the request in flight", oldUpstream.Requests)
+	unresolvedAddress := peertest.ValidJSON(t, reloadText("discovery.internal"))
+	for _, invalid := range []string{"", "{", unresolvedAddress, `{"discovery":"127.0.0.1:1"}`} {
+		reload(invalid)
 	}
 	select {
-	case watch.Lines <- peertest.ListText(2, false): // the old watch is still read
+	case watch.Lines <- peertest.ListText(2, false): // the sidecar still reads the old watch
 	case <-watch.Ended:
-		t.Fatal("a wrong file ended the watch")
+		t.Fatal("reload of an invalid file: got the end of the watch, want it open")
 	}
 	reload(peertest.ValidJSON(t, reloadText(newRegistry.Addr)))
-	peertest.Await(t, "the call for the new list", newRegistry.ListRequests)
+	peertest.Await(t, "the request for the new list", newRegistry.ListRequests)
 	if got := (peertest.Call{Class: "once", ID: "meanwhile"}).Do(t, address); got.Body != "a" {
-		t.Errorf("without a new list: %+v", got)
+		t.Errorf("before the new list: got %+v, want body a", got)
 	}
 	newRegistry.ListResponses <- peertest.ListText(1, true, upEndpoint("s-2", newUpstream.Addr))
 	peertest.Await(t, "the new watch", newRegistry.Watches)
 	awaitBody(t, address, "b")
 	close(release)
-	if got := peertest.Await(t, "the held one's answer", held); got.Body != "a" {
-		t.Errorf("the held one: %+v", got)
+	if got := peertest.Await(t, "the response to the request in flight", inFlight); got.Body != "a" {
+		t.Errorf("request in flight: got %+v, want body a", got)
 	}
 }
 
-// awaitBody sends requests until one is served with the body.
+// awaitBody sends requests until a response has the given body.
 func awaitBody(t *testing.T, address, body string) {
 	t.Helper()
 	for i, deadline := 0, time.Now().Add(peertest.WaitTimeout); ; i++ {
@@ -75,7 +76,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the new list is not in force: %+v", got)
+			t.Fatalf("new list not used in time: got %+v", got)
 		}
 	}
 }
--- a/internal/sidecar/request_framing_test.go
+++ b/internal/sidecar/request_framing_test.go
@@ -10,7 +10,8 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// uncertainLengths puts a hidden request inside or after a request whose length is not certain.
+// uncertainLengths returns requests with a hidden request inside or after them. Either the length of
+// the outer request is ambiguous or invalid, or the outer request is rejected.
 func uncertainLengths(hidden string) map[string]string {
 	const (
 		twoFramings = "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -21,44 +22,44 @@
 	oldVersion := strings.Replace(good, "1.1", "1.0", 1)
 	chunk := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden)
 	return map[string]string{
-		"after the chunks":           good + twoFramings + lastChunk + hidden,
-		"inside the chunks":          good + twoFramings + chunk,
-		"broken chunks":              good + chunked + "zz\r\n" + hidden,
-		"a length after":             good + "Transfer-Encoding: chunked\r\ncontent-LENGTH: 5\r\n\r\n" + lastChunk + hidden,
-		"a list of encodings":        good + "Transfer-Encoding: gzip, chunked\r\n\r\n" + chunk,
-		"two encodings":              good + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n" + chunk,
-		"HTTP/1.0":                   oldVersion + "Transfer-Encoding: chunked\r\nConnection: keep-alive\r\n\r\n" + chunk,
-		"a health check":             health + twoFramings + lastChunk + hidden,
-		"all servers":                "OPTIONS * HTTP/1.1\r\nHost: x\r\n" + twoFramings + lastChunk + hidden,
-		"two lengths":                good + "Content-Length: 0\r\nContent-Length: 5\r\n\r\n" + hidden,
-		"a list of lengths":          good + "Content-Length: 0, 0\r\n\r\n" + hidden,
-		"a signed length":            good + "Content-Length: +0\r\n\r\n" + hidden,
-		"a negative length":          good + "Content-Length: -1\r\n\r\n" + hidden,
-		"no length":                  good + "Content-Length:\r\n\r\n" + hidden,
-		"a huge length":              good + "Content-Length: 99999999999999999999\r\n\r\n" + hidden,
-		"after a rejected one":       rejected + noBody + hidden,
-		"as the body of a rejection": rejected + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(hidden)) + hidden,
+		"after the chunks":                  good + twoFramings + lastChunk + hidden,
+		"inside the chunks":                 good + twoFramings + chunk,
+		"broken chunks":                     good + chunked + "zz\r\n" + hidden,
+		"length after the encoding":         good + "Transfer-Encoding: chunked\r\ncontent-LENGTH: 5\r\n\r\n" + lastChunk + hidden,
+		"a list of encodings":               good + "Transfer-Encoding: gzip, chunked\r\n\r\n" + chunk,
+		"two encodings":                     good + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n" + chunk,
+		"HTTP/1.0":                          oldVersion + "Transfer-Encoding: chunked\r\nConnection: keep-alive\r\n\r\n" + chunk,
+		"a health check":                    health + twoFramings + lastChunk + hidden,
+		"OPTIONS for all servers":           "OPTIONS * HTTP/1.1\r\nHost: x\r\n" + twoFramings + lastChunk + hidden,
+		"two lengths":                       good + "Content-Length: 0\r\nContent-Length: 5\r\n\r\n" + hidden,
+		"a list of lengths":                 good + "Content-Length: 0, 0\r\n\r\n" + hidden,
+		"a signed length":                   good + "Content-Length: +0\r\n\r\n" + hidden,
+		"a negative length":                 good + "Content-Length: -1\r\n\r\n" + hidden,
+		"empty length":                      good + "Content-Length:\r\n\r\n" + hidden,
+		"a huge length":                     good + "Content-Length: 99999999999999999999\r\n\r\n" + hidden,
+		"after a rejected request":          rejected + noBody + hidden,
+		"as the body of a rejected request": rejected + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(hidden)) + hidden,
 	}
 }
 
-// What stands inside or after a request whose length is not certain is no
-// request, wherever its connection leads.
+// Request smuggling: if the length of a request is ambiguous, bytes inside or after it could be taken
+// for another request. The sidecar must send one error, close the connection and forward nothing.
 func TestHiddenRequestIsNotServed(t *testing.T) {
 	upstream := newServingUpstream(t, "ok")
 	address, _, _ := startWithUpstream(t, upstream)
 	for name, text := range uncertainLengths(postHeader("hidden") + noBody) {
 		got := exchange(t, address, text)
 		if strings.Count(got, "HTTP/1.") != 1 || got[len("HTTP/1.1 ")] == '2' {
-			t.Errorf("%s: got %q, want one error and a close", name, got)
+			t.Errorf("%s: got %q, want one error and the close of the connection", name, got)
 		}
 	}
 	if len(upstream.Requests) > 0 {
-		t.Errorf("%d requests were forwarded", len(upstream.Requests))
+		t.Errorf("got %d forwarded requests, want none", len(upstream.Requests))
 	}
 }
 
-// A body in chunks, and that alone, has a certain length: what looks like a request
-// in it is its body, and what stands after it is the next request.
+// A body with chunked encoding as its only framing has an unambiguous length. Bytes in the body that
+// look like a request are part of the body, and bytes after the body are the next request.
 func TestChunkedBody(t *testing.T) {
 	upstream := newServingUpstream(t, "ok")
 	address, _, _ := startWithUpstream(t, upstream)
@@ -72,7 +73,7 @@
 	} {
 		text := postHeader(fmt.Sprint("chunks", i)) + chunked + c.chunks
 		want := []string{c.body}
-		if i%2 == 1 { // byte by byte, on a kept connection
+		if i%2 == 1 { // byte by byte, on the kept-alive connection
 			writeByteByByte(client, text)
 		} else {
 			want = append(want, "hi")
@@ -80,34 +81,35 @@
 		}
 		for _, body := range want {
 			if status, last := client.readResponse(); status != http.StatusOK || last {
-				t.Fatalf("chunks %d: %d, last %v", i, status, last)
+				t.Fatalf("chunks %d: got status %d, last %v; want 200 and an open connection", i, status, last)
 			}
 			received := peertest.Await(t, "the request", upstream.Requests)
 			if received.Text != body || len(received.TransferEncoding) > 0 || received.ContentLength != int64(len(body)) {
-				t.Errorf("chunks %d: the upstream read %q, %d bytes, %v",
+				t.Errorf("chunks %d: upstream got body %q, %d bytes, encodings %v",
 					i, received.Text, received.ContentLength, received.TransferEncoding)
 			}
 		}
 	}
 	large := postHeader("large") + chunked + strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3) + "0\r\n\r\n"
 	if got := exchange(t, address, large); !strings.HasPrefix(got, "HTTP/1.1 413 ") || len(upstream.Requests) > 0 {
-		t.Errorf("too large a body: %q", got)
+		t.Errorf("body above the limit: got %q, want 413 and no forwarded request", got)
 	}
 }
 
+// A request whose bytes arrive one at a time must be parsed like any other request.
 func TestRequestByteByByte(t *testing.T) {
 	upstream := newServingUpstream(t, "ok")
 	address, _, _ := startWithUpstream(t, upstream)
 	client := dial(t, address)
-	for i := range 3 { // on a kept connection too
+	for i := range 3 { // also on a kept-alive connection
 		if err := writeByteByByte(client, postHeader(fmt.Sprint(i))+"Content-Length: 4\r\n\r\nabcd"); err != nil {
 			t.Fatal(err)
 		}
 		if status, last := client.readResponse(); status != http.StatusOK || last {
-			t.Fatalf("request %d: %d, last %v", i, status, last)
+			t.Fatalf("request %d: got status %d, last %v; want 200 and an open connection", i, status, last)
 		}
 		if received := peertest.Await(t, "the request", upstream.Requests); received.Text != "abcd" {
-			t.Errorf("the upstream read %q", received.Text)
+			t.Errorf("upstream: got body %q, want abcd", received.Text)
 		}
 	}
 }
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -7,29 +7,31 @@
 	"time"
 )
 
-// The times of a planned restart, which begins with SIGTERM.
+// The durations of a planned restart, which begins with SIGTERM.
 const (
-	// acceptGrace is how long new connections go on coming (0.4 s), and some time to take
-	// them out of the accept queue.
+	// acceptGrace is the time for which new connections still arrive after SIGTERM (0.4 s), plus a
+	// margin to accept them from the accept queue.
 	acceptGrace = 600 * time.Millisecond
-	// The process is killed no sooner than the longest deadline, maxClientWait at most,
-	// and killMargin after SIGTERM. What is in flight then is lost.
+	// The platform kills the process at the earliest killMargin after the longest deadline of a
+	// class, counted from SIGTERM. Of that deadline at most maxClientWait counts. Requests in flight
+	// at the kill are lost.
 	maxClientWait = 3 * time.Second
 	killMargin    = 700 * time.Millisecond
-	// respondBefore is how long before the kill the rest gets its response: time to write it.
+	// respondBefore is the time before the kill at which all remaining requests are completed. It
+	// allows for writing their responses.
 	respondBefore = 250 * time.Millisecond
-	// exitBefore is how long before the kill the process has ended.
+	// exitBefore is the time before the kill by which the process must have exited.
 	exitBefore = 50 * time.Millisecond
 )
 
-// shutDown ends service for a planned restart. Closing a listener resets connections that
-// wait to be accepted: it stays open for acceptGrace, while clients are
-// signalled to send nothing new.
+// shutDown ends the service for a planned restart, and blocks until the front ends have ended.
+// Closing a listener resets the connections in its accept queue. The listeners therefore stay open
+// for acceptGrace while clients are signalled to send no new requests.
 func (s *service) shutDown() error {
 	slog.Info("draining")
 	killedAt := time.Now().Add(s.config.killGrace())
 	for _, f := range s.frontEnds {
-		f.Drain() // before the listener closes, as an idle connection may not get a request after that
+		f.Drain() // before the listener closes, because no request may arrive on an idle connection after that
 	}
 	defer time.AfterFunc(time.Until(killedAt.Add(-respondBefore)), s.core.Shutdown).Stop()
 	time.Sleep(acceptGrace)
@@ -42,25 +44,25 @@
 	return err
 }
 
-// shutDownFrontEnds ends them side by side and joins their errors.
+// shutDownFrontEnds shuts down all front ends concurrently and joins their errors.
 func (s *service) shutDownFrontEnds(ctx context.Context) error {
-	ended := make(chan error, len(s.frontEnds))
+	results := make(chan error, len(s.frontEnds))
 	for _, f := range s.frontEnds {
-		go func() { ended <- f.Shutdown(ctx) }()
+		go func() { results <- f.Shutdown(ctx) }()
 	}
 	var errs error
 	for range s.frontEnds {
-		errs = errors.Join(errs, <-ended)
+		errs = errors.Join(errs, <-results)
 	}
 	return errs
 }
 
-// killGrace is how soon after SIGTERM the process may be killed; at least long enough for
-// acceptGrace and the last responses.
+// killGrace returns the earliest time after SIGTERM at which the platform may kill the process. It
+// is at least long enough for acceptGrace and for writing the last responses.
 func (c *Config) killGrace() time.Duration {
-	longest := time.Duration(0)
+	longestDeadline := time.Duration(0)
 	for _, class := range c.Policy.Classes {
-		longest = max(longest, class.Deadline)
+		longestDeadline = max(longestDeadline, class.Deadline)
 	}
-	return max(min(longest, maxClientWait)+killMargin, acceptGrace+2*respondBefore)
+	return max(min(longestDeadline, maxClientWait)+killMargin, acceptGrace+2*respondBefore)
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	lingerTime      = 50 * time.Millisecond // far below the time for which a closed connection is read on from
-	idleReadTimeout = 2 * time.Second       // after which net/http gives a silent connection up
+	lingerTime      = 50 * time.Millisecond // far below the time for which a shut connection is still read
+	idleReadTimeout = 2 * time.Second       // after which net/http closes a connection without a request
 
 	rejectedNotStarted = "HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// SIGTERM comes while requests are on their way through the sidecar: each gets
-// its response all the same, and no connection is reset. See docs/design/crossings.md.
-func TestShutdownCrossesRequests(t *testing.T) {
-	t.Run("queued after another", testShutdownWithQueuedRequest)
+// SIGTERM arrives while requests are at different stages in the sidecar. Each accepted request must
+// still get its response, and no connection may be reset. See docs/design/crossings.md.
+func TestShutdownWithRequestsInProgress(t *testing.T) {
+	t.Run("with a queued request", testShutdownWithQueuedRequest)
 	t.Run("between two attempts", testShutdownBetweenAttempts)
 	t.Run("before its first attempt is connected", testShutdownBeforeConnect)
-	t.Run("with a request on a connection as it is closed", testShutdownWithLateRequest)
-	t.Run("with more after a request that is answered", testShutdownWithPipelinedRequests)
-	t.Run("on a connection that says nothing", testShutdownWithSilentConnection)
+	t.Run("with a request on a connection that is being closed", testShutdownWithLateRequest)
+	t.Run("with pipelined requests after the last response", testShutdownWithPipelinedRequests)
+	t.Run("with a connection without a request", testShutdownWithConnectionWithoutRequest)
 }
 
 func testShutdownWithQueuedRequest(t *testing.T) {
@@ -33,9 +33,9 @@
 	address, shutdown, ended := startSidecar(t, singleSlotConfig(t, upEndpoint("s-1", upstream.Addr)))
 	first, second := dial(t, address), dial(t, address)
 	first.sendRequest("first")
-	peertest.Await(t, "the first", upstream.Requests)
+	peertest.Await(t, "the first request", upstream.Requests)
 	second.sendRequest("second")
-	peertest.Await(t, "both held", requestHeld(t, address, "second"))
+	peertest.Await(t, "the second request to be queued", requestAccepted(t, address, "second"))
 	shutdown()
 	awaitDraining(t, address)
 	close(upstream.responses)
@@ -43,7 +43,7 @@
 		client.expectLastResponse(http.StatusOK)
 		client.expectClose()
 	}
-	if err := peertest.Await(t, "the end", ended); err != nil {
+	if err := peertest.Await(t, "the end of the sidecar", ended); err != nil {
 		t.Error(err)
 	}
 }
@@ -56,23 +56,23 @@
 	peertest.Await(t, "the first attempt", upstream.Requests)
 	shutdown()
 	awaitDraining(t, address)
-	upstream.responses <- rejectedNotStarted // and there is no other endpoint: rejected, never lost
+	upstream.responses <- rejectedNotStarted // there is no other endpoint, so the request must be rejected, not lost
 	client.expectLastResponse(http.StatusServiceUnavailable)
 	client.expectClose()
 }
 
 func testShutdownBeforeConnect(t *testing.T) {
-	late := peertest.NewStalledListener(t)
-	config := testConfig(t, testOptions{}, noDiscovery, upEndpoint("s-1", late.Addr))
+	stalled := peertest.NewStalledListener(t)
+	config := testConfig(t, testOptions{}, noDiscovery, upEndpoint("s-1", stalled.Addr))
 	config.DialTimeout = 2 * time.Second
 	address, shutdown, _ := startSidecar(t, config)
 	client := dial(t, address)
 	client.sendRequest("x")
-	peertest.Await(t, "it held", requestHeld(t, address, "x"))
+	peertest.Await(t, "the request to be accepted", requestAccepted(t, address, "x"))
 	shutdown()
 	awaitDraining(t, address)
-	reached := late.Admit(t)
-	peertest.Await(t, "the attempt", reached)
+	requests := stalled.Admit(t)
+	peertest.Await(t, "the attempt", requests)
 	client.expectLastResponse(http.StatusOK)
 	client.expectClose()
 }
@@ -83,17 +83,17 @@
 	client := dial(t, address)
 	client.sendRequest("first")
 	client.readResponse()
-	peertest.Await(t, "the first", upstream.Requests)
+	peertest.Await(t, "the first request", upstream.Requests)
 	shutdown()
-	if _, err := client.reader.Peek(1); err != io.EOF { // it is shut: what is written now crosses that
-		t.Fatalf("want the end, got %v", err)
+	if _, err := client.reader.Peek(1); err != io.EOF { // a request written now arrives after the close
+		t.Fatalf("idle connection: want EOF, got %v", err)
 	}
 	client.sendRequest("crossing")
 	time.Sleep(lingerTime)
 	client.sendRequest("and another")
 	client.expectClose()
 	if len(upstream.Requests) > 0 {
-		t.Error("a request was forwarded that came after the shutdown")
+		t.Error("got a forwarded request that arrived after the shutdown, want none")
 	}
 }
 
@@ -102,7 +102,7 @@
 	address, shutdown, _ := startWithUpstream(t, upstream.Upstream)
 	client := dial(t, address)
 	client.sendRequest("first")
-	peertest.Await(t, "the first", upstream.Requests)
+	peertest.Await(t, "the first request", upstream.Requests)
 	for i := range 64 {
 		client.sendRequest(fmt.Sprint(i))
 	}
@@ -112,26 +112,26 @@
 	client.expectLastResponse(http.StatusOK)
 	client.expectClose()
 	if len(upstream.Requests) > 0 {
-		t.Error("a request after the last one was forwarded")
+		t.Error("got a forwarded request after the last response, want none")
 	}
 }
 
-func testShutdownWithSilentConnection(t *testing.T) {
+func testShutdownWithConnectionWithoutRequest(t *testing.T) {
 	address, shutdown, ended := startSidecar(t, testConfig(t, testOptions{}, noDiscovery))
 	client := dial(t, address)
 	start := time.Now()
 	shutdown()
-	client.expectClose() // and is not left open up to the kill
+	client.expectClose() // the connection must not stay open until the kill
 	if took := time.Since(start); took > acceptGrace+idleReadTimeout/2 {
-		t.Errorf("a silent connection was ended after %v", took)
+		t.Errorf("connection without a request: got closed after %v, want at most 1.6 s", took)
 	}
-	peertest.Await(t, "the end", ended)
+	peertest.Await(t, "the end of the sidecar", ended)
 }
 
-// The process is killed soon after the longest deadline, 3 s at most, and 0.7 s
-// more: what is open then has been answered, however long its client would wait.
-func TestShutdownAnswersAllBeforeTheKill(t *testing.T) {
-	const deadline = 600 * time.Millisecond // and clients that wait for longer
+// The platform kills the process 0.7 s after the longest deadline, of which at most 3 s count. Every
+// open request must get its response before that, however long its client would wait.
+func TestShutdownCompletesRequestsBeforeKill(t *testing.T) {
+	const deadline = 600 * time.Millisecond // the timeouts of the clients are longer
 	upstream := newGatedUpstream(t)
 	config := singleSlotConfig(t, upEndpoint("s-1", upstream.Addr))
 	for i := range config.Policy.Classes {
@@ -140,58 +140,59 @@
 	address, shutdown, ended := startSidecar(t, config)
 	inFlight, queued := dial(t, address), dial(t, address)
 	inFlight.sendRequest("in-flight")
-	peertest.Await(t, "the first", upstream.Requests)
+	peertest.Await(t, "the first request", upstream.Requests)
 	queued.sendRequest("queued")
-	peertest.Await(t, "both held", requestHeld(t, address, "queued"))
+	peertest.Await(t, "the second request to be queued", requestAccepted(t, address, "queued"))
 	start := time.Now()
 	shutdown()
-	if status, _ := queued.readResponse(); status != http.StatusServiceUnavailable { // it never ran
-		t.Errorf("the queued one: %d, want 503", status)
+	if status, _ := queued.readResponse(); status != http.StatusServiceUnavailable { // this request never ran
+		t.Errorf("queued request: got %d, want 503", status)
 	}
-	if status, _ := inFlight.readResponse(); status == http.StatusServiceUnavailable || status < 500 { // it may have
-		t.Errorf("the one in flight: %d, want a failure that is no rejection", status)
+	if status, _ := inFlight.readResponse(); status == http.StatusServiceUnavailable || status < 500 { // this request may have run
+		t.Errorf("request in flight: got %d, want 5xx other than 503", status)
 	}
 	if took := time.Since(start); took < deadline || took > deadline+killMargin {
-		t.Errorf("answered %v after the announcement", took)
+		t.Errorf("got the responses %v after SIGTERM, want 0.6 s to 1.3 s", took)
 	}
-	err := peertest.Await(t, "the end", ended)
+	err := peertest.Await(t, "the end of the sidecar", ended)
 	if err != nil || time.Since(start) > config.killGrace()+schedulingMargin {
-		t.Errorf("ended with %v after %v", err, time.Since(start))
+		t.Errorf("end of the sidecar: got error %v after %v, want nil before the kill", err, time.Since(start))
 	}
 }
 
-// A planned restart: what was taken is answered, connections that still come are
-// served and closed, and idle ones are closed before the listener.
+// A planned restart must lose no request: accepted requests get their responses, new connections
+// during acceptGrace are served and closed, and idle connections are closed before the listener.
 func TestPlannedRestartLosesNothing(t *testing.T) {
 	release := make(chan struct{})
-	upstream := newHoldingUpstream(t, "ok", release)
+	upstream := newBlockingUpstream(t, "ok", release)
 	address, shutdown, ended := startWithUpstream(t, upstream)
 	idle := dial(t, address)
 	idle.sendRequest("first")
 	if status, last := idle.readResponse(); status != http.StatusOK || last {
-		t.Fatalf("before the restart: %d, last %v", status, last)
+		t.Fatalf("before the restart: got status %d, last %v; want 200 and an open connection", status, last)
 	}
-	peertest.Await(t, "the first", upstream.Requests)
-	held := peertest.Call{Class: "once", ID: "held"}.Start(t, address)
-	peertest.Await(t, "the held one", upstream.Requests)
+	peertest.Await(t, "the first request", upstream.Requests)
+	inFlight := peertest.Call{Class: "once", ID: "held"}.Start(t, address)
+	peertest.Await(t, "the request in flight", upstream.Requests)
 	shutdown()
 	if _, err := idle.reader.Peek(1); err == nil { // returns when the idle connection is closed
-		t.Error("bytes that belong to no request")
+		t.Error("idle connection: got bytes, want EOF")
 	}
-	// A kept connection would be closed under a later request: the response announces it.
+	// The sidecar must announce the close in the response. Otherwise it could close the kept-alive
+	// connection while the client sends the next request.
 	fresh := dial(t, address)
 	fresh.sendRequest("fresh")
 	fresh.expectLastResponse(http.StatusOK)
 	select {
 	case err := <-ended:
-		t.Fatalf("ended with a request unanswered: %v", err)
+		t.Fatalf("got the end of the sidecar with a request in flight: %v", err)
 	case <-time.After(acceptGrace): // the listener is closed or about to be
 	}
 	close(release)
-	if got := peertest.Await(t, "the held one's answer", held); got.Status != http.StatusOK || got.Body != "ok" {
-		t.Errorf("the held one: %+v", got)
+	if got := peertest.Await(t, "the response to the request in flight", inFlight); got.Status != http.StatusOK || got.Body != "ok" {
+		t.Errorf("request in flight: got %+v, want 200 and body ok", got)
 	}
-	if err := peertest.Await(t, "the end", ended); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := peertest.Await(t, "the end of the sidecar", ended); err != nil {
+		t.Errorf("end of the sidecar: got error %v, want nil", err)
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,6 +1,6 @@
-// Package sidecar puts the parts of the program together and ends them in order: it
-// listens, builds the core with its handlers, transports and sources, serves, reloads on
-// request and shuts down gracefully. It decides nothing itself.
+// Package sidecar assembles the parts of the program and stops them in order. It opens the
+// listeners, builds the core with its handlers, transports and sources, serves requests, reloads the
+// configuration on request and shuts down gracefully. It makes no decisions about requests itself.
 package sidecar
 
 import (
@@ -20,26 +20,26 @@
 	"mothridge/internal/registry/platform"
 )
 
-// Run listens and serves until stop is done, then shuts down gracefully. At each value
-// of reload it reads its configuration again. The error names the part that failed.
-func Run(stop context.Context, reload <-chan os.Signal, c *Config) error {
+// Run opens the listeners and serves requests on them until ctx ends, as Serve does.
+func Run(ctx context.Context, reload <-chan os.Signal, c *Config) error {
 	listeners, err := c.listen()
 	if err != nil {
 		return err
 	}
-	return Serve(stop, reload, c, listeners)
+	return Serve(ctx, reload, c, listeners)
 }
 
-// Serve does the same on listeners that are open: the platform's first, then those of
-// the operators' file in its order. It closes them.
-func Serve(stop context.Context, reload <-chan os.Signal, c *Config, listeners []net.Listener) error {
+// Serve serves requests until ctx ends, then shuts down gracefully. It blocks until then. For each
+// value from reload it reloads the configuration. The listeners are the platform's, then those of the
+// operators' file in file order; Serve closes them. The error contains the part that failed.
+func Serve(ctx context.Context, reload <-chan os.Signal, c *Config, listeners []net.Listener) error {
 	defer closeAll(listeners)
 	s := &service{config: c}
 	if err := s.build(); err != nil {
 		return err
 	}
 	defer s.stopBackground()
-	if err := s.startBackground(stop); err != nil {
+	if err := s.startBackground(ctx); err != nil {
 		return err
 	}
 	s.startFrontEnds(listeners)
@@ -48,7 +48,7 @@
 		select {
 		case err := <-s.frontEndEnded:
 			return fmt.Errorf("serve: %w", err)
-		case <-stop.Done():
+		case <-ctx.Done():
 			return s.shutDown()
 		case <-reload:
 			s.reload()
@@ -56,42 +56,43 @@
 	}
 }
 
-// service is a running sidecar. The goroutine of Serve owns it.
+// service is a running sidecar. Only the goroutine of Serve changes its fields.
 type service struct {
 	config  *Config
-	metrics *metrics.Metrics // nil where the operators' file has them off
+	metrics *metrics.Metrics // nil unless the operators' file turns them on
 
-	// The core and what requests pass on their way to it, made by build.
+	// The core, the transports, and the gates that requests pass before the core. Set by build and
+	// startBackground.
 	core       *core.Core
 	transports []transport
-	quotas     *quotas.Gate // nil where there is none
-	plugins    *plugin.Gate // nil where there is none
-	handler    core.Handler // the first of plug-ins, quotas and core
+	quotas     *quotas.Gate // nil: no quotas
+	plugins    *plugin.Gate // nil: no plug-ins
+	handler    core.Handler // the first handler of a request: plug-ins, else quotas, else the core
 
-	// What runs beside them, made by startBackground. It ends with stopBackground.
+	// The background tasks, started by startBackground and stopped by stopBackground.
 	background    sync.WaitGroup
 	cancel        context.CancelFunc
-	discovery     *platform.Discovery // nil where the platform's is no source
-	merger        *merge.Merger       // nil where the platform's discovery is the only source
+	discovery     *platform.Discovery // nil: the platform's discovery is not a source
+	merger        *merge.Merger       // nil: the platform's discovery is the only source
 	closeAdmin    func()
-	endRegistered context.CancelFunc
+	endRegistered context.CancelFunc // ends the registrations with registries
 
 	frontEnds     []frontEnd
-	frontEndEnded chan error // how a front end has ended, one value each
+	frontEndEnded chan error // gets the result of Serve of each front end
 }
 
-// build makes the core and the transports. Nothing runs yet.
+// build creates the metrics, the transports and the core. It starts nothing.
 func (s *service) build() error {
 	s.cancel, s.closeAdmin, s.endRegistered = func() {}, func() {}, func() {}
 	s.metrics = s.config.newMetrics()
 	newUpstream := s.newTransports()
-	settings := s.config.Policy
+	policyConfig := s.config.Policy
 	if slots := int(s.config.Operator.Limits.Slots); slots > 0 {
-		settings.Slots = slots
+		policyConfig.Slots = slots
 	}
 	var err error
 	s.core, err = core.New(core.Config{
-		Policy:      settings,
+		Policy:      policyConfig,
 		Seed:        s.config.Seed,
 		Zones:       s.config.Zones,
 		Cached:      s.config.cachedEndpoints(),
@@ -102,20 +103,20 @@
 	return err
 }
 
-// startBackground starts all that runs beside the front ends: plug-ins, discovery, the
-// admin socket, registrations, the core's event loop and the sweep of idle connections.
-// Registrations end as soon as stop is done, the rest with stopBackground.
+// startBackground starts everything that runs concurrently with the front ends: plug-ins, discovery,
+// the admin socket, registrations, the core's event loop and the sweep of idle connections. It also
+// adds the quotas. Registrations end when stop ends, everything else with stopBackground.
 func (s *service) startBackground(stop context.Context) error {
-	var running context.Context
-	running, s.cancel = context.WithCancel(context.Background())
+	var ctx context.Context
+	ctx, s.cancel = context.WithCancel(context.Background())
 	s.handler = s.core
 	if err := s.addQuotas(); err != nil {
 		return err
 	}
-	if err := s.addPlugins(running); err != nil {
+	if err := s.addPlugins(ctx); err != nil {
 		return err
 	}
-	if err := s.followSources(running); err != nil {
+	if err := s.followSources(ctx); err != nil {
 		return err
 	}
 	if s.metrics != nil {
@@ -124,17 +125,17 @@
 	if err := s.openAdmin(); err != nil {
 		return err
 	}
-	var registered context.Context
-	registered, s.endRegistered = context.WithCancel(stop)
-	if err := s.register(registered); err != nil {
+	var registerCtx context.Context
+	registerCtx, s.endRegistered = context.WithCancel(stop)
+	if err := s.register(registerCtx); err != nil {
 		return err
 	}
-	s.background.Go(func() { s.core.Run(running) })
-	go sweepIdle(running, s.transports)
+	s.background.Go(func() { s.core.Run(ctx) })
+	go sweepIdle(ctx, s.transports)
 	return nil
 }
 
-// stopBackground ends what startBackground has started, and waits for it.
+// stopBackground stops the background tasks and waits for those that s.background tracks.
 func (s *service) stopBackground() {
 	s.endRegistered()
 	s.closeAdmin()
@@ -142,8 +143,8 @@
 	s.background.Wait()
 }
 
-// startFrontEnds serves each listener in a goroutine of its own, which ends with the
-// front end's Shutdown or its failure.
+// startFrontEnds starts a goroutine for each listener. It serves the listener and ends with the front
+// end's Shutdown or error.
 func (s *service) startFrontEnds(listeners []net.Listener) {
 	s.frontEnds = s.newFrontEnds(listeners)
 	s.frontEndEnded = make(chan error, len(s.frontEnds))
@@ -152,6 +153,7 @@
 	}
 }
 
+// sweepInterval is the time between two sweeps of idle upstream connections.
 const sweepInterval = time.Second
 
 // sweepIdle closes upstream connections that have been idle for too long, until ctx ends.
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -13,7 +13,7 @@
 	"mothridge/policy"
 )
 
-// site is what a site file says that reaches a sidecar by its settings.
+// site contains the values of a site file that reach a sidecar through its settings.
 type site struct {
 	Name  string
 	Net   struct{ Zones []string }
@@ -63,17 +63,18 @@
 	Share float64
 }
 
-// settingsTerms are the terms of the settings for those of a site file.
+// settingsTerms maps the terms of a site file to the terms of the settings.
 var settingsTerms = map[string]string{
 	"safe": "free", "keyed": "guarded", "unsafe": "single_shot",
 	"answers": "piggyback", "probe": "pull", "none": "silent", "inflight": "busy_reqs", "queue": "pending",
 }
 
+// idempotencyTerms maps the effects of a site file to the idempotency of package policy.
 var idempotencyTerms = map[string]policy.Idempotency{
 	"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NotIdempotent,
 }
 
-// settings are those of a sidecar of the site.
+// settings returns the settings of a sidecar of the site.
 func (s *site) settings() map[string]any {
 	var classes, tenants, columns []any
 	for _, class := range s.Class {
@@ -106,29 +107,29 @@
 	}
 }
 
-// The sites under deploy/sites are other customers': whatever differs there reaches
-// the decisions and the program by the settings alone.
+// The sites under deploy/sites belong to other customers. All their differences must reach package
+// policy and the program through the settings alone; a constant in the code would break these sites.
 func TestSitesOfOtherCustomers(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
 	if err != nil || len(files) < 2 {
-		t.Fatalf("%d sites, error %v", len(files), err)
+		t.Fatalf("got %d sites, error %v, want at least 2", len(files), err)
 	}
-	seen := make(map[string]string)
+	siteByName := make(map[string]string)
 	for _, path := range files {
 		site, config := loadSite(t, path)
 		checkSiteClasses(t, site, config)
 		checkSiteTenants(t, site, config)
 		checkSiteLimits(t, site, config)
 		for _, name := range append(config.Classes, config.Tenants...) {
-			if in := seen[name]; in != "" {
-				t.Errorf("%s stands in %s and in %s: each site has names of its own", name, in, site.Name)
+			if other := siteByName[name]; other != "" {
+				t.Errorf("name %s is used in %s and in %s, want distinct names in each site", name, other, site.Name)
 			}
-			seen[name] = site.Name
+			siteByName[name] = site.Name
 		}
 	}
 }
 
-// loadSite reads a site file, and the configuration of one of its sidecars.
+// loadSite reads a site file and returns it with the configuration of one of its sidecars.
 func loadSite(t *testing.T, path string) (*site, *Config) {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -160,7 +161,7 @@
 			got.LatencyObjective != milliseconds(class.LatencyObjective) || got.Deadline != milliseconds(class.Deadline) ||
 			got.LateValueShare != class.LateValueShare || got.PriorityWeight != class.PriorityWeight ||
 			(class.Effect == "keyed" && got.DedupWindow != milliseconds(class.DedupWindow)) {
-			t.Errorf("%s: class %s is %+v", s.Name, class.Name, got)
+			t.Errorf("%s: class %s: got %+v", s.Name, class.Name, got)
 		}
 	}
 }
@@ -169,29 +170,29 @@
 	t.Helper()
 	for i, tenant := range s.Tenant {
 		if config.Tenants[i] != tenant.Name || config.Policy.Tenants[i].Share != tenant.Share {
-			t.Errorf("%s: tenant %s is %+v", s.Name, tenant.Name, config.Policy.Tenants[i])
+			t.Errorf("%s: tenant %s: got %+v", s.Name, tenant.Name, config.Policy.Tenants[i])
 		}
 	}
 }
 
 func checkSiteLimits(t *testing.T, s *site, config *Config) {
 	t.Helper()
-	decisions, tier := config.Policy, s.Tier[0]
+	policyConfig, tier := config.Policy, s.Tier[0]
 	loadField := ""
 	if len(tier.Report.Fields) > 0 {
 		loadField = "busy_reqs"
 	}
 	if !reflect.DeepEqual(config.Zones, s.Net.Zones) ||
-		decisions.MaxAttempts != s.Allow.MaxAttempts ||
-		decisions.ProbesAllowed != s.Allow.Probes ||
-		decisions.WatchOnRequest != (s.Discovery.Mode == "ask") ||
-		decisions.ClientsMarkRetries != s.Clients.MarksRetry ||
-		decisions.SlowStartOverloadFactor != s.Rules.FallMultiple ||
+		policyConfig.MaxAttempts != s.Allow.MaxAttempts ||
+		policyConfig.ProbesAllowed != s.Allow.Probes ||
+		policyConfig.WatchOnRequest != (s.Discovery.Mode == "ask") ||
+		policyConfig.ClientsMarkRetries != s.Clients.MarksRetry ||
+		policyConfig.SlowStartOverloadFactor != s.Rules.FallMultiple ||
 		config.DialTimeout != milliseconds(tier.Conn.Connect) ||
 		config.ConnIdle != milliseconds(1000*tier.Conn.Idle) ||
 		config.LoadField != loadField ||
-		config.killGrace() != min(longestDeadline(decisions.Classes), maxClientWait)+killMargin {
-		t.Errorf("%s: %+v", s.Name, config)
+		config.killGrace() != min(longestDeadline(policyConfig.Classes), maxClientWait)+killMargin {
+		t.Errorf("%s: got configuration %+v", s.Name, config)
 	}
 }
 
--- a/internal/sidecar/sources_test.go
+++ b/internal/sidecar/sources_test.go
@@ -6,7 +6,8 @@
 	"mothridge/internal/operator"
 )
 
-// How many nodes a source may list follows from the memory, unless it is configured.
+// A list that is too large would exceed the memory limit. The maximum number of endpoints follows
+// from the memory limit, unless it is configured.
 func TestMaxNodes(t *testing.T) {
 	for name, c := range map[string]struct{ memoryMB, configured, want int }{
 		"unknown memory":              {0, 0, 20000},
@@ -23,7 +24,7 @@
 		config.Limits.MemoryMB = int64(c.memoryMB)
 		config.Operator.Membership.MaxNodes = operator.Count(c.configured)
 		if got := config.maxNodes(); got != c.want {
-			t.Errorf("%s: %+v: %d", name, c, got)
+			t.Errorf("%s: %+v: got %d", name, c, got)
 		}
 	}
 }
--- a/internal/sidecar/transports.go
+++ b/internal/sidecar/transports.go
@@ -11,29 +11,30 @@
 	"mothridge/internal/transport/rpcnode"
 )
 
-// transport carries out attempts by one protocol.
+// transport sends attempts over one protocol.
 type transport interface {
-	// Upstream returns the upstream at an address, without I/O.
+	// Upstream returns the upstream at an address. It does no I/O.
 	Upstream(address string) core.Upstream
-	// Sweep closes connections that have been idle for too long by now.
+	// Sweep closes connections that have been idle for too long at the time now.
 	Sweep(now time.Time)
 }
 
-// newTransports makes the transports that the pools need: one for all HTTP
-// endpoints, one for each MessagePack-RPC pool. It returns what finds the upstream of an endpoint.
+// newTransports creates the transports: one for all HTTP endpoints and one for each MessagePack-RPC
+// pool. The MessagePack-RPC pools share half of the upstream connections evenly, if there are any.
+// The returned function returns the upstream of an endpoint.
 func (s *service) newTransports() func(core.Endpoint) core.Upstream {
 	_, connections := s.config.Limits.connections()
 	pools := s.config.Operator.Pools
-	forRPC, rpcPools := 0, 0
+	rpcConnections, rpcPools := 0, 0
 	for i := range pools {
 		if pools[i].Protocol == operator.RPC {
 			rpcPools++
 		}
 	}
 	if s.config.Operator.Uses(operator.RPC) {
-		forRPC = connections / 2
+		rpcConnections = connections / 2
 	}
-	httpTransport := s.newHTTPTransport(connections - forRPC)
+	httpTransport := s.newHTTPTransport(connections - rpcConnections)
 	s.transports = []transport{httpTransport}
 	byPool := make([]transport, len(pools))
 	for i := range pools {
@@ -41,7 +42,7 @@
 			byPool[i] = httpTransport
 			continue
 		}
-		byPool[i] = s.newRPCTransport(&pools[i], max(1, forRPC/rpcPools))
+		byPool[i] = s.newRPCTransport(&pools[i], max(1, rpcConnections/rpcPools))
 		s.transports = append(s.transports, byPool[i])
 	}
 	return func(e core.Endpoint) core.Upstream {
@@ -54,8 +55,8 @@
 	}
 }
 
-// serves says whether an endpoint belongs to a pool. The protocol that its source names,
-// if any, has to be the pool's.
+// serves reports whether a pool contains an endpoint. If the source of the endpoint sets a protocol,
+// that must be the protocol of the pool.
 func serves(pool *operator.Pool, e *core.Endpoint) bool {
 	if e.Protocol != "" && e.Protocol != string(pool.Protocol) {
 		return false
@@ -86,13 +87,13 @@
 	return t
 }
 
-// showTransport adds a transport's counters to the metrics, if there are any.
+// showTransport adds a transport's counters to the metrics, if metrics are on.
 func (s *service) showTransport(pool string, protocol operator.Protocol, counters func() any) {
 	if s.metrics == nil {
 		return
 	}
 	s.metrics.Add(func(show *metrics.Show) {
-		show.Counters("transport_total", "What became of connections to nodes, by event.", "event", counters(),
+		show.Counters("transport_total", "Events on the upstream connections of a transport, by event.", "event", counters(),
 			"pool", pool, "protocol", string(protocol))
 	})
 }
--- a/internal/sidecar/watch_drain_test.go
+++ b/internal/sidecar/watch_drain_test.go
@@ -14,147 +14,149 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// watchDrain is a sidecar with a watch on a registry, another registry to which
-// discovery may move, and a client that sends requests all the time.
+// watchDrain is a running sidecar with a watch on a registry, a second registry to which discovery
+// may move, and a client that sends requests continuously.
 type watchDrain struct {
-	registry, moved *peertest.Discovery
-	watch           *peertest.Watch
-	drained, stays  *peertest.Upstream
-	drain           string // the change that drains one of them
-	complete        string // the list without it
-	config          *Config
-	signals         chan os.Signal
+	registry, newRegistry *peertest.Discovery
+	watch                 *peertest.Watch
+	drained, other        *peertest.Upstream
+	drain                 string // update that drains the endpoint of drained
+	complete              string // complete list without that endpoint
+	config                *Config
+	signals               chan os.Signal
 
-	lock           sync.Mutex
-	lastAtDrained  time.Time // when the drained one last received a request
+	mu             sync.Mutex
+	lastAtDrained  time.Time // when drained last received a request; guarded by mu
 	stopRequesting chan struct{}
 	stopped        chan struct{}
 }
 
+// startWatchDrain starts the sidecar, its upstreams and registries, and the client.
 func startWatchDrain(t *testing.T) *watchDrain {
 	t.Helper()
-	scene := &watchDrain{
-		registry: peertest.NewDiscovery(t), moved: peertest.NewDiscovery(t),
-		stays:   newServingUpstream(t, "b"),
+	w := &watchDrain{
+		registry: peertest.NewDiscovery(t), newRegistry: peertest.NewDiscovery(t),
+		other:   newServingUpstream(t, "b"),
 		signals: make(chan os.Signal), stopRequesting: make(chan struct{}), stopped: make(chan struct{}),
 	}
-	scene.drained = peertest.NewUpstream(t, func(peertest.Received) (string, bool) {
-		scene.lock.Lock()
-		scene.lastAtDrained = time.Now()
-		scene.lock.Unlock()
+	w.drained = peertest.NewUpstream(t, func(peertest.Received) (string, bool) {
+		w.mu.Lock()
+		w.lastAtDrained = time.Now()
+		w.mu.Unlock()
 		return peertest.Answer200("a"), false
 	})
-	scene.drain = peertest.ListText(2, false, peertest.HostText("s-1", scene.drained.Addr, "draining", 0))
-	scene.complete = peertest.ListText(2, true, upEndpoint("s-2", scene.stays.Addr))
-	scene.config = testConfig(t, testOptions{}, scene.registry.Addr,
-		upEndpoint("s-1", scene.drained.Addr), upEndpoint("s-2", scene.stays.Addr))
-	scene.config.path = filepath.Join(t.TempDir(), "config.json")
-	address, _, _ := startReloadableSidecar(t, scene.config, scene.signals)
-	scene.watch = peertest.Await(t, "the watch", scene.registry.Watches)
-	go scene.sendRequests(t, address)
-	return scene
+	w.drain = peertest.ListText(2, false, peertest.HostText("s-1", w.drained.Addr, "draining", 0))
+	w.complete = peertest.ListText(2, true, upEndpoint("s-2", w.other.Addr))
+	w.config = testConfig(t, testOptions{}, w.registry.Addr,
+		upEndpoint("s-1", w.drained.Addr), upEndpoint("s-2", w.other.Addr))
+	w.config.path = filepath.Join(t.TempDir(), "config.json")
+	address, _, _ := startReloadableSidecar(t, w.config, w.signals)
+	w.watch = peertest.Await(t, "the watch", w.registry.Watches)
+	go w.sendRequests(t, address)
+	return w
 }
 
-// sendRequests sends a request every 5 ms; each must be served.
-func (scene *watchDrain) sendRequests(t *testing.T, address string) {
-	defer close(scene.stopped)
+// sendRequests sends a request every 5 ms until stopRequesting is closed. Each must be served.
+func (w *watchDrain) sendRequests(t *testing.T, address string) {
+	defer close(w.stopped)
 	for i := 0; ; i++ {
 		select {
-		case <-scene.stopRequesting:
+		case <-w.stopRequesting:
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
 		if got := (peertest.Call{Class: "once", ID: fmt.Sprint(i)}).Do(t, address); got.Status != http.StatusOK {
-			t.Errorf("request %d: %+v", i, got)
+			t.Errorf("request %d: got %+v, want 200", i, got)
 		}
-		countProbes(scene.drained, scene.stays) // so that their channels don't fill up
+		countProbes(w.drained, w.other) // empties the channels so that they do not fill up
 	}
 }
 
-// reload moves discovery to an address.
-func (scene *watchDrain) reload(t *testing.T, discovery string) {
+// reload makes the sidecar reload its configuration with a new address of discovery.
+func (w *watchDrain) reload(t *testing.T, discovery string) {
 	t.Helper()
-	writeFile(t, scene.config.path, reloadText(discovery))
-	scene.signals <- syscall.SIGHUP
+	writeFile(t, w.config.path, reloadText(discovery))
+	w.signals <- syscall.SIGHUP
 }
 
-// nextWatch waits for a further watch at a registry.
+// nextWatch waits for the next watch at a registry.
 func nextWatch(t *testing.T, registry *peertest.Discovery) *peertest.Watch {
 	t.Helper()
 	return peertest.Await(t, "another watch", registry.Watches)
 }
 
-// watchFates is what becomes of the watch at the moment of a drain, up to its notification;
-// maxSilence bounds how long that takes, where it is not 0.
-var watchFates = map[string]struct {
+// watchEvents are the events on the watch around a drain. Each run ends with the notification of the
+// drain to the sidecar. If maxSilence is above 0, run must end within it.
+var watchEvents = map[string]struct {
 	maxSilence time.Duration
-	happen     func(t *testing.T, scene *watchDrain)
+	run        func(t *testing.T, w *watchDrain)
 }{
-	"stays": {0, func(_ *testing.T, scene *watchDrain) { scene.watch.Lines <- scene.drain }},
-	"comes in bytes": {0, func(_ *testing.T, scene *watchDrain) {
-		for _, b := range scene.drain {
-			scene.watch.Bytes <- string(b)
+	"stays": {0, func(_ *testing.T, w *watchDrain) { w.watch.Lines <- w.drain }},
+	"arrives byte by byte": {0, func(_ *testing.T, w *watchDrain) {
+		for _, b := range w.drain {
+			w.watch.Bytes <- string(b)
 		}
 	}},
-	"ends": {0, func(t *testing.T, scene *watchDrain) {
-		close(scene.watch.Lines)
-		nextWatch(t, scene.registry).Lines <- scene.drain
+	"ends": {0, func(t *testing.T, w *watchDrain) {
+		close(w.watch.Lines)
+		nextWatch(t, w.registry).Lines <- w.drain
 	}},
-	"ends, then a complete list": {0, func(t *testing.T, scene *watchDrain) {
-		close(scene.watch.Lines)
-		nextWatch(t, scene.registry).Lines <- scene.complete
+	"ends, then a complete list": {0, func(t *testing.T, w *watchDrain) {
+		close(w.watch.Lines)
+		nextWatch(t, w.registry).Lines <- w.complete
 	}},
-	"is cut in a line": {0, func(t *testing.T, scene *watchDrain) {
-		scene.watch.Bytes <- scene.drain[:20]
-		close(scene.watch.Lines)
-		nextWatch(t, scene.registry).Lines <- scene.drain
+	"ends within a line": {0, func(t *testing.T, w *watchDrain) {
+		w.watch.Bytes <- w.drain[:20]
+		close(w.watch.Lines)
+		nextWatch(t, w.registry).Lines <- w.drain
 	}},
-	"falls silent": {6 * time.Second, func(t *testing.T, scene *watchDrain) {
-		nextWatch(t, scene.registry).Lines <- scene.drain
+	"sends nothing": {6 * time.Second, func(t *testing.T, w *watchDrain) {
+		nextWatch(t, w.registry).Lines <- w.drain
 	}},
-	"moves": {0, func(t *testing.T, scene *watchDrain) {
-		scene.reload(t, scene.moved.Addr)
-		<-scene.moved.ListRequests
-		scene.moved.ListResponses <- scene.complete
+	"moves": {0, func(t *testing.T, w *watchDrain) {
+		w.reload(t, w.newRegistry.Addr)
+		<-w.newRegistry.ListRequests
+		w.newRegistry.ListResponses <- w.complete
 	}},
-	"moves twice": {0, func(t *testing.T, scene *watchDrain) {
-		scene.reload(t, "127.0.0.1:1")
-		scene.reload(t, scene.moved.Addr)
-		<-scene.moved.ListRequests
-		scene.moved.ListResponses <- scene.complete
+	"moves twice": {0, func(t *testing.T, w *watchDrain) {
+		w.reload(t, "127.0.0.1:1")
+		w.reload(t, w.newRegistry.Addr)
+		<-w.newRegistry.ListRequests
+		w.newRegistry.ListResponses <- w.complete
 	}},
-	"moves, then drain": {0, func(t *testing.T, scene *watchDrain) {
-		scene.reload(t, scene.moved.Addr)
-		<-scene.moved.ListRequests
+	"moves before the drain": {0, func(t *testing.T, w *watchDrain) {
+		w.reload(t, w.newRegistry.Addr)
+		<-w.newRegistry.ListRequests
 		both := `"hosts":[` + upEndpoint("s-1", "127.0.0.1:1") + ","
-		scene.moved.ListResponses <- strings.Replace(scene.complete, `"hosts":[`, both, 1)
-		nextWatch(t, scene.moved).Lines <- strings.Replace(scene.drain, `"seq":2`, `"seq":10`, 1)
+		w.newRegistry.ListResponses <- strings.Replace(w.complete, `"hosts":[`, both, 1)
+		nextWatch(t, w.newRegistry).Lines <- strings.Replace(w.drain, `"seq":2`, `"seq":10`, 1)
 	}},
 }
 
-// Whatever becomes of the watch, a drain that follows is kept: 2 s after its notification
-// nothing new goes to its endpoint, and nothing that has started is lost.
-func TestDrainIsKeptWhateverBecomesOfTheWatch(t *testing.T) {
+// The watch on the endpoint list may end, move or stop sending around a drain. The sidecar must still
+// receive the drain: 2 s after its notification no new attempt may go to the drained endpoint, and no
+// request may be lost.
+func TestDrainAppliesWhateverHappensToWatch(t *testing.T) {
 	const grace = 2 * time.Second
-	for name, fate := range watchFates {
+	for name, event := range watchEvents {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			scene := startWatchDrain(t)
+			w := startWatchDrain(t)
 			start := time.Now()
-			fate.happen(t, scene)
+			event.run(t, w)
 			notified := time.Now()
-			if fate.maxSilence > 0 && start.Add(fate.maxSilence).Before(notified) {
-				t.Errorf("it was requested only %v after it had fallen silent", notified.Sub(start))
+			if event.maxSilence > 0 && start.Add(event.maxSilence).Before(notified) {
+				t.Errorf("new watch: got it %v after the old one stopped sending, want at most 6 s", notified.Sub(start))
 			}
-			time.Sleep(500 * time.Millisecond) // far within the grace
-			scene.lock.Lock()
-			last := scene.lastAtDrained
-			scene.lock.Unlock()
+			time.Sleep(500 * time.Millisecond) // far less than the grace
+			w.mu.Lock()
+			last := w.lastAtDrained
+			w.mu.Unlock()
 			if last.Sub(notified) > grace/5 {
-				t.Errorf("still forwarded to %v after the notification", last.Sub(notified))
+				t.Errorf("got a request at the drained upstream %v after the notification, want at most 0.4 s", last.Sub(notified))
 			}
-			close(scene.stopRequesting)
-			<-scene.stopped
+			close(w.stopRequesting)
+			<-w.stopped
 		})
 	}
 }
