--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -155,7 +155,7 @@
 	if !lastWritten {
 		return 0
 	}
-	lost := s.unreportedLosses
+	unreportedLosses := s.unreportedLosses
 	s.unreportedLosses = 0
-	return lost
+	return unreportedLosses
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -14,8 +14,8 @@
 func TestServeHTTP_EscapesLabelValues(t *testing.T) {
 	const special = "a\"b\\c\nd{e=\"f\"} 1 \u2603"
 	m := New([]string{special}, []string{"served"})
-	m.Answered(0, 0, 30*time.Millisecond)
-	m.Add(func(s *Show) {
+	m.ObserveLatency(0, 0, 30*time.Millisecond)
+	m.Add(func(s *Scrape) {
 		s.Counters("events_total", "Events.", "event", struct{ RetryAfter, Taken uint64 }{3, 4}, "tenant", special)
 		s.Gauge("free", "Free.", -1.5)
 		s.Gauge("free", "Free.", 7, "tenant", special)
@@ -35,7 +35,7 @@
 	if free := families["mothridge_free"].GetMetric(); len(free) != 2 || free[0].GetGauge().GetValue() != -1.5 || free[1].GetLabel()[0].GetValue() != special {
 		t.Errorf("free: got %v, want -1.5 without a tenant, and 7", free)
 	}
-	latencies := families[latency].GetMetric()
+	latencies := families[latencyName].GetMetric()
 	if len(latencies) != 1 || latencies[0].GetHistogram().GetSampleCount() != 1 || latencies[0].GetHistogram().GetSampleSum() != 0.03 || latencies[0].GetLabel()[0].GetValue() != special {
 		t.Errorf("latency: got %v, want one response of 0.03 s", latencies)
 	}
@@ -45,6 +45,6 @@
 	m := New([]string{"a"}, []string{"served"})
 	b.ReportAllocs()
 	for range b.N {
-		m.Answered(0, 0, 30*time.Millisecond)
+		m.ObserveLatency(0, 0, 30*time.Millisecond)
 	}
 }
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -27,8 +27,8 @@
 func TestLoadConfig(t *testing.T) {
 	config, err := loadText(t, goodConfig, map[string]string{"ROUTER_LISTEN": "127.0.0.1:9"})
 	if err != nil || config.Name != "n3" || config.Listen != "127.0.0.1:9" || config.Seed != 255 ||
-		config.Known != nil || config.Limits.Sockets != 1024 ||
-		config.DialTimeout != defaultDialTimeout || config.ConnIdle != defaultConnIdle {
+		config.CachedListing != nil || config.Limits.Sockets != 1024 ||
+		config.DialTimeout != defaultDialTimeout || config.UpstreamIdleTimeout != defaultUpstreamIdleTimeout {
 		t.Errorf("got configuration %+v, error %v", config, err)
 	}
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -36,7 +36,7 @@
 
 // followPlatform follows the platform's discovery in a goroutine that ends with ctx.
 func (s *service) followPlatform(ctx context.Context, update func(core.EndpointUpdate)) {
-	s.discovery = platform.New(s.config.Discovery, s.config.Known, update)
+	s.discovery = platform.New(s.config.Discovery, s.config.CachedListing, update)
 	if s.config.Policy.WatchOnRequest {
 		s.discovery.WatchOnRequest(s.core.WatchRequests(), s.core.UpdateFailed, s.config.Seed)
 	}
@@ -57,8 +57,8 @@
 	firstOperatorSource := platformSource
 	if s.config.Operator.UsesPlatform() {
 		firstOperatorSource++
-		if s.config.Known != nil {
-			s.merger.UpdatePlatform(platformSource, s.config.Known.EndpointUpdate())
+		if s.config.CachedListing != nil {
+			s.merger.UpdatePlatform(platformSource, s.config.CachedListing.EndpointUpdate())
 		}
 	}
 	if err := s.followOperatorSources(ctx, firstOperatorSource); err != nil {
--- a/internal/sidecar/listeners.go
+++ b/internal/sidecar/listeners.go
@@ -31,7 +31,7 @@
 	for _, address := range addresses {
 		l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 		if err != nil {
-			closeAll(listeners)
+			closeListeners(listeners)
 			return nil, err
 		}
 		listeners = append(listeners, l)
@@ -39,7 +39,7 @@
 	return listeners, nil
 }
 
-func closeAll(listeners []net.Listener) {
+func closeListeners(listeners []net.Listener) {
 	for _, l := range listeners {
 		l.Close()
 	}
@@ -59,11 +59,11 @@
 		if settings.Protocol == operator.HTTP {
 			f := s.newHTTPFrontEnd(listener, connectionsPerListener)
 			frontEnds[i] = f
-			s.showListener(listener, settings.Protocol, func() any { return f.Counters() })
+			s.addListenerMetrics(listener, settings.Protocol, func() any { return f.Counters() })
 		} else {
 			f := s.newRPCFrontEnd(listener, connectionsPerListener, settings)
 			frontEnds[i] = f
-			s.showListener(listener, settings.Protocol, func() any { return f.Counters() })
+			s.addListenerMetrics(listener, settings.Protocol, func() any { return f.Counters() })
 		}
 	}
 	return frontEnds
@@ -92,13 +92,13 @@
 	}, s.handler, listener)
 }
 
-// showListener adds a listener's counters to the metrics, if metrics are on.
-func (s *service) showListener(listener net.Listener, protocol operator.Protocol, counters func() any) {
+// addListenerMetrics adds a listener's counters to the metrics, if metrics are on.
+func (s *service) addListenerMetrics(listener net.Listener, protocol operator.Protocol, counters func() any) {
 	if s.metrics == nil {
 		return
 	}
-	s.metrics.Add(func(show *metrics.Show) {
-		show.Counters("front_total", "Events on a listener, by event.", "event", counters(),
+	s.metrics.Add(func(scrape *metrics.Scrape) {
+		scrape.Counters("front_total", "Events on a listener, by event.", "event", counters(),
 			"listener", listener.Addr().String(), "protocol", string(protocol))
 	})
 }
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -27,72 +27,74 @@
 	if m == nil {
 		return nil
 	}
-	return func(class int, result core.Result, duration time.Duration) { m.Answered(class, int(result), duration) }
+	return func(class int, result core.Result, duration time.Duration) {
+		m.ObserveLatency(class, int(result), duration)
+	}
 }
 
-// showState adds the metrics that are read from the core, the merger and the log at each scrape.
-func (s *service) showState() {
-	s.metrics.Add(s.showCore)
+// addStateMetrics adds the metrics that are read from the core, the merger and the log at each scrape.
+func (s *service) addStateMetrics() {
+	s.metrics.Add(s.collectCore)
 	if s.config.LogLost != nil {
-		s.metrics.Add(func(show *metrics.Show) {
-			show.Count("log_lines_lost_total", "Log lines lost because they could not be written.", float64(s.config.LogLost()))
+		s.metrics.Add(func(scrape *metrics.Scrape) {
+			scrape.Counter("log_lines_lost_total", "Log lines lost because they could not be written.", float64(s.config.LogLost()))
 		})
 	}
 	if s.merger != nil {
-		s.metrics.Add(s.showSources)
+		s.metrics.Add(s.collectSources)
 	}
 }
 
-// showCore adds the counters of the decisions and the state of the core to a scrape. It adds nothing
+// collectCore adds the counters of the decisions and the state of the core to a scrape. It adds nothing
 // after the core has stopped or if the core does not respond within stateTimeout.
-func (s *service) showCore(show *metrics.Show) {
+func (s *service) collectCore(scrape *metrics.Scrape) {
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	state, err := s.core.State(ctx)
 	if err != nil {
 		return
 	}
-	show.Counters("decisions_total", "Decisions of the decision module, as described in the README.", "decision", state.Counters)
-	show.Counters("violations_total", "Violations of rules that the run-time checks detected, by rule.", "rule", s.core.Violations())
-	show.Counters("withheld_total", "Attempts that the guard prevented, by reason.", "reason", s.core.PreventedSends())
+	scrape.Counters("decisions_total", "Decisions of the decision module, as described in the README.", "decision", state.Counters)
+	scrape.Counters("violations_total", "Violations of rules that the run-time checks detected, by rule.", "rule", s.core.Violations())
+	scrape.Counters("withheld_total", "Attempts that the guard prevented, by reason.", "reason", s.core.PreventedSends())
 	for reason, n := range s.core.RejectionsByReason() {
-		show.Count("given_up_total", "Requests rejected or failed by the decision module, by reason.", float64(n), "reason", reason)
+		scrape.Counter("given_up_total", "Requests rejected or failed by the decision module, by reason.", float64(n), "reason", reason)
 	}
 	for result, n := range s.core.AttemptsByResult() {
-		show.Count("attempts_total", "Attempts that ended, by result.", float64(n), "ending", result)
+		scrape.Counter("attempts_total", "Attempts that ended, by result.", float64(n), "ending", result)
 	}
-	show.Gauge("requests", "Requests being handled.", float64(state.Requests))
-	show.Gauge("nodes", "Endpoints in the endpoint list.", float64(state.Endpoints))
+	scrape.Gauge("requests", "Requests being handled.", float64(state.Requests))
+	scrape.Gauge("nodes", "Endpoints in the endpoint list.", float64(state.Endpoints))
 	for i := range state.SlotsFree {
 		tenant := strconv.Itoa(i)
 		if i < len(s.config.Tenants) {
 			tenant = s.config.Tenants[i]
 		}
-		show.Gauge("slots_free", "Free slots of a tenant.", float64(state.SlotsFree[i]), "tenant", tenant)
-		show.Gauge("queue_free", "Free places in the queue of a tenant.", float64(state.QueueFree[i]), "tenant", tenant)
+		scrape.Gauge("slots_free", "Free slots of a tenant.", float64(state.SlotsFree[i]), "tenant", tenant)
+		scrape.Gauge("queue_free", "Free places in the queue of a tenant.", float64(state.QueueFree[i]), "tenant", tenant)
 	}
 }
 
-// showSources adds the state of each source of the endpoint list to a scrape.
-func (s *service) showSources(show *metrics.Show) {
+// collectSources adds the state of each source of the endpoint list to a scrape.
+func (s *service) collectSources(scrape *metrics.Scrape) {
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	view, err := s.merger.View(ctx, "", 0)
 	if err != nil {
 		return
 	}
-	show.Gauge("nodes_ready", "Endpoints that may get requests.", float64(view.Ready))
+	scrape.Gauge("nodes_ready", "Endpoints that may get requests.", float64(view.Ready))
 	for _, source := range view.Sources {
 		trusted := 1.0
 		if source.Reason != "" {
 			trusted = 0
 		}
-		show.Gauge("source_trusted", "Whether a source of the endpoint list is trusted (1) or not (0).", trusted, "source", source.Name)
-		show.Gauge("source_nodes", "Endpoints in the list of a source.", float64(source.Live), "source", source.Name)
-		show.Gauge("source_held", "Endpoints kept although a source lost them, as it lost too many at once.", float64(source.Held), "source", source.Name)
+		scrape.Gauge("source_trusted", "Whether a source of the endpoint list is trusted (1) or not (0).", trusted, "source", source.Name)
+		scrape.Gauge("source_nodes", "Endpoints in the list of a source.", float64(source.Live), "source", source.Name)
+		scrape.Gauge("source_held", "Endpoints kept although a source lost them, as it lost too many at once.", float64(source.Held), "source", source.Name)
 		if source.LastResponseAt > 0 {
 			age := view.Now - source.LastResponseAt
-			show.Gauge("source_age_seconds", "Seconds since the last response of a source.", age.Seconds(), "source", source.Name)
+			scrape.Gauge("source_age_seconds", "Seconds since the last response of a source.", age.Seconds(), "source", source.Name)
 		}
 	}
 }
--- a/internal/sidecar/operator_config.go
+++ b/internal/sidecar/operator_config.go
@@ -54,8 +54,8 @@
 			SlowStartDuration:       s.SlowStartDuration.Value(),
 			SlowStartOverloadFactor: cmp.Or(s.SlowStartOverloadFactor, operator.DefaultOverloadFactor),
 		},
-		DialTimeout: s.DialTimeout.Or(defaultDialTimeout),
-		ConnIdle:    s.ConnectionIdleTimeout.Or(defaultConnIdle),
+		DialTimeout:         s.DialTimeout.Or(defaultDialTimeout),
+		UpstreamIdleTimeout: s.ConnectionIdleTimeout.Or(defaultUpstreamIdleTimeout),
 	}
 	if s.Zone != "" {
 		c.Zones = []string{s.Zone}
--- a/internal/sidecar/platform_config.go
+++ b/internal/sidecar/platform_config.go
@@ -23,15 +23,15 @@
 // ROUTER_LISTEN and ROUTER_DISCOVERY take precedence over the file. An error in the file contains
 // the path, and the line and column if they are known.
 func LoadConfig(getenv func(string) string) (*Config, error) {
-	path := getenv("ROUTER_CONFIG")
-	if path == "" {
+	platformFile := getenv("ROUTER_CONFIG")
+	if platformFile == "" {
 		return nil, errNoConfig
 	}
-	c, err := readConfig(path)
+	c, err := readConfig(platformFile)
 	if err != nil {
 		return nil, err
 	}
-	c.path = path
+	c.platformFile = platformFile
 	for name, field := range map[string]*string{
 		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery,
 	} {
@@ -60,13 +60,13 @@
 
 // configFile is the JSON form of the platform's configuration file.
 type configFile struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"`
-	Limits    Limits          `json:"limits"`
-	Known     json.RawMessage `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
+	Name          string          `json:"name"`
+	Listen        string          `json:"listen"`
+	Discovery     string          `json:"discovery"`
+	Seed          string          `json:"seed"`
+	Limits        Limits          `json:"limits"`
+	CachedListing json.RawMessage `json:"known"`
+	Settings      json.RawMessage `json:"settings"`
 }
 
 // ParseConfig parses and checks the text of the platform's configuration file. It does not check
@@ -80,7 +80,8 @@
 		return nil, fmt.Errorf("settings are missing, must be a JSON object")
 	}
 	c := &Config{
-		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits, Known: parseKnown(file.Known),
+		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits,
+		CachedListing: parseCachedListing(file.CachedListing),
 	}
 	if err := c.applySettings(file.Settings); err != nil {
 		return nil, err
@@ -115,8 +116,8 @@
 	c.Zones = s.ZoneNames()
 	c.DialTimeout = s.DialTimeout(defaultDialTimeout)
 	c.DrainGrace = s.DrainGrace(core.DefaultDrainGrace)
-	c.ConnIdle = s.IdleConnTimeout(defaultConnIdle)
-	c.LoadField = s.InFlightField()
+	c.UpstreamIdleTimeout = s.IdleConnTimeout(defaultUpstreamIdleTimeout)
+	c.InFlightFieldName = s.InFlightField()
 	return nil
 }
 
@@ -140,9 +141,9 @@
 	return fmt.Errorf("line %d, column %d: %w", line+1, column, err)
 }
 
-// parseKnown parses the cached endpoint list; nil if there is none. An invalid list is ignored,
+// parseCachedListing parses the cached endpoint list; nil if there is none. An invalid list is ignored,
 // because discovery provides a new one.
-func parseKnown(text json.RawMessage) *platform.Listing {
+func parseCachedListing(text json.RawMessage) *platform.Listing {
 	if len(text) == 0 || string(text) == "null" {
 		return nil
 	}
--- a/internal/sidecar/plugins.go
+++ b/internal/sidecar/plugins.go
@@ -26,22 +26,22 @@
 	gate.SetNext(s.handler)
 	s.background.Go(func() { gate.Run(ctx.Done()) })
 	if s.metrics != nil {
-		s.metrics.Add(func(show *metrics.Show) { showPlugins(show, gate) })
+		s.metrics.Add(func(scrape *metrics.Scrape) { collectPlugins(scrape, gate) })
 	}
 	s.plugins, s.handler = gate, gate
 	return nil
 }
 
-// showPlugins adds the plug-ins' counters and states to a scrape.
-func showPlugins(show *metrics.Show, gate *plugin.Gate) {
+// collectPlugins adds the plug-ins' counters and states to a scrape.
+func collectPlugins(scrape *metrics.Scrape, gate *plugin.Gate) {
 	gate.Plugins(func(name, state string, counts plugin.Counts, named map[string]uint64) {
-		show.Counters("plugin_total", "Runs of a plug-in, by event.", "event", counts, "plugin", name)
-		show.Gauge("plugin_suspended", "Whether a plug-in is suspended for exhausting its budget (1) or not (0).", suspended(state), "plugin", name)
+		scrape.Counters("plugin_total", "Runs of a plug-in, by event.", "event", counts, "plugin", name)
+		scrape.Gauge("plugin_suspended", "Whether a plug-in is suspended for exhausting its budget (1) or not (0).", suspended(state), "plugin", name)
 		for n, count := range named {
-			show.Gauge("plugin_counts", "Counters that a plug-in maintains itself.", float64(count), "plugin", name, "count", n)
+			scrape.Gauge("plugin_counts", "Counters that a plug-in maintains itself.", float64(count), "plugin", name, "count", n)
 		}
 	})
-	show.Gauge("plugin_outcomes_dropped", "Outcomes whose hooks did not run because too many outcomes were queued.", float64(gate.Dropped()))
+	scrape.Gauge("plugin_outcomes_dropped", "Outcomes whose hooks did not run because too many outcomes were queued.", float64(gate.Dropped()))
 }
 
 // suspended returns 0 if the state of a circuit breaker lets calls through ("closed"), else 1.
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -34,18 +34,18 @@
 	}
 	gate.SetNext(s.handler)
 	if s.metrics != nil {
-		s.metrics.Add(func(show *metrics.Show) { showQuotas(show, gate) })
+		s.metrics.Add(func(scrape *metrics.Scrape) { collectQuotas(scrape, gate) })
 	}
 	s.quotas, s.handler = gate, gate
 	return nil
 }
 
-// showQuotas adds the quotas' counters and limits to a scrape.
-func showQuotas(show *metrics.Show, gate *quotas.Gate) {
+// collectQuotas adds the quotas' counters and limits to a scrape.
+func collectQuotas(scrape *metrics.Scrape, gate *quotas.Gate) {
 	for _, n := range gate.View() {
-		show.Counters("quota_total", "Requests of a quota, by event.", "event", n.Usage, "quota", n.Name)
+		scrape.Counters("quota_total", "Requests of a quota, by event.", "event", n.Usage, "quota", n.Name)
 		for _, l := range n.Limits {
-			show.Gauge("quota_left", "Tokens left of a limit, below 0 after a repayment.", l.Left, "quota", n.Name, "dimension", l.Dimension, "window", l.Window)
+			scrape.Gauge("quota_left", "Tokens left of a limit, below 0 after a repayment.", l.Left, "quota", n.Name, "dimension", l.Dimension, "window", l.Window)
 		}
 	}
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -57,10 +57,10 @@
 // reloadDiscovery applies the address of discovery from the platform's file. It ignores
 // ROUTER_DISCOVERY: the environment cannot have changed since the start. On an error c is unchanged.
 func (c *Config) reloadDiscovery() error {
-	if c.path == "" {
+	if c.platformFile == "" {
 		return errNoPlatformFile
 	}
-	reloaded, err := readConfig(c.path)
+	reloaded, err := readConfig(c.platformFile)
 	if err != nil {
 		return err
 	}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -33,11 +33,11 @@
 	release := make(chan struct{})
 	oldUpstream, newUpstream := newBlockingUpstream(t, "a", release), newServingUpstream(t, "b")
 	config := testConfig(t, testOptions{}, oldRegistry.Addr, upEndpoint("s-1", oldUpstream.Addr))
-	config.path = filepath.Join(t.TempDir(), "config.json")
+	config.platformFile = filepath.Join(t.TempDir(), "config.json")
 	signals := make(chan os.Signal)
 	reload := func(text string) {
 		t.Helper()
-		writeFile(t, config.path, text)
+		writeFile(t, config.platformFile, text)
 		signals <- syscall.SIGHUP
 	}
 	address, _, _ := startReloadableSidecar(t, config, signals)
--- a/internal/sidecar/request_framing_test.go
+++ b/internal/sidecar/request_framing_test.go
@@ -10,9 +10,9 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// uncertainLengths returns requests with a hidden request inside or after them. Either the length of
+// ambiguousRequests returns requests with a hidden request inside or after them. Either the length of
 // the outer request is ambiguous or invalid, or the outer request is rejected.
-func uncertainLengths(hidden string) map[string]string {
+func ambiguousRequests(hidden string) map[string]string {
 	const (
 		twoFramings = "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
 		lastChunk   = "0\r\n\r\n"
@@ -47,7 +47,7 @@
 func TestHiddenRequestIsNotServed(t *testing.T) {
 	upstream := newServingUpstream(t, "ok")
 	address, _, _ := startWithUpstream(t, upstream)
-	for name, text := range uncertainLengths(postHeader("hidden") + noBody) {
+	for name, text := range ambiguousRequests(postHeader("hidden") + noBody) {
 		got := exchange(t, address, text)
 		if strings.Count(got, "HTTP/1.") != 1 || got[len("HTTP/1.1 ")] == '2' {
 			t.Errorf("%s: got %q, want one error and the close of the connection", name, got)
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -17,11 +17,11 @@
 	// at the kill are lost.
 	maxClientWait = 3 * time.Second
 	killMargin    = 700 * time.Millisecond
-	// respondBefore is the time before the kill at which all remaining requests are completed. It
+	// responseMargin is the time before the kill at which all remaining requests are completed. It
 	// allows for writing their responses.
-	respondBefore = 250 * time.Millisecond
-	// exitBefore is the time before the kill by which the process must have exited.
-	exitBefore = 50 * time.Millisecond
+	responseMargin = 250 * time.Millisecond
+	// exitMargin is the time before the kill by which the process must have exited.
+	exitMargin = 50 * time.Millisecond
 )
 
 // shutDown ends the service for a planned restart, and blocks until the front ends have ended.
@@ -33,9 +33,9 @@
 	for _, f := range s.frontEnds {
 		f.Drain() // before the listener closes, because no request may arrive on an idle connection after that
 	}
-	defer time.AfterFunc(time.Until(killedAt.Add(-respondBefore)), s.core.Shutdown).Stop()
+	defer time.AfterFunc(time.Until(killedAt.Add(-responseMargin)), s.core.Shutdown).Stop()
 	time.Sleep(acceptGrace)
-	ctx, cancel := context.WithDeadline(context.Background(), killedAt.Add(-exitBefore))
+	ctx, cancel := context.WithDeadline(context.Background(), killedAt.Add(-exitMargin))
 	defer cancel()
 	err := s.shutDownFrontEnds(ctx)
 	if err == nil {
@@ -64,5 +64,5 @@
 	for _, class := range c.Policy.Classes {
 		longestDeadline = max(longestDeadline, class.Deadline)
 	}
-	return max(min(longestDeadline, maxClientWait)+killMargin, acceptGrace+2*respondBefore)
+	return max(min(longestDeadline, maxClientWait)+killMargin, acceptGrace+2*responseMargin)
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -33,7 +33,7 @@
 // value from reload it reloads the configuration. The listeners are the platform's, then those of the
 // operators' file in file order; Serve closes them. The error contains the part that failed.
 func Serve(ctx context.Context, reload <-chan os.Signal, c *Config, listeners []net.Listener) error {
-	defer closeAll(listeners)
+	defer closeListeners(listeners)
 	s := &service{config: c}
 	if err := s.build(); err != nil {
 		return err
@@ -46,7 +46,7 @@
 	slog.Info("serving", "name", c.Name, "listen", c.Listen, "balancers", c.Policy.FleetSize)
 	for {
 		select {
-		case err := <-s.frontEndEnded:
+		case err := <-s.frontEndResults:
 			return fmt.Errorf("serve: %w", err)
 		case <-ctx.Done():
 			return s.shutDown()
@@ -70,20 +70,20 @@
 	handler    core.Handler // the first handler of a request: plug-ins, else quotas, else the core
 
 	// The background tasks, started by startBackground and stopped by stopBackground.
-	background    sync.WaitGroup
-	cancel        context.CancelFunc
-	discovery     *platform.Discovery // nil: the platform's discovery is not a source
-	merger        *merge.Merger       // nil: the platform's discovery is the only source
-	closeAdmin    func()
-	endRegistered context.CancelFunc // ends the registrations with registries
+	background          sync.WaitGroup
+	cancel              context.CancelFunc
+	discovery           *platform.Discovery // nil: the platform's discovery is not a source
+	merger              *merge.Merger       // nil: the platform's discovery is the only source
+	closeAdmin          func()
+	cancelRegistrations context.CancelFunc // ends the registrations with registries
 
-	frontEnds     []frontEnd
-	frontEndEnded chan error // gets the result of Serve of each front end
+	frontEnds       []frontEnd
+	frontEndResults chan error // gets the result of Serve of each front end
 }
 
 // build creates the metrics, the transports and the core. It starts nothing.
 func (s *service) build() error {
-	s.cancel, s.closeAdmin, s.endRegistered = func() {}, func() {}, func() {}
+	s.cancel, s.closeAdmin, s.cancelRegistrations = func() {}, func() {}, func() {}
 	s.metrics = s.config.newMetrics()
 	newUpstream := s.newTransports()
 	policyConfig := s.config.Policy
@@ -120,13 +120,13 @@
 		return err
 	}
 	if s.metrics != nil {
-		s.showState()
+		s.addStateMetrics()
 	}
 	if err := s.openAdmin(); err != nil {
 		return err
 	}
 	var registerCtx context.Context
-	registerCtx, s.endRegistered = context.WithCancel(stop)
+	registerCtx, s.cancelRegistrations = context.WithCancel(stop)
 	if err := s.register(registerCtx); err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 
 // stopBackground stops the background tasks and waits for those that s.background tracks.
 func (s *service) stopBackground() {
-	s.endRegistered()
+	s.cancelRegistrations()
 	s.closeAdmin()
 	s.cancel()
 	s.background.Wait()
@@ -147,9 +147,9 @@
 // end's Shutdown or error.
 func (s *service) startFrontEnds(listeners []net.Listener) {
 	s.frontEnds = s.newFrontEnds(listeners)
-	s.frontEndEnded = make(chan error, len(s.frontEnds))
+	s.frontEndResults = make(chan error, len(s.frontEnds))
 	for _, f := range s.frontEnds {
-		go func() { s.frontEndEnded <- f.Serve() }()
+		go func() { s.frontEndResults <- f.Serve() }()
 	}
 }
 
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -189,8 +189,8 @@
 		policyConfig.ClientsMarkRetries != s.Clients.MarksRetry ||
 		policyConfig.SlowStartOverloadFactor != s.Rules.FallMultiple ||
 		config.DialTimeout != milliseconds(tier.Conn.Connect) ||
-		config.ConnIdle != milliseconds(1000*tier.Conn.Idle) ||
-		config.LoadField != loadField ||
+		config.UpstreamIdleTimeout != milliseconds(1000*tier.Conn.Idle) ||
+		config.InFlightFieldName != loadField ||
 		config.killGrace() != min(longestDeadline(policyConfig.Classes), maxClientWait)+killMargin {
 		t.Errorf("%s: got configuration %+v", s.Name, config)
 	}
--- a/internal/sidecar/transports.go
+++ b/internal/sidecar/transports.go
@@ -47,7 +47,7 @@
 	}
 	return func(e core.Endpoint) core.Upstream {
 		for i := range pools {
-			if serves(&pools[i], &e) {
+			if poolContains(&pools[i], &e) {
 				return byPool[i].Upstream(e.Addr)
 			}
 		}
@@ -55,9 +55,9 @@
 	}
 }
 
-// serves reports whether a pool contains an endpoint. If the source of the endpoint sets a protocol,
+// poolContains reports whether a pool contains an endpoint. If the source of the endpoint sets a protocol,
 // that must be the protocol of the pool.
-func serves(pool *operator.Pool, e *core.Endpoint) bool {
+func poolContains(pool *operator.Pool, e *core.Endpoint) bool {
 	if e.Protocol != "" && e.Protocol != string(pool.Protocol) {
 		return false
 	}
@@ -67,33 +67,33 @@
 func (s *service) newHTTPTransport(connections int) *httpnode.Transport {
 	t := httpnode.New(httpnode.Config{
 		DialTimeout:      s.config.DialTimeout,
-		IdleTimeout:      s.config.ConnIdle,
+		IdleTimeout:      s.config.UpstreamIdleTimeout,
 		MaxConnections:   connections,
-		LoadReportField:  s.config.LoadField,
+		LoadReportField:  s.config.InFlightFieldName,
 		ProbeLoadReports: s.config.Policy.ProbeLoadReports,
 	})
-	s.showTransport("", operator.HTTP, func() any { return t.Counters() })
+	s.addTransportMetrics("", operator.HTTP, func() any { return t.Counters() })
 	return t
 }
 
 func (s *service) newRPCTransport(pool *operator.Pool, connections int) *rpcnode.Transport {
 	t := rpcnode.New(rpcnode.Config{
 		DialTimeout:    s.config.DialTimeout,
-		IdleTimeout:    s.config.ConnIdle,
+		IdleTimeout:    s.config.UpstreamIdleTimeout,
 		MaxConnections: connections,
 		MaxInFlight:    int(pool.MaxInFlight),
 	})
-	s.showTransport(pool.Name, operator.RPC, func() any { return t.Counters() })
+	s.addTransportMetrics(pool.Name, operator.RPC, func() any { return t.Counters() })
 	return t
 }
 
-// showTransport adds a transport's counters to the metrics, if metrics are on.
-func (s *service) showTransport(pool string, protocol operator.Protocol, counters func() any) {
+// addTransportMetrics adds a transport's counters to the metrics, if metrics are on.
+func (s *service) addTransportMetrics(pool string, protocol operator.Protocol, counters func() any) {
 	if s.metrics == nil {
 		return
 	}
-	s.metrics.Add(func(show *metrics.Show) {
-		show.Counters("transport_total", "Events on the upstream connections of a transport, by event.", "event", counters(),
+	s.metrics.Add(func(scrape *metrics.Scrape) {
+		scrape.Counters("transport_total", "Events on the upstream connections of a transport, by event.", "event", counters(),
 			"pool", pool, "protocol", string(protocol))
 	})
 }
--- a/internal/sidecar/watch_drain_test.go
+++ b/internal/sidecar/watch_drain_test.go
@@ -49,7 +49,7 @@
 	w.complete = peertest.ListText(2, true, upEndpoint("s-2", w.other.Addr))
 	w.config = testConfig(t, testOptions{}, w.registry.Addr,
 		upEndpoint("s-1", w.drained.Addr), upEndpoint("s-2", w.other.Addr))
-	w.config.path = filepath.Join(t.TempDir(), "config.json")
+	w.config.platformFile = filepath.Join(t.TempDir(), "config.json")
 	address, _, _ := startReloadableSidecar(t, w.config, w.signals)
 	w.watch = peertest.Await(t, "the watch", w.registry.Watches)
 	go w.sendRequests(t, address)
@@ -75,7 +75,7 @@
 // reload makes the sidecar reload its configuration with a new address of discovery.
 func (w *watchDrain) reload(t *testing.T, discovery string) {
 	t.Helper()
-	writeFile(t, w.config.path, reloadText(discovery))
+	writeFile(t, w.config.platformFile, reloadText(discovery))
 	w.signals <- syscall.SIGHUP
 }
 
