--- a/internal/sidecar/transports.go
+++ b/internal/sidecar/transports.go
@@ -11,29 +11,30 @@
 	"mothridge/internal/transport/rpcnode"
 )
 
-// transport carries out attempts by one protocol.
+// transport sends attempts over one protocol.
 type transport interface {
-	// Upstream returns the upstream at an address, without I/O.
+	// Upstream returns the upstream at an address. It does no I/O.
 	Upstream(address string) core.Upstream
-	// Sweep closes connections that have been idle for too long by now.
+	// Sweep closes connections that have been idle for too long at the time now.
 	Sweep(now time.Time)
 }
 
-// newTransports makes the transports that the pools need: one for all HTTP
-// endpoints, one for each MessagePack-RPC pool. It returns what finds the upstream of an endpoint.
+// newTransports creates the transports: one for all HTTP endpoints and one for each MessagePack-RPC
+// pool. The MessagePack-RPC pools share half of the upstream connections evenly, if there are any.
+// The returned function returns the upstream of an endpoint.
 func (s *service) newTransports() func(core.Endpoint) core.Upstream {
 	_, connections := s.config.Limits.connections()
 	pools := s.config.Operator.Pools
-	forRPC, rpcPools := 0, 0
+	rpcConnections, rpcPools := 0, 0
 	for i := range pools {
 		if pools[i].Protocol == operator.RPC {
 			rpcPools++
 		}
 	}
 	if s.config.Operator.Uses(operator.RPC) {
-		forRPC = connections / 2
+		rpcConnections = connections / 2
 	}
-	httpTransport := s.newHTTPTransport(connections - forRPC)
+	httpTransport := s.newHTTPTransport(connections - rpcConnections)
 	s.transports = []transport{httpTransport}
 	byPool := make([]transport, len(pools))
 	for i := range pools {
@@ -41,12 +42,12 @@
 			byPool[i] = httpTransport
 			continue
 		}
-		byPool[i] = s.newRPCTransport(&pools[i], max(1, forRPC/rpcPools))
+		byPool[i] = s.newRPCTransport(&pools[i], max(1, rpcConnections/rpcPools))
 		s.transports = append(s.transports, byPool[i])
 	}
 	return func(e core.Endpoint) core.Upstream {
 		for i := range pools {
-			if serves(&pools[i], &e) {
+			if poolContains(&pools[i], &e) {
 				return byPool[i].Upstream(e.Addr)
 			}
 		}
@@ -54,9 +55,9 @@
 	}
 }
 
-// serves says whether an endpoint belongs to a pool. The protocol that its source names,
-// if any, has to be the pool's.
-func serves(pool *operator.Pool, e *core.Endpoint) bool {
+// poolContains reports whether a pool contains an endpoint. If the source of the endpoint sets a protocol,
+// that must be the protocol of the pool.
+func poolContains(pool *operator.Pool, e *core.Endpoint) bool {
 	if e.Protocol != "" && e.Protocol != string(pool.Protocol) {
 		return false
 	}
@@ -66,33 +67,33 @@
 func (s *service) newHTTPTransport(connections int) *httpnode.Transport {
 	t := httpnode.New(httpnode.Config{
 		DialTimeout:      s.config.DialTimeout,
-		IdleTimeout:      s.config.ConnIdle,
+		IdleTimeout:      s.config.UpstreamIdleTimeout,
 		MaxConnections:   connections,
-		LoadReportField:  s.config.LoadField,
+		LoadReportField:  s.config.InFlightFieldName,
 		ProbeLoadReports: s.config.Policy.ProbeLoadReports,
 	})
-	s.showTransport("", operator.HTTP, func() any { return t.Counters() })
+	s.addTransportMetrics("", operator.HTTP, func() any { return t.Counters() })
 	return t
 }
 
 func (s *service) newRPCTransport(pool *operator.Pool, connections int) *rpcnode.Transport {
 	t := rpcnode.New(rpcnode.Config{
 		DialTimeout:    s.config.DialTimeout,
-		IdleTimeout:    s.config.ConnIdle,
+		IdleTimeout:    s.config.UpstreamIdleTimeout,
 		MaxConnections: connections,
 		MaxInFlight:    int(pool.MaxInFlight),
 	})
-	s.showTransport(pool.Name, operator.RPC, func() any { return t.Counters() })
+	s.addTransportMetrics(pool.Name, operator.RPC, func() any { return t.Counters() })
 	return t
 }
 
-// showTransport adds a transport's counters to the metrics, if there are any.
-func (s *service) showTransport(pool string, protocol operator.Protocol, counters func() any) {
+// addTransportMetrics adds a transport's counters to the metrics, if metrics are on.
+func (s *service) addTransportMetrics(pool string, protocol operator.Protocol, counters func() any) {
 	if s.metrics == nil {
 		return
 	}
-	s.metrics.Add(func(show *metrics.Show) {
-		show.Counters("transport_total", "What became of connections to nodes, by event.", "event", counters(),
+	s.metrics.Add(func(scrape *metrics.Scrape) {
+		scrape.Counters("transport_total", "Events on the upstream connections of a transport, by event.", "event", counters(),
 			"pool", pool, "protocol", string(protocol))
 	})
 }
