--- a/internal/registry/eureka/bench_test.go
+++ b/internal/registry/eureka/bench_test.go
@@ -10,8 +10,8 @@
 	"mothridge/internal/peers"
 )
 
-// benchTime is a time in the registry's form, in Unix ms.
-const benchTime = 1796120688812
+// benchTimeMs is a time in the registry's form, in Unix ms.
+const benchTimeMs = 1796120688812
 
 // listResponse returns the response of a registry with n instances.
 func listResponse(b *testing.B, n int) []byte {
@@ -26,11 +26,11 @@
 			"status":               "UP",
 			"overriddenStatus":     "UNKNOWN",
 			"port":                 map[string]any{"$": 8080, "@enabled": "true"},
-			"lastUpdatedTimestamp": fmt.Sprint(benchTime),
-			"lastDirtyTimestamp":   fmt.Sprint(benchTime),
+			"lastUpdatedTimestamp": fmt.Sprint(benchTimeMs),
+			"lastDirtyTimestamp":   fmt.Sprint(benchTimeMs),
 			"metadata":             map[string]string{"zone": "a", "weight": "1"},
 			"leaseInfo": map[string]any{
-				"renewalIntervalInSecs": 30, "durationInSecs": 90, "serviceUpTimestamp": benchTime,
+				"renewalIntervalInSecs": 30, "durationInSecs": 90, "serviceUpTimestamp": benchTimeMs,
 			},
 		})
 	}
@@ -97,8 +97,8 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				modified := Instance{ID: fmt.Sprint("records-", i%n), Status: "UP", Action: "MODIFIED", Dirty: benchTime}
-				modified.Updated = benchTime + 1 + int64(i)
+				modified := Instance{ID: fmt.Sprint("records-", i%n), Status: "UP", Action: "MODIFIED", Dirty: benchTimeMs}
+				modified.Updated = benchTimeMs + 1 + int64(i)
 				if !client.applyDelta(&Applications{Instances: []Instance{modified}}) {
 					b.Fatal("hash mismatch")
 				}
--- a/internal/registry/eureka/bounded_reader.go
+++ b/internal/registry/eureka/bounded_reader.go
@@ -14,7 +14,7 @@
 // without the end of a token: a decoder holds each token in memory.
 type boundedReader struct {
 	in         *bufio.Reader
-	sinceToken int // bytes
+	tokenBytes int // bytes
 }
 
 // firstByte skips a byte order mark and white space and returns the byte after them, which is
@@ -31,28 +31,28 @@
 		if c != ' ' && c != '\n' && c != '\r' && c != '\t' {
 			return c, r.in.UnreadByte()
 		}
-		if r.sinceToken++; r.sinceToken > maxTokenBytes {
+		if r.tokenBytes++; r.tokenBytes > maxTokenBytes {
 			return 0, errTokenTooLong
 		}
 	}
 }
 
-// endToken notes that the decoder has read a token to its end.
-func (r *boundedReader) endToken() { r.sinceToken = 0 }
+// resetTokenBytes notes that the decoder has read a token to its end.
+func (r *boundedReader) resetTokenBytes() { r.tokenBytes = 0 }
 
 // Read reads from the response.
 func (r *boundedReader) Read(p []byte) (int, error) {
-	if r.sinceToken > maxTokenBytes {
+	if r.tokenBytes > maxTokenBytes {
 		return 0, errTokenTooLong
 	}
 	n, err := r.in.Read(p)
-	r.sinceToken += n
+	r.tokenBytes += n
 	return n, err
 }
 
 // ReadByte reads a byte. The XML decoder uses it instead of a buffer of its own.
 func (r *boundedReader) ReadByte() (byte, error) {
-	if r.sinceToken++; r.sinceToken > maxTokenBytes {
+	if r.tokenBytes++; r.tokenBytes > maxTokenBytes {
 		return 0, errTokenTooLong
 	}
 	return r.in.ReadByte()
--- a/internal/registry/eureka/client.go
+++ b/internal/registry/eureka/client.go
@@ -33,8 +33,8 @@
 	rng     *rand.Rand
 	publish func(Update)
 
-	replica int        // index of the one in use
-	list    *listState // what the replica is known to have; nil: a complete list is needed
+	replicaIndex int        // index of the one in use
+	list         *listState // what the replica is known to have; nil: a complete list is needed
 
 	bytesFetched int64 // decompressed; for tests
 }
@@ -105,7 +105,7 @@
 		slog.Warn("eureka: fetch failed", "replica", c.replicaURL(), "err", err)
 	}
 	retry.failures++
-	c.replica = (c.replica + 1) % len(c.cfg.Replicas)
+	c.replicaIndex = (c.replicaIndex + 1) % len(c.cfg.Replicas)
 	c.list = nil
 	if retry.failures%len(c.cfg.Replicas) != 0 {
 		return 0
@@ -115,7 +115,7 @@
 	return wait
 }
 
-func (c *Client) replicaURL() string { return c.cfg.Replicas[c.replica] }
+func (c *Client) replicaURL() string { return c.cfg.Replicas[c.replicaIndex] }
 
 // jitter draws a time within a quarter of d, so that sidecars do not poll at the same time.
 func (c *Client) jitter(d time.Duration) time.Duration {
--- a/internal/registry/eureka/client_test.go
+++ b/internal/registry/eureka/client_test.go
@@ -19,8 +19,8 @@
 		t.Run(fmt.Sprint("xml=", asXML), func(t *testing.T) {
 			registry := peertest.NewEureka(t)
 			registry.Register(testInstance(1, "UP"))
-			client := newPolledClient(t, Config{XML: asXML}, registry)
-			wantAllFields(t, client.wantList(t, "1 UP"))
+			client := newManualClient(t, Config{XML: asXML}, registry)
+			checkAllFields(t, client.expectList(t, "1 UP"))
 			for _, step := range []struct {
 				change func()
 				want   string
@@ -37,7 +37,7 @@
 				{func() {}, ""},
 			} {
 				step.change()
-				client.wantChanges(t, step.want)
+				client.expectChanges(t, step.want)
 			}
 			if registry.Calls("/apps") != 1 {
 				t.Errorf("the complete list was fetched %d times", registry.Calls("/apps"))
@@ -46,14 +46,14 @@
 	}
 }
 
-// wantAllFields checks that each field of the first instance has arrived.
-func wantAllFields(t *testing.T, update Update) {
+// checkAllFields checks that each field of the first instance has arrived.
+func checkAllFields(t *testing.T, update Update) {
 	t.Helper()
 	if len(update.Instances) == 0 {
 		t.Fatal("no instance")
 	}
 	got := update.Instances[0]
-	if got.Dirty == 0 || got.Updated == 0 || got.ServiceUp == 0 {
+	if got.Dirty == 0 || got.Updated == 0 || got.ServiceUpTime == 0 {
 		t.Errorf("times of %+v", got)
 	}
 	if got.Port != 7001 || got.SecurePort != 0 || got.IP != "127.0.0.1" {
@@ -68,21 +68,21 @@
 func TestHashMismatch(t *testing.T) {
 	registry := peertest.NewEureka(t)
 	registry.Register(testInstance(1, "UP"))
-	client := newPolledClient(t, Config{}, registry)
-	client.nextUpdate(t)
+	client := newManualClient(t, Config{}, registry)
+	client.pollOnce(t)
 	client.list.countByStatus["UP"] = 7 // as if a change had been missed
 	registry.Register(testInstance(2, "UP"))
-	client.wantList(t, "1 UP, 2 UP")
+	client.expectList(t, "1 UP, 2 UP")
 	registry.SetFault(peers.WrongHash)
 	if err := client.poll(t.Context()); !errors.Is(err, errHashMismatch) || !strings.Contains(err.Error(), "adds up") {
 		t.Errorf("a complete list that does not add up either: %v", err)
 	}
 	registry.SetFault(peers.NoFault)
-	client.wantList(t, "1 UP, 2 UP")
+	client.expectList(t, "1 UP, 2 UP")
 }
 
 // Each fault of a registry is an error without an update; the next good poll goes on.
-func TestFaults(t *testing.T) {
+func TestRegistryFaults(t *testing.T) {
 	for name, fault := range map[string]peers.EurekaFault{
 		"fails": peers.ServerError, "cut": peers.TruncatedBody, "garbage": peers.NotJSON, "silent": peers.NoResponse,
 	} {
@@ -90,8 +90,8 @@
 			t.Parallel()
 			registry := peertest.NewEureka(t)
 			registry.Register(testInstance(1, "UP"))
-			client := newPolledClient(t, Config{Timeout: 200 * time.Millisecond}, registry)
-			client.nextUpdate(t)
+			client := newManualClient(t, Config{Timeout: 200 * time.Millisecond}, registry)
+			client.pollOnce(t)
 			registry.SetFault(fault)
 			for range 2 {
 				if err := client.poll(t.Context()); err == nil || strings.Contains(err.Error(), "\n") {
@@ -103,7 +103,7 @@
 			}
 			registry.SetFault(peers.NoFault)
 			client.cfg.Timeout = time.Second
-			client.wantChanges(t, "")
+			client.expectChanges(t, "")
 		})
 	}
 }
@@ -128,24 +128,24 @@
 		close(ended)
 	}()
 	update := peertest.Await(t, "the first list", updates)
-	if update.Replica != first.URL() || summary(update) != "1 UP" {
+	if update.Replica != first.URL() || summarize(update) != "1 UP" {
 		t.Errorf("got %+v", update)
 	}
 	first.SetFault(peers.ServerError)
-	if update := nextOf(t, updates, second); !update.Complete || summary(update) != "1 UP, 2 UP" {
+	if update := nextUpdateFrom(t, updates, second); !update.Complete || summarize(update) != "1 UP, 2 UP" {
 		t.Errorf("got %+v", update)
 	}
 	second.Close()
 	first.SetFault(peers.NoFault)
-	if update := nextOf(t, updates, first); !update.Complete {
+	if update := nextUpdateFrom(t, updates, first); !update.Complete {
 		t.Errorf("got %+v", update)
 	}
 	cancel()
 	peertest.Await(t, "the end", ended)
 }
 
-// nextOf waits for the next update from a replica.
-func nextOf(t *testing.T, updates <-chan Update, replica *peers.Eureka) Update {
+// nextUpdateFrom waits for the next update from a replica.
+func nextUpdateFrom(t *testing.T, updates <-chan Update, replica *peers.Eureka) Update {
 	t.Helper()
 	for {
 		if update := peertest.Await(t, "the next replica's update", updates); update.Replica == replica.URL() {
@@ -164,8 +164,8 @@
 	third := testInstance(3, "UP")
 	third.App = "THIRD"
 	registry.Register(third)
-	client := newPolledClient(t, Config{Apps: []string{"records", "none"}, VIPs: []string{"records", "none"}}, registry)
-	client.wantList(t, "1 UP, 3 UP")
+	client := newManualClient(t, Config{Apps: []string{"records", "none"}, VIPs: []string{"records", "none"}}, registry)
+	client.expectList(t, "1 UP, 3 UP")
 }
 
 func TestInvalidConfig(t *testing.T) {
@@ -178,7 +178,7 @@
 }
 
 // A response of 50 MB is rejected at its bound and not read to its end.
-func TestTooLongResponse(t *testing.T) {
+func TestOversizedResponse(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Write([]byte(`{"applications":{"application":[`))
 		application := []byte(`{"name":"` + strings.Repeat("x", 1<<14) + `"},`)
@@ -203,8 +203,8 @@
 }
 
 // A delta of maxInstances entries is applied; one that is repeated changes nothing.
-func TestManyDeltas(t *testing.T) {
-	client := newPolledClient(t, Config{Replicas: []string{"http://127.0.0.1:1"}})
+func TestLargeDelta(t *testing.T) {
+	client := newManualClient(t, Config{Replicas: []string{"http://127.0.0.1:1"}})
 	client.applyList(&Applications{Instances: []Instance{{ID: "i0", Status: "UP", Dirty: 1}}})
 	client.updates = nil
 	delta := &Applications{Hash: "UP_1000_"}
--- a/internal/registry/eureka/helpers_test.go
+++ b/internal/registry/eureka/helpers_test.go
@@ -23,13 +23,13 @@
 	}
 }
 
-// polledClient is a Client that polls when the test calls it.
-type polledClient struct {
+// manualClient is a Client that polls when the test calls it.
+type manualClient struct {
 	*Client
 	updates []Update // since the last successful poll
 }
 
-func newPolledClient(t *testing.T, config Config, registries ...*peers.Eureka) *polledClient {
+func newManualClient(t *testing.T, config Config, registries ...*peers.Eureka) *manualClient {
 	t.Helper()
 	for _, registry := range registries {
 		config.Replicas = append(config.Replicas, registry.URL())
@@ -37,7 +37,7 @@
 	if config.Timeout == 0 {
 		config.Timeout = 2 * time.Second
 	}
-	polled := new(polledClient)
+	polled := new(manualClient)
 	client, err := NewClient(config, func(update Update) { polled.updates = append(polled.updates, update) })
 	if err != nil {
 		t.Fatal(err)
@@ -47,8 +47,8 @@
 	return polled
 }
 
-// nextUpdate polls once, without error, and returns the one update of it.
-func (c *polledClient) nextUpdate(t *testing.T) Update {
+// pollOnce polls once, without error, and returns the one update of it.
+func (c *manualClient) pollOnce(t *testing.T) Update {
 	t.Helper()
 	c.updates = nil
 	if err := c.poll(t.Context()); err != nil {
@@ -60,26 +60,26 @@
 	return c.updates[0]
 }
 
-// wantList polls once and checks that the update is a complete list.
-func (c *polledClient) wantList(t *testing.T, want string) Update {
+// expectList polls once and checks that the update is a complete list.
+func (c *manualClient) expectList(t *testing.T, want string) Update {
 	t.Helper()
-	update := c.nextUpdate(t)
-	if !update.Complete || summary(update) != want {
+	update := c.pollOnce(t)
+	if !update.Complete || summarize(update) != want {
 		t.Errorf("got %+v, want the complete list %q", update, want)
 	}
 	return update
 }
 
-// wantChanges polls once and checks that the update holds changes alone.
-func (c *polledClient) wantChanges(t *testing.T, want string) {
+// expectChanges polls once and checks that the update holds changes alone.
+func (c *manualClient) expectChanges(t *testing.T, want string) {
 	t.Helper()
-	if update := c.nextUpdate(t); update.Complete || summary(update) != want {
+	if update := c.pollOnce(t); update.Complete || summarize(update) != want {
 		t.Errorf("got %+v, want the changes %q", update, want)
 	}
 }
 
-// summary returns the number and status of each instance, with the action where it is a change.
-func summary(update Update) string {
+// summarize returns the number and status of each instance, with the action where it is a change.
+func summarize(update Update) string {
 	var all []string
 	for i := range update.Instances {
 		instance := &update.Instances[i]
--- a/internal/registry/eureka/instance.go
+++ b/internal/registry/eureka/instance.go
@@ -12,20 +12,20 @@
 
 // Instance is an instance as the registry has it.
 type Instance struct {
-	ID         string
-	App        string
-	Host       string
-	IP         string
-	VIP        string
-	Port       int // 0: the plain port is off
-	SecurePort int // 0: the secure port is off
-	Status     string
-	Override   string            // empty or UNKNOWN: there is none
-	Action     string            // of a delta: ADDED, MODIFIED or DELETED
-	Updated    int64             // Unix ms by the registry's clock
-	Dirty      int64             // Unix ms by the instance's clock
-	ServiceUp  int64             // Unix ms of its first status UP
-	Metadata   map[string]string // the entries that Parse was to keep
+	ID            string
+	App           string
+	Host          string
+	IP            string
+	VIP           string
+	Port          int // 0: the plain port is off
+	SecurePort    int // 0: the secure port is off
+	Status        string
+	Override      string            // empty or UNKNOWN: there is none
+	Action        string            // of a delta: ADDED, MODIFIED or DELETED
+	Updated       int64             // Unix ms by the registry's clock
+	Dirty         int64             // Unix ms by the instance's clock
+	ServiceUpTime int64             // Unix ms of its first status UP
+	Metadata      map[string]string // the entries that Parse was to keep
 }
 
 // Applications is a response of the registry: a list or a delta.
--- a/internal/registry/eureka/json.go
+++ b/internal/registry/eureka/json.go
@@ -17,14 +17,14 @@
 		decoder: jsontext.NewDecoder(in, jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true)),
 	}
 	if r.decoder.PeekKind() != '{' {
-		return r.unexpected("an object is meant")
+		return r.unexpectedKind("an object is meant")
 	}
-	err := r.fields(func(key string) error {
+	err := r.readFields(func(key string) error {
 		switch key {
 		case "applications":
-			return r.elements(r.readApplications)
+			return r.readElements(r.readApplications)
 		case "application":
-			return r.elements(r.readApplication)
+			return r.readElements(r.readApplication)
 		}
 		return r.skip()
 	})
@@ -32,10 +32,10 @@
 		return err
 	}
 	if _, err := r.decoder.ReadToken(); !errors.Is(err, io.EOF) {
-		return errTrailing
+		return errTrailingData
 	}
 	if !p.foundRoot {
-		return errRoot
+		return errNoApplications
 	}
 	return nil
 }
@@ -43,14 +43,14 @@
 // jsonReader reads a response in JSON.
 type jsonReader struct {
 	*parser
-	in      *boundedReader
-	decoder *jsontext.Decoder
-	text    []byte // buffer of value
-	key     []byte // buffer of fields
+	in          *boundedReader
+	decoder     *jsontext.Decoder
+	valueBuffer []byte // buffer of value
+	keyBuffer   []byte // buffer of fields
 }
 
-// unexpected returns the error for a value of the wrong kind, or why none can be read.
-func (r *jsonReader) unexpected(meant string) error {
+// unexpectedKind returns the error for a value of the wrong kind, or why none can be read.
+func (r *jsonReader) unexpectedKind(meant string) error {
 	kind := r.decoder.PeekKind()
 	if kind == jsontext.KindInvalid || kind == '}' || kind == ']' {
 		if _, err := r.decoder.ReadToken(); err != nil {
@@ -60,65 +60,65 @@
 	return fmt.Errorf("%s, not %v", meant, kind)
 }
 
-func (r *jsonReader) token() (jsontext.Token, error) {
+func (r *jsonReader) readToken() (jsontext.Token, error) {
 	token, err := r.decoder.ReadToken()
-	r.in.endToken()
+	r.in.resetTokenBytes()
 	return token, err
 }
 
-// rawValue reads a value that is not nested.
-func (r *jsonReader) rawValue() (jsontext.Value, error) {
+// readRawValue reads a value that is not nested.
+func (r *jsonReader) readRawValue() (jsontext.Value, error) {
 	raw, err := r.decoder.ReadValue()
-	r.in.endToken()
+	r.in.resetTokenBytes()
 	return raw, err
 }
 
-// elements calls readElement for each element of a list, or for the one object in its place.
+// readElements calls readElement for each element of a list, or for the one object in its place.
 // Null and an empty text stand for no element.
-func (r *jsonReader) elements(readElement func() error) error {
+func (r *jsonReader) readElements(readElement func() error) error {
 	switch r.decoder.PeekKind() {
 	case '{':
 		return readElement()
 	case '[':
-		return r.list(readElement)
+		return r.readArray(readElement)
 	case 'n', '"':
-		value, err := r.value()
+		value, err := r.readValue()
 		if err == nil && len(value) > 0 {
 			err = fmt.Errorf("%.40q: an object or a list is meant", value)
 		}
 		return err
 	default:
-		return r.unexpected("an object or a list is meant")
+		return r.unexpectedKind("an object or a list is meant")
 	}
 }
 
-// list calls readElement for each object of a list.
-func (r *jsonReader) list(readElement func() error) error {
-	if _, err := r.token(); err != nil {
+// readArray calls readElement for each object of a readArray.
+func (r *jsonReader) readArray(readElement func() error) error {
+	if _, err := r.readToken(); err != nil {
 		return err
 	}
 	for kind := r.decoder.PeekKind(); kind != ']'; kind = r.decoder.PeekKind() {
 		if kind != '{' {
-			return r.unexpected("an object is meant")
+			return r.unexpectedKind("an object is meant")
 		}
 		if err := readElement(); err != nil {
 			return err
 		}
 	}
-	_, err := r.token()
+	_, err := r.readToken()
 	return err
 }
 
-// fields reads an object and calls readField for the value of each key.
-func (r *jsonReader) fields(readField func(key string) error) error {
-	if _, err := r.token(); err != nil {
+// readFields reads an object and calls readField for the value of each key.
+func (r *jsonReader) readFields(readField func(key string) error) error {
+	if _, err := r.readToken(); err != nil {
 		return err
 	}
 	if r.decoder.StackDepth() > maxDepth {
 		return errTooDeep
 	}
 	for r.decoder.PeekKind() == '"' {
-		key, err := r.fieldKey()
+		key, err := r.readFieldKey()
 		if err != nil {
 			return err
 		}
@@ -126,27 +126,27 @@
 			return fmt.Errorf("%.40s: %w", key, err)
 		}
 	}
-	_, err := r.token()
+	_, err := r.readToken()
 	return err
 }
 
-func (r *jsonReader) fieldKey() (string, error) {
+func (r *jsonReader) readFieldKey() (string, error) {
 	raw, err := r.decoder.ReadValue()
 	if err != nil {
 		return "", err
 	}
-	r.in.endToken()
-	r.key, err = jsontext.AppendUnquote(r.key[:0], raw)
-	if err != nil && len(r.key) == 0 {
+	r.in.resetTokenBytes()
+	r.keyBuffer, err = jsontext.AppendUnquote(r.keyBuffer[:0], raw)
+	if err != nil && len(r.keyBuffer) == 0 {
 		return "", err
 	}
-	return r.intern(r.key), nil
+	return r.intern(r.keyBuffer), nil
 }
 
 // skip reads a value token by token and drops it.
 func (r *jsonReader) skip() error {
 	for depth := r.decoder.StackDepth(); ; {
-		if _, err := r.token(); err != nil {
+		if _, err := r.readToken(); err != nil {
 			return err
 		}
 		if r.decoder.StackDepth() > maxDepth {
@@ -158,17 +158,17 @@
 	}
 }
 
-// value reads a text, number, boolean or null and returns it as a text, which is valid until the
+// readValue reads a text, number, boolean or null and returns it as a text, which is valid until the
 // next call. Of an object it returns the text under $, of a list none.
-func (r *jsonReader) value() ([]byte, error) {
+func (r *jsonReader) readValue() ([]byte, error) {
 	switch r.decoder.PeekKind() {
 	case '[':
 		return nil, r.skip()
 	case '{':
-		return r.objectText()
+		return r.readObjectText()
 	default:
 	}
-	raw, err := r.rawValue()
+	raw, err := r.readRawValue()
 	switch {
 	case err != nil:
 		return nil, err
@@ -177,18 +177,18 @@
 	case raw.Kind() != '"':
 		return raw, nil
 	}
-	r.text, err = jsontext.AppendUnquote(r.text[:0], raw)
-	if len(r.text) > 0 {
-		return r.text, nil // bytes that are not UTF-8 were replaced
+	r.valueBuffer, err = jsontext.AppendUnquote(r.valueBuffer[:0], raw)
+	if len(r.valueBuffer) > 0 {
+		return r.valueBuffer, nil // bytes that are not UTF-8 were replaced
 	}
-	return r.text, err
+	return r.valueBuffer, err
 }
 
-// objectText reads an object and returns the text under $.
-func (r *jsonReader) objectText() ([]byte, error) {
+// readObjectText reads an object and returns the text under $.
+func (r *jsonReader) readObjectText() ([]byte, error) {
 	var text []byte
-	err := r.fields(func(key string) error {
-		value, err := r.value()
+	err := r.readFields(func(key string) error {
+		value, err := r.readValue()
 		if key == "$" {
 			text = append(text, value...)
 		}
@@ -199,18 +199,18 @@
 
 func (r *jsonReader) readApplications() error {
 	r.foundRoot = true
-	return r.fields(func(key string) error {
+	return r.readFields(func(key string) error {
 		switch key {
 		case "versions__delta":
-			value, err := r.value()
+			value, err := r.readValue()
 			r.applications.Version = string(value)
 			return err
 		case "apps__hashcode":
-			value, err := r.value()
+			value, err := r.readValue()
 			r.applications.Hash = string(value)
 			return err
 		case "application":
-			return r.elements(r.readApplication)
+			return r.readElements(r.readApplication)
 		}
 		return r.skip()
 	})
@@ -219,36 +219,36 @@
 func (r *jsonReader) readApplication() error {
 	r.foundRoot = true
 	name, first := "", len(r.applications.Instances)
-	err := r.fields(func(key string) error {
+	err := r.readFields(func(key string) error {
 		switch key {
 		case "name":
-			value, err := r.value()
+			value, err := r.readValue()
 			name = string(value)
 			return err
 		case "instance":
-			return r.elements(r.readInstance)
+			return r.readElements(r.readInstance)
 		}
 		return r.skip()
 	})
-	r.setMissingApp(first, name)
+	r.setMissingAppNames(first, name)
 	return err
 }
 
 func (r *jsonReader) readInstance() error {
 	var instance Instance
-	err := r.fields(func(key string) (err error) {
+	err := r.readFields(func(key string) (err error) {
 		switch key {
 		case "port":
-			instance.Port, err = r.port()
+			instance.Port, err = r.readPort()
 		case "securePort":
-			instance.SecurePort, err = r.port()
+			instance.SecurePort, err = r.readPort()
 		case "metadata":
-			err = r.objectOrNone(func(key string) error { return r.readMetadata(&instance, key) })
+			err = r.readOptionalObject(func(key string) error { return r.readMetadata(&instance, key) })
 		case "leaseInfo":
-			err = r.objectOrNone(func(key string) error { return r.readLeaseField(&instance, key) })
+			err = r.readOptionalObject(func(key string) error { return r.readLeaseField(&instance, key) })
 		default:
 			var value []byte
-			if value, err = r.value(); err == nil {
+			if value, err = r.readValue(); err == nil {
 				r.setField(&instance, key, value)
 			}
 		}
@@ -257,42 +257,42 @@
 	if err != nil {
 		return err
 	}
-	return r.add(&instance)
+	return r.addInstance(&instance)
 }
 
-// objectOrNone reads an object, or a value of another kind, such as null or "", where there is
+// readOptionalObject reads an object, or a value of another kind, such as null or "", where there is
 // none.
-func (r *jsonReader) objectOrNone(readField func(key string) error) error {
+func (r *jsonReader) readOptionalObject(readField func(key string) error) error {
 	if r.decoder.PeekKind() != '{' {
 		return r.skip()
 	}
-	return r.fields(readField)
+	return r.readFields(readField)
 }
 
 func (r *jsonReader) readMetadata(instance *Instance, key string) error {
-	value, err := r.value()
+	value, err := r.readValue()
 	r.setMetadata(instance, key, value)
 	return err
 }
 
 func (r *jsonReader) readLeaseField(instance *Instance, key string) error {
-	value, err := r.value()
+	value, err := r.readValue()
 	if key == "serviceUpTimestamp" {
-		instance.ServiceUp = parseNumber(value)
+		instance.ServiceUpTime = parseNumber(value)
 	}
 	return err
 }
 
-// port reads {"$": 8080, "@enabled": "true"}, each value as a text or not, or a number alone.
-func (r *jsonReader) port() (int, error) {
+// readPort reads {"$": 8080, "@enabled": "true"}, each value as a text or not, or a number alone.
+func (r *jsonReader) readPort() (int, error) {
 	if r.decoder.PeekKind() != '{' {
-		value, err := r.value()
+		value, err := r.readValue()
 		return parsePort(value, ""), err
 	}
 	var digits []byte
 	enabled := ""
-	err := r.fields(func(key string) error {
-		value, err := r.value()
+	err := r.readFields(func(key string) error {
+		value, err := r.readValue()
 		switch key {
 		case "$":
 			digits = append(digits, value...)
--- a/internal/registry/eureka/list_state.go
+++ b/internal/registry/eureka/list_state.go
@@ -72,7 +72,7 @@
 	next := versionOf(entry)
 	deleted := entry.Action == "DELETED"
 	switch {
-	case known && next.isOlder(current):
+	case known && next.isOlderThan(current):
 		return false
 	case known && !deleted && next == current:
 		return false
@@ -91,7 +91,7 @@
 	return true
 }
 
-func (v instanceVersion) isOlder(than instanceVersion) bool {
+func (v instanceVersion) isOlderThan(than instanceVersion) bool {
 	if v.dirty != than.dirty {
 		return v.dirty < than.dirty
 	}
--- a/internal/registry/eureka/parse.go
+++ b/internal/registry/eureka/parse.go
@@ -12,31 +12,31 @@
 
 // Bounds of a response. One that exceeds them is an error, where not said otherwise.
 const (
-	maxInstances     = 100_000
-	maxTextBytes     = 1 << 10  // of a field; an instance with a longer one is left out, as is a longer metadata entry
-	maxMetadata      = 64       // entries of an instance; further ones are left out
-	maxTokenBytes    = 64 << 10 // from the end of one name or value to that of the next
-	maxDepth         = 32       // of nested objects, lists or elements
-	minInstanceSlots = 64       // capacity of a list at first
+	maxInstances        = 100_000
+	maxFieldBytes       = 1 << 10  // of a field; an instance with a longer one is left out, as is a longer metadata entry
+	maxMetadataEntries  = 64       // entries of an instance; further ones are left out
+	maxTokenBytes       = 64 << 10 // from the end of one name or value to that of the next
+	maxDepth            = 32       // of nested objects, lists or elements
+	minInstanceCapacity = 64       // capacity of a list at first
 )
 
 // Bounds of the texts of which equal ones share their memory.
 const (
-	maxInterned      = 4096 // texts
-	maxInternedBytes = 64   // of one text
+	maxInternedStrings = 4096 // texts
+	maxInternedBytes   = 64   // of one text
 )
 
-// errRoot is the error for a document of another kind.
-var errRoot = errors.New("it holds neither applications nor an application")
+// errNoApplications is the error for a document of another kind.
+var errNoApplications = errors.New("it holds neither applications nor an application")
 
 // Parse reads a response that holds applications, or one application. It distinguishes JSON from XML by
 // the first byte, as some servers announce the wrong one, and reads it as a stream: the response
 // itself takes next to no memory. keep says which metadata keys are kept; nil: all.
 //
 // Servers differ; docs/protocol/eureka.md has a table of the forms that are accepted.
-func Parse(r io.Reader, keep func(key string) bool) (*Applications, error) {
+func Parse(r io.Reader, keepMetadata func(key string) bool) (*Applications, error) {
 	in := &boundedReader{in: bufio.NewReaderSize(r, 4<<10)}
-	p := &parser{applications: new(Applications), keep: keep, interned: make(map[string]string)}
+	p := &parser{applications: new(Applications), keepMetadata: keepMetadata, interned: make(map[string]string)}
 	first, err := in.firstByte()
 	if err == nil {
 		if first == '<' {
@@ -54,7 +54,7 @@
 // parser collects what the reader of either format finds.
 type parser struct {
 	applications *Applications
-	keep         func(key string) bool
+	keepMetadata func(key string) bool
 	interned     map[string]string
 	foundRoot    bool
 }
@@ -65,7 +65,7 @@
 		return s
 	}
 	s := string(text)
-	if len(p.interned) < maxInterned && len(s) <= maxInternedBytes {
+	if len(p.interned) < maxInternedStrings && len(s) <= maxInternedBytes {
 		p.interned[s] = s
 	}
 	return s
@@ -108,20 +108,20 @@
 // or $ are attributes of the format.
 func (p *parser) setMetadata(instance *Instance, key string, value []byte) {
 	isAttribute := key == "" || key[0] == '@' || key[0] == '$'
-	tooLong := len(key) > maxTextBytes || len(value) > maxTextBytes
-	if isAttribute || tooLong || p.keep != nil && !p.keep(key) {
+	tooLong := len(key) > maxFieldBytes || len(value) > maxFieldBytes
+	if isAttribute || tooLong || p.keepMetadata != nil && !p.keepMetadata(key) {
 		return
 	}
 	if instance.Metadata == nil {
 		instance.Metadata = make(map[string]string)
 	}
-	if len(instance.Metadata) < maxMetadata {
+	if len(instance.Metadata) < maxMetadataEntries {
 		instance.Metadata[p.intern([]byte(key))] = p.intern(value)
 	}
 }
 
-// add appends an instance. One without an ID or with an unusable text is left out.
-func (p *parser) add(instance *Instance) error {
+// addInstance appends an instance. One without an ID or with an unusable text is left out.
+func (p *parser) addInstance(instance *Instance) error {
 	list := p.applications.Instances
 	if len(list) == maxInstances {
 		return fmt.Errorf("more than %d instances", maxInstances)
@@ -129,25 +129,25 @@
 	if instance.ID == "" { // older registries know it by its host
 		instance.ID = instance.Host
 	}
-	if instance.ID == "" || !hasUsableTexts(instance) {
+	if instance.ID == "" || !hasValidFields(instance) {
 		return nil
 	}
 	if len(list) == cap(list) { // doubled, as append's smaller steps leave much garbage
-		list = slices.Grow(list, max(len(list), minInstanceSlots))
+		list = slices.Grow(list, max(len(list), minInstanceCapacity))
 	}
 	list = append(list, *instance)
 	p.applications.Instances = list
 	return nil
 }
 
-// hasUsableTexts reports whether all texts of an instance are short enough and without control
+// hasValidFields reports whether all texts of an instance are short enough and without control
 // characters, so that they can be logged.
-func hasUsableTexts(instance *Instance) bool {
+func hasValidFields(instance *Instance) bool {
 	for _, text := range []string{
 		instance.ID, instance.App, instance.Host, instance.IP, instance.VIP,
 		instance.Status, instance.Override, instance.Action,
 	} {
-		if len(text) > maxTextBytes || strings.ContainsFunc(text, isControl) {
+		if len(text) > maxFieldBytes || strings.ContainsFunc(text, isControl) {
 			return false
 		}
 	}
@@ -156,10 +156,10 @@
 
 func isControl(r rune) bool { return r < ' ' || r == 0x7f }
 
-// setMissingApp sets the app of the instances from first on that have none of their own. The
+// setMissingAppNames sets the app of the instances from first on that have none of their own. The
 // app's name may come after them.
-func (p *parser) setMissingApp(first int, app string) {
-	if len(app) > maxTextBytes {
+func (p *parser) setMissingAppNames(first int, app string) {
+	if len(app) > maxFieldBytes {
 		return
 	}
 	added := p.applications.Instances[first:]
--- a/internal/registry/eureka/parse_test.go
+++ b/internal/registry/eureka/parse_test.go
@@ -13,13 +13,13 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// quirks are the forms in which public servers differ, row by row of docs/protocol/eureka.md:
+// formatVariants are the forms in which public servers differ, row by row of docs/protocol/eureka.md:
 // what an instance has beyond the plain one, in both formats, and what is read from it. Each is
 // read as one element and as a list of two, of an app alone and among applications.
-var quirks = []struct {
+var formatVariants = []struct {
 	name      string
 	json, xml string
-	want      func(instance *Instance)
+	setWant   func(instance *Instance)
 }{
 	{"port as a number", `"port":{"$":8080,"@enabled":"true"}`, `<port enabled="true">8080</port>`, func(i *Instance) { i.Port = 8080 }},
 	{"port as a text", `"port":{"$":"8080","@enabled":"true"}`, `<port enabled='true'> 8080 </port>`, func(i *Instance) { i.Port = 8080 }},
@@ -55,7 +55,7 @@
 		func(i *Instance) { i.Metadata = map[string]string{"k": "", "l": "b"} }},
 	{"lease", `"leaseInfo":{"renewalIntervalInSecs":30,"serviceUpTimestamp":7}`,
 		`<leaseInfo><renewalIntervalInSecs>30</renewalIntervalInSecs><serviceUpTimestamp>7</serviceUpTimestamp></leaseInfo>`,
-		func(i *Instance) { i.ServiceUp = 7 }},
+		func(i *Instance) { i.ServiceUpTime = 7 }},
 	{"what comes later", `"later":{"a":[1,{"b":null}]},"countryId":1,"dataCenterInfo":{"@class":"x","name":"MyOwn"}`,
 		`<later><a>1</a><a><b/></a></later><countryId>1</countryId><dataCenterInfo class="x"><name>MyOwn</name></dataCenterInfo>`, func(*Instance) {}},
 	{"odd characters", `"instanceId":"räuber/\u2603 %2F?#&<"`, `<instanceId>räuber/&#x2603; %2F?#&amp;&lt;</instanceId>`, func(i *Instance) { i.ID = "räuber/☃ %2F?#&<" }},
@@ -65,22 +65,22 @@
 
 // The plain instance that a quirk is added to.
 const (
-	plainJSON = `"instanceId":"i","hostName":"h","ipAddr":"10.0.0.1",`
-	plainXML  = `<instanceId>i</instanceId><hostName>h</hostName><ipAddr>10.0.0.1</ipAddr>`
+	baseJSON = `"instanceId":"i","hostName":"h","ipAddr":"10.0.0.1",`
+	baseXML  = `<instanceId>i</instanceId><hostName>h</hostName><ipAddr>10.0.0.1</ipAddr>`
 )
 
-func TestQuirks(t *testing.T) {
+func TestFormatVariants(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "protocol", "eureka.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, quirk := range quirks {
+	for _, quirk := range formatVariants {
 		if !strings.Contains(string(page), "\n| "+quirk.name+" |") {
 			t.Errorf("the page has no row %q", quirk.name)
 		}
 		want := Instance{ID: "i", App: "A", Host: "h", IP: "10.0.0.1"}
-		quirk.want(&want)
-		asJSON, asXML := "{"+plainJSON+quirk.json+"}", "<instance>"+plainXML+quirk.xml+"</instance>"
+		quirk.setWant(&want)
+		asJSON, asXML := "{"+baseJSON+quirk.json+"}", "<instance>"+baseXML+quirk.xml+"</instance>"
 		for _, number := range []int{1, 2} {
 			for format, text := range responses(asJSON, asXML, number) {
 				got, err := Parse(strings.NewReader(text), nil)
@@ -157,7 +157,7 @@
 }
 
 // Responses that are made to take memory or time are rejected before they do.
-func TestBombs(t *testing.T) {
+func TestMaliciousResponses(t *testing.T) {
 	const size = 10 << 20
 	for name, text := range map[string]string{
 		"entities": `<!DOCTYPE a [<!ENTITY a "aaaaaaaaaa"><!ENTITY b "&a;&a;&a;&a;&a;&a;&a;&a;">]>` +
@@ -183,26 +183,26 @@
 		if err == nil || strings.ContainsAny(err.Error(), "\n\r") || len(err.Error()) > 400 {
 			t.Errorf("%s: %+v, %.500v", name, got, err)
 		}
-		if reader.n > 8*maxTokenBytes && name != "a text in parts" {
-			t.Errorf("%s: %d bytes were read", name, reader.n)
+		if reader.bytesRead > 8*maxTokenBytes && name != "a text in parts" {
+			t.Errorf("%s: %d bytes were read", name, reader.bytesRead)
 		}
 	}
 }
 
 type countingReader struct {
-	in *strings.Reader
-	n  int
+	in        *strings.Reader
+	bytesRead int
 }
 
 func (r *countingReader) Read(p []byte) (int, error) {
 	n, err := r.in.Read(p)
-	r.n += n
+	r.bytesRead += n
 	return n, err
 }
 
 // What the stand-in writes in either dialect and format reads back the same; so do formats that
 // are announced as the other, or that change between polls.
-func TestStandinReadsBack(t *testing.T) {
+func TestStandinResponses(t *testing.T) {
 	registry := peertest.NewEureka(t)
 	full := testInstance(1, "UP")
 	full.SecurePortEnabled, full.SecurePort, full.SecureVIP = true, 8443, "s"
@@ -213,12 +213,12 @@
 	registry.Register(bare)
 	registry.Override(bare.ID, "OUT_OF_SERVICE")
 	var first []Instance
-	client := newPolledClient(t, Config{}, registry)
+	client := newManualClient(t, Config{}, registry)
 	for step, asXML := range []bool{false, true, false, true, true, false} {
 		registry.SetDialect([]peers.EurekaDialect{peers.Jackson, peers.XStream}[step/2%2])
 		registry.SetFault(map[bool]peers.EurekaFault{true: peers.WrongContentType}[step == 4])
 		client.cfg.XML, client.list = asXML, nil
-		update := client.wantList(t, "1 UP, 2 OUT_OF_SERVICE")
+		update := client.expectList(t, "1 UP, 2 OUT_OF_SERVICE")
 		if first == nil {
 			first = update.Instances
 		}
@@ -228,16 +228,16 @@
 		if registry.Cancel("none"); step > 0 { // a delta in the other format than the list
 			client.cfg.XML = !asXML
 			registry.Register(full)
-			client.wantChanges(t, "ADDED 1 UP")
+			client.expectChanges(t, "ADDED 1 UP")
 			registry.ClearDelta()
 			first = nil
 		}
 	}
-	client.wantChanges(t, "")
+	client.expectChanges(t, "")
 }
 
 // Only the metadata that Parse is to keep are kept.
-func TestKeptMetadata(t *testing.T) {
+func TestKeepMetadata(t *testing.T) {
 	for _, text := range []string{
 		`{"application":{"instance":{"instanceId":"i","metadata":{"zone":"a","other":"b"}}}}`,
 		`<application><instance><instanceId>i</instanceId><metadata><zone>a</zone><other>b</other></metadata></instance></application>`,
@@ -283,7 +283,7 @@
 		for _, instance := range got.Instances {
 			badText := instance.ID == "" || strings.ContainsAny(instance.ID+instance.Status, "\n\x00")
 			badPort := instance.Port < 0 || instance.Port > 65535
-			if badText || badPort || len(instance.Metadata) > maxMetadata {
+			if badText || badPort || len(instance.Metadata) > maxMetadataEntries {
 				t.Errorf("instance %+v", instance)
 			}
 		}
--- a/internal/registry/eureka/register.go
+++ b/internal/registry/eureka/register.go
@@ -20,8 +20,8 @@
 const DefaultRenewInterval = 30 * time.Second
 
 const (
-	// leaseIntervals is how many renew intervals a lease lasts.
-	leaseIntervals = 3
+	// renewIntervalsPerLease is how many renew intervals a lease lasts.
+	renewIntervalsPerLease = 3
 	// maxRetryInterval is the time until the next attempt after a failure, and until the
 	// readiness of a STARTING instance is checked again, where the renew interval is longer.
 	maxRetryInterval = time.Second
@@ -63,10 +63,10 @@
 	port int
 	http *http.Client
 
-	replica    int    // index of the one in use
-	status     string // that the replica has; empty: it may not have the instance
-	registered bool   // some replica may have the instance
-	failing    bool   // the last attempt failed
+	replicaIndex int    // index of the one in use
+	status       string // that the replica has; empty: it may not have the instance
+	registered   bool   // some replica may have the instance
+	failing      bool   // the last attempt failed
 }
 
 // NewRegistrar returns a Registrar. The error says what is wrong with the Registration.
@@ -118,7 +118,7 @@
 		if err != nil {
 			r.failover(err)
 		} else {
-			r.noteSuccess(status)
+			r.recordSuccess(status)
 		}
 		wait := r.cfg.RenewInterval
 		if r.status != "UP" {
@@ -136,7 +136,7 @@
 		r.registered = true // whatever the response
 		return r.register(ctx, status)
 	}
-	err := r.call(ctx, http.MethodPut, r.instancePath()+"?status="+status, nil)
+	err := r.sendRequest(ctx, http.MethodPut, r.instancePath()+"?status="+status, nil)
 	if errors.Is(err, statusError(http.StatusNotFound)) {
 		slog.Info("eureka: the lease has run out, registering again", "id", r.id)
 		return r.register(ctx, status)
@@ -144,7 +144,7 @@
 	return err
 }
 
-func (r *Registrar) noteSuccess(status string) {
+func (r *Registrar) recordSuccess(status string) {
 	if r.failing {
 		slog.Info("eureka: registered again", "id", r.id)
 	}
@@ -154,10 +154,10 @@
 // failover continues with the next replica, which may not have the instance.
 func (r *Registrar) failover(err error) {
 	if !r.failing {
-		slog.Warn("eureka: registration failed", "replica", r.cfg.Replicas[r.replica], "err", err)
+		slog.Warn("eureka: registration failed", "replica", r.cfg.Replicas[r.replicaIndex], "err", err)
 	}
 	r.status, r.failing = "", true
-	r.replica = (r.replica + 1) % len(r.cfg.Replicas)
+	r.replicaIndex = (r.replicaIndex + 1) % len(r.cfg.Replicas)
 }
 
 // deregister takes the instance out of service first, so that those who read the registry before
@@ -165,10 +165,10 @@
 func (r *Registrar) deregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
-	if err := r.call(ctx, http.MethodPut, r.instancePath()+"/status?value=OUT_OF_SERVICE", nil); err != nil {
+	if err := r.sendRequest(ctx, http.MethodPut, r.instancePath()+"/status?value=OUT_OF_SERVICE", nil); err != nil {
 		slog.Warn("eureka: taking out of service failed", "err", err)
 	}
-	if err := r.call(ctx, http.MethodDelete, r.instancePath(), nil); err != nil {
+	if err := r.sendRequest(ctx, http.MethodDelete, r.instancePath(), nil); err != nil {
 		slog.Warn("eureka: deregistration failed, the lease will run out", "err", err)
 	}
 }
@@ -178,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	return r.call(ctx, http.MethodPost, "", body)
+	return r.sendRequest(ctx, http.MethodPost, "", body)
 }
 
 // registrationBody returns the instance in the registry's form.
@@ -203,7 +203,7 @@
 		},
 		"leaseInfo": map[string]any{
 			"renewalIntervalInSecs": max(1, int(renewSeconds)),
-			"durationInSecs":        max(leaseIntervals, int(leaseIntervals*renewSeconds)),
+			"durationInSecs":        max(renewIntervalsPerLease, int(renewIntervalsPerLease*renewSeconds)),
 		},
 		"lastDirtyTimestamp": strconv.FormatInt(time.Now().UnixMilli(), 10),
 		"metadata":           metadata,
@@ -215,9 +215,9 @@
 // instancePath returns the path of the instance below that of its app.
 func (r *Registrar) instancePath() string { return "/" + url.PathEscape(r.id) }
 
-// call makes a request to a path below that of the app.
-func (r *Registrar) call(ctx context.Context, method, path string, body []byte) error {
-	target := r.cfg.Replicas[r.replica] + "/apps/" + url.PathEscape(r.appName()) + path
+// sendRequest makes a request to a path below that of the app.
+func (r *Registrar) sendRequest(ctx context.Context, method, path string, body []byte) error {
+	target := r.cfg.Replicas[r.replicaIndex] + "/apps/" + url.PathEscape(r.appName()) + path
 	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
 		return err
--- a/internal/registry/eureka/xml.go
+++ b/internal/registry/eureka/xml.go
@@ -9,10 +9,10 @@
 )
 
 var (
-	errTextOutside  = errors.New("something stands outside of its element")
-	errTrailing     = errors.New("something follows it")
-	errDocumentType = errors.New("a document type is not accepted")
-	errTooDeep      = fmt.Errorf("more than %d nested levels", maxDepth)
+	errTextOutsideRoot = errors.New("something stands outside of its element")
+	errTrailingData    = errors.New("something follows it")
+	errDocumentType    = errors.New("a document type is not accepted")
+	errTooDeep         = fmt.Errorf("more than %d nested levels", maxDepth)
 )
 
 // parseXML reads <applications>, or <application> for one app. A document type is an error, and
@@ -20,10 +20,10 @@
 func (p *parser) parseXML(in *boundedReader) error {
 	r := &xmlReader{parser: p, in: in, decoder: xml.NewDecoder(in)}
 	for {
-		token, err := r.token()
+		token, err := r.readToken()
 		if errors.Is(err, io.EOF) {
 			if !p.foundRoot {
-				return errRoot
+				return errNoApplications
 			}
 			return nil
 		}
@@ -32,12 +32,12 @@
 		}
 		switch token := token.(type) {
 		case xml.StartElement:
-			if err := r.root(token); err != nil {
+			if err := r.readRoot(token); err != nil {
 				return err
 			}
 		case xml.CharData:
 			if strings.TrimSpace(string(token)) != "" {
-				return errTextOutside
+				return errTextOutsideRoot
 			}
 		}
 	}
@@ -47,15 +47,15 @@
 // and read to its end.
 type xmlReader struct {
 	*parser
-	in      *boundedReader
-	decoder *xml.Decoder
-	depth   int
-	text    []byte // buffer of value
+	in          *boundedReader
+	decoder     *xml.Decoder
+	depth       int
+	valueBuffer []byte // buffer of value
 }
 
-func (r *xmlReader) root(start xml.StartElement) error {
+func (r *xmlReader) readRoot(start xml.StartElement) error {
 	if r.foundRoot {
-		return errTrailing
+		return errTrailingData
 	}
 	switch start.Name.Local {
 	case "applications":
@@ -63,12 +63,12 @@
 	case "application":
 		return r.readApplication()
 	}
-	return fmt.Errorf("element %.40q: %w", start.Name.Local, errRoot)
+	return fmt.Errorf("element %.40q: %w", start.Name.Local, errNoApplications)
 }
 
-func (r *xmlReader) token() (xml.Token, error) {
+func (r *xmlReader) readToken() (xml.Token, error) {
 	token, err := r.decoder.Token()
-	r.in.endToken()
+	r.in.resetTokenBytes()
 	switch token.(type) {
 	case xml.Directive:
 		return nil, errDocumentType
@@ -82,10 +82,10 @@
 	return token, err
 }
 
-// children reads an element and calls readChild for each child element.
-func (r *xmlReader) children(readChild func(xml.StartElement) error) error {
+// readChildren reads an element and calls readChild for each child element.
+func (r *xmlReader) readChildren(readChild func(xml.StartElement) error) error {
 	for {
-		token, err := r.token()
+		token, err := r.readToken()
 		if err != nil {
 			return unexpectedEOF(err)
 		}
@@ -108,33 +108,33 @@
 	return err
 }
 
-// value reads an element and returns its text, without that of its children. The text is valid
+// readValue reads an element and returns its text, without that of its children. The text is valid
 // until the next call.
-func (r *xmlReader) value() ([]byte, error) {
-	r.text = r.text[:0]
+func (r *xmlReader) readValue() ([]byte, error) {
+	r.valueBuffer = r.valueBuffer[:0]
 	for depth := r.depth; ; {
-		token, err := r.token()
+		token, err := r.readToken()
 		if err != nil {
 			return nil, unexpectedEOF(err)
 		}
 		if text, ok := token.(xml.CharData); ok && r.depth == depth {
-			if r.text = append(r.text, text...); len(r.text) > maxTokenBytes {
+			if r.valueBuffer = append(r.valueBuffer, text...); len(r.valueBuffer) > maxTokenBytes {
 				return nil, errTokenTooLong
 			}
 		}
 		if r.depth < depth {
-			return r.text, nil
+			return r.valueBuffer, nil
 		}
 	}
 }
 
 func (r *xmlReader) readApplications() error {
 	r.foundRoot = true
-	return r.children(func(child xml.StartElement) error {
+	return r.readChildren(func(child xml.StartElement) error {
 		if child.Name.Local == "application" {
 			return r.readApplication()
 		}
-		value, err := r.value()
+		value, err := r.readValue()
 		switch child.Name.Local {
 		case "versions__delta":
 			r.applications.Version = string(value)
@@ -148,23 +148,23 @@
 func (r *xmlReader) readApplication() error {
 	r.foundRoot = true
 	name, first := "", len(r.applications.Instances)
-	err := r.children(func(child xml.StartElement) error {
+	err := r.readChildren(func(child xml.StartElement) error {
 		if child.Name.Local == "instance" {
 			return r.readInstance()
 		}
-		value, err := r.value()
+		value, err := r.readValue()
 		if child.Name.Local == "name" {
 			name = string(value)
 		}
 		return err
 	})
-	r.setMissingApp(first, name)
+	r.setMissingAppNames(first, name)
 	return err
 }
 
 func (r *xmlReader) readInstance() error {
 	var instance Instance
-	err := r.children(func(child xml.StartElement) error {
+	err := r.readChildren(func(child xml.StartElement) error {
 		name := child.Name.Local
 		switch name {
 		case "metadata":
@@ -172,12 +172,12 @@
 		case "leaseInfo":
 			return r.readLease(&instance)
 		}
-		value, err := r.value()
+		value, err := r.readValue()
 		switch name {
 		case "port":
-			instance.Port = parsePort(value, attribute(child, "enabled"))
+			instance.Port = parsePort(value, attributeValue(child, "enabled"))
 		case "securePort":
-			instance.SecurePort = parsePort(value, attribute(child, "enabled"))
+			instance.SecurePort = parsePort(value, attributeValue(child, "enabled"))
 		default:
 			r.setField(&instance, name, value)
 		}
@@ -186,29 +186,29 @@
 	if err != nil {
 		return err
 	}
-	return r.add(&instance)
+	return r.addInstance(&instance)
 }
 
 func (r *xmlReader) readMetadata(instance *Instance) error {
-	return r.children(func(child xml.StartElement) error {
-		value, err := r.value()
+	return r.readChildren(func(child xml.StartElement) error {
+		value, err := r.readValue()
 		r.setMetadata(instance, child.Name.Local, value)
 		return err
 	})
 }
 
 func (r *xmlReader) readLease(instance *Instance) error {
-	return r.children(func(child xml.StartElement) error {
-		value, err := r.value()
+	return r.readChildren(func(child xml.StartElement) error {
+		value, err := r.readValue()
 		if child.Name.Local == "serviceUpTimestamp" {
-			instance.ServiceUp = parseNumber(value)
+			instance.ServiceUpTime = parseNumber(value)
 		}
 		return err
 	})
 }
 
-// attribute returns an attribute of an element; empty where it has none of that name.
-func attribute(element xml.StartElement, name string) string {
+// attributeValue returns an attributeValue of an element; empty where it has none of that name.
+func attributeValue(element xml.StartElement, name string) string {
 	for _, attr := range element.Attr {
 		if attr.Name.Local == name {
 			return attr.Value
