--- a/internal/registry/eureka/bench_test.go
+++ b/internal/registry/eureka/bench_test.go
@@ -10,10 +10,10 @@
 	"mothridge/internal/peers"
 )
 
-// benchTimeMs is a time in the registry's form, in Unix ms.
+// benchTimeMs is the time of every instance in the benchmarks, in Unix ms as in the registry's responses.
 const benchTimeMs = 1796120688812
 
-// listResponse returns the response of a registry with n instances.
+// listResponse returns the registry's JSON response with a complete list of n instances.
 func listResponse(b *testing.B, n int) []byte {
 	b.Helper()
 	var instances []map[string]any
@@ -45,7 +45,7 @@
 	return response
 }
 
-// newBenchClient returns a Client that makes no request by itself.
+// newBenchClient returns a Client whose Run is not started, so that it sends a request only when poll is called.
 func newBenchClient(b *testing.B, replica string) *Client {
 	b.Helper()
 	client, err := NewClient(Config{Replicas: []string{replica}}, func(Update) {})
@@ -64,8 +64,8 @@
 	return applications
 }
 
-// BenchmarkList parses and applies a complete list; wire-B is its size before gzip, heap-B the
-// memory that the client needs for it.
+// BenchmarkList parses and applies a complete list. wire-B is the size of the response before gzip; heap-B is
+// the memory that the client retains for the list.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint("nodes=", n), func(b *testing.B) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// BenchmarkDelta applies a delta of one instance: its cost must not grow with the list.
+// BenchmarkDelta applies a delta of one instance. The cost must not grow with the length of the list.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint("nodes=", n), func(b *testing.B) {
@@ -100,14 +100,15 @@
 				modified := Instance{ID: fmt.Sprint("records-", i%n), Status: "UP", Action: "MODIFIED", Dirty: benchTimeMs}
 				modified.Updated = benchTimeMs + 1 + int64(i)
 				if !client.applyDelta(&Applications{Instances: []Instance{modified}}) {
-					b.Fatal("hash mismatch")
+					b.Fatal("got a hash mismatch after a delta, want the delta applied")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkPoll polls without a change, through loopback; bytes are before gzip.
+// BenchmarkPoll polls a registry without changes over the loopback interface. first-B is the size of the first
+// poll and poll-B the mean size of the later polls, in bytes before gzip.
 func BenchmarkPoll(b *testing.B) {
 	for _, n := range []int{100, 1000} {
 		b.Run(fmt.Sprint("nodes=", n), func(b *testing.B) {
@@ -127,7 +128,7 @@
 			if err := client.poll(b.Context()); err != nil {
 				b.Fatal(err)
 			}
-			first := registry.Bytes()
+			firstPollBytes := registry.Bytes()
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
@@ -135,8 +136,8 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(first), "first-B")
-			b.ReportMetric(float64(registry.Bytes()-first)/float64(b.N), "poll-B")
+			b.ReportMetric(float64(firstPollBytes), "first-B")
+			b.ReportMetric(float64(registry.Bytes()-firstPollBytes)/float64(b.N), "poll-B")
 		})
 	}
 }
--- a/internal/registry/eureka/bounded_reader.go
+++ b/internal/registry/eureka/bounded_reader.go
@@ -5,28 +5,30 @@
 	"fmt"
 )
 
-// errTokenTooLong is the error for more than maxTokenBytes in one name or value.
-var errTokenTooLong = fmt.Errorf("more than %d bytes in one value", maxTokenBytes)
+// errTokenTooLong is returned when one name or value is longer than maxTokenBytes.
+var errTokenTooLong = fmt.Errorf("a name or value must be at most %d bytes", maxTokenBytes)
 
+// byteOrderMark is the UTF-8 byte order mark, which some servers send before the document.
 const byteOrderMark = "\xef\xbb\xbf"
 
-// boundedReader reads a response for a decoder and fails where more than maxTokenBytes come
-// without the end of a token: a decoder holds each token in memory.
+// boundedReader passes a response to a decoder. Its read methods return errTokenTooLong when more
+// than maxTokenBytes are read without the end of a token, because a decoder keeps each whole token
+// in memory.
 type boundedReader struct {
 	in         *bufio.Reader
-	tokenBytes int // bytes
+	tokenBytes int // bytes read since the end of the previous token
 }
 
-// firstByte skips a byte order mark and white space and returns the byte after them, which is
-// left to be read.
+// firstByte skips a byte order mark and white space and returns the byte after them without
+// consuming it.
 func (r *boundedReader) firstByte() (byte, error) {
 	if mark, err := r.in.Peek(len(byteOrderMark)); err == nil && string(mark) == byteOrderMark {
-		_, _ = r.in.Discard(len(mark)) // buffered by Peek
+		_, _ = r.in.Discard(len(mark)) // cannot fail: Peek has buffered these bytes
 	}
 	for {
 		c, err := r.in.ReadByte()
 		if err != nil {
-			return 0, fmt.Errorf("it is empty: %w", err)
+			return 0, fmt.Errorf("response is empty or cannot be read: %w", err)
 		}
 		if c != ' ' && c != '\n' && c != '\r' && c != '\t' {
 			return c, r.in.UnreadByte()
@@ -37,10 +39,10 @@
 	}
 }
 
-// resetTokenBytes notes that the decoder has read a token to its end.
+// resetTokenBytes starts the count for the next token. Call it when the decoder has read a whole token.
 func (r *boundedReader) resetTokenBytes() { r.tokenBytes = 0 }
 
-// Read reads from the response.
+// Read reads from the response. It returns errTokenTooLong when the current token is too long.
 func (r *boundedReader) Read(p []byte) (int, error) {
 	if r.tokenBytes > maxTokenBytes {
 		return 0, errTokenTooLong
@@ -50,7 +52,8 @@
 	return n, err
 }
 
-// ReadByte reads a byte. The XML decoder uses it instead of a buffer of its own.
+// ReadByte reads one byte. The XML decoder calls it because boundedReader implements io.ByteReader;
+// otherwise the decoder would add a buffer of its own.
 func (r *boundedReader) ReadByte() (byte, error) {
 	if r.tokenBytes++; r.tokenBytes > maxTokenBytes {
 		return 0, errTokenTooLong
--- a/internal/registry/eureka/client.go
+++ b/internal/registry/eureka/client.go
@@ -9,38 +9,40 @@
 	"time"
 )
 
-// After a round of all replicas without a response the next one starts after a delay. It starts
-// at the minimum and doubles up to two intervals, and never exceeds the maximum.
+// Bounds of the delay between rounds of polls. A round in which every replica failed is followed by a
+// delay before the next round. The delay starts at minRetryDelay, doubles up to two intervals, and never
+// exceeds maxRetryDelay.
 const (
 	minRetryDelay = 500 * time.Millisecond
 	maxRetryDelay = 30 * time.Second
 )
 
-// Update is an update of a registry: a complete list or changes in their order.
+// Update is an update from a registry: either its complete list of instances, or the changes of a delta
+// in their order.
 type Update struct {
-	Replica   string // its base URL
+	Replica   string // base URL of the replica that sent the update
 	Complete  bool
-	Instances []Instance // of changes, each with its Action
+	Instances []Instance // if not Complete: the changed instances, each with its Action
 }
 
-// Client follows one registry.
+// Client polls one registry and publishes its updates.
 //
-// Its owner starts Run in a goroutine and ends it by Run's context. That goroutine alone uses the
-// Client; it starts no other.
+// The owner starts Run in a goroutine and stops it by canceling Run's context. Only that goroutine uses
+// the Client, and Run starts no other goroutine.
 type Client struct {
 	cfg     Config
 	http    *http.Client
 	rng     *rand.Rand
 	publish func(Update)
 
-	replicaIndex int        // index of the one in use
-	list         *listState // what the replica is known to have; nil: a complete list is needed
+	replicaIndex int        // index in cfg.Replicas of the replica in use
+	list         *listState // state of the replica's list after the last poll; nil: the next poll fetches a complete list
 
-	bytesFetched int64 // decompressed; for tests
+	bytesFetched int64 // total after decompression; only tests read it
 }
 
-// NewClient returns a Client. Run calls publish with each update, in order. The error says what
-// is wrong with the configuration.
+// NewClient returns a Client. Run calls publish with each update, in order. NewClient returns an
+// error if the configuration is invalid.
 func NewClient(config Config, publish func(Update)) (*Client, error) {
 	config, err := config.withDefaults()
 	if err != nil {
@@ -58,7 +60,7 @@
 	}, nil
 }
 
-// newTransport returns a transport with one connection to a replica at a time.
+// newTransport returns a transport that opens at most one connection to each replica at a time.
 func newTransport(dialTimeout, idleTimeout time.Duration) *http.Transport {
 	return &http.Transport{
 		DialContext:     (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext,
@@ -67,16 +69,16 @@
 	}
 }
 
-// retryState is the state between polls that fail in a row.
+// retryState is the state kept across consecutive failed polls.
 type retryState struct {
-	failures int
-	delay    time.Duration // after the next round of all replicas
+	failures int           // consecutive failed polls
+	delay    time.Duration // delay after the next round in which every replica fails
 }
 
 func newRetryState() retryState { return retryState{delay: minRetryDelay} }
 
-// Run polls until ctx ends. After a failure it goes on with the next replica; while all fail
-// there is no update.
+// Run polls until ctx is canceled. After a failed poll, Run continues with the next replica. While all
+// replicas fail, Run publishes no update.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
 	retry := newRetryState()
@@ -98,8 +100,8 @@
 	}
 }
 
-// failover continues with the next replica after a failed poll, and returns the time until the
-// next one: none within a round of all replicas.
+// failover selects the next replica after a failed poll and returns the delay before the next poll. The
+// delay is 0 until every replica has failed in the current round.
 func (c *Client) failover(err error, retry *retryState) time.Duration {
 	if retry.failures == 0 {
 		slog.Warn("eureka: fetch failed", "replica", c.replicaURL(), "err", err)
@@ -117,12 +119,13 @@
 
 func (c *Client) replicaURL() string { return c.cfg.Replicas[c.replicaIndex] }
 
-// jitter draws a time within a quarter of d, so that sidecars do not poll at the same time.
+// jitter returns a random duration between 0.75 d and 1.25 d, so that sidecars do not all poll at the same
+// time.
 func (c *Client) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + c.rng.Float64()/2))
 }
 
-// sleep returns after d or at the end of ctx.
+// sleep returns after d, or earlier if ctx is canceled.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/registry/eureka/client_test.go
+++ b/internal/registry/eureka/client_test.go
@@ -14,12 +14,14 @@
 	"mothridge/internal/peers/peertest"
 )
 
+// TestListThenDeltas checks that after one complete list each poll publishes exactly the changes of its delta,
+// without another fetch of the complete list.
 func TestListThenDeltas(t *testing.T) {
-	for _, asXML := range []bool{false, true} {
-		t.Run(fmt.Sprint("xml=", asXML), func(t *testing.T) {
+	for _, useXML := range []bool{false, true} {
+		t.Run(fmt.Sprint("xml=", useXML), func(t *testing.T) {
 			registry := peertest.NewEureka(t)
 			registry.Register(testInstance(1, "UP"))
-			client := newManualClient(t, Config{XML: asXML}, registry)
+			client := newManualClient(t, Config{XML: useXML}, registry)
 			checkAllFields(t, client.expectList(t, "1 UP"))
 			for _, step := range []struct {
 				change func()
@@ -40,48 +42,52 @@
 				client.expectChanges(t, step.want)
 			}
 			if registry.Calls("/apps") != 1 {
-				t.Errorf("the complete list was fetched %d times", registry.Calls("/apps"))
+				t.Errorf("got %d fetches of the complete list, want 1", registry.Calls("/apps"))
 			}
 		})
 	}
 }
 
-// checkAllFields checks that each field of the first instance has arrived.
+// checkAllFields checks that each field of the first instance of an update has the registered value.
 func checkAllFields(t *testing.T, update Update) {
 	t.Helper()
 	if len(update.Instances) == 0 {
-		t.Fatal("no instance")
+		t.Fatal("got no instance, want at least one")
 	}
 	got := update.Instances[0]
 	if got.Dirty == 0 || got.Updated == 0 || got.ServiceUpTime == 0 {
-		t.Errorf("times of %+v", got)
+		t.Errorf("got %+v, want nonzero times", got)
 	}
 	if got.Port != 7001 || got.SecurePort != 0 || got.IP != "127.0.0.1" {
-		t.Errorf("address of %+v", got)
+		t.Errorf("got %+v, want port 7001, no secure port and IP 127.0.0.1", got)
 	}
 	if got.App != "RECORDS" || got.VIP != "records" || got.Override != "UNKNOWN" || got.Metadata["zone"] != "a" {
-		t.Errorf("texts of %+v", got)
+		t.Errorf("got %+v, want app RECORDS, VIP records, override UNKNOWN and zone a", got)
 	}
 }
 
-// After a delta that does not add up to the registry's hash the complete list is fetched.
+// TestHashMismatch checks that the client fetches the complete list if the hash after a delta differs from the
+// registry's hash, which happens after a missed change. If the complete list does not match its own hash either,
+// the poll must return an error.
 func TestHashMismatch(t *testing.T) {
 	registry := peertest.NewEureka(t)
 	registry.Register(testInstance(1, "UP"))
 	client := newManualClient(t, Config{}, registry)
 	client.pollOnce(t)
-	client.list.countByStatus["UP"] = 7 // as if a change had been missed
+	client.list.countByStatus["UP"] = 7 // simulates a missed change
 	registry.Register(testInstance(2, "UP"))
 	client.expectList(t, "1 UP, 2 UP")
 	registry.SetFault(peers.WrongHash)
-	if err := client.poll(t.Context()); !errors.Is(err, errHashMismatch) || !strings.Contains(err.Error(), "adds up") {
-		t.Errorf("a complete list that does not add up either: %v", err)
+	if err := client.poll(t.Context()); !errors.Is(err, errHashMismatch) || !strings.Contains(err.Error(), "list: computed") {
+		t.Errorf("complete list with a wrong hash: got error %v, want a hash mismatch", err)
 	}
 	registry.SetFault(peers.NoFault)
 	client.expectList(t, "1 UP, 2 UP")
 }
 
-// Each fault of a registry is an error without an update; the next good poll goes on.
+// TestRegistryFaults checks that a poll returns a one-line error and publishes no update when the registry
+// returns an error status, a truncated body or invalid JSON, or does not respond. The first poll after the fault
+// must succeed and continue with deltas.
 func TestRegistryFaults(t *testing.T) {
 	for name, fault := range map[string]peers.EurekaFault{
 		"fails": peers.ServerError, "cut": peers.TruncatedBody, "garbage": peers.NotJSON, "silent": peers.NoResponse,
@@ -95,11 +101,11 @@
 			registry.SetFault(fault)
 			for range 2 {
 				if err := client.poll(t.Context()); err == nil || strings.Contains(err.Error(), "\n") {
-					t.Errorf("error %v", err)
+					t.Errorf("got error %v, want a one-line error", err)
 				}
 			}
 			if len(client.updates) != 1 {
-				t.Errorf("%d updates came of it", len(client.updates)-1)
+				t.Errorf("got %d updates from failed polls, want 0", len(client.updates)-1)
 			}
 			registry.SetFault(peers.NoFault)
 			client.cfg.Timeout = time.Second
@@ -108,7 +114,8 @@
 	}
 }
 
-// A failed poll goes on with the next replica, in their order, from its complete list.
+// TestFailover checks that after a failed poll the client continues with the next replica in the configured
+// order, and that the first update from that replica is a complete list.
 func TestFailover(t *testing.T) {
 	first, second := peertest.NewEureka(t), peertest.NewEureka(t)
 	first.Register(testInstance(1, "UP"))
@@ -122,39 +129,40 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		client.Run(ctx)
-		close(ended)
+		close(done)
 	}()
 	update := peertest.Await(t, "the first list", updates)
 	if update.Replica != first.URL() || summarize(update) != "1 UP" {
-		t.Errorf("got %+v", update)
+		t.Errorf("got %+v, want the list \"1 UP\" of the first replica", update)
 	}
 	first.SetFault(peers.ServerError)
 	if update := nextUpdateFrom(t, updates, second); !update.Complete || summarize(update) != "1 UP, 2 UP" {
-		t.Errorf("got %+v", update)
+		t.Errorf("got %+v, want the complete list \"1 UP, 2 UP\" of the second replica", update)
 	}
 	second.Close()
 	first.SetFault(peers.NoFault)
 	if update := nextUpdateFrom(t, updates, first); !update.Complete {
-		t.Errorf("got %+v", update)
+		t.Errorf("got %+v, want a complete list of the first replica", update)
 	}
 	cancel()
-	peertest.Await(t, "the end", ended)
+	peertest.Await(t, "the end of Run", done)
 }
 
-// nextUpdateFrom waits for the next update from a replica.
+// nextUpdateFrom waits for the next update from a replica and discards updates from other replicas.
 func nextUpdateFrom(t *testing.T, updates <-chan Update, replica *peers.Eureka) Update {
 	t.Helper()
 	for {
-		if update := peertest.Await(t, "the next replica's update", updates); update.Replica == replica.URL() {
+		if update := peertest.Await(t, "an update from the next replica", updates); update.Replica == replica.URL() {
 			return update
 		}
 	}
 }
 
-// Only some apps and VIP addresses are followed; one without an instance is no error.
+// TestSelectedApps checks that the client publishes only instances of the configured apps and VIP addresses, each
+// instance once, and that an app or VIP address without instances does not cause an error.
 func TestSelectedApps(t *testing.T) {
 	registry := peertest.NewEureka(t)
 	registry.Register(testInstance(1, "UP"))
@@ -168,16 +176,18 @@
 	client.expectList(t, "1 UP, 3 UP")
 }
 
+// TestInvalidConfig checks that NewClient rejects a configuration without replicas or with an invalid URL.
 func TestInvalidConfig(t *testing.T) {
 	if _, err := NewClient(Config{}, nil); !errors.Is(err, ErrNoReplica) {
-		t.Errorf("without a replica: error %v", err)
+		t.Errorf("no replica: got error %v, want ErrNoReplica", err)
 	}
 	if _, err := NewClient(Config{Replicas: []string{"127.0.0.1:8761"}}, nil); err == nil {
-		t.Error("a replica that is no URL: no error")
+		t.Error("replica that is not a URL: got no error, want one")
 	}
 }
 
-// A response of 50 MB is rejected at its bound and not read to its end.
+// TestOversizedResponse checks that a response of 50 MB is rejected once it exceeds the bound of 4 MB. The client
+// must not read the rest of the response or publish an update.
 func TestOversizedResponse(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Write([]byte(`{"applications":{"application":[`))
@@ -191,18 +201,19 @@
 	}))
 	defer server.Close()
 	config := Config{Replicas: []string{server.URL}, MaxResponseMB: 4, Timeout: 5 * time.Second}
-	client, err := NewClient(config, func(Update) { t.Error("it was published") })
+	client, err := NewClient(config, func(Update) { t.Error("got an update, want none") })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.http.CloseIdleConnections()
 	err = client.poll(t.Context())
-	if err == nil || !strings.Contains(err.Error(), "more than 4 MB") || client.bytesFetched > 6<<20 {
-		t.Errorf("error %v after %d bytes", err, client.bytesFetched)
+	if err == nil || !strings.Contains(err.Error(), "must be at most 4 MB") || client.bytesFetched > 6<<20 {
+		t.Errorf("got error %v after %d bytes, want a size error after at most 6 MiB", err, client.bytesFetched)
 	}
 }
 
-// A delta of maxInstances entries is applied; one that is repeated changes nothing.
+// TestLargeDelta checks that a delta of maxInstances entries is applied, and that the same delta, which a replica
+// repeats for minutes, causes no changes when it is applied again.
 func TestLargeDelta(t *testing.T) {
 	client := newManualClient(t, Config{Replicas: []string{"http://127.0.0.1:1"}})
 	client.applyList(&Applications{Instances: []Instance{{ID: "i0", Status: "UP", Dirty: 1}}})
@@ -213,12 +224,12 @@
 		delta.Instances = append(delta.Instances, entry)
 	}
 	if !client.applyDelta(delta) || len(client.updates) != 1 || len(client.updates[0].Instances) != maxInstances {
-		t.Fatalf("%d updates", len(client.updates))
+		t.Fatalf("got %d updates, want 1 with every entry of the delta", len(client.updates))
 	}
 	if known := len(client.list.versions); known != 1000 {
-		t.Errorf("%d instances are known", known)
+		t.Errorf("got %d known instances, want 1000", known)
 	}
 	if !client.applyDelta(delta) || len(client.updates[1].Instances) != 0 {
-		t.Error("the same delta again has changes")
+		t.Error("the same delta again: got changes, want none")
 	}
 }
--- a/internal/registry/eureka/config.go
+++ b/internal/registry/eureka/config.go
@@ -8,49 +8,52 @@
 	"time"
 )
 
-// The defaults of Config.
+// Defaults of the fields of Config.
 const (
 	DefaultInterval      = 5 * time.Second
 	DefaultTimeout       = 4 * time.Second
 	DefaultMaxResponseMB = 16
 )
 
-// Config configures a Client. A field that is zero takes its default.
+// Config configures a Client. A zero field takes its default.
 type Config struct {
 	// Replicas are the base URLs of the registry's replicas, such as
-	// http://127.0.0.1:8761/eureka/v2, the preferred one first. Required.
+	// http://127.0.0.1:8761/eureka/v2, with the preferred replica first. Required.
 	Replicas []string
 
-	// Apps and VIPs are the apps and VIP addresses to follow. There are no deltas of them, so
-	// each poll fetches their complete lists. Default: all apps, by deltas.
+	// Apps and VIPs are the names of the apps and the VIP addresses to follow. Eureka has no deltas for a
+	// single app or VIP address, so each poll fetches their complete lists. If both are empty, the client
+	// follows all apps and polls deltas.
 	Apps []string
 	VIPs []string
 
-	// XML requests XML. Default: JSON.
+	// XML makes the client request XML responses. Default: JSON.
 	XML bool
 
-	// Interval is the mean time between polls; each is drawn within a quarter of it.
-	// Default: 5 s.
+	// Interval is the mean time between polls. Each actual time is random, between 0.75 and 1.25
+	// intervals. Default: 5 s.
 	Interval time.Duration
 
-	// Timeout bounds one request with its response. Default: 4 s.
+	// Timeout bounds one request, including reading the response. Default: 4 s.
 	Timeout time.Duration
 
-	// MaxResponseMB bounds one response after decompression, in MiB. A longer one is an error.
+	// MaxResponseMB bounds the size of one response after decompression, in MiB. A poll fails if a response
+	// is larger.
 	// Default: 16.
 	MaxResponseMB int
 
-	// KeepMetadata says which metadata keys are kept. Default: all.
+	// KeepMetadata reports whether the metadata entry with a key is kept. Default: all entries are kept.
 	KeepMetadata func(key string) bool
 
-	// Seed is that of the jitter between polls, which should differ between sidecars.
+	// Seed seeds the random jitter between polls. It should differ between sidecars.
 	Seed uint64
 }
 
-// ErrNoReplica is NewClient's error for a Config without replicas.
-var ErrNoReplica = errors.New("eureka: no replica")
+// ErrNoReplica is returned by NewClient if Config.Replicas is empty.
+var ErrNoReplica = errors.New("eureka: Replicas must contain at least one URL")
 
-// withDefaults returns the configuration with its zero fields set, or what is wrong with it.
+// withDefaults returns the configuration with the defaults in place of zero fields. It returns an error if
+// there is no replica or a replica is not an HTTP or HTTPS URL.
 func (c Config) withDefaults() (Config, error) {
 	if len(c.Replicas) == 0 {
 		return c, ErrNoReplica
@@ -58,7 +61,7 @@
 	for i, replica := range c.Replicas {
 		u, err := url.Parse(replica)
 		if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
-			return c, fmt.Errorf("eureka: replica %q: a URL is meant, such as http://127.0.0.1:8761/eureka/v2", replica)
+			return c, fmt.Errorf("eureka: replica must be a URL such as http://127.0.0.1:8761/eureka/v2, got %q", replica)
 		}
 		c.Replicas[i] = strings.TrimRight(replica, "/")
 	}
--- a/internal/registry/eureka/helpers_test.go
+++ b/internal/registry/eureka/helpers_test.go
@@ -9,7 +9,8 @@
 	"mothridge/internal/peers"
 )
 
-// testInstance returns an instance to register: the n-th one of the app RECORDS.
+// testInstance returns the instance with number n of the app RECORDS, for registration with the stand-in
+// registry.
 func testInstance(n int, status string) peers.EurekaInstance {
 	return peers.EurekaInstance{
 		ID:       fmt.Sprint("records-", n, ":80"),
@@ -23,10 +24,10 @@
 	}
 }
 
-// manualClient is a Client that polls when the test calls it.
+// manualClient is a Client whose Run is not started: it polls only when the test calls one of its methods.
 type manualClient struct {
 	*Client
-	updates []Update // since the last successful poll
+	updates []Update // published since the start of the last pollOnce
 }
 
 func newManualClient(t *testing.T, config Config, registries ...*peers.Eureka) *manualClient {
@@ -37,17 +38,17 @@
 	if config.Timeout == 0 {
 		config.Timeout = 2 * time.Second
 	}
-	polled := new(manualClient)
-	client, err := NewClient(config, func(update Update) { polled.updates = append(polled.updates, update) })
+	manual := new(manualClient)
+	client, err := NewClient(config, func(update Update) { manual.updates = append(manual.updates, update) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	polled.Client = client
+	manual.Client = client
 	t.Cleanup(client.http.CloseIdleConnections)
-	return polled
+	return manual
 }
 
-// pollOnce polls once, without error, and returns the one update of it.
+// pollOnce polls once and returns the published update. The test fails on an error or another number of updates.
 func (c *manualClient) pollOnce(t *testing.T) Update {
 	t.Helper()
 	c.updates = nil
@@ -55,12 +56,12 @@
 		t.Fatal(err)
 	}
 	if len(c.updates) != 1 {
-		t.Fatalf("%d updates by one poll", len(c.updates))
+		t.Fatalf("got %d updates from one poll, want 1", len(c.updates))
 	}
 	return c.updates[0]
 }
 
-// expectList polls once and checks that the update is a complete list.
+// expectList polls once and checks that the update is a complete list whose summary is want.
 func (c *manualClient) expectList(t *testing.T, want string) Update {
 	t.Helper()
 	update := c.pollOnce(t)
@@ -70,7 +71,7 @@
 	return update
 }
 
-// expectChanges polls once and checks that the update holds changes alone.
+// expectChanges polls once and checks that the update contains only changes and that their summary is want.
 func (c *manualClient) expectChanges(t *testing.T, want string) {
 	t.Helper()
 	if update := c.pollOnce(t); update.Complete || summarize(update) != want {
@@ -78,16 +79,16 @@
 	}
 }
 
-// summarize returns the number and status of each instance, with the action where it is a change.
+// summarize returns the number and status of each instance of an update. For a change, the action precedes them.
 func summarize(update Update) string {
-	var all []string
+	var summaries []string
 	for i := range update.Instances {
 		instance := &update.Instances[i]
 		text := strings.TrimSuffix(strings.TrimPrefix(instance.ID, "records-"), ":80") + " " + instance.Status
 		if !update.Complete {
 			text = instance.Action + " " + text
 		}
-		all = append(all, text)
+		summaries = append(summaries, text)
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(summaries, ", ")
 }
--- a/internal/registry/eureka/instance.go
+++ b/internal/registry/eureka/instance.go
@@ -1,6 +1,6 @@
 // Package eureka follows a Eureka registry by its REST API (github.com/Netflix/eureka, wiki page
-// "Eureka REST operations"), as JSON or XML, and registers the sidecar with it. What the updates
-// mean is decided in package membership.
+// "Eureka REST operations"), in JSON or XML, and registers the sidecar with the registry. Package
+// membership decides how the updates change the endpoints.
 package eureka
 
 import (
@@ -10,33 +10,34 @@
 	"strings"
 )
 
-// Instance is an instance as the registry has it.
+// Instance is an instance as the registry's responses describe it.
 type Instance struct {
 	ID            string
 	App           string
 	Host          string
 	IP            string
 	VIP           string
-	Port          int // 0: the plain port is off
-	SecurePort    int // 0: the secure port is off
+	Port          int // 0: the non-TLS port is disabled
+	SecurePort    int // 0: the secure port is disabled
 	Status        string
-	Override      string            // empty or UNKNOWN: there is none
-	Action        string            // of a delta: ADDED, MODIFIED or DELETED
-	Updated       int64             // Unix ms by the registry's clock
-	Dirty         int64             // Unix ms by the instance's clock
-	ServiceUpTime int64             // Unix ms of its first status UP
-	Metadata      map[string]string // the entries that Parse was to keep
+	Override      string            // overridden status; empty or UNKNOWN: no override
+	Action        string            // in a delta: ADDED, MODIFIED or DELETED
+	Updated       int64             // time of the last update, in Unix ms by the registry's clock
+	Dirty         int64             // time of the instance's last own change, in Unix ms by the instance's clock
+	ServiceUpTime int64             // time of the first status UP, in Unix ms
+	Metadata      map[string]string // the entries accepted by Parse's filter
 }
 
-// Applications is a response of the registry: a list or a delta.
+// Applications is the content of a registry's response: a list of instances or a delta.
 type Applications struct {
 	Version   string // versions__delta
 	Hash      string // apps__hashcode
 	Instances []Instance
 }
 
-// HashCode returns what apps__hashcode should be for a number of instances by status: each
-// status with its number, in alphabetical order ("DOWN_1_UP_3_").
+// HashCode returns the expected apps__hashcode of a list, given its number of instances by status. The
+// hash contains each status with its count, in alphabetical order, such as "DOWN_1_UP_3_". Statuses
+// without instances are left out.
 func HashCode(countByStatus map[string]int) string {
 	var b strings.Builder
 	for _, status := range slices.Sorted(maps.Keys(countByStatus)) {
--- a/internal/registry/eureka/json.go
+++ b/internal/registry/eureka/json.go
@@ -8,8 +8,8 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// parseJSON reads {"applications": …}, or {"application": …} for one app. In place of a list its
-// only element may stand by itself.
+// parseJSON reads {"applications": …}, or {"application": …} for one app. An array of one element may be
+// replaced by the element itself.
 func (p *parser) parseJSON(in *boundedReader) error {
 	r := &jsonReader{
 		parser:  p,
@@ -17,7 +17,7 @@
 		decoder: jsontext.NewDecoder(in, jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true)),
 	}
 	if r.decoder.PeekKind() != '{' {
-		return r.unexpectedKind("an object is meant")
+		return r.unexpectedKind("must be an object")
 	}
 	err := r.readFields(func(key string) error {
 		switch key {
@@ -40,24 +40,25 @@
 	return nil
 }
 
-// jsonReader reads a response in JSON.
+// jsonReader reads a JSON response into its parser.
 type jsonReader struct {
 	*parser
 	in          *boundedReader
 	decoder     *jsontext.Decoder
-	valueBuffer []byte // buffer of value
-	keyBuffer   []byte // buffer of fields
+	valueBuffer []byte // reused by readValue
+	keyBuffer   []byte // reused by readFieldKey
 }
 
-// unexpectedKind returns the error for a value of the wrong kind, or why none can be read.
-func (r *jsonReader) unexpectedKind(meant string) error {
+// unexpectedKind returns an error with the violated rule and the kind of the next value. If no value can be
+// read, unexpectedKind returns the decoder's error instead.
+func (r *jsonReader) unexpectedKind(rule string) error {
 	kind := r.decoder.PeekKind()
 	if kind == jsontext.KindInvalid || kind == '}' || kind == ']' {
 		if _, err := r.decoder.ReadToken(); err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("%s, not %v", meant, kind)
+	return fmt.Errorf("%s, got %v", rule, kind)
 }
 
 func (r *jsonReader) readToken() (jsontext.Token, error) {
@@ -66,15 +67,15 @@
 	return token, err
 }
 
-// readRawValue reads a value that is not nested.
+// readRawValue reads the encoded form of a string, number, boolean or null.
 func (r *jsonReader) readRawValue() (jsontext.Value, error) {
 	raw, err := r.decoder.ReadValue()
 	r.in.resetTokenBytes()
 	return raw, err
 }
 
-// readElements calls readElement for each element of a list, or for the one object in its place.
-// Null and an empty text stand for no element.
+// readElements calls readElement for each element of an array, or once for an object in place of the array.
+// Null and an empty string count as an empty array.
 func (r *jsonReader) readElements(readElement func() error) error {
 	switch r.decoder.PeekKind() {
 	case '{':
@@ -84,22 +85,22 @@
 	case 'n', '"':
 		value, err := r.readValue()
 		if err == nil && len(value) > 0 {
-			err = fmt.Errorf("%.40q: an object or a list is meant", value)
+			err = fmt.Errorf("must be an object or an array, got %.40q", value)
 		}
 		return err
 	default:
-		return r.unexpectedKind("an object or a list is meant")
+		return r.unexpectedKind("must be an object or an array")
 	}
 }
 
-// readArray calls readElement for each object of a readArray.
+// readArray reads an array and calls readElement for each element. Each element must be an object.
 func (r *jsonReader) readArray(readElement func() error) error {
 	if _, err := r.readToken(); err != nil {
 		return err
 	}
 	for kind := r.decoder.PeekKind(); kind != ']'; kind = r.decoder.PeekKind() {
 		if kind != '{' {
-			return r.unexpectedKind("an object is meant")
+			return r.unexpectedKind("must be an object")
 		}
 		if err := readElement(); err != nil {
 			return err
@@ -109,7 +110,7 @@
 	return err
 }
 
-// readFields reads an object and calls readField for the value of each key.
+// readFields reads an object and calls readField to read the value of each key.
 func (r *jsonReader) readFields(readField func(key string) error) error {
 	if _, err := r.readToken(); err != nil {
 		return err
@@ -143,7 +144,7 @@
 	return r.intern(r.keyBuffer), nil
 }
 
-// skip reads a value token by token and drops it.
+// skip reads a value token by token and discards it.
 func (r *jsonReader) skip() error {
 	for depth := r.decoder.StackDepth(); ; {
 		if _, err := r.readToken(); err != nil {
@@ -158,8 +159,8 @@
 	}
 }
 
-// readValue reads a text, number, boolean or null and returns it as a text, which is valid until the
-// next call. Of an object it returns the text under $, of a list none.
+// readValue reads a value and returns it as text. The text is valid until the next call. The text of an
+// object is the text of its key "$"; the text of an array or null is empty.
 func (r *jsonReader) readValue() ([]byte, error) {
 	switch r.decoder.PeekKind() {
 	case '[':
@@ -179,12 +180,12 @@
 	}
 	r.valueBuffer, err = jsontext.AppendUnquote(r.valueBuffer[:0], raw)
 	if len(r.valueBuffer) > 0 {
-		return r.valueBuffer, nil // bytes that are not UTF-8 were replaced
+		return r.valueBuffer, nil // AppendUnquote has replaced bytes that are not UTF-8
 	}
 	return r.valueBuffer, err
 }
 
-// readObjectText reads an object and returns the text under $.
+// readObjectText reads an object and returns the text of its key "$".
 func (r *jsonReader) readObjectText() ([]byte, error) {
 	var text []byte
 	err := r.readFields(func(key string) error {
@@ -218,7 +219,7 @@
 
 func (r *jsonReader) readApplication() error {
 	r.foundRoot = true
-	name, first := "", len(r.applications.Instances)
+	name, firstIndex := "", len(r.applications.Instances)
 	err := r.readFields(func(key string) error {
 		switch key {
 		case "name":
@@ -230,7 +231,7 @@
 		}
 		return r.skip()
 	})
-	r.setMissingAppNames(first, name)
+	r.setMissingAppNames(firstIndex, name)
 	return err
 }
 
@@ -260,8 +261,8 @@
 	return r.addInstance(&instance)
 }
 
-// readOptionalObject reads an object, or a value of another kind, such as null or "", where there is
-// none.
+// readOptionalObject reads an object and calls readField to read the value of each key. It skips a value of
+// another kind, such as null or "", which stands for a missing object.
 func (r *jsonReader) readOptionalObject(readField func(key string) error) error {
 	if r.decoder.PeekKind() != '{' {
 		return r.skip()
@@ -283,7 +284,8 @@
 	return err
 }
 
-// readPort reads {"$": 8080, "@enabled": "true"}, each value as a text or not, or a number alone.
+// readPort reads a port: an object {"$": 8080, "@enabled": "true"}, in which each value may be a string or not,
+// or a plain number or string.
 func (r *jsonReader) readPort() (int, error) {
 	if r.decoder.PeekKind() != '{' {
 		value, err := r.readValue()
--- a/internal/registry/eureka/list_state.go
+++ b/internal/registry/eureka/list_state.go
@@ -1,20 +1,20 @@
 package eureka
 
-// listState is what a replica's list is known to hold, as far as deltas and the list's hash need
-// it.
+// listState holds what the client knows of a replica's list of instances: only the data needed to apply
+// deltas and to compute the list's hash.
 type listState struct {
 	versions      map[string]instanceVersion // by instance ID
-	countByStatus map[string]int             // instances
-	lastDelta     map[deltaKey]struct{}      // its entries; a replica repeats them for minutes
+	countByStatus map[string]int             // number of instances
+	lastDelta     map[deltaKey]struct{}      // entries of the previous delta; a replica repeats an entry for minutes
 }
 
-// instanceVersion orders the updates of one instance and detects equal ones.
+// instanceVersion orders the updates of one instance and detects repeated updates.
 type instanceVersion struct {
 	status         string
 	dirty, updated int64
 }
 
-// deltaKey identifies an entry of a delta.
+// deltaKey identifies an entry of a delta, so that an entry that is repeated in the next delta is skipped.
 type deltaKey struct {
 	id, action, status, override string
 	dirty, updated               int64
@@ -43,11 +43,11 @@
 	return count
 }
 
-// hash returns the hash that the replica has for the same list.
+// hash returns the hash that the replica should report for the same list.
 func (l *listState) hash() string { return HashCode(l.countByStatus) }
 
-// applyDelta applies the entries of a delta, at their cost alone, and returns those that change
-// the list.
+// applyDelta applies the entries of a delta and returns the entries that change the list. The cost grows
+// with the number of entries, not with the length of the list.
 func (l *listState) applyDelta(entries []Instance) (changes []Instance) {
 	delta := make(map[deltaKey]struct{}, len(entries))
 	for i := range entries {
@@ -65,8 +65,8 @@
 	return changes
 }
 
-// applyEntry applies an entry and reports whether it changes the list. A MODIFIED of an unknown
-// instance is as good as an ADDED.
+// applyEntry applies an entry of a delta and reports whether the entry changes the list. An entry MODIFIED
+// for an unknown instance is applied like an entry ADDED.
 func (l *listState) applyEntry(entry *Instance) bool {
 	current, known := l.versions[entry.ID]
 	next := versionOf(entry)
@@ -91,9 +91,10 @@
 	return true
 }
 
-func (v instanceVersion) isOlderThan(than instanceVersion) bool {
-	if v.dirty != than.dirty {
-		return v.dirty < than.dirty
+// isOlderThan compares the dirty times first, and the updated times only if the dirty times are equal.
+func (v instanceVersion) isOlderThan(other instanceVersion) bool {
+	if v.dirty != other.dirty {
+		return v.dirty < other.dirty
 	}
-	return v.updated < than.updated
+	return v.updated < other.updated
 }
--- a/internal/registry/eureka/parse.go
+++ b/internal/registry/eureka/parse.go
@@ -10,30 +10,32 @@
 	"strings"
 )
 
-// Bounds of a response. One that exceeds them is an error, where not said otherwise.
+// Bounds of a response. Parse returns an error for a response that exceeds a bound, unless the comment of the
+// bound says otherwise.
 const (
 	maxInstances        = 100_000
-	maxFieldBytes       = 1 << 10  // of a field; an instance with a longer one is left out, as is a longer metadata entry
-	maxMetadataEntries  = 64       // entries of an instance; further ones are left out
-	maxTokenBytes       = 64 << 10 // from the end of one name or value to that of the next
-	maxDepth            = 32       // of nested objects, lists or elements
-	minInstanceCapacity = 64       // capacity of a list at first
+	maxFieldBytes       = 1 << 10  // of a field; an instance or a metadata entry with a longer field is left out
+	maxMetadataEntries  = 64       // per instance; further entries are left out
+	maxTokenBytes       = 64 << 10 // from the end of one name or value to the end of the next
+	maxDepth            = 32       // levels of nested objects, arrays or XML elements
+	minInstanceCapacity = 64       // initial capacity of a list
 )
 
-// Bounds of the texts of which equal ones share their memory.
+// Bounds of the interned strings, of which equal strings share their memory.
 const (
-	maxInternedStrings = 4096 // texts
-	maxInternedBytes   = 64   // of one text
+	maxInternedStrings = 4096 // distinct strings of one response
+	maxInternedBytes   = 64   // of one string; a longer string is not interned
 )
 
-// errNoApplications is the error for a document of another kind.
-var errNoApplications = errors.New("it holds neither applications nor an application")
+// errNoApplications is returned for a document that contains neither applications nor an application.
+var errNoApplications = errors.New("response must contain applications or an application")
 
-// Parse reads a response that holds applications, or one application. It distinguishes JSON from XML by
-// the first byte, as some servers announce the wrong one, and reads it as a stream: the response
-// itself takes next to no memory. keep says which metadata keys are kept; nil: all.
+// Parse reads a response that contains applications, or one application. Parse distinguishes JSON from XML by
+// the first byte, because some servers announce the wrong content type. Parse decodes the response as a
+// stream, so that the encoded response takes almost no memory. keepMetadata reports whether the metadata
+// entry with a key is kept; if keepMetadata is nil, all entries are kept.
 //
-// Servers differ; docs/protocol/eureka.md has a table of the forms that are accepted.
+// Servers encode responses differently; docs/protocol/eureka.md has a table of the accepted forms.
 func Parse(r io.Reader, keepMetadata func(key string) bool) (*Applications, error) {
 	in := &boundedReader{in: bufio.NewReaderSize(r, 4<<10)}
 	p := &parser{applications: new(Applications), keepMetadata: keepMetadata, interned: make(map[string]string)}
@@ -46,20 +48,20 @@
 		}
 	}
 	if err != nil {
-		return nil, fmt.Errorf("registry's answer: %w", err)
+		return nil, fmt.Errorf("registry response: %w", err)
 	}
 	return p.applications, nil
 }
 
-// parser collects what the reader of either format finds.
+// parser collects the content of a response. The JSON reader and the XML reader share it.
 type parser struct {
 	applications *Applications
 	keepMetadata func(key string) bool
 	interned     map[string]string
-	foundRoot    bool
+	foundRoot    bool // whether the response contained applications or an application
 }
 
-// intern returns a text, the same string for the same bytes: most texts of a list recur.
+// intern returns the text as a string. Equal texts share one string, because most texts of a list recur.
 func (p *parser) intern(text []byte) string {
 	if s, ok := p.interned[string(text)]; ok {
 		return s
@@ -71,7 +73,7 @@
 	return s
 }
 
-// setField sets a field of an instance by its name in the registry's API; an unknown one is
+// setField sets a field of an instance by the field's name in the registry's API. An unknown name is
 // ignored.
 func (p *parser) setField(instance *Instance, name string, value []byte) {
 	switch name {
@@ -79,7 +81,7 @@
 		instance.ID = string(value)
 	case "hostName":
 		if instance.Host = string(value); instance.Host == instance.IP {
-			instance.Host = instance.IP // shares its memory
+			instance.Host = instance.IP // equal strings share their memory
 		}
 	case "app":
 		instance.App = p.intern(value)
@@ -104,8 +106,8 @@
 	}
 }
 
-// setMetadata adds a metadata entry unless it is not to be kept or exceeds a bound. Keys with @
-// or $ are attributes of the format.
+// setMetadata adds a metadata entry, unless keepMetadata rejects the key or the entry exceeds a bound. Empty
+// keys and keys that start with @ or $ are attributes of the encoding and are left out.
 func (p *parser) setMetadata(instance *Instance, key string, value []byte) {
 	isAttribute := key == "" || key[0] == '@' || key[0] == '$'
 	tooLong := len(key) > maxFieldBytes || len(value) > maxFieldBytes
@@ -120,19 +122,20 @@
 	}
 }
 
-// addInstance appends an instance. One without an ID or with an unusable text is left out.
+// addInstance appends an instance. An instance with neither ID nor host, or with an invalid field, is left
+// out. addInstance returns an error if the list already has maxInstances instances.
 func (p *parser) addInstance(instance *Instance) error {
 	list := p.applications.Instances
 	if len(list) == maxInstances {
-		return fmt.Errorf("more than %d instances", maxInstances)
+		return fmt.Errorf("response must contain at most %d instances", maxInstances)
 	}
-	if instance.ID == "" { // older registries know it by its host
+	if instance.ID == "" { // older registries identify an instance by its host
 		instance.ID = instance.Host
 	}
 	if instance.ID == "" || !hasValidFields(instance) {
 		return nil
 	}
-	if len(list) == cap(list) { // doubled, as append's smaller steps leave much garbage
+	if len(list) == cap(list) { // double the capacity: append grows in smaller steps, which leaves much garbage
 		list = slices.Grow(list, max(len(list), minInstanceCapacity))
 	}
 	list = append(list, *instance)
@@ -140,8 +143,8 @@
 	return nil
 }
 
-// hasValidFields reports whether all texts of an instance are short enough and without control
-// characters, so that they can be logged.
+// hasValidFields reports whether each text field of an instance has at most maxFieldBytes bytes and no
+// control characters, so that the field can be logged.
 func hasValidFields(instance *Instance) bool {
 	for _, text := range []string{
 		instance.ID, instance.App, instance.Host, instance.IP, instance.VIP,
@@ -156,13 +159,13 @@
 
 func isControl(r rune) bool { return r < ' ' || r == 0x7f }
 
-// setMissingAppNames sets the app of the instances from first on that have none of their own. The
-// app's name may come after them.
-func (p *parser) setMissingAppNames(first int, app string) {
+// setMissingAppNames sets the app of the instances that have no app of their own, from index firstIndex on. The
+// caller calls it after reading the instances because the name of the app may follow them in the response.
+func (p *parser) setMissingAppNames(firstIndex int, app string) {
 	if len(app) > maxFieldBytes {
 		return
 	}
-	added := p.applications.Instances[first:]
+	added := p.applications.Instances[firstIndex:]
 	for i := range added {
 		if added[i].App == "" {
 			added[i].App = app
@@ -170,7 +173,8 @@
 	}
 }
 
-// parseNumber reads a number, which may have a fraction or an exponent; 0 where it is none.
+// parseNumber parses a number, which may have a fraction or an exponent. It returns 0 for a text that is not a
+// number and for a number that is too large.
 func parseNumber(text []byte) int64 {
 	trimmed := strings.TrimSpace(string(text))
 	n, err := strconv.ParseInt(trimmed, 10, 64)
@@ -178,13 +182,13 @@
 		return n
 	}
 	f, err := strconv.ParseFloat(trimmed, 64)
-	if err != nil || !(f > -1<<62 && f < 1<<62) { // NaN is none either
+	if err != nil || !(f > -1<<62 && f < 1<<62) { // also rejects NaN
 		return 0
 	}
 	return int64(f)
 }
 
-// parsePort reads the number of a port; 0 where it is disabled or no port.
+// parsePort parses a port number. It returns 0 if the port is disabled or the number is not a valid port.
 func parsePort(text []byte, enabled string) int {
 	n := parseNumber(text)
 	if strings.EqualFold(enabled, "false") || n < 1 || n > 65535 {
--- a/internal/registry/eureka/parse_test.go
+++ b/internal/registry/eureka/parse_test.go
@@ -13,9 +13,10 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// formatVariants are the forms in which public servers differ, row by row of docs/protocol/eureka.md:
-// what an instance has beyond the plain one, in both formats, and what is read from it. Each is
-// read as one element and as a list of two, of an app alone and among applications.
+// formatVariants are the encodings in which public servers differ. The name of a variant is a row of the table in
+// docs/protocol/eureka.md. json and xml are the fields that the variant adds to the base instance; setWant sets
+// the expected fields of the parsed instance. Each variant is parsed as a single element and in a list of two, and
+// within a single application and a list of applications.
 var formatVariants = []struct {
 	name      string
 	json, xml string
@@ -63,41 +64,44 @@
 	{"app of its own", `"app":"B"`, `<app>B</app>`, func(i *Instance) { i.App = "B" }},
 }
 
-// The plain instance that a quirk is added to.
+// The fields of the instance to which each variant adds its own fields.
 const (
 	baseJSON = `"instanceId":"i","hostName":"h","ipAddr":"10.0.0.1",`
 	baseXML  = `<instanceId>i</instanceId><hostName>h</hostName><ipAddr>10.0.0.1</ipAddr>`
 )
 
+// TestFormatVariants checks that each format variant is documented and that Parse returns the expected instance
+// for the variant in JSON and XML. It guards against instances that are lost or parsed wrongly because their server
+// encodes responses differently.
 func TestFormatVariants(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "protocol", "eureka.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, quirk := range formatVariants {
-		if !strings.Contains(string(page), "\n| "+quirk.name+" |") {
-			t.Errorf("the page has no row %q", quirk.name)
+	for _, variant := range formatVariants {
+		if !strings.Contains(string(page), "\n| "+variant.name+" |") {
+			t.Errorf("the table in eureka.md has no row %q", variant.name)
 		}
 		want := Instance{ID: "i", App: "A", Host: "h", IP: "10.0.0.1"}
-		quirk.setWant(&want)
-		asJSON, asXML := "{"+baseJSON+quirk.json+"}", "<instance>"+baseXML+quirk.xml+"</instance>"
-		for _, number := range []int{1, 2} {
-			for format, text := range responses(asJSON, asXML, number) {
+		variant.setWant(&want)
+		jsonInstance, xmlInstance := "{"+baseJSON+variant.json+"}", "<instance>"+baseXML+variant.xml+"</instance>"
+		for _, count := range []int{1, 2} {
+			for format, text := range responses(jsonInstance, xmlInstance, count) {
 				got, err := Parse(strings.NewReader(text), nil)
-				if err != nil || len(got.Instances) != number || !reflect.DeepEqual(got.Instances[number-1], want) {
-					t.Errorf("%s, %s, %d: %+v, %v; want %+v", quirk.name, format, number, got, err, want)
+				if err != nil || len(got.Instances) != count || !reflect.DeepEqual(got.Instances[count-1], want) {
+					t.Errorf("%s, %s, %d instances: got %+v, error %v, want %+v", variant.name, format, count, got, err, want)
 				} else if strings.Contains(text, "delta") && (got.Version != "1" || got.Hash != "h") {
-					t.Errorf("%s, %s: version %q, hash %q", quirk.name, format, got.Version, got.Hash)
+					t.Errorf("%s, %s: got version %q and hash %q, want \"1\" and \"h\"", variant.name, format, got.Version, got.Hash)
 				}
 			}
 		}
 	}
 }
 
-// responses returns responses, by format, that hold an instance a number of times.
-func responses(asJSON, asXML string, number int) map[string]string {
-	jsonList, xmlList := strings.Repeat(","+asJSON, number)[1:], strings.Repeat(asXML, number)
-	all := map[string]string{
+// responses returns responses that contain an instance count times, by the name of their format.
+func responses(jsonInstance, xmlInstance string, count int) map[string]string {
+	jsonList, xmlList := strings.Repeat(","+jsonInstance, count)[1:], strings.Repeat(xmlInstance, count)
+	texts := map[string]string{
 		"JSON": `{"application":{"instance":[` + jsonList + `],"name":"A"}}`,
 		"JSON, lists": `{"applications":{"versions__delta":1,"application":[{"name":"A","instance":[` + jsonList +
 			`]}],"apps__hashcode":"h"}}`,
@@ -105,14 +109,15 @@
 		"XML, of apps": `<?xml version="1.0"?><!-- c --><applications><versions__delta>1</versions__delta>` +
 			`<apps__hashcode>h</apps__hashcode><application><name>A</name>` + xmlList + `</application></applications>`,
 	}
-	if number == 1 {
-		all["JSON, one element"] = byteOrderMark + ` {"applications":{"versions__delta":"1","apps__hashcode":"h",` +
-			`"application":{"name":"A","instance":` + asJSON + `}}}`
+	if count == 1 {
+		texts["JSON, one element"] = byteOrderMark + ` {"applications":{"versions__delta":"1","apps__hashcode":"h",` +
+			`"application":{"name":"A","instance":` + jsonInstance + `}}}`
 	}
-	return all
+	return texts
 }
 
-// An empty list, or an instance without a usable ID, is no error and leaves nothing.
+// TestEmptyResponses checks that Parse returns no instances and no error for an empty list and for an instance
+// without a valid ID.
 func TestEmptyResponses(t *testing.T) {
 	const instance = `{"application":{"name":"A","instance":`
 	for _, text := range []string{
@@ -126,12 +131,13 @@
 		`<application><instance><status>UP</status></instance></application>`,
 	} {
 		if got, err := Parse(strings.NewReader(text), nil); err != nil || len(got.Instances) != 0 {
-			t.Errorf("%.80q: %+v, %v", text, got, err)
+			t.Errorf("%.80q: got %+v, error %v, want no instances and no error", text, got, err)
 		}
 	}
 }
 
-// What is no list is an error.
+// TestInvalidResponses checks that Parse returns an error for a response that is empty, malformed, truncated, too
+// deeply nested, or not a list of applications.
 func TestInvalidResponses(t *testing.T) {
 	const instance = `{"application":{"name":"A","instance":`
 	for _, text := range []string{
@@ -151,12 +157,14 @@
 		instance + `{"later":` + strings.Repeat(`[`, 40) + strings.Repeat(`]`, 40) + `}}}`,
 	} {
 		if got, err := Parse(strings.NewReader(text), nil); err == nil {
-			t.Errorf("%.80q: %+v", text, got)
+			t.Errorf("%.80q: got %+v, want an error", text, got)
 		}
 	}
 }
 
-// Responses that are made to take memory or time are rejected before they do.
+// TestMaliciousResponses checks that Parse rejects responses that are built to use much memory or time, such as
+// entity expansion, long tokens or deep nesting, with a short error and after reading only a small part. A text that
+// is split by comments is read further, because comments do not count towards the length of the text.
 func TestMaliciousResponses(t *testing.T) {
 	const size = 10 << 20
 	for name, text := range map[string]string{
@@ -164,31 +172,32 @@
 			`<applications><versions__delta>&b;</versions__delta></applications>`,
 		"an external entity": `<!DOCTYPE a [<!ENTITY a SYSTEM "file:///etc/hostname">]>` +
 			`<applications><apps__hashcode>&a;</apps__hashcode></applications>`,
-		"an entity alone":  `<applications><apps__hashcode>&a;</apps__hashcode></applications>`,
-		"a long attribute": `<applications><application name="` + strings.Repeat("x", size) + `"/></applications>`,
-		"a long text":      `<applications><apps__hashcode>` + strings.Repeat("x", size) + `</apps__hashcode></applications>`,
-		"a text in parts":  `<applications><apps__hashcode>` + strings.Repeat("x<!-- c -->", size/10) + `</apps__hashcode></applications>`,
-		"a long comment":   `<applications><!--` + strings.Repeat("<", size) + `--></applications>`,
-		"a long name":      `<applications><` + strings.Repeat("x", size) + `/></applications>`,
-		"a long string":    `{"applications":{"apps__hashcode":"` + strings.Repeat("x", size) + `"}}`,
-		"a long key":       `{"applications":{"` + strings.Repeat("x", size) + `":1}}`,
-		"a long number":    `{"applications":{"versions__delta":` + strings.Repeat("1", size) + `}}`,
-		"deep lists":       `{"applications":{"x":` + strings.Repeat("[", size),
-		"deep objects":     `{"application":{"instance":{"vipAddress":` + strings.Repeat(`{"$":`, size/5),
-		"deep elements":    `<applications>` + strings.Repeat("<x>", size/3),
-		"blanks":           strings.Repeat(" ", size) + `{"applications":{}}`,
+		"an undefined entity":      `<applications><apps__hashcode>&a;</apps__hashcode></applications>`,
+		"a long attribute":         `<applications><application name="` + strings.Repeat("x", size) + `"/></applications>`,
+		"a long text":              `<applications><apps__hashcode>` + strings.Repeat("x", size) + `</apps__hashcode></applications>`,
+		"a text split by comments": `<applications><apps__hashcode>` + strings.Repeat("x<!-- c -->", size/10) + `</apps__hashcode></applications>`,
+		"a long comment":           `<applications><!--` + strings.Repeat("<", size) + `--></applications>`,
+		"a long element name":      `<applications><` + strings.Repeat("x", size) + `/></applications>`,
+		"a long string":            `{"applications":{"apps__hashcode":"` + strings.Repeat("x", size) + `"}}`,
+		"a long key":               `{"applications":{"` + strings.Repeat("x", size) + `":1}}`,
+		"a long number":            `{"applications":{"versions__delta":` + strings.Repeat("1", size) + `}}`,
+		"deep lists":               `{"applications":{"x":` + strings.Repeat("[", size),
+		"deep objects":             `{"application":{"instance":{"vipAddress":` + strings.Repeat(`{"$":`, size/5),
+		"deep elements":            `<applications>` + strings.Repeat("<x>", size/3),
+		"blanks":                   strings.Repeat(" ", size) + `{"applications":{}}`,
 	} {
 		reader := &countingReader{in: strings.NewReader(text)}
 		got, err := Parse(reader, nil)
 		if err == nil || strings.ContainsAny(err.Error(), "\n\r") || len(err.Error()) > 400 {
-			t.Errorf("%s: %+v, %.500v", name, got, err)
+			t.Errorf("%s: got %+v, error %.500v, want a one-line error of at most 400 bytes", name, got, err)
 		}
-		if reader.bytesRead > 8*maxTokenBytes && name != "a text in parts" {
-			t.Errorf("%s: %d bytes were read", name, reader.bytesRead)
+		if reader.bytesRead > 8*maxTokenBytes && name != "a text split by comments" {
+			t.Errorf("%s: got %d bytes read, want at most 8 times maxTokenBytes", name, reader.bytesRead)
 		}
 	}
 }
 
+// countingReader counts the bytes that are read from a string.
 type countingReader struct {
 	in        *strings.Reader
 	bytesRead int
@@ -200,43 +209,44 @@
 	return n, err
 }
 
-// What the stand-in writes in either dialect and format reads back the same; so do formats that
-// are announced as the other, or that change between polls.
+// TestStandinResponses checks that a list which the stand-in registry encodes in either dialect and format is
+// parsed into the same instances. This includes a response with the wrong content type and a change of the format
+// between polls.
 func TestStandinResponses(t *testing.T) {
 	registry := peertest.NewEureka(t)
 	full := testInstance(1, "UP")
 	full.SecurePortEnabled, full.SecurePort, full.SecureVIP = true, 8443, "s"
 	full.Group, full.HomePage, full.Country = "G", "http://127.0.0.1/", 49
-	bare := testInstance(2, "UP")
-	bare.Metadata, bare.PortDisabled = nil, true
+	minimal := testInstance(2, "UP")
+	minimal.Metadata, minimal.PortDisabled = nil, true
 	registry.Register(full)
-	registry.Register(bare)
-	registry.Override(bare.ID, "OUT_OF_SERVICE")
-	var first []Instance
+	registry.Register(minimal)
+	registry.Override(minimal.ID, "OUT_OF_SERVICE")
+	var firstInstances []Instance
 	client := newManualClient(t, Config{}, registry)
-	for step, asXML := range []bool{false, true, false, true, true, false} {
+	for step, useXML := range []bool{false, true, false, true, true, false} {
 		registry.SetDialect([]peers.EurekaDialect{peers.Jackson, peers.XStream}[step/2%2])
 		registry.SetFault(map[bool]peers.EurekaFault{true: peers.WrongContentType}[step == 4])
-		client.cfg.XML, client.list = asXML, nil
+		client.cfg.XML, client.list = useXML, nil
 		update := client.expectList(t, "1 UP, 2 OUT_OF_SERVICE")
-		if first == nil {
-			first = update.Instances
+		if firstInstances == nil {
+			firstInstances = update.Instances
 		}
-		if !reflect.DeepEqual(update.Instances, first) {
-			t.Errorf("step %d: %+v, want %+v", step, update.Instances, first)
+		if !reflect.DeepEqual(update.Instances, firstInstances) {
+			t.Errorf("step %d: got %+v, want %+v", step, update.Instances, firstInstances)
 		}
-		if registry.Cancel("none"); step > 0 { // a delta in the other format than the list
-			client.cfg.XML = !asXML
+		if registry.Cancel("none"); step > 0 { // poll a delta in a format other than the list's format
+			client.cfg.XML = !useXML
 			registry.Register(full)
 			client.expectChanges(t, "ADDED 1 UP")
 			registry.ClearDelta()
-			first = nil
+			firstInstances = nil
 		}
 	}
 	client.expectChanges(t, "")
 }
 
-// Only the metadata that Parse is to keep are kept.
+// TestKeepMetadata checks that Parse keeps only the metadata entries that keepMetadata accepts.
 func TestKeepMetadata(t *testing.T) {
 	for _, text := range []string{
 		`{"application":{"instance":{"instanceId":"i","metadata":{"zone":"a","other":"b"}}}}`,
@@ -244,11 +254,12 @@
 	} {
 		got, err := Parse(strings.NewReader(text), func(key string) bool { return key == "zone" })
 		if err != nil || len(got.Instances) != 1 || !maps.Equal(got.Instances[0].Metadata, map[string]string{"zone": "a"}) {
-			t.Errorf("%s: %+v, %v", text, got, err)
+			t.Errorf("%s: got %+v, error %v, want one instance with the metadata zone=a", text, got, err)
 		}
 	}
 }
 
+// TestTooManyInstances checks that Parse rejects a list with one instance more than maxInstances.
 func TestTooManyInstances(t *testing.T) {
 	var text strings.Builder
 	text.WriteString(`{"applications":{"application":{"name":"A","instance":[{"instanceId":"x"}`)
@@ -257,17 +268,20 @@
 	}
 	text.WriteString(`]}}}`)
 	_, err := Parse(strings.NewReader(text.String()), nil)
-	if err == nil || !strings.Contains(err.Error(), "more than 100000 instances") {
-		t.Errorf("one more than the bound: %v", err)
+	if err == nil || !strings.Contains(err.Error(), "must contain at most 100000 instances") {
+		t.Errorf("maxInstances+1 instances: got error %v, want one with the bound", err)
 	}
 }
 
+// TestHashCode checks that HashCode sorts the statuses and leaves out statuses without instances.
 func TestHashCode(t *testing.T) {
 	if got := HashCode(map[string]int{"UP": 3, "DOWN": 1, "STARTING": 0}); got != "DOWN_1_UP_3_" {
-		t.Errorf("got %q", got)
+		t.Errorf("got %q, want \"DOWN_1_UP_3_\"", got)
 	}
 }
 
+// FuzzParse checks that Parse does not panic, and that each instance of a response that Parse accepts has an ID, no
+// line break or NUL in its ID and status, valid ports, and at most maxMetadataEntries metadata entries.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"applications":{"application":{"name":"A","instance":` +
 		`{"instanceId":"i","port":{"$":"1","@enabled":"true"},"metadata":{"k":1}}}}}`))
@@ -284,7 +298,7 @@
 			badText := instance.ID == "" || strings.ContainsAny(instance.ID+instance.Status, "\n\x00")
 			badPort := instance.Port < 0 || instance.Port > 65535
 			if badText || badPort || len(instance.Metadata) > maxMetadataEntries {
-				t.Errorf("instance %+v", instance)
+				t.Errorf("got %+v, want a nonempty ID, valid texts, valid ports and few metadata entries", instance)
 			}
 		}
 	})
--- a/internal/registry/eureka/poll.go
+++ b/internal/registry/eureka/poll.go
@@ -10,17 +10,19 @@
 	"net/url"
 )
 
-// errHashMismatch is the error for a complete list that does not add up to its own hash.
+// errHashMismatch is returned when the hash computed from a complete list differs from the hash in the same
+// response.
 var errHashMismatch = errors.New("hash mismatch")
 
-// statusError is a response with a status that is an error.
+// statusError is the HTTP status of a response that reports a failure.
 type statusError int
 
-// Error names the status.
-func (s statusError) Error() string { return fmt.Sprintf("status %d", int(s)) }
+// Error returns the status as text.
+func (s statusError) Error() string { return fmt.Sprintf("unexpected HTTP status %d", int(s)) }
 
-// poll fetches a delta, or the complete list where there is none to apply it to or the result
-// does not add up to the replica's hash, and publishes it.
+// poll fetches a delta, applies it and publishes its changes. If there is no list to apply a delta to, or
+// the hash after the delta differs from the replica's hash, poll fetches and publishes the complete list.
+// With configured apps or VIP addresses, poll fetches only their lists.
 func (c *Client) poll(ctx context.Context) error {
 	if len(c.cfg.Apps)+len(c.cfg.VIPs) > 0 {
 		return c.pollSelected(ctx)
@@ -39,7 +41,7 @@
 		return err
 	}
 	if hash := HashCode(countByStatus(list.Instances)); list.Hash != "" && list.Hash != hash {
-		return fmt.Errorf("%w: the list adds up to %.80q, not to %.80q", errHashMismatch, hash, list.Hash)
+		return fmt.Errorf("%w: complete list: computed %.80q, response contains %.80q", errHashMismatch, hash, list.Hash)
 	}
 	c.applyList(list)
 	return nil
@@ -55,8 +57,8 @@
 	c.publish(Update{Replica: c.replicaURL(), Complete: true, Instances: instances})
 }
 
-// applyDelta applies a delta and publishes its changes. It returns false where the result does
-// not add up to the replica's hash; nothing is published then, and a complete list is needed.
+// applyDelta applies a delta and publishes its changes. If the hash of the resulting list differs from the
+// replica's hash, applyDelta publishes nothing and returns false; the caller then needs a complete list.
 func (c *Client) applyDelta(delta *Applications) bool {
 	changes := c.list.applyDelta(delta.Instances)
 	if delta.Hash != "" && delta.Hash != c.list.hash() {
@@ -68,8 +70,8 @@
 	return true
 }
 
-// pollSelected fetches the lists of the apps and VIP addresses to follow and publishes them as
-// one.
+// pollSelected fetches the lists of the configured apps and VIP addresses and publishes them as one list.
+// An instance that is in several lists is published once.
 func (c *Client) pollSelected(ctx context.Context) error {
 	var paths []string
 	for _, app := range c.cfg.Apps {
@@ -79,18 +81,18 @@
 		paths = append(paths, "/vips/"+url.PathEscape(vip))
 	}
 	var instances []Instance
-	present := make(map[string]bool)
+	seen := make(map[string]bool)
 	for _, path := range paths {
 		list, err := c.fetch(ctx, path)
 		if errors.Is(err, statusError(http.StatusNotFound)) {
-			continue // it has no instance
+			continue // the app or VIP address has no instances
 		}
 		if err != nil {
 			return err
 		}
 		for i := range list.Instances {
-			if id := list.Instances[i].ID; !present[id] {
-				present[id] = true
+			if id := list.Instances[i].ID; !seen[id] {
+				seen[id] = true
 				instances = append(instances, list.Instances[i])
 			}
 		}
@@ -99,8 +101,8 @@
 	return nil
 }
 
-// fetch requests a path from the replica. The transport requests gzip and decompresses it; the
-// bound is on the result.
+// fetch requests a path from the replica and parses the response. The transport requests gzip and
+// decompresses the response; MaxResponseMB bounds the decompressed size.
 func (c *Client) fetch(ctx context.Context, path string) (*Applications, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.replicaURL()+path, nil)
 	if err != nil {
@@ -123,7 +125,7 @@
 	list, err := Parse(body, c.cfg.KeepMetadata)
 	c.bytesFetched += limit - body.N
 	if body.N <= 0 {
-		return nil, fmt.Errorf("%s: an answer of more than %d MB", path, c.cfg.MaxResponseMB)
+		return nil, fmt.Errorf("%s: response must be at most %d MB", path, c.cfg.MaxResponseMB)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
--- a/internal/registry/eureka/register.go
+++ b/internal/registry/eureka/register.go
@@ -16,46 +16,46 @@
 	"time"
 )
 
-// DefaultRenewInterval is Eureka's own default.
+// DefaultRenewInterval is Eureka's own default renew interval.
 const DefaultRenewInterval = 30 * time.Second
 
 const (
-	// renewIntervalsPerLease is how many renew intervals a lease lasts.
+	// renewIntervalsPerLease is the duration of a lease, in renew intervals.
 	renewIntervalsPerLease = 3
-	// maxRetryInterval is the time until the next attempt after a failure, and until the
-	// readiness of a STARTING instance is checked again, where the renew interval is longer.
+	// maxRetryInterval bounds the time until the next attempt after a failure, and until the readiness of
+	// a STARTING instance is checked again. A shorter renew interval applies instead.
 	maxRetryInterval = time.Second
-	// deregisterTimeout bounds the deregistration: the process is about to end.
+	// deregisterTimeout bounds the deregistration, because the process is about to exit.
 	deregisterTimeout = 500 * time.Millisecond
-	// maxDrainedBytes is how much of a response is read so that its connection can be reused.
+	// maxDrainedBytes bounds how much of a response body is read so that its connection can be reused.
 	maxDrainedBytes = 64 << 10
 )
 
 // Registration configures a Registrar.
 type Registration struct {
-	Replicas []string // base URLs, the preferred one first; required
+	Replicas []string // base URLs, the preferred replica first; required
 	App      string   // required
 	VIP      string   // VIP address; default: none
 	Addr     string   // IP address and port at which clients connect; required
 	Metadata map[string]string
 
-	// RenewInterval is the time between renewals of the lease, which lasts three of them.
+	// RenewInterval is the time between renewals of the lease. A lease lasts three renew intervals.
 	// Default: DefaultRenewInterval.
 	RenewInterval time.Duration
 
-	// Timeout bounds one request. Default: DefaultTimeout.
+	// Timeout bounds one request, including its response. Default: DefaultTimeout.
 	Timeout time.Duration
 
-	// Ready reports whether the status is UP; it is STARTING before. It is called from Run's
-	// goroutine and must not block. Required.
+	// Ready reports whether the instance is ready to serve: its registered status is UP if so, and
+	// STARTING if not. Run calls Ready in its own goroutine; Ready must not block. Required.
 	Ready func() bool
 }
 
-// errIncompleteRegistration is the error for a Registration without replica or app.
-var errIncompleteRegistration = errors.New("eureka: register: a replica and the app's name are needed")
+// errIncompleteRegistration is returned for a Registration without replicas or without an app.
+var errIncompleteRegistration = errors.New("eureka: register: Replicas and App must not be empty")
 
-// Registrar keeps this process registered. Its owner starts Run in a goroutine and ends it by
-// Run's context; that goroutine alone uses the fields below http.
+// Registrar keeps this process registered in a Eureka registry. The owner starts Run in a goroutine and
+// stops it by canceling Run's context. Only that goroutine uses the fields below http.
 type Registrar struct {
 	cfg  Registration
 	id   string
@@ -63,17 +63,17 @@
 	port int
 	http *http.Client
 
-	replicaIndex int    // index of the one in use
-	status       string // that the replica has; empty: it may not have the instance
-	registered   bool   // some replica may have the instance
+	replicaIndex int    // index in cfg.Replicas of the replica in use
+	status       string // status last registered with the replica in use; empty: the replica may not have the instance
+	registered   bool   // at least one replica may have the instance
 	failing      bool   // the last attempt failed
 }
 
-// NewRegistrar returns a Registrar. The error says what is wrong with the Registration.
+// NewRegistrar returns a Registrar. It returns an error if the Registration is invalid.
 func NewRegistrar(config Registration) (*Registrar, error) {
 	addr, err := netip.ParseAddrPort(config.Addr)
 	if err != nil {
-		return nil, fmt.Errorf("eureka: register %q: %w", config.Addr, err)
+		return nil, fmt.Errorf("eureka: register: address %q must be an IP address and port: %w", config.Addr, err)
 	}
 	if len(config.Replicas) == 0 || config.App == "" {
 		return nil, errIncompleteRegistration
@@ -103,7 +103,8 @@
 // ID returns the instance ID of the registration.
 func (r *Registrar) ID() string { return r.id }
 
-// Run registers and renews until ctx ends. Then it deregisters, within half a second.
+// Run registers this process and renews the lease until ctx is canceled. Run then deregisters, which takes
+// at most half a second, and returns.
 func (r *Registrar) Run(ctx context.Context) {
 	defer r.http.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -131,9 +132,11 @@
 	}
 }
 
+// registerOrRenew renews the lease, or registers if the replica in use does not have the instance with this
+// status.
 func (r *Registrar) registerOrRenew(ctx context.Context, status string) error {
 	if r.status != status {
-		r.registered = true // whatever the response
+		r.registered = true // even after an error: the replica may have processed the request
 		return r.register(ctx, status)
 	}
 	err := r.sendRequest(ctx, http.MethodPut, r.instancePath()+"?status="+status, nil)
@@ -151,7 +154,8 @@
 	r.status, r.failing = status, false
 }
 
-// failover continues with the next replica, which may not have the instance.
+// failover selects the next replica after a failure. The new replica may not have the instance, so the next
+// attempt registers again.
 func (r *Registrar) failover(err error) {
 	if !r.failing {
 		slog.Warn("eureka: registration failed", "replica", r.cfg.Replicas[r.replicaIndex], "err", err)
@@ -160,8 +164,9 @@
 	r.replicaIndex = (r.replicaIndex + 1) % len(r.cfg.Replicas)
 }
 
-// deregister takes the instance out of service first, so that those who read the registry before
-// it is deregistered send no request. Its context is its own, as Run's has ended.
+// deregister sets the status to OUT_OF_SERVICE and then removes the instance. The status keeps clients that
+// read the registry between the two calls from sending requests to this process. deregister uses a new
+// context because Run's context is already canceled.
 func (r *Registrar) deregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
@@ -181,7 +186,7 @@
 	return r.sendRequest(ctx, http.MethodPost, "", body)
 }
 
-// registrationBody returns the instance in the registry's form.
+// registrationBody returns the JSON body of a registration, as defined by Eureka's REST API.
 func (r *Registrar) registrationBody(status string) ([]byte, error) {
 	metadata := r.cfg.Metadata
 	if metadata == nil {
@@ -212,13 +217,14 @@
 
 func (r *Registrar) appName() string { return strings.ToUpper(r.cfg.App) }
 
-// instancePath returns the path of the instance below that of its app.
+// instancePath returns the path of the instance, relative to the path of its app.
 func (r *Registrar) instancePath() string { return "/" + url.PathEscape(r.id) }
 
-// sendRequest makes a request to a path below that of the app.
+// sendRequest sends a request to a path relative to the path of the app, on the replica in use. It returns a
+// statusError if the status of the response is not 2xx.
 func (r *Registrar) sendRequest(ctx context.Context, method, path string, body []byte) error {
-	target := r.cfg.Replicas[r.replicaIndex] + "/apps/" + url.PathEscape(r.appName()) + path
-	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
+	requestURL := r.cfg.Replicas[r.replicaIndex] + "/apps/" + url.PathEscape(r.appName()) + path
+	request, err := http.NewRequestWithContext(ctx, method, requestURL, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -229,7 +235,7 @@
 		return err
 	}
 	defer response.Body.Close()
-	// An error ends only the reuse of the connection.
+	// If draining the body fails, the connection is just not reused.
 	_, _ = io.CopyN(io.Discard, response.Body, maxDrainedBytes)
 	if response.StatusCode/100 != 2 {
 		return statusError(response.StatusCode)
--- a/internal/registry/eureka/register_test.go
+++ b/internal/registry/eureka/register_test.go
@@ -10,8 +10,8 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// It registers as STARTING, is UP once ready, renews, registers again when its lease is lost or
-// another replica is in use, and deregisters at the end.
+// TestRegistration checks that a Registrar registers as STARTING, changes to UP once Ready returns true, renews the
+// lease, registers again after the lease has expired or the replica has failed, and deregisters when Run ends.
 func TestRegistration(t *testing.T) {
 	first, second := peertest.NewEureka(t), peertest.NewEureka(t)
 	var ready atomic.Bool
@@ -28,10 +28,10 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		registrar.Run(ctx)
-		close(ended)
+		close(done)
 	}()
 	waitForStatus := func(what string, registry *peers.Eureka, want string) {
 		t.Helper()
@@ -40,30 +40,31 @@
 			return registered.Status == want
 		})
 	}
-	waitForStatus("the registration", first, "STARTING")
+	waitForStatus("status STARTING", first, "STARTING")
 	ready.Store(true)
 	waitForStatus("UP", first, "UP")
 	registered, _ := first.Instance(registrar.ID())
 	if registered.App != "MOTHRIDGE" || registered.VIP != "sidecars" || registered.Metadata["zone"] != "a" ||
 		registered.Port != 7070 || registered.IP != "127.0.0.1" {
-		t.Errorf("registered as %+v", registered)
+		t.Errorf("got registration %+v, want app MOTHRIDGE, VIP sidecars, zone a and 127.0.0.1:7070", registered)
 	}
 	renewals := first.Calls("renew")
 	peertest.Until(t, "renewals", func() bool { return first.Calls("renew") > renewals+2 })
-	first.Cancel(registrar.ID()) // as if its lease had run out
-	waitForStatus("registering again", first, "UP")
+	first.Cancel(registrar.ID()) // simulates an expired lease
+	waitForStatus("registration after the lease has expired", first, "UP")
 	first.SetFault(peers.ServerError)
-	waitForStatus("the other replica", second, "UP")
+	waitForStatus("registration with the second replica", second, "UP")
 	cancel()
-	peertest.Await(t, "the end", ended)
+	peertest.Await(t, "the end of Run", done)
 	if _, present := second.Instance(registrar.ID()); present {
-		t.Error("still registered after the end")
+		t.Error("got a registration after the end of Run, want none")
 	}
 	if second.Calls("status") != 1 || second.Calls("cancel") != 1 {
-		t.Errorf("at the end %d calls of status and %d of cancel", second.Calls("status"), second.Calls("cancel"))
+		t.Errorf("got %d calls of status and %d of cancel, want 1 of each", second.Calls("status"), second.Calls("cancel"))
 	}
 }
 
+// TestInvalidRegistration checks that NewRegistrar rejects a Registration without a valid address, a replica or an app.
 func TestInvalidRegistration(t *testing.T) {
 	for name, config := range map[string]Registration{
 		"no address": {Replicas: []string{"http://x"}, App: "a", Addr: "host:1"},
@@ -71,7 +72,7 @@
 		"no app":     {Replicas: []string{"http://x"}, Addr: "127.0.0.1:1"},
 	} {
 		if _, err := NewRegistrar(config); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: got no error, want one", name)
 		}
 	}
 }
--- a/internal/registry/eureka/xml.go
+++ b/internal/registry/eureka/xml.go
@@ -9,14 +9,14 @@
 )
 
 var (
-	errTextOutsideRoot = errors.New("something stands outside of its element")
-	errTrailingData    = errors.New("something follows it")
-	errDocumentType    = errors.New("a document type is not accepted")
-	errTooDeep         = fmt.Errorf("more than %d nested levels", maxDepth)
+	errTextOutsideRoot = errors.New("text outside the root element")
+	errTrailingData    = errors.New("unexpected data after the end of the document")
+	errDocumentType    = errors.New("document type declaration is not allowed")
+	errTooDeep         = fmt.Errorf("nesting must be at most %d levels deep", maxDepth)
 )
 
-// parseXML reads <applications>, or <application> for one app. A document type is an error, and
-// with it entities of the document's own, which could stand for unbounded text or for a file.
+// parseXML reads <applications>, or <application> for one app. parseXML rejects a document type declaration,
+// because it could define entities that expand to unbounded text or to the content of a file.
 func (p *parser) parseXML(in *boundedReader) error {
 	r := &xmlReader{parser: p, in: in, decoder: xml.NewDecoder(in)}
 	for {
@@ -43,14 +43,14 @@
 	}
 }
 
-// xmlReader reads a response in XML. Its methods that read an element start after its start tag
-// and read to its end.
+// xmlReader reads an XML response into its parser. A method that reads an element is called after the
+// element's start tag was read, and reads up to and including the end tag.
 type xmlReader struct {
 	*parser
 	in          *boundedReader
 	decoder     *xml.Decoder
-	depth       int
-	valueBuffer []byte // buffer of value
+	depth       int    // number of open elements
+	valueBuffer []byte // reused by readValue
 }
 
 func (r *xmlReader) readRoot(start xml.StartElement) error {
@@ -82,7 +82,7 @@
 	return token, err
 }
 
-// readChildren reads an element and calls readChild for each child element.
+// readChildren reads an element and calls readChild to read each child element.
 func (r *xmlReader) readChildren(readChild func(xml.StartElement) error) error {
 	for {
 		token, err := r.readToken()
@@ -100,7 +100,7 @@
 	}
 }
 
-// unexpectedEOF turns the end of the response within an element into an error.
+// unexpectedEOF replaces io.EOF with io.ErrUnexpectedEOF, for a response that ends within an element.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -108,7 +108,7 @@
 	return err
 }
 
-// readValue reads an element and returns its text, without that of its children. The text is valid
+// readValue reads an element and returns its text without the text of its child elements. The text is valid
 // until the next call.
 func (r *xmlReader) readValue() ([]byte, error) {
 	r.valueBuffer = r.valueBuffer[:0]
@@ -147,7 +147,7 @@
 
 func (r *xmlReader) readApplication() error {
 	r.foundRoot = true
-	name, first := "", len(r.applications.Instances)
+	name, firstIndex := "", len(r.applications.Instances)
 	err := r.readChildren(func(child xml.StartElement) error {
 		if child.Name.Local == "instance" {
 			return r.readInstance()
@@ -158,7 +158,7 @@
 		}
 		return err
 	})
-	r.setMissingAppNames(first, name)
+	r.setMissingAppNames(firstIndex, name)
 	return err
 }
 
@@ -207,7 +207,7 @@
 	})
 }
 
-// attributeValue returns an attributeValue of an element; empty where it has none of that name.
+// attributeValue returns the value of an attribute of an element, or "" if the element has no such attribute.
 func attributeValue(element xml.StartElement, name string) string {
 	for _, attr := range element.Attr {
 		if attr.Name.Local == name {
