--- a/internal/registry/eureka/helpers_test.go
+++ b/internal/registry/eureka/helpers_test.go
@@ -9,7 +9,8 @@
 	"mothridge/internal/peers"
 )
 
-// testInstance returns an instance to register: the n-th one of the app RECORDS.
+// testInstance returns the instance with number n of the app RECORDS, for registration with the stand-in
+// registry.
 func testInstance(n int, status string) peers.EurekaInstance {
 	return peers.EurekaInstance{
 		ID:       fmt.Sprint("records-", n, ":80"),
@@ -23,13 +24,13 @@
 	}
 }
 
-// polledClient is a Client that polls when the test calls it.
-type polledClient struct {
+// manualClient is a Client whose Run is not started: it polls only when the test calls one of its methods.
+type manualClient struct {
 	*Client
-	updates []Update // since the last successful poll
+	updates []Update // published since the start of the last pollOnce
 }
 
-func newPolledClient(t *testing.T, config Config, registries ...*peers.Eureka) *polledClient {
+func newManualClient(t *testing.T, config Config, registries ...*peers.Eureka) *manualClient {
 	t.Helper()
 	for _, registry := range registries {
 		config.Replicas = append(config.Replicas, registry.URL())
@@ -37,57 +38,57 @@
 	if config.Timeout == 0 {
 		config.Timeout = 2 * time.Second
 	}
-	polled := new(polledClient)
-	client, err := NewClient(config, func(update Update) { polled.updates = append(polled.updates, update) })
+	manual := new(manualClient)
+	client, err := NewClient(config, func(update Update) { manual.updates = append(manual.updates, update) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	polled.Client = client
+	manual.Client = client
 	t.Cleanup(client.http.CloseIdleConnections)
-	return polled
+	return manual
 }
 
-// nextUpdate polls once, without error, and returns the one update of it.
-func (c *polledClient) nextUpdate(t *testing.T) Update {
+// pollOnce polls once and returns the published update. The test fails on an error or another number of updates.
+func (c *manualClient) pollOnce(t *testing.T) Update {
 	t.Helper()
 	c.updates = nil
 	if err := c.poll(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if len(c.updates) != 1 {
-		t.Fatalf("%d updates by one poll", len(c.updates))
+		t.Fatalf("got %d updates from one poll, want 1", len(c.updates))
 	}
 	return c.updates[0]
 }
 
-// wantList polls once and checks that the update is a complete list.
-func (c *polledClient) wantList(t *testing.T, want string) Update {
+// expectList polls once and checks that the update is a complete list whose summary is want.
+func (c *manualClient) expectList(t *testing.T, want string) Update {
 	t.Helper()
-	update := c.nextUpdate(t)
-	if !update.Complete || summary(update) != want {
+	update := c.pollOnce(t)
+	if !update.Complete || summarize(update) != want {
 		t.Errorf("got %+v, want the complete list %q", update, want)
 	}
 	return update
 }
 
-// wantChanges polls once and checks that the update holds changes alone.
-func (c *polledClient) wantChanges(t *testing.T, want string) {
+// expectChanges polls once and checks that the update contains only changes and that their summary is want.
+func (c *manualClient) expectChanges(t *testing.T, want string) {
 	t.Helper()
-	if update := c.nextUpdate(t); update.Complete || summary(update) != want {
+	if update := c.pollOnce(t); update.Complete || summarize(update) != want {
 		t.Errorf("got %+v, want the changes %q", update, want)
 	}
 }
 
-// summary returns the number and status of each instance, with the action where it is a change.
-func summary(update Update) string {
-	var all []string
+// summarize returns the number and status of each instance of an update. For a change, the action precedes them.
+func summarize(update Update) string {
+	var summaries []string
 	for i := range update.Instances {
 		instance := &update.Instances[i]
 		text := strings.TrimSuffix(strings.TrimPrefix(instance.ID, "records-"), ":80") + " " + instance.Status
 		if !update.Complete {
 			text = instance.Action + " " + text
 		}
-		all = append(all, text)
+		summaries = append(summaries, text)
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(summaries, ", ")
 }
