--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Outcome is how a request ended for its client.
+// Outcome is the result of a request as its client sees it.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a request.
 const (
 	Served         Outcome = iota
-	Rejected               // a retry is harmless
-	Failed                 // no promise about the effect
-	InvalidRequest         // the sidecar considers the request wrong
-	Lost                   // no complete response
+	Rejected               // a retry is safe
+	Failed                 // the request may have been executed
+	InvalidRequest         // the sidecar considers the request invalid
+	Lost                   // no complete response arrived
 )
 
-// outcomeNames are printed by 'sidecar try'.
+// outcomeNames contains the names that 'sidecar try' prints.
 var outcomeNames = [...]string{
 	Served:         "served",
 	Rejected:       "refused",
@@ -26,31 +26,31 @@
 	Lost:           "lost",
 }
 
-// String returns the outcome as 'sidecar try' prints it: 'refused' for Rejected and 'rejected' for
-// InvalidRequest.
+// String returns the name that 'sidecar try' prints for the outcome: 'refused' for Rejected and
+// 'rejected' for InvalidRequest.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Result is what a client got for a request.
+// Result is what a client received for a request.
 type Result struct {
 	Outcome    Outcome
-	RetryAfter time.Duration // Rejected: how long to stay away; 0: not said
-	Body       []byte        // Served: of the response
-	Text       string        // the reason, where the response has one
-	Err        error         // Lost: the error
+	RetryAfter time.Duration // for Rejected: time to wait before a retry; 0 if the response has none
+	Body       []byte        // for Served: the response body
+	Text       string        // the reason, if the response has one
+	Err        error         // for Lost: the error
 }
 
-// lost is the result of a request without a complete response.
+// lost returns the result of a request without a complete response.
 func lost(err error) Result { return Result{Outcome: Lost, Err: err} }
 
-// Client sends requests to a sidecar and retries none of them. It is safe for concurrent use.
+// Client sends requests to a sidecar and never retries them. Client is safe for concurrent use.
 type Client interface {
-	// Do sends a request and blocks until its response or the end of ctx.
+	// Do sends a request and blocks until the response arrives or ctx ends.
 	Do(ctx context.Context, call Call) Result
-	// Close closes the connections that are kept.
+	// Close closes the client's open connections.
 	Close()
 }
 
-// NewClient makes a client of a protocol. It connects with its first request.
+// NewClient returns a client that uses protocol. The client connects when it sends its first request.
 func NewClient(protocol Protocol, addr string) Client {
 	if protocol == RPC {
 		return &rpcClient{addr: addr}
--- a/internal/peers/client_http.go
+++ b/internal/peers/client_http.go
@@ -13,24 +13,25 @@
 	"time"
 )
 
-// httpClient has one request at a time on a connection, keeps idle connections and opens another
-// one when all of them are busy, as the application does.
+// httpClient sends one request at a time on each connection. Like the application, it keeps idle
+// connections and opens another connection when all of them are busy.
 type httpClient struct {
 	addr string
 	mu   sync.Mutex
 	idle []*httpClientConn
 }
 
+// httpClientConn is one connection of an httpClient.
 type httpClientConn struct {
 	net.Conn
 	reader *bufio.Reader
 	out    bytes.Buffer
 }
 
-// httpExchange is how one request went on one connection.
+// httpExchange is the result of one request on one connection.
 type httpExchange struct {
 	result    Result
-	unread    bool // the connection ended before a response; the server may not have read the request
+	unread    bool // the connection ended before a response began; the server may not have read the request
 	keepsConn bool // the connection can carry another request
 }
 
@@ -44,8 +45,8 @@
 	h.idle = nil
 }
 
-// Do sends a request. The sidecar may close an idle connection at any time: a request that crosses
-// that was not read, and is sent on another connection.
+// Do sends a request. The sidecar may close an idle connection at any time. A request that is sent
+// while the sidecar closes its connection was not read, so Do sends that request on another connection.
 func (h *httpClient) Do(ctx context.Context, call Call) Result {
 	for {
 		conn, reused, err := h.takeConn(ctx)
@@ -60,7 +61,7 @@
 	}
 }
 
-// takeConn returns an idle connection or opens one.
+// takeConn returns an idle connection, or a new connection if none is idle.
 func (h *httpClient) takeConn(ctx context.Context) (conn *httpClientConn, reused bool, err error) {
 	if conn := h.takeIdle(); conn != nil {
 		return conn, true, nil
@@ -72,7 +73,7 @@
 	return &httpClientConn{Conn: netConn, reader: bufio.NewReader(netConn)}, false, nil
 }
 
-// takeIdle returns the connection that was used last, or nil.
+// takeIdle removes and returns the most recently used idle connection, or returns nil if there is none.
 func (h *httpClient) takeIdle() *httpClientConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,14 +86,15 @@
 	return conn
 }
 
+// putIdle makes a connection available to later requests.
 func (h *httpClient) putIdle(conn *httpClientConn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.idle = append(h.idle, conn)
 }
 
-// exchange sends a request on a connection and keeps or closes it afterwards. The end of ctx ends
-// the connection's reads and writes.
+// exchange sends a request on a connection, and keeps or closes the connection afterwards. When ctx
+// ends, the connection's reads and writes fail.
 func (h *httpClient) exchange(ctx context.Context, conn *httpClientConn, call Call) httpExchange {
 	pastDeadline := time.Unix(1, 0)
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
@@ -105,6 +107,7 @@
 	return exchange
 }
 
+// roundTrip writes a request and reads its response.
 func (c *httpClientConn) roundTrip(call Call) httpExchange {
 	c.out.Reset()
 	call.appendHTTP(&c.out)
@@ -126,14 +129,14 @@
 	return httpExchange{result: httpResult(response, body), keepsConn: !response.Close}
 }
 
-// httpResult reads a response by its status.
+// httpResult converts a response to a Result by its status.
 func httpResult(response *http.Response, body []byte) Result {
 	status := response.StatusCode
 	switch {
 	case status == http.StatusOK:
 		return Result{Outcome: Served, Body: body}
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // 0 where it is absent
+		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // 0 if absent
 		return Result{Outcome: Rejected, RetryAfter: time.Duration(seconds * float64(time.Second))}
 	case status >= http.StatusInternalServerError:
 		return Result{Outcome: Failed, Text: response.Status}
@@ -142,7 +145,7 @@
 	}
 }
 
-// appendHTTP appends the call as an HTTP/1.1 request.
+// appendHTTP appends the call to out as an HTTP/1.1 request.
 func (c *Call) appendHTTP(out *bytes.Buffer) {
 	method := http.MethodGet
 	if c.IdempotencyKey != "" || c.NotIdempotent {
@@ -167,7 +170,7 @@
 	out.Write(c.Body)
 }
 
-// appendHTTPField appends a header field, unless its value is empty.
+// appendHTTPField appends a header field to out, unless the value is empty.
 func appendHTTPField(out *bytes.Buffer, name, value string) {
 	if value != "" {
 		out.WriteString(name + ": " + value + "\r\n")
--- a/internal/peers/client_rpc.go
+++ b/internal/peers/client_rpc.go
@@ -11,12 +11,12 @@
 
 // Errors that end a connection of an rpcClient.
 var (
-	errRequestFromServer = errors.New("the sidecar sent a request")
+	errRequestFromServer = errors.New("unexpected request from the sidecar")
 	errDrained           = errors.New("drained")
 )
 
-// rpcClient sends its requests on one MessagePack-RPC connection at a time. It opens another one
-// when that one has ended or drains. It is safe for concurrent use.
+// rpcClient sends its requests on one MessagePack-RPC connection at a time. It opens another
+// connection when the current one has ended or is draining. rpcClient is safe for concurrent use.
 type rpcClient struct {
 	addr string
 
@@ -24,20 +24,20 @@
 	conn *rpcClientConn
 }
 
-// rpcClientConn is one connection. Its goroutine reads responses until the connection fails or has
-// drained; closing the connection ends it; it is not waited for.
+// rpcClientConn is one connection of an rpcClient. Its goroutine reads responses until the
+// connection fails, has drained or is closed. Nothing waits for the goroutine to end.
 type rpcClientConn struct {
 	conn    net.Conn
-	writing sync.Mutex // held for each write
+	writing sync.Mutex // locked during each write
 
 	mu       sync.Mutex
 	nextID   uint32
 	inFlight map[uint32]chan Result
 	draining bool
-	err      error // why the connection ended
+	err      error // why the connection ended; nil while it is open
 }
 
-// Close closes the connection; requests in flight are lost.
+// Close closes the connection. Requests in flight end as Lost.
 func (r *rpcClient) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// connect returns the connection, or opens one where there is none that takes requests.
+// connect returns the current connection, or a new one if the current one accepts no more requests.
 func (r *rpcClient) connect(ctx context.Context) (*rpcClientConn, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,13 +63,14 @@
 	return r.conn, nil
 }
 
+// usable reports whether the connection accepts further requests.
 func (c *rpcClientConn) usable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err == nil && !c.draining
 }
 
-// Do sends a request and blocks until its response. The end of ctx cancels the request.
+// Do sends a request and blocks until the response arrives. When ctx ends, Do cancels the request.
 func (r *rpcClient) Do(ctx context.Context, call Call) Result {
 	conn, err := r.connect(ctx)
 	if err != nil {
@@ -91,7 +92,7 @@
 	}
 }
 
-// rpc is the call as MessagePack-RPC has it.
+// rpc returns the call in the form that MessagePack-RPC encodes.
 func (c *Call) rpc() msgrpc.Call {
 	message := msgrpc.Call{
 		ID:             c.ID,
@@ -112,7 +113,7 @@
 	return message
 }
 
-// register reserves an id for a request; done gets its result.
+// register reserves an id for a request. The request's result is sent to done.
 func (c *rpcClientConn) register() (id uint32, done <-chan Result, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,6 +127,7 @@
 	return id, result, nil
 }
 
+// unregister removes a request; a later response to its id is ignored.
 func (c *rpcClientConn) unregister(id uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,9 +137,10 @@
 func (c *rpcClientConn) write(message []byte) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
-	_, _ = c.conn.Write(message) // the reader sees that the connection failed
+	_, _ = c.conn.Write(message) // if the write fails, readResponses fails too and ends the connection
 }
 
+// readResponses handles the sidecar's messages until the connection ends.
 func (c *rpcClientConn) readResponses() {
 	framer := msgrpc.NewFramer(c.conn, msgrpc.MaxResponseBytes, rpcReadTimeout)
 	for {
@@ -152,7 +155,7 @@
 	}
 }
 
-// end completes the requests in flight as lost and closes the connection.
+// end completes the requests in flight as Lost with err and closes the connection.
 func (c *rpcClientConn) end(err error) {
 	c.mu.Lock()
 	c.err = err
@@ -165,7 +168,7 @@
 	c.conn.Close()
 }
 
-// handleFrame handles a message of the sidecar; an error ends the connection.
+// handleFrame handles a message from the sidecar. An error ends the connection.
 func (c *rpcClientConn) handleFrame(frame []byte) error {
 	message, err := msgrpc.Parse(frame)
 	if err != nil {
@@ -182,8 +185,8 @@
 	}
 }
 
-// handleNotification ignores notifications other than drain, by which the sidecar reports messages
-// that it skipped.
+// handleNotification marks the connection as draining on a drain notification. It ignores the other
+// notifications, which report messages that the sidecar skipped.
 func (c *rpcClientConn) handleNotification(message msgrpc.Message) {
 	if string(message.Method) != msgrpc.MethodDrain {
 		return
@@ -193,8 +196,8 @@
 	c.draining = true
 }
 
-// handleResponse completes a request. It ignores a response to an id that is not in flight and
-// returns errDrained after the last request of a draining connection.
+// handleResponse completes a request. It ignores a response whose id is not in flight, and returns
+// errDrained after the last response on a draining connection.
 func (c *rpcClientConn) handleResponse(message msgrpc.Message) error {
 	c.mu.Lock()
 	done := c.inFlight[message.ID]
@@ -211,7 +214,7 @@
 	return nil
 }
 
-// rpcResult reads a response by the kind of its fault.
+// rpcResult converts a response to a Result by the kind of its fault.
 func rpcResult(message msgrpc.Message) Result {
 	if message.Fault == nil {
 		result, err := msgrpc.ParseResult(message.Result)
--- a/internal/peers/discovery.go
+++ b/internal/peers/discovery.go
@@ -12,11 +12,11 @@
 
 const (
 	listPath           = "/registry/instances"
-	watchHeartbeatTime = 2 * time.Second // between an unchanged watch's empty lines
+	watchHeartbeatTime = 2 * time.Second // interval of the empty lines that a watch writes while nothing changes
 	removedHealth      = "removed"
 )
 
-// Endpoint is an entry of the platform's endpoint list; its tags are the platform's names.
+// Endpoint is an entry of the platform's endpoint list. The JSON tags are the platform's names.
 type Endpoint struct {
 	Name        string  `json:"host"`
 	Addr        string  `json:"dial"`
@@ -25,11 +25,11 @@
 	Cell        int     `json:"block"`
 	Health      string  `json:"health"` // up, draining or removed
 	Weight      float64 `json:"share"`
-	StartedAtMs int64   `json:"born_ms"` // Unix time; 0: long ago
+	StartedAtMs int64   `json:"born_ms"` // Unix time of the last start; 0: long ago
 }
 
-// Discovery is a stand-in for the platform's discovery: the endpoint list and watches of its
-// changes. It is safe for concurrent use. Its HTTP server's goroutines end with Close.
+// Discovery is a stand-in for the platform's discovery. It serves the endpoint list and watches of
+// its changes. Discovery is safe for concurrent use. Close ends the goroutines of its HTTP server.
 type Discovery struct {
 	listener net.Listener
 	server   *http.Server
@@ -37,24 +37,25 @@
 	mu        sync.Mutex
 	version   uint64
 	endpoints map[string]Endpoint
-	names     []string // of endpoints, in the order in which they were added
+	names     []string // keys of endpoints in the order in which they were added
 	changes   []endpointChange
 	changed   chan struct{} // closed and replaced on each change
 }
 
+// endpointChange is a changed endpoint with the version of the list that contains the change.
 type endpointChange struct {
 	version  uint64
 	endpoint Endpoint
 }
 
-// endpointUpdate is a line of the platform's: the complete list, or what changed.
+// endpointUpdate is one line of the platform's response: the complete list, or the changed endpoints.
 type endpointUpdate struct {
 	Version   uint64     `json:"seq"`
 	Complete  bool       `json:"whole"`
 	Endpoints []Endpoint `json:"hosts"`
 }
 
-// StartDiscovery starts a discovery with these endpoints on a free loopback port.
+// StartDiscovery starts a discovery with the given endpoints on a free loopback port.
 func StartDiscovery(endpoints ...Endpoint) (*Discovery, error) {
 	listener, err := listen(loopbackAddr)
 	if err != nil {
@@ -73,13 +74,14 @@
 	return d, nil
 }
 
-// Addr returns the address that it listens at.
+// Addr returns the address that the discovery listens on.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// Close ends the server and its watches.
+// Close stops the server and ends its watches.
 func (d *Discovery) Close() { d.server.Close() }
 
-// Set adds or changes an endpoint by its name; health 'removed' removes it.
+// Set adds or replaces the endpoint with the same name. An endpoint whose health is 'removed' is left
+// out of the complete list.
 func (d *Discovery) Set(endpoint Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,7 +95,7 @@
 	d.changed = make(chan struct{})
 }
 
-// completeList is called with mu held.
+// completeList returns the complete list. The caller must hold d.mu.
 func (d *Discovery) completeList() endpointUpdate {
 	update := endpointUpdate{Version: d.version, Complete: true, Endpoints: []Endpoint{}}
 	for _, name := range d.names {
@@ -104,7 +106,7 @@
 	return update
 }
 
-// changesAfter is called with mu held.
+// changesAfter returns the changes after a version. The caller must hold d.mu.
 func (d *Discovery) changesAfter(version uint64) endpointUpdate {
 	update := endpointUpdate{Version: d.version, Endpoints: []Endpoint{}}
 	for _, change := range d.changes {
@@ -127,12 +129,12 @@
 	d.mu.Lock()
 	update := d.completeList()
 	d.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(update) // fails only where the client has disconnected
+	_ = json.NewEncoder(w).Encode(update) // fails only if the client has disconnected
 }
 
-// serveWatch writes the changes after the version 'from' as they come, and empty lines as
-// heartbeats in between. A watch from 0, or from a version that is not known, begins with the
-// complete list.
+// serveWatch writes the changes after the version in the query parameter 'from' as they occur, and
+// empty lines as heartbeats in between. A watch from version 0, or from an unknown version, begins
+// with the complete list.
 func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request) {
 	encoder := json.NewEncoder(w) // ends each value with a line break
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
@@ -145,7 +147,7 @@
 		update, changed := d.nextUpdate(from, first)
 		from = update.Version
 		if first || len(update.Endpoints) > 0 {
-			_ = encoder.Encode(update) // a disconnected client ends r's context
+			_ = encoder.Encode(update) // if the client has disconnected, r's context ends
 		} else {
 			fmt.Fprintln(w)
 		}
@@ -159,7 +161,7 @@
 	}
 }
 
-// nextUpdate returns a watch's next line, and a channel that the change after it closes.
+// nextUpdate returns the next line of a watch, and a channel that is closed on the next change.
 func (d *Discovery) nextUpdate(from uint64, first bool) (endpointUpdate, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/peers/eureka.go
+++ b/internal/peers/eureka.go
@@ -13,34 +13,34 @@
 // EurekaFault is a fault that the stand-in registry injects.
 type EurekaFault int
 
-// The faults. Each lasts until another one is set.
+// Faults of the stand-in registry. Each fault lasts until another fault is set.
 const (
 	NoFault          EurekaFault = iota
-	NoResponse                   // accepts requests and does not respond
-	Slow                         // responds after 300 ms
-	ServerError                  // responds 500
-	TruncatedBody                // writes half of the body
-	StaleList                    // responds with the lists of when the fault was set
-	WrongHash                    // a hash code that does not match the list
-	EmptyList                    // 200 and no instances
-	NotJSON                      // 200 and an HTML page
-	WrongContentType             // each format with the Content-Type of the other one
+	NoResponse                   // accept requests and do not respond
+	Slow                         // respond after 300 ms
+	ServerError                  // respond with status 500
+	TruncatedBody                // write only half of the body
+	StaleList                    // respond with the lists as they were when the fault was set
+	WrongHash                    // send a hash code that does not match the list
+	EmptyList                    // respond with status 200 and no instances
+	NotJSON                      // respond with status 200 and an HTML page
+	WrongContentType             // send each format with the Content-Type of the other format
 )
 
 const (
-	slowResponseTime  = 300 * time.Millisecond
-	deltaRetention    = 3 * time.Minute // how long a change stays in the delta
-	allAppsPath       = "apps"
-	deltaPath         = "apps/delta"
-	mismatchedHash    = "UP_4711_"
-	proxyErrorPage    = "<html>a proxy's page</html>"
-	eurekaV2Path      = "/eureka/v2"
-	otherFetchesCalls = "some" // counts fetches other than of all apps and the delta
+	slowResponseTime = 300 * time.Millisecond
+	deltaRetention   = 3 * time.Minute // time that a change stays in the delta
+	allAppsPath      = "apps"
+	deltaPath        = "apps/delta"
+	mismatchedHash   = "UP_4711_"
+	proxyErrorPage   = "<html>a proxy's page</html>"
+	eurekaV2Path     = "/eureka/v2"
+	otherFetchesKind = "some" // key in calls for fetches of neither all apps nor the delta
 )
 
-// Eureka is a stand-in for a Eureka registry. It has the REST API of docs/protocol/eureka.md, with
-// leases, eviction, self-preservation, deltas and overridden statuses. It is safe for concurrent
-// use. Its HTTP server's goroutines end with Close.
+// Eureka is a stand-in for a Eureka registry. It implements the REST API of docs/protocol/eureka.md,
+// with leases, eviction, self-preservation, deltas and overridden statuses. Eureka is safe for
+// concurrent use. Close ends the goroutines of its HTTP server.
 type Eureka struct {
 	listener  net.Listener
 	server    *http.Server
@@ -49,26 +49,26 @@
 
 	mu            sync.Mutex
 	instances     map[string]*EurekaInstance
-	ids           []string // of instances, in the order in which they were registered
+	ids           []string // keys of instances in the order in which they were registered
 	delta         []eurekaChange
 	leaseDuration time.Duration // 0: leases do not expire
 	fault         EurekaFault
-	staleLists    map[staleListKey][]byte // when StaleList was set
-	clockSkew     time.Duration
-	version       int // of the list; grows with each change
-	calls         map[string]int
+	staleLists    map[staleListKey][]byte // copies from when StaleList was set
+	clockSkew     time.Duration           // positive: the registry's clock is ahead
+	version       int                     // of the list; incremented on each change
+	calls         map[string]int          // by the kinds of Calls
 	fetchedBytes  int64
 	fetchTimes    []time.Time
 	dialect       EurekaDialect
 }
 
-// staleListKey is the path and the format of a list.
+// staleListKey identifies a list by its path and format.
 type staleListKey struct {
 	path  string
 	asXML bool
 }
 
-// StartEureka starts a registry at addr, or on a free loopback port where addr is empty.
+// StartEureka starts a registry at addr, or on a free loopback port if addr is empty.
 func StartEureka(addr string) (*Eureka, error) {
 	if addr == "" {
 		addr = loopbackAddr
@@ -88,10 +88,10 @@
 	return e, nil
 }
 
-// URL returns the base of the API.
+// URL returns the base URL of the API.
 func (e *Eureka) URL() string { return "http://" + e.listener.Addr().String() + eurekaV2Path }
 
-// Close ends the server and its requests.
+// Close stops the server and ends its requests.
 func (e *Eureka) Close() {
 	e.closeOnce.Do(func() {
 		close(e.closing)
@@ -99,7 +99,7 @@
 	})
 }
 
-// SetFault sets the fault that is injected from now on.
+// SetFault sets the fault that the registry injects after the call.
 func (e *Eureka) SetFault(fault EurekaFault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,57 +121,59 @@
 	return lists
 }
 
-// SetDialect sets the dialect of the responses from now on.
+// SetDialect sets the dialect of the responses after the call.
 func (e *Eureka) SetDialect(dialect EurekaDialect) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dialect = dialect
 }
 
-// SetClockSkew sets how far the registry's clock differs from the real one; positive: ahead of it.
+// SetClockSkew sets the difference between the registry's clock and the system clock. A positive skew
+// means that the registry's clock is ahead.
 func (e *Eureka) SetClockSkew(skew time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.clockSkew = skew
 }
 
-// SetLeaseDuration makes leases expire that were not renewed for this long; 0, the default: none.
+// SetLeaseDuration sets the time without renewal after which a lease expires. With 0, the default,
+// leases do not expire.
 func (e *Eureka) SetLeaseDuration(duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaseDuration = duration
 }
 
-// Calls returns how many calls of a kind were received: /apps, /apps/delta, some (other fetches),
-// register, renew, status, metadata or cancel.
+// Calls returns how many calls of a kind were received. The kinds are /apps, /apps/delta, some (other
+// fetches), register, renew, status, metadata and cancel.
 func (e *Eureka) Calls(kind string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.calls[kind]
 }
 
-// Bytes returns how many bytes the responses to fetches had, before compression.
+// Bytes returns the total size in bytes of the responses to fetches, before compression.
 func (e *Eureka) Bytes() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.fetchedBytes
 }
 
-// ClearDelta removes the changes that a delta would repeat, as time does.
+// ClearDelta removes all changes from the delta, as if deltaRetention had passed.
 func (e *Eureka) ClearDelta() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.delta = nil
 }
 
-// FetchTimes returns when correct responses to fetches were written.
+// FetchTimes returns the times of fetches whose responses contain a correct list.
 func (e *Eureka) FetchTimes() []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.fetchTimes)
 }
 
-// Instance returns the instance of an id; false: there is none.
+// Instance returns the instance with an id, or false if there is none.
 func (e *Eureka) Instance(id string) (EurekaInstance, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/peers/eureka_calls_test.go
+++ b/internal/peers/eureka_calls_test.go
@@ -2,14 +2,15 @@
 
 import "strings"
 
-// eurekaCalls are the calls of docs/protocol/eureka.md, in its order, against one registry.
+// eurekaCalls contains the calls of docs/protocol/eureka.md in the page's order. All of them are sent to
+// one registry. A call's name is the name of its row in the page.
 var eurekaCalls = []struct {
 	name   string
-	call   string // method and path below the base
-	format string // json or xml: of the body and of the response
+	call   string // method, and path below the base
+	format string // json or xml: format of the body and of the response
 	body   string
 	status int
-	want   string // in the response; with -: not in it
+	want   string // text that the response must contain; after a -, text that it must not contain
 }{
 	{"register JSON", "POST apps/records", "json", registration, 204, ""},
 	{"register XML", "POST apps/RECORDS", "xml", registrationXML, 204, ""},
@@ -30,13 +31,13 @@
 			`<name>MyOwn</name></dataCenterInfo></instance>`,
 		204, "",
 	},
-	{"register JSON announced as XML", "POST apps/RECORDS", "xml", registration, 400, "cannot be read"},
+	{"register JSON announced as XML", "POST apps/RECORDS", "xml", registration, 400, "cannot decode the body"},
 	{
 		"register no host", "POST apps/RECORDS", "json",
 		`{"instance":{"instanceId":"r9","app":"RECORDS"}}`,
 		400, "hostName is missing",
 	},
-	{"register another app", "POST apps/OTHER", "json", registration, 400, "the path says"},
+	{"register another app", "POST apps/OTHER", "json", registration, 400, "the app in the path is"},
 	{
 		"register an unknown status", "POST apps/RECORDS", "json",
 		strings.Replace(registration, `"UP"`, `"FINE"`, 1),
@@ -55,7 +56,7 @@
 	},
 	{"renew", "PUT apps/RECORDS/r1?status=UP&lastDirtyTimestamp=50", "json", "", 200, ""},
 	{"renew what is not held", "PUT apps/RECORDS/none", "json", "", 404, ""},
-	{"renew newer news", "PUT apps/RECORDS/r1?lastDirtyTimestamp=51", "json", "", 404, "register anew"},
+	{"renew newer news", "PUT apps/RECORDS/r1?lastDirtyTimestamp=51", "json", "", 404, "must register again"},
 	{
 		"apps JSON", "GET apps", "json", "", 200,
 		`{"applications":{"versions__delta":"5","apps__hashcode":"UP_5_",` +
@@ -96,7 +97,7 @@
 	},
 	{"out of service", "POST apps/RECORDS", "json", registration, 204, ""},
 	{"out of service", "GET instances/r1", "json", "", 200, `"status":"OUT_OF_SERVICE"`},
-	{"unknown status", "PUT apps/RECORDS/r1/status?value=FINE", "json", "", 500, "none of"},
+	{"unknown status", "PUT apps/RECORDS/r1/status?value=FINE", "json", "", 500, "must be one of"},
 	{"back in service", "DELETE apps/RECORDS/r1/status?value=UP", "json", "", 200, ""},
 	{"back in service", "GET instances/r1", "json", "", 200, `"status":"UP","overriddenStatus":"UNKNOWN"`},
 	{"back in service", "DELETE apps/RECORDS/r1/status", "json", "", 200, ""},
@@ -107,7 +108,7 @@
 	{"cancel", "DELETE apps/RECORDS/r1", "json", "", 200, ""},
 	{"cancel", "GET apps", "json", "", 200, `-"r1"`},
 	{"cancel twice", "DELETE apps/RECORDS/r1", "json", "", 404, ""},
-	{"no such call", "PATCH apps/RECORDS/r3", "json", "", 405, "no such call"},
+	{"no such call", "PATCH apps/RECORDS/r3", "json", "", 405, "unsupported call"},
 	{"no such path", "GET people", "json", "", 404, ""},
 	{"base of Spring", "GET /eureka/apps", "json", "", 200, `{"applications"`},
 }
--- a/internal/peers/eureka_change.go
+++ b/internal/peers/eureka_change.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// maxRegistrationBytes bounds the body of a registration.
+// maxRegistrationBytes is the maximum size of a registration's body.
 const maxRegistrationBytes = 1 << 20
 
-// serveChange responds to a call that changes something: apps/APP, apps/APP/ID and below.
+// serveChange responds to a call that changes the registry: apps/APP, apps/APP/ID and paths below.
 func (e *Eureka) serveChange(w http.ResponseWriter, r *http.Request, parts []string) {
 	if len(parts) < 2 || parts[0] != "apps" {
 		http.NotFound(w, r)
@@ -28,7 +28,7 @@
 		return
 	}
 	if r.Method != http.MethodPost {
-		http.Error(w, "POST registers an instance of an app", http.StatusMethodNotAllowed)
+		http.Error(w, "method not allowed: an instance is registered with POST", http.StatusMethodNotAllowed)
 		return
 	}
 	e.serveRegister(w, r, parts[1])
@@ -58,27 +58,27 @@
 	case "PUT metadata":
 		e.addMetadata(instance, query)
 	default:
-		http.Error(w, "no such call: "+call, http.StatusMethodNotAllowed)
+		http.Error(w, "unsupported call: "+call, http.StatusMethodNotAllowed)
 	}
 }
 
-// renew handles a heartbeat. An instance has to register again where it has changed since its
-// registration or its status is not known.
+// renew handles a heartbeat. An instance must register again if it has changed since its registration
+// or if its status is UNKNOWN.
 func (e *Eureka) renew(w http.ResponseWriter, instance *EurekaInstance, query url.Values) {
 	e.calls["renew"]++
-	lastDirtyMs, _ := strconv.ParseInt(query.Get("lastDirtyTimestamp"), 10, 64) // 0 where it is absent
+	lastDirtyMs, _ := strconv.ParseInt(query.Get("lastDirtyTimestamp"), 10, 64) // 0 if absent
 	if instance.effectiveStatus() == statusUnknown || lastDirtyMs > instance.LastDirtyMs {
-		http.Error(w, "the instance is to register anew", http.StatusNotFound)
+		http.Error(w, "the instance must register again", http.StatusNotFound)
 		return
 	}
 	instance.renewedAt = time.Now()
 }
 
-// overrideStatus sets an operator's status, which also renews the lease.
+// overrideStatus sets the status that an operator has chosen. The call also renews the lease.
 func (e *Eureka) overrideStatus(w http.ResponseWriter, instance *EurekaInstance, status string) {
 	e.calls["status"]++
 	if !slices.Contains(eurekaStatuses, status) {
-		message := "value is none of " + strings.Join(eurekaStatuses, ", ")
+		message := "value must be one of " + strings.Join(eurekaStatuses, ", ")
 		http.Error(w, message, http.StatusInternalServerError)
 		return
 	}
@@ -87,8 +87,8 @@
 	e.recordModified(instance)
 }
 
-// removeOverride removes an operator's status. The caller may give the status from here on; else
-// it is UNKNOWN until the instance registers again.
+// removeOverride removes an operator's status. The instance's status becomes the given status, or
+// UNKNOWN until the instance registers again if the given status is empty.
 func (e *Eureka) removeOverride(instance *EurekaInstance, status string) {
 	e.calls["status"]++
 	instance.Override = ""
@@ -99,7 +99,8 @@
 	e.recordModified(instance)
 }
 
-// addMetadata sets a key for each query parameter. The map is copied, as the delta shares it.
+// addMetadata sets a metadata key for each query parameter. It copies the map, because the delta shares
+// the old one.
 func (e *Eureka) addMetadata(instance *EurekaInstance, query url.Values) {
 	e.calls["metadata"]++
 	instance.Metadata = maps.Clone(instance.Metadata)
@@ -112,7 +113,7 @@
 	e.recordModified(instance)
 }
 
-// serveRegister responds to the registration of an instance of an app.
+// serveRegister responds to the registration of an instance.
 func (e *Eureka) serveRegister(w http.ResponseWriter, r *http.Request, app string) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRegistrationBytes))
 	if err != nil {
@@ -121,7 +122,7 @@
 	}
 	instance, err := decodeInstance(body, isXML(r, body))
 	if err == nil && !strings.EqualFold(instance.App, app) {
-		err = fmt.Errorf("app is %.80q and the path says %.80q", instance.App, app)
+		err = fmt.Errorf("app is %.80q, but the app in the path is %.80q", instance.App, app)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -134,8 +135,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// isXML reports a registration's format: by its Content-Type, or by its first byte where that
-// names neither format.
+// isXML reports whether a registration is XML, by its Content-Type. If the Content-Type names neither
+// XML nor JSON, the first byte of the body decides.
 func isXML(r *http.Request, body []byte) bool {
 	mediaType, _, _ := mime.ParseMediaType(r.Header.Get("Content-Type"))
 	if strings.Contains(mediaType, "xml") {
@@ -144,8 +145,8 @@
 	return !strings.Contains(mediaType, "json") && bytes.HasPrefix(bytes.TrimSpace(body), []byte("<"))
 }
 
-// registerUnlessOutdated registers an instance. Two clients may register under one id: the later
-// registration of the two stays, and the other one renews its lease.
+// registerUnlessOutdated registers an instance. Two clients may register under the same id: the
+// registration with the later LastDirtyMs stays, and an outdated registration only renews its lease.
 func (e *Eureka) registerUnlessOutdated(instance EurekaInstance) {
 	registered := e.instances[instance.ID]
 	if registered != nil && isOutdated(instance, *registered) {
@@ -155,6 +156,7 @@
 	e.register(instance)
 }
 
+// isOutdated reports whether a new registration is older than the registered instance.
 func isOutdated(instance, registered EurekaInstance) bool {
 	return instance.LastDirtyMs != 0 && instance.LastDirtyMs < registered.LastDirtyMs
 }
--- a/internal/peers/eureka_decode.go
+++ b/internal/peers/eureka_decode.go
@@ -10,18 +10,18 @@
 	"strings"
 )
 
-// Errors of a registration; their texts are the response's body.
+// Errors of an invalid registration. Their texts are the body of the response.
 var (
 	errInstanceMissing = errors.New(
-		"an instance is missing: its element, or the key 'instance', is the root")
+		"the root must be the element 'instance', or an object with the key 'instance'")
 	errHostMissing       = errors.New("hostName is missing")
 	errIPMissing         = errors.New("ipAddr is missing")
 	errAppMissing        = errors.New("app is missing")
-	errDataCenterMissing = errors.New("dataCenterInfo is missing, or its name")
+	errDataCenterMissing = errors.New("dataCenterInfo or its name is missing")
 )
 
-// decodeInstance decodes and checks a registration in either format. Unknown fields are ignored; a
-// number may be a string and the other way round.
+// decodeInstance decodes and validates a registration in either format. It ignores unknown fields, and
+// accepts numbers for strings and strings for numbers.
 func decodeInstance(body []byte, asXML bool) (*EurekaInstance, error) {
 	decode := decodeJSON
 	if asXML {
@@ -29,7 +29,7 @@
 	}
 	root, err := decode(body)
 	if err != nil {
-		return nil, fmt.Errorf("the body cannot be read: %w", err)
+		return nil, fmt.Errorf("cannot decode the body: %w", err)
 	}
 	fields := objectOf(root["instance"])
 	if fields == nil {
@@ -43,7 +43,7 @@
 	return instance, nil
 }
 
-// decodeJSON decodes the first value of a body.
+// decodeJSON decodes the first JSON value of a body.
 func decodeJSON(body []byte) (root map[string]any, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.UseNumber()
@@ -51,6 +51,7 @@
 	return root, err
 }
 
+// instanceFromFields returns the instance that a registration's fields describe.
 func instanceFromFields(fields map[string]any) *EurekaInstance {
 	lease := objectOf(fields["leaseInfo"])
 	dataCenter := objectOf(fields["dataCenterInfo"])
@@ -82,7 +83,8 @@
 	}
 }
 
-// overrideOf returns the overridden status under either of its names; the second one has precedence.
+// overrideOf returns the overridden status, which has two possible names. The second name has
+// precedence.
 func overrideOf(fields map[string]any) string {
 	override := ""
 	for _, name := range []string{"overriddenStatus", "overriddenstatus"} {
@@ -93,7 +95,7 @@
 	return override
 }
 
-// metadataOf returns the keys that are neither attributes nor an element's text.
+// metadataOf returns the metadata without attributes (@) and the element's text ($).
 func metadataOf(value any) map[string]string {
 	metadata := make(map[string]string)
 	for key, value := range objectOf(value) {
@@ -104,7 +106,7 @@
 	return metadata
 }
 
-// setDefaults sets the id that older clients leave out, and the status.
+// setDefaults sets the id, which older clients leave out, and the status if they are empty.
 func (i *EurekaInstance) setDefaults() {
 	if i.ID == "" {
 		i.ID = i.Host
@@ -114,7 +116,7 @@
 	}
 }
 
-// validate checks the fields that a registration has to have.
+// validate checks the fields that a registration must have.
 func (i *EurekaInstance) validate() error {
 	switch {
 	case i.Host == "":
@@ -126,12 +128,13 @@
 	case i.DataCenter == "":
 		return errDataCenterMissing
 	case !slices.Contains(eurekaStatuses, i.Status):
-		return fmt.Errorf("status %.40q is none of %s", i.Status, strings.Join(eurekaStatuses, ", "))
+		return fmt.Errorf("status %.40q is invalid: must be one of %s", i.Status, strings.Join(eurekaStatuses, ", "))
 	}
 	return nil
 }
 
-// portOf returns a port and whether it is enabled. enabledByDefault is for a port that does not say.
+// portOf returns a port and whether the port is enabled. enabledByDefault applies if the registration
+// does not contain that.
 func portOf(value any, enabledByDefault bool) (number int, enabled bool) {
 	fields := objectOf(value)
 	if fields == nil {
@@ -142,14 +145,14 @@
 	return int(intOf(fields["$"])), enabled
 }
 
-// objectOf returns an object, or nil for another value.
+// objectOf returns a value that is an object, or nil for any other value.
 func objectOf(value any) map[string]any {
 	object, _ := value.(map[string]any)
 	return object
 }
 
-// stringOf returns a value as a string: an element's text where it has attributes, "" for a list
-// or an absent value.
+// stringOf returns a value as a string: for an element with attributes the element's text, and "" for
+// a list or an absent value.
 func stringOf(value any) string {
 	switch value := value.(type) {
 	case string:
@@ -164,9 +167,10 @@
 	return ""
 }
 
+// upperOf returns a value as a string in upper case.
 func upperOf(value any) string { return strings.ToUpper(stringOf(value)) }
 
-// intOf returns a value as a number: 0 where it is none.
+// intOf returns a value as a number, or 0 if it is not a number.
 func intOf(value any) int64 {
 	number, _ := strconv.ParseInt(strings.TrimSpace(stringOf(value)), 10, 64)
 	return number
--- a/internal/peers/eureka_decode_xml.go
+++ b/internal/peers/eureka_decode_xml.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// maxXMLDepth bounds how deep elements may nest below the root.
+// maxXMLDepth is the maximum nesting depth of elements below the root.
 const maxXMLDepth = 16
 
-var errDocumentType = errors.New("a document type is not taken")
+var errDocumentType = errors.New("a document type is not accepted")
 
-// decodeXML decodes a document into the shape that its JSON has: elements by name, attributes with
-// @, the text of an element that has attributes under $.
+// decodeXML decodes a document into the structure of the equivalent JSON. Elements are keyed by name
+// and attributes by @ and their name. The text of an element with attributes has the key $.
 func decodeXML(document []byte) (map[string]any, error) {
 	decoder := xml.NewDecoder(bytes.NewReader(document))
 	root := make(map[string]any)
@@ -38,11 +38,11 @@
 	}
 }
 
-// decodeElement decodes an element after its start: its text, or an object where it has attributes
-// or elements.
+// decodeElement decodes the rest of an element after its start tag. It returns the element's text, or
+// an object if the element has attributes or child elements.
 func decodeElement(decoder *xml.Decoder, start xml.StartElement, depth int) (any, error) {
 	if depth > maxXMLDepth {
-		return nil, fmt.Errorf("elements stand more than %d deep in one another", maxXMLDepth)
+		return nil, fmt.Errorf("elements are nested more than %d levels deep", maxXMLDepth)
 	}
 	object := make(map[string]any)
 	for _, attribute := range start.Attr {
--- a/internal/peers/eureka_encode.go
+++ b/internal/peers/eureka_encode.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// encode encodes a response with its root element.
+// encode encodes a response with its root element, as JSON or XML.
 func (e *Eureka) encode(root string, fields []eurekaField, asXML bool) []byte {
 	var out bytes.Buffer
 	if asXML {
@@ -20,7 +20,7 @@
 	return out.Bytes()
 }
 
-// writeJSON writes an object.
+// writeJSON writes fields as a JSON object.
 func writeJSON(out *bytes.Buffer, dialect EurekaDialect, fields []eurekaField) {
 	out.WriteByte('{')
 	for i, field := range fields {
@@ -63,11 +63,11 @@
 }
 
 func writeJSONString(out *bytes.Buffer, s string) {
-	encoded, _ := json.Marshal(s) // cannot fail for a string
+	encoded, _ := json.Marshal(s) // never fails for a string
 	out.Write(encoded)
 }
 
-// writeXML writes an element, whose value is a list of fields, a string or an int64.
+// writeXML writes an element. Its value is a list of fields, a string or an int64.
 func writeXML(out *bytes.Buffer, name string, value any) {
 	fields, hasFields := value.([]eurekaField)
 	out.WriteString("<" + name)
@@ -88,7 +88,7 @@
 	out.WriteString("</" + name + ">")
 }
 
-// writeXMLContent writes a field inside its element.
+// writeXMLContent writes a field inside its element, unless the field is an attribute.
 func writeXMLContent(out *bytes.Buffer, field eurekaField) {
 	if list, ok := field.value.(eurekaList); ok {
 		for _, object := range list {
@@ -105,5 +105,5 @@
 }
 
 func writeXMLText(out *bytes.Buffer, value any) {
-	_ = xml.EscapeText(out, fmt.Append(nil, value)) // cannot fail for a buffer
+	_ = xml.EscapeText(out, fmt.Append(nil, value)) // never fails for a buffer
 }
--- a/internal/peers/eureka_fetch.go
+++ b/internal/peers/eureka_fetch.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// wantsXML reports the format of a fetch: JSON where it accepts that, else XML.
+// wantsXML reports whether the response to a fetch is XML: always, unless the request accepts JSON.
 func wantsXML(r *http.Request) bool { return !strings.Contains(r.Header.Get("Accept"), "json") }
 
-// serveFetch responds to a call that reads.
+// serveFetch responds to a GET request.
 func (e *Eureka) serveFetch(w http.ResponseWriter, r *http.Request, parts []string, fault EurekaFault) {
 	asXML := wantsXML(r)
 	body := e.fetch(parts, asXML, fault)
@@ -36,8 +36,8 @@
 	return "application/json"
 }
 
-// writeFetched writes a body, compressed where the client accepts it. Writes fail only where the
-// client has disconnected.
+// writeFetched writes a body, compressed if the client accepts gzip. Writes fail only if the client
+// has disconnected.
 func writeFetched(w http.ResponseWriter, r *http.Request, body []byte) {
 	if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		_, _ = w.Write(body)
@@ -49,8 +49,8 @@
 	_ = compressor.Close()
 }
 
-// fetch returns the body for a path, with the fault injected, and counts the call; nil: there is
-// no such resource.
+// fetch counts the call and returns the body for a path, with the fault injected. It returns nil if
+// there is no such resource.
 func (e *Eureka) fetch(parts []string, asXML bool, fault EurekaFault) []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -78,27 +78,28 @@
 	return body
 }
 
-// fetchKind is a fetch's kind in Calls.
+// fetchKind returns the kind under which Calls counts a fetch.
 func fetchKind(path string) string {
 	if path == allAppsPath || path == deltaPath {
 		return "/" + path
 	}
-	return otherFetchesCalls
+	return otherFetchesKind
 }
 
+// servesCorrectList reports whether a response contains the current list despite a fault.
 func servesCorrectList(fault EurekaFault) bool {
 	return fault == NoFault || fault == Slow || fault == WrongContentType
 }
 
-// eurekaResource is what a path names: instances, and the element around them.
+// eurekaResource is the resource at a path: a selection of instances and their root element.
 type eurekaResource struct {
 	root       string // applications, application or instance
 	isDelta    bool
-	match      func(*EurekaInstance) bool // nil for the delta
-	mayBeEmpty bool                       // else 404 where no instance matches
+	match      func(*EurekaInstance) bool // selects the instances; nil for the delta
+	mayBeEmpty bool                       // if false, the response is 404 when no instance matches
 }
 
-// resourceOf returns the resource of a path; false: there is no such path.
+// resourceOf returns the resource at a path, or false if there is no such path.
 func resourceOf(parts []string) (eurekaResource, bool) {
 	switch path := strings.Join(parts, "/"); {
 	case path == deltaPath:
@@ -117,6 +118,7 @@
 	return eurekaResource{}, false
 }
 
+// resourceByName returns the resource of an app, a VIP, a secure VIP or an instance by its name.
 func resourceByName(kind, name string) (eurekaResource, bool) {
 	switch kind {
 	case "apps":
@@ -135,10 +137,10 @@
 	return eurekaResource{}, false
 }
 
-// listsName reports whether a comma-separated list has a name.
+// listsName reports whether a comma-separated list contains a name.
 func listsName(list, name string) bool { return slices.Contains(strings.Split(list, ","), name) }
 
-// selectInstances returns the instances of a resource with their actions.
+// selectInstances returns the instances of a resource, each with its action.
 func (e *Eureka) selectInstances(resource eurekaResource) []eurekaChange {
 	if resource.isDelta {
 		return e.delta
@@ -152,7 +154,7 @@
 	return selected
 }
 
-// encodeResource encodes what a path names; nil: there is no such resource.
+// encodeResource encodes the resource at a path. It returns nil if there is no such resource.
 func (e *Eureka) encodeResource(parts []string, asXML bool) []byte {
 	resource, ok := resourceOf(parts)
 	if !ok {
--- a/internal/peers/eureka_fields.go
+++ b/internal/peers/eureka_fields.go
@@ -10,25 +10,25 @@
 	"unicode"
 )
 
-// EurekaDialect is how a version of the registry encodes its responses; docs/protocol/eureka.md has
-// the differences.
+// EurekaDialect is the way in which a version of the registry encodes its responses.
+// docs/protocol/eureka.md lists the differences.
 type EurekaDialect int
 
-// The dialects.
+// Dialects of the registry.
 const (
-	Jackson EurekaDialect = iota // servers from 1.4 on
-	XStream                      // earlier servers: numbers as strings, a list of one as its element
+	Jackson EurekaDialect = iota // server version 1.4 and later
+	XStream                      // earlier servers: numbers are strings, and a list with one element is that element
 )
 
-// eurekaField is a named value of a response. JSON and XML are both encoded from a list of fields,
-// so that the two cannot differ in content. A value is a string, an int64, a list of fields, or an
-// eurekaList. A name that begins with @ is an attribute in XML, and $ is the text of its element.
+// eurekaField is a named value of a response. JSON and XML are encoded from the same list of fields,
+// so that their contents cannot differ. A value is a string, an int64, a list of fields, or a
+// eurekaList. In XML, a name that begins with @ is an attribute, and $ is the text of its element.
 type eurekaField struct {
 	name  string
 	value any
 }
 
-// eurekaList is a list of objects under one name: an array in JSON, an element each in XML.
+// eurekaList is a list of objects with one name: an array in JSON, one element per object in XML.
 type eurekaList [][]eurekaField
 
 const (
@@ -38,7 +38,7 @@
 	amazonClass          = "com.netflix.appinfo.AmazonInfo"
 )
 
-// eurekaApplication is an app with its instances, encoded.
+// eurekaApplication is an app with the fields of its instances.
 type eurekaApplication struct {
 	name      string
 	instances eurekaList
@@ -48,7 +48,7 @@
 	return []eurekaField{{"name", a.name}, {"instance", a.instances}}
 }
 
-// applicationsFields is the content of <applications>.
+// applicationsFields returns the content of <applications>.
 func applicationsFields(version any, hash string, applications eurekaList) []eurekaField {
 	return []eurekaField{
 		{"versions__delta", version},
@@ -57,7 +57,7 @@
 	}
 }
 
-// groupByApp groups instances by their app. Apps and instances keep their order.
+// groupByApp groups instances by their app and preserves the order of apps and instances.
 func (e *Eureka) groupByApp(changes []eurekaChange, asXML bool) []*eurekaApplication {
 	var applications []*eurekaApplication
 	byName := make(map[string]*eurekaApplication)
@@ -75,7 +75,7 @@
 	return applications
 }
 
-// encodedVersion is the version of the list: a number in XStream, a string in Jackson.
+// encodedVersion returns the version of the list: a number in XStream, a string in Jackson.
 func (e *Eureka) encodedVersion() any {
 	if e.dialect == XStream {
 		return int64(e.version)
@@ -83,7 +83,7 @@
 	return strconv.Itoa(e.version)
 }
 
-// hash is the hash code of the complete list: each status and its count, sorted by status.
+// hash returns the hash code of the complete list: each status with its count, sorted by status.
 func (e *Eureka) hash() string {
 	if e.fault == WrongHash {
 		return mismatchedHash
@@ -99,7 +99,7 @@
 	return hash.String()
 }
 
-// number encodes a number in a dialect.
+// number returns a number as the dialect encodes it.
 func (d EurekaDialect) number(n int64) any {
 	if d == XStream {
 		return strconv.FormatInt(n, 10)
@@ -107,11 +107,12 @@
 	return n
 }
 
+// port returns the fields of a port.
 func (d EurekaDialect) port(number int, enabled bool) []eurekaField {
 	return []eurekaField{{"$", d.number(int64(number))}, {"@enabled", strconv.FormatBool(enabled)}}
 }
 
-// overrideName is the name of the overridden status.
+// overrideName returns the field name of the overridden status.
 func (d EurekaDialect) overrideName(asXML bool) string {
 	if asXML || d == XStream {
 		return "overriddenstatus"
@@ -119,7 +120,7 @@
 	return "overriddenStatus"
 }
 
-// fields is an instance in a response.
+// fields returns the fields of an instance in a response.
 func (i *EurekaInstance) fields(dialect EurekaDialect, asXML bool, action string) []eurekaField {
 	fields := []eurekaField{
 		{"instanceId", i.ID},
@@ -163,7 +164,7 @@
 	}
 }
 
-// optionalFields are left out where they are empty.
+// optionalFields returns the optional fields that are not empty.
 func (i *EurekaInstance) optionalFields() []eurekaField {
 	fields := []eurekaField{
 		{"appGroupName", i.Group},
@@ -176,9 +177,9 @@
 	return slices.DeleteFunc(fields, func(field eurekaField) bool { return field.value == "" })
 }
 
-// metadataFields is an instance's metadata, sorted by key. Empty metadata is an empty map with its
-// class, as some clients fail on a null there. Keys that cannot name an XML element are in JSON
-// alone.
+// metadataFields returns an instance's metadata, sorted by key. Empty metadata is encoded as an empty
+// map with its class, because some clients fail on null. Keys that are not valid names of XML elements
+// are contained only in JSON.
 func metadataFields(metadata map[string]string, asXML bool) []eurekaField {
 	fields := make([]eurekaField, 0, len(metadata))
 	for _, key := range slices.Sorted(maps.Keys(metadata)) {
@@ -192,7 +193,7 @@
 	return fields
 }
 
-// isXMLName reports whether a key can be an element's name.
+// isXMLName reports whether a key is a valid name of an XML element.
 func isXMLName(key string) bool {
 	for i, r := range key {
 		startsName := unicode.IsLetter(r) || r == '_'
--- a/internal/peers/eureka_instance.go
+++ b/internal/peers/eureka_instance.go
@@ -12,30 +12,30 @@
 	Host          string
 	IP            string
 	Port          int
-	VIP           string // one name, or several with commas
-	Status        string // as the instance reports it
-	Override      string // as an operator has set it; empty or UNKNOWN: not set
+	VIP           string // one name, or several separated by commas
+	Status        string // reported by the instance
+	Override      string // set by an operator; empty or UNKNOWN: not set
 	Metadata      map[string]string
-	LastDirtyMs   int64 // Unix time by the instance's clock; 0 on Register: now
-	LastUpdatedMs int64 // Unix time by the registry's clock
+	LastDirtyMs   int64 // Unix time of the instance's clock; 0 in a call of Register: now
+	LastUpdatedMs int64 // Unix time of the registry's clock
 
 	PortDisabled                      bool // Port is not in use
 	SecurePortEnabled                 bool // SecurePort is in use
-	SecurePort                        int  // 0: 443, as in the published server
+	SecurePort                        int  // 0: 443, the default of the published Eureka server
 	SecureVIP, Group                  string
 	HomePage, StatusPage, HealthCheck string // URLs
 	Country                           int64  // 0: 1
 	DataCenter                        string // empty: MyOwn
 
-	// Of its lease, as the instance reports it; 0: 30 and 90.
+	// Lease settings, reported by the instance. 0 stands for 30 and 90.
 	RenewalIntervalSeconds, LeaseDurationSeconds int64
 
 	renewedAt      time.Time
-	registeredAtMs int64 // Unix time by the registry's clock
-	upSinceMs      int64 // the same; 0: never up
+	registeredAtMs int64 // Unix time of the registry's clock
+	upSinceMs      int64 // Unix time of the registry's clock; 0: never UP
 }
 
-// The statuses of the API.
+// Statuses of an instance in the API.
 const (
 	statusUp           = "UP"
 	statusDown         = "DOWN"
@@ -54,8 +54,8 @@
 	defaultLeaseDurationSeconds   = 90
 )
 
-// effectiveStatus is the status in responses. An operator's override replaces the
-// instance's own status, unless the instance reports that it cannot serve.
+// effectiveStatus returns the status for responses. An operator's override replaces the instance's own
+// status, unless the instance reports that it cannot serve requests.
 func (i *EurekaInstance) effectiveStatus() string {
 	overridden := i.Override != "" && i.Override != statusUnknown
 	canServe := i.Status == statusUp || i.Status == statusOutOfService
@@ -65,4 +65,5 @@
 	return i.Status
 }
 
+// securePort returns the secure port or its default.
 func (i *EurekaInstance) securePort() int { return cmp.Or(i.SecurePort, defaultSecurePort) }
--- a/internal/peers/eureka_leases.go
+++ b/internal/peers/eureka_leases.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// The actions of a change, as a delta has them.
+// Actions of the changes in a delta.
 const (
 	actionAdded    = "ADDED"
 	actionModified = "MODIFIED"
 	actionDeleted  = "DELETED"
 )
 
-// maxExpiredPercent is the share of leases that may expire at once: above it, self-preservation
-// keeps them all.
+// maxExpiredPercent is the maximum share of leases, in percent, that may expire at once. Above this
+// share, self-preservation keeps all instances.
 const maxExpiredPercent = 15
 
-// eurekaChange is a change in the delta, with the instance as it was then.
+// eurekaChange is a change in the delta, with a copy of the instance at the time of the change.
 type eurekaChange struct {
 	at       time.Time
 	action   string
 	instance EurekaInstance
 }
 
-// nowMs is the Unix time by the registry's clock.
+// nowMs returns the Unix time of the registry's clock in milliseconds.
 func (e *Eureka) nowMs() int64 { return time.Now().Add(e.clockSkew).UnixMilli() }
 
-// Register adds an instance or replaces the one of its id, as the instance's own call does. An
-// override stays, unless the instance brings another one.
+// Register adds an instance or replaces the instance with the same id, like a registration over HTTP.
+// The previous override stays unless the new instance has an override.
 func (e *Eureka) Register(instance EurekaInstance) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.register(instance)
 }
 
+// register does the work of Register. The caller must hold e.mu.
 func (e *Eureka) register(instance EurekaInstance) {
 	previous := e.instances[instance.ID]
 	if previous == nil {
@@ -50,7 +51,8 @@
 	e.recordChange(actionAdded, &instance)
 }
 
-// setTimes sets a registration's times; previous is the instance that it replaces, or nil.
+// setTimes sets the times of a registration. previous is the instance that the registration replaces,
+// or nil.
 func (e *Eureka) setTimes(instance, previous *EurekaInstance) {
 	setLastDirty(instance, previous)
 	instance.LastUpdatedMs = e.nowMs()
@@ -66,7 +68,8 @@
 	}
 }
 
-// setLastDirty sets the time of a registration that brings none, later than the previous one's.
+// setLastDirty sets LastDirtyMs of a registration without one, to a time later than the previous
+// registration's.
 func setLastDirty(instance, previous *EurekaInstance) {
 	if instance.LastDirtyMs != 0 {
 		return
@@ -77,19 +80,20 @@
 	}
 }
 
-// recordChange adds a change to the delta.
+// recordChange increments the list's version and adds a change to the delta.
 func (e *Eureka) recordChange(action string, instance *EurekaInstance) {
 	e.version++
 	e.delta = append(e.delta, eurekaChange{time.Now(), action, *instance})
 }
 
-// recordModified records the change of a registered instance.
+// recordModified records that a registered instance was modified.
 func (e *Eureka) recordModified(instance *EurekaInstance) {
 	instance.LastUpdatedMs = max(e.nowMs(), instance.LastUpdatedMs+1)
 	e.recordChange(actionModified, instance)
 }
 
-// Override sets an operator's status; "" removes it. It returns false where the id is not known.
+// Override sets an operator's status for an instance; "" removes it. It returns false if the id is
+// unknown.
 func (e *Eureka) Override(id, status string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,13 +106,14 @@
 	return true
 }
 
-// Cancel removes an instance. It returns false where the id is not known.
+// Cancel removes an instance. It returns false if the id is unknown.
 func (e *Eureka) Cancel(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cancel(id)
 }
 
+// cancel does the work of Cancel. The caller must hold e.mu.
 func (e *Eureka) cancel(id string) bool {
 	instance := e.instances[id]
 	if instance == nil {
@@ -121,8 +126,9 @@
 	return true
 }
 
-// evict removes old changes from the delta, and instances whose lease has expired. It removes no
-// instance while more than maxExpiredPercent of them have expired (self-preservation).
+// evict removes old changes from the delta, and instances whose lease has expired. If there is more
+// than one instance and more than maxExpiredPercent of the leases have expired, evict removes no
+// instance (self-preservation).
 func (e *Eureka) evict() {
 	e.pruneDelta()
 	if e.leaseDuration == 0 {
@@ -138,6 +144,7 @@
 	}
 }
 
+// pruneDelta removes the changes that are older than deltaRetention.
 func (e *Eureka) pruneDelta() {
 	oldest := time.Now().Add(-deltaRetention)
 	e.delta = slices.DeleteFunc(e.delta, func(change eurekaChange) bool { return change.at.Before(oldest) })
--- a/internal/peers/eureka_serve.go
+++ b/internal/peers/eureka_serve.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// serve handles one request of the API.
+// serve evicts expired instances, injects the fault and responds to one request.
 func (e *Eureka) serve(w http.ResponseWriter, r *http.Request) {
 	parts, ok := eurekaPath(r.URL)
 	if !ok {
@@ -27,7 +27,7 @@
 	case ServerError:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
-	default: // the others concern fetches alone
+	default: // the other faults apply only to fetches
 	}
 	if r.Method == http.MethodGet {
 		e.serveFetch(w, r, parts, fault)
@@ -36,8 +36,8 @@
 	e.serveChange(w, r, parts)
 }
 
-// eurekaPath returns the parts of a path below the base, which differs by server: /eureka/v2,
-// /eureka or /v2. false: the path has none of them.
+// eurekaPath returns the segments of a path below the base. The base differs between servers:
+// /eureka/v2, /eureka or /v2. eurekaPath returns false if the path has none of these bases.
 func eurekaPath(location *url.URL) (parts []string, ok bool) {
 	path, hasEureka := strings.CutPrefix(location.EscapedPath(), "/eureka")
 	path, hasV2 := strings.CutPrefix(path, "/v2")
--- a/internal/peers/eureka_test.go
+++ b/internal/peers/eureka_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// TestEurekaAPI checks each call, and that the calls are those of docs/protocol/eureka.md.
+// TestEurekaAPI checks the response to each call, and that the tested calls and the rows of
+// docs/protocol/eureka.md are the same. The test guards against a stand-in that differs from its page.
 func TestEurekaAPI(t *testing.T) {
 	registry := startEureka(t)
 	tested := make(map[string]bool)
@@ -22,18 +23,19 @@
 		unwanted, inverted := strings.CutPrefix(test.want, "-")
 		matches := strings.Contains(body, unwanted) != inverted
 		if status != test.status || !matches {
-			t.Errorf("%s: %s: %d %.600s; want %d %s", test.name, test.call, status, body, test.status, test.want)
+			t.Errorf("%s: %s: got status %d, body %.600s; want status %d, body with %s",
+				test.name, test.call, status, body, test.status, test.want)
 		}
 	}
 	documented := documentedCalls(t)
 	for name := range documented {
 		if !tested[name] {
-			t.Errorf("the page's row %q has no test", name)
+			t.Errorf("docs/protocol/eureka.md has row %q, which has no test", name)
 		}
 	}
 	for name := range tested {
 		if !documented[name] {
-			t.Errorf("the page has no row %q", name)
+			t.Errorf("docs/protocol/eureka.md has no row %q, which is tested", name)
 		}
 	}
 }
@@ -48,7 +50,7 @@
 	return registry
 }
 
-// callURL resolves a path: one that begins with / has its own base.
+// callURL returns the URL of a call. A path that begins with / contains its own base.
 func callURL(registry *Eureka, path string) string {
 	if strings.HasPrefix(path, "/") {
 		return strings.TrimSuffix(registry.URL(), eurekaV2Path) + path
@@ -56,7 +58,8 @@
 	return registry.URL() + "/" + path
 }
 
-// documentedCalls returns the names in the first column of the page's table of calls.
+// documentedCalls returns the names in the first column of the table of calls in
+// docs/protocol/eureka.md.
 func documentedCalls(t *testing.T) map[string]bool {
 	t.Helper()
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "protocol", "eureka.md"))
@@ -72,13 +75,14 @@
 			continue
 		}
 		if names[name] {
-			t.Errorf("the page has row %q twice", name)
+			t.Errorf("docs/protocol/eureka.md has row %q twice, want once", name)
 		}
 		names[name] = true
 	}
 	return names
 }
 
+// callEureka sends a request to the registry and returns the status and the body of the response.
 func callEureka(t *testing.T, method, url, format, body string) (status int, response string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -101,7 +105,7 @@
 	return result.StatusCode, string(text)
 }
 
-// registerPort registers r1 with a port and a lastDirtyTimestamp.
+// registerPort registers instance r1 with a port and a lastDirtyTimestamp.
 func registerPort(t *testing.T, registry *Eureka, port, lastDirtyMs string) {
 	t.Helper()
 	replacer := strings.NewReplacer(":1234", ":"+port, `"50"`, `"`+lastDirtyMs+`"`)
@@ -112,13 +116,15 @@
 	}
 }
 
+// renewR1 renews the lease of instance r1 and returns the status of the response.
 func renewR1(t *testing.T, registry *Eureka) (status int) {
 	t.Helper()
 	status, _ = callEureka(t, http.MethodPut, registry.URL()+"/apps/RECORDS/r1", "json", "")
 	return status
 }
 
-// Two clients under one id share one entry, which the later registration of the two sets.
+// Two clients that register under the same id share one entry. The registration with the later
+// lastDirtyTimestamp determines the entry, even if the other registration arrives after it.
 func TestEurekaTwoClientsUnderOneID(t *testing.T) {
 	registry := startEureka(t)
 	registerPort(t, registry, "1111", "60")
@@ -126,21 +132,21 @@
 	registerPort(t, registry, "1111", "61")
 	instance, _ := registry.Instance("r1")
 	if instance.Port != 1111 || instance.LastDirtyMs != 61 || registry.Calls("register") != 3 {
-		t.Errorf("two under one id: %+v", instance)
+		t.Errorf("two clients under one id: got %+v, want port 1111, LastDirtyMs 61 and 3 registrations", instance)
 	}
 }
 
-// The renewal of an evicted instance fails until the instance has registered again.
+// The renewal of an evicted instance fails with 404 until the instance has registered again.
 func TestEurekaRenewalAfterEviction(t *testing.T) {
 	registry := startEureka(t)
 	registerPort(t, registry, "1111", "61")
 	registry.SetLeaseDuration(time.Nanosecond)
 	if status := renewR1(t, registry); status != http.StatusNotFound {
-		t.Errorf("renewed after its eviction: %d", status)
+		t.Errorf("renewal after the eviction: got status %d, want 404", status)
 	}
 	registry.SetLeaseDuration(time.Hour)
 	registerPort(t, registry, "1111", "61")
 	if status := renewR1(t, registry); status != http.StatusOK {
-		t.Errorf("renewed after registering anew: %d", status)
+		t.Errorf("renewal after registering again: got status %d, want 200", status)
 	}
 }
--- a/internal/peers/ledger.go
+++ b/internal/peers/ledger.go
@@ -8,17 +8,18 @@
 )
 
 // Ledger records which requests reached upstreams and which of their effects were executed.
-// It is safe for concurrent use and grows with each request.
+// Ledger is safe for concurrent use. Its memory grows with each request.
 type Ledger struct {
 	keepTimes bool
 
 	mu           sync.Mutex
-	attempts     map[string]int // requests read to their end by an upstream, by id
-	executions   map[string]int // executed effects, by id or, for a keyed request, by key
-	attemptTimes map[string][]time.Time
+	attempts     map[string]int         // by request id; requests that an upstream read completely
+	executions   map[string]int         // executed effects, by request id or idempotency key
+	attemptTimes map[string][]time.Time // by upstream, if keepTimes
 }
 
-// NewLedger makes an empty ledger. With keepTimes it also keeps the time of each attempt by upstream.
+// NewLedger returns an empty ledger. If keepTimes is set, the ledger also keeps the time of each attempt
+// by upstream.
 func NewLedger(keepTimes bool) *Ledger {
 	return &Ledger{
 		keepTimes:    keepTimes,
@@ -28,7 +29,8 @@
 	}
 }
 
-// recordAttempt records that a request reached an upstream and returns its attempts so far.
+// recordAttempt records that a request reached an upstream and returns the request's number of
+// attempts so far.
 func (l *Ledger) recordAttempt(upstream, id string, at time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,9 +41,9 @@
 	return l.attempts[id]
 }
 
-// recordExecution records that an upstream executed a request's effect. Upstreams share the
-// idempotency keys that they have seen, as in the deduplication scope 'all': the repeat of a key
-// has no effect.
+// recordExecution records that an upstream executed a request's effect. All upstreams share the
+// idempotency keys, as in the deduplication scope 'all', so a request that repeats a key has no
+// further effect.
 func (l *Ledger) recordExecution(call Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,36 +54,36 @@
 	l.executions["key "+call.IdempotencyKey] = 1
 }
 
-// Attempts returns how often a request reached an upstream.
+// Attempts returns how many times a request reached an upstream.
 func (l *Ledger) Attempts(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.attempts[id]
 }
 
-// Executions returns how often the effect of a request without an idempotency key was executed.
+// Executions returns how many times the effect of a request without an idempotency key was executed.
 func (l *Ledger) Executions(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.executions[id]
 }
 
-// ExecutedTwice describes, in no order, the requests that were executed more than once although
-// notIdempotent says that they must not be.
+// ExecutedTwice describes, in no particular order, the requests that were executed more than once
+// and for whose id notIdempotent returns true.
 func (l *Ledger) ExecutedTwice(notIdempotent func(id string) bool) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var descriptions []string
 	for id, count := range l.executions {
 		if count > 1 && notIdempotent(id) {
-			descriptions = append(descriptions, fmt.Sprintf("%s ran %d times", id, count))
+			descriptions = append(descriptions, fmt.Sprintf("%s was executed %d times", id, count))
 		}
 	}
 	return descriptions
 }
 
-// AttemptTimes returns when requests reached an upstream, in order of arrival; none without
-// NewLedger's keepTimes.
+// AttemptTimes returns the times at which requests reached an upstream, in order of arrival. The
+// result is empty unless NewLedger was called with keepTimes.
 func (l *Ledger) AttemptTimes(upstream string) []time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/peers/listen.go
+++ b/internal/peers/listen.go
@@ -5,17 +5,17 @@
 	"net"
 )
 
-// loopbackAddr is a free port of the loopback interface.
+// loopbackAddr makes a listener use a free port of the loopback interface.
 const loopbackAddr = "127.0.0.1:0"
 
-// listen opens a TCP listener, which lasts until it is closed.
+// listen opens a TCP listener.
 func listen(addr string) (net.Listener, error) {
 	return new(net.ListenConfig).Listen(context.Background(), "tcp", addr)
 }
 
-// resetOnClose makes a connection's Close reset it instead of ending it in order.
+// resetOnClose makes Close reset the connection (RST) instead of closing it gracefully.
 func resetOnClose(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only where the connection has ended already
+		_ = tcp.SetLinger(0) // fails only if the connection has already ended
 	}
 }
--- a/internal/peers/open_loop.go
+++ b/internal/peers/open_loop.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// OpenLoop starts requests at set times, independent of when earlier ones complete: load that
-// waited for responses would fall with the speed of what it measures.
+// OpenLoop starts requests at scheduled times, whether or not earlier requests have completed. If
+// the load waited for responses, a slower system under test would receive less load.
 //
-// next returns request i's time, from start on, or false after the last one. do starts request i
-// and must not block; due is when it should have started, from which its latency counts.
-// OpenLoop returns after the last request was started or when ctx ends.
+// next returns the time of request i relative to start, or false after the last request. do starts
+// request i and must not block; due is the request's scheduled time, from which its latency is
+// measured. OpenLoop returns after the last request was started or when ctx ends.
 func OpenLoop(
 	ctx context.Context,
 	start time.Time,
--- a/internal/peers/peertest/call.go
+++ b/internal/peers/peertest/call.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// Call is a client's request. Zero values but of Class stand for the defaults below.
+// Call is a client's request. Zero values of all fields except Class stand for defaults.
 type Call struct {
 	Class   string // read, keyed or once
 	Timeout string // seconds; default 4.5
 	ID      string // default: the test's name
 	Body    string
-	Header  http.Header // replaces the other fields; a nil value removes a field
+	Header  http.Header // replaces the header fields set by the other fields; a nil value removes a header field
 }
 
-// methodOfClass is the HTTP method of a request by its class.
+// methodOfClass contains the HTTP method for requests of each class.
 var methodOfClass = map[string]string{
 	"read":  http.MethodGet,
 	"keyed": http.MethodPost,
@@ -30,7 +30,7 @@
 	idempotencyKey = "5c0f6e1a"
 )
 
-// Request returns the call as a request to an address.
+// Request returns the call as an HTTP request to an address.
 func (c Call) Request(t testing.TB, addr string) *http.Request {
 	t.Helper()
 	url := "http://" + addr + callPath
@@ -43,6 +43,7 @@
 	return request
 }
 
+// header returns the header fields of the call.
 func (c Call) header(t testing.TB) http.Header {
 	if c.Timeout == "" {
 		c.Timeout = defaultTimeout
@@ -69,21 +70,21 @@
 	return header
 }
 
-// Result is what a client got for a request.
+// Result is what a client received for a request.
 type Result struct {
 	Status int
 	Header http.Header
-	Body   string // as far as it came
-	Err    error  // no response, or not to its end
+	Body   string // the part of the body that was received
+	Err    error  // set if no complete response was received
 }
 
-// Do sends the call on a connection of its own and blocks until its response.
+// Do sends the call on a new connection and blocks until the response arrives.
 func (c Call) Do(t testing.TB, addr string) Result {
 	t.Helper()
 	return RoundTrip(c.Request(t, addr))
 }
 
-// Start sends the call on a connection of its own; the channel gets its result.
+// Start sends the call on a new connection, in a goroutine. The result is sent to the channel.
 func (c Call) Start(t testing.TB, addr string) <-chan Result {
 	t.Helper()
 	request := c.Request(t, addr)
@@ -92,7 +93,7 @@
 	return done
 }
 
-// RoundTrip sends a request on a connection of its own and blocks until its response.
+// RoundTrip sends a request on a new connection and blocks until the response arrives.
 func RoundTrip(request *http.Request) Result {
 	transport := &http.Transport{DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
--- a/internal/peers/peertest/discovery.go
+++ b/internal/peers/peertest/discovery.go
@@ -11,27 +11,27 @@
 // listPath is the path of the platform's endpoint list.
 const listPath = "/registry/instances"
 
-// discoveryChannelSize is the buffer of a Discovery's channels.
+// discoveryChannelSize is the buffer size of a Discovery's channels.
 const discoveryChannelSize = 10
 
-// Discovery is a discovery of the platform's whose responses the test writes.
+// Discovery is a stand-in for the platform's discovery whose responses the test writes.
 type Discovery struct {
 	Addr          string
 	Watches       chan *Watch
-	ListResponses chan string // bodies for calls of the complete list, one each, in order
-	ListRequests  chan string // the query of each call of the complete list
+	ListResponses chan string // bodies of the responses to requests for the complete list, in order
+	ListRequests  chan string // the query of each request for the complete list
 }
 
-// Watch is a watch request that is open. The test writes to it until it closes Lines or the client
+// Watch is an open watch request. The test writes the response until it closes Lines or the client
 // disconnects.
 type Watch struct {
-	From  string        // the query's from
-	Lines chan string   // written with a line break
-	Bytes chan string   // written as they are
+	From  string        // the query parameter 'from'
+	Lines chan string   // each value is written with a line break
+	Bytes chan string   // each value is written unchanged
 	Ended chan struct{} // closed when the response has ended
 }
 
-// NewDiscovery starts a discovery on a free loopback port.
+// NewDiscovery starts a discovery on a free loopback port. It is closed at the end of the test.
 func NewDiscovery(t testing.TB) *Discovery {
 	t.Helper()
 	listener := Listen(t)
@@ -59,7 +59,7 @@
 	d.ListRequests <- r.URL.RawQuery
 	select {
 	case text := <-d.ListResponses:
-		_, _ = io.WriteString(w, text) // fails only where the client has disconnected
+		_, _ = io.WriteString(w, text) // fails only if the client has disconnected
 	case <-r.Context().Done():
 	}
 }
@@ -80,12 +80,12 @@
 		if !ok {
 			return
 		}
-		_, _ = io.WriteString(w, text) // a disconnected client ends r's context
+		_, _ = io.WriteString(w, text) // if the client has disconnected, r's context ends
 		w.(http.Flusher).Flush()
 	}
 }
 
-// next returns what to write; false: the watch has ended.
+// next returns the next text to write, or false if the watch has ended.
 func (w *Watch) next(r *http.Request) (text string, ok bool) {
 	select {
 	case line, open := <-w.Lines:
@@ -97,13 +97,14 @@
 	}
 }
 
-// HostText returns an entry of the platform's list. startedAtMs is Unix time.
+// HostText returns an entry of the platform's endpoint list as JSON. startedAtMs is Unix time in
+// milliseconds.
 func HostText(name, addr, health string, startedAtMs int64) string {
 	const entry = `{"host":%q,"dial":%q,"site":"a","block":3,"health":%q,"share":1.0,"born_ms":%d}`
 	return fmt.Sprintf(entry, name, addr, health, startedAtMs)
 }
 
-// ListText returns an update of the platform's with these entries.
+// ListText returns an update of the platform's endpoint list as JSON, with the given entries.
 func ListText(version int, complete bool, entries ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, complete, strings.Join(entries, ","))
 }
--- a/internal/peers/peertest/eureka.go
+++ b/internal/peers/peertest/eureka.go
@@ -6,8 +6,8 @@
 	"mothridge/internal/peers"
 )
 
-// NewEureka starts a stand-in Eureka registry on a loopback port of its own. It is closed at
-// the end of the test.
+// NewEureka starts a stand-in Eureka registry on a free loopback port. It is closed at the end of
+// the test.
 func NewEureka(t testing.TB) *peers.Eureka {
 	t.Helper()
 	registry, err := peers.StartEureka("")
--- a/internal/peers/peertest/peertest.go
+++ b/internal/peers/peertest/peertest.go
@@ -1,8 +1,8 @@
-// Package peertest has helpers for tests on real sockets: an upstream and a discovery whose
-// responses the test writes byte by byte, a listener that accepts no connection, and a client's
-// requests. Package peers has stand-ins that respond by themselves.
+// Package peertest provides helpers for tests on real sockets: an upstream and a discovery whose
+// responses the test writes byte by byte, a listener that accepts no connection, and client
+// requests. Package peers provides stand-ins that generate their responses.
 //
-// The goroutines of its servers end with the test.
+// The goroutines of the servers end with the test.
 package peertest
 
 import (
@@ -13,33 +13,33 @@
 	"time"
 )
 
-// WaitTimeout is how long a test waits for an event before it fails.
+// WaitTimeout is the time that a test waits for an event before it fails.
 const WaitTimeout = 10 * time.Second
 
-// pollInterval is how often Until checks its condition.
+// pollInterval is the interval at which Until checks its condition.
 const pollInterval = time.Millisecond
 
-// Await returns the next value of a channel. It fails the test after WaitTimeout; what names the
-// event for the message.
+// Await returns the next value of a channel, and fails the test after WaitTimeout. what names the
+// awaited event in the failure message.
 func Await[T any](t testing.TB, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case value := <-c:
 		return value
 	case <-time.After(WaitTimeout):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// Until blocks until a condition holds. It fails the test after WaitTimeout; what names the
-// condition for the message.
+// Until blocks until a condition holds, and fails the test after WaitTimeout. what names the condition
+// in the failure message.
 func Until(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(WaitTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(pollInterval)
 	}
@@ -56,11 +56,11 @@
 	return listener
 }
 
-// ValidJSON returns a text that is JSON and fails the test for another one.
+// ValidJSON returns text unchanged, and fails the test if text is not valid JSON.
 func ValidJSON(t testing.TB, text string) string {
 	t.Helper()
 	if !json.Valid([]byte(text)) {
-		t.Fatalf("not JSON: %s", text)
+		t.Fatalf("invalid JSON: %s", text)
 	}
 	return text
 }
--- a/internal/peers/peertest/stalled_listener.go
+++ b/internal/peers/peertest/stalled_listener.go
@@ -9,16 +9,17 @@
 	"testing"
 )
 
-// StalledListener is an address at which connections are not established before Admit. One
+// StalledListener is an address at which no connection is established before Admit is called. A
 // connection that is not accepted fills the listener's backlog, so that the kernel drops the SYN of
-// further ones; their clients retransmit it 1 s and 3 s after they began.
+// every further connection. Clients retransmit the SYN 1 s and 3 s after their first attempt.
 type StalledListener struct {
 	Addr   string
 	fd     int
-	filler net.Conn // fills the backlog
+	filler net.Conn // the connection that fills the backlog
 }
 
-// NewStalledListener opens one on a free loopback port. It is closed at the end of the test.
+// NewStalledListener opens a stalled listener on a free loopback port. It is closed at the end of the
+// test.
 func NewStalledListener(t testing.TB) *StalledListener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -37,7 +38,8 @@
 	return s
 }
 
-// listenWithoutBacklog listens on a free loopback port with the smallest backlog, of one connection.
+// listenWithoutBacklog listens on a free loopback port with the smallest possible backlog, which holds
+// one connection.
 func listenWithoutBacklog(fd int) (addr string, err error) {
 	loopback := &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}
 	if err := errors.Join(syscall.Bind(fd, loopback), syscall.Listen(fd, 0)); err != nil {
@@ -50,8 +52,9 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port), nil
 }
 
-// Admit lets the next connection be established. It returns the requests that are received on it;
-// each is responded to with 200. A goroutine serves the connection until its client closes it.
+// Admit allows the next connection to be established, and returns the channel of the requests received
+// on that connection. Each request gets a response with status 200. A goroutine serves the connection
+// until its client closes it.
 func (s *StalledListener) Admit(t testing.TB) <-chan Received {
 	t.Helper()
 	fillerFD, _, err := syscall.Accept(s.fd)
@@ -67,6 +70,7 @@
 	return upstream.Requests
 }
 
+// serveNext accepts the next connection and serves its requests.
 func (s *StalledListener) serveNext(upstream *Upstream) {
 	fd, _, err := syscall.Accept(s.fd)
 	if err != nil {
--- a/internal/peers/peertest/upstream.go
+++ b/internal/peers/peertest/upstream.go
@@ -9,39 +9,42 @@
 	"testing"
 )
 
-// channelSize is the buffer of an Upstream's channels, so that a test may leave some of them unread.
+// channelSize is the buffer size of an Upstream's channels. The buffers allow a test to leave channels
+// unread.
 const channelSize = 100
 
-// Received is a request that an Upstream read.
+// Received is a request that an Upstream has read.
 type Received struct {
 	*http.Request
 	Text string   // the body
-	Conn net.Conn // on which it was received
+	Conn net.Conn // the connection on which the request was received
 }
 
-// Upstream is an upstream that speaks raw HTTP: it passes each request to the test and writes what
-// its Respond returns. One goroutine accepts connections and starts one for each of them.
+// Upstream is an upstream that writes raw HTTP: it passes each request to the test and writes the bytes
+// that its Respond returns. One goroutine accepts connections and starts a goroutine for each
+// connection.
 type Upstream struct {
 	Addr     string
 	Requests chan Received
 	Accepted chan net.Conn
-	Closed   chan net.Conn // connections that the other side has closed, or that carried no HTTP
+	Closed   chan net.Conn // connections that the other side closed, or that received invalid HTTP
 }
 
-// Respond returns the bytes to write for a request, and whether to close the connection afterwards.
+// Respond returns the bytes to write for a request, and whether to close the connection after writing
+// them.
 type Respond func(request Received) (text string, closeConn bool)
 
-// Answer200 returns a response with status 200 and a body.
+// Answer200 returns an HTTP/1.1 response with status 200 and a body.
 func Answer200(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Always writes the same bytes for each request and keeps the connection.
+// Always returns a Respond that writes the same bytes for each request and keeps the connection open.
 func Always(text string) Respond {
 	return func(Received) (string, bool) { return text, false }
 }
 
-// NewUpstream starts an upstream on a free loopback port.
+// NewUpstream starts an upstream on a free loopback port. It stops at the end of the test.
 func NewUpstream(t testing.TB, respond Respond) *Upstream {
 	t.Helper()
 	listener := Listen(t)
@@ -67,7 +70,7 @@
 	}
 }
 
-// serve reads one request after the other from a connection.
+// serve responds to the requests of a connection one after the other.
 func (u *Upstream) serve(conn net.Conn, respond Respond) {
 	reader := bufio.NewReader(conn)
 	for {
@@ -76,11 +79,11 @@
 			u.Closed <- conn
 			return
 		}
-		body, _ := io.ReadAll(request.Body) // a body that ends early is passed as far as it came
+		body, _ := io.ReadAll(request.Body) // if the body ends early, the test receives the part that was read
 		received := Received{request, string(body), conn}
 		u.Requests <- received
 		text, closeConn := respond(received)
-		_, _ = io.WriteString(conn, text) // a broken connection fails the next read
+		_, _ = io.WriteString(conn, text) // if the write fails, the next read fails too
 		if closeConn {
 			conn.Close()
 			return
--- a/internal/peers/script.go
+++ b/internal/peers/script.go
@@ -2,65 +2,68 @@
 
 import "time"
 
-// Protocol is what clients and upstreams speak.
+// Protocol is the protocol that clients and upstreams use.
 type Protocol string
 
-// The protocols.
+// Protocols of clients and upstreams.
 const (
 	HTTP Protocol = "http"        // HTTP/1.1
 	RPC  Protocol = "msgpack-rpc" // MessagePack-RPC
 )
 
-// Call is a request, as a client sends it and an upstream reads it.
+// Call is a request. Clients send it and upstreams read it.
 type Call struct {
 	ID             string
 	Class          string
 	Tenant         string
 	IdempotencyKey string
-	NotIdempotent  bool          // in HTTP: POST without a key
+	NotIdempotent  bool          // in HTTP: a POST without an idempotency key
 	Timeout        time.Duration // time left until the client's deadline
 	Body           []byte
-	Fields         map[string]string // a client's further header fields
-	ClientRetry    bool              // a client's own retry
+	Fields         map[string]string // additional header fields that a client sends
+	ClientRetry    bool              // the client marks the request as its own retry
 
-	// Attempt is set at an upstream with a ledger: how often the request has reached one, from 1.
+	// Attempt is set by an upstream with a ledger: the number of times that the request has reached
+	// an upstream, from 1.
 	Attempt int
-	// Field is set at an upstream. It returns a header field's value: the first one in HTTP,
-	// all of them joined by commas in MessagePack-RPC, "" where there is none.
+	// Field is set by an upstream. It returns the value of a header field: in HTTP the first value,
+	// in MessagePack-RPC all values joined by commas, and "" if the field is absent.
 	Field func(name string) string
 }
 
-// ResponseAction is what an upstream does with a request.
+// ResponseAction is how an upstream responds to a request.
 type ResponseAction int
 
-// The response actions. Each but Reject executes the request's effect.
+// Response actions. All of them except Reject execute the request's effect.
 const (
 	Serve       ResponseAction = iota // respond with success
 	Error                             // respond that the request failed
-	Reject                            // respond that it was not started; no effect
+	Reject                            // respond that the request was not started; its effect is not executed
 	Hang                              // do not respond
 	Reset                             // reset the connection
-	Truncate                          // end the connection after TruncateAt bytes of the response
+	Truncate                          // close the connection after TruncateAt bytes of the response
 	Duplicate                         // respond twice
-	Malformed                         // respond with bytes that are no message of the protocol
-	Unsolicited                       // respond, and also to a request that does not exist
+	Malformed                         // respond with bytes that are not a message of the protocol
+	Unsolicited                       // respond, and also write a response to no request
 )
 
-// Response is what a script decides for a request. The zero value serves it at once.
+// Response is what a script decides for a request. The zero value serves the request immediately.
 type Response struct {
 	Action     ResponseAction
-	Delay      time.Duration // before the response
-	Body       []byte        // nil: the request's id
-	TruncateAt int           // Truncate: bytes of the response that are written
+	Delay      time.Duration // time before the response
+	Body       []byte        // response body; nil: the request's id
+	TruncateAt int           // for Truncate: number of bytes of the response to write
 
-	// Wait, if set, blocks and returns the action: after Delay in HTTP, instead of it in
-	// MessagePack-RPC. It must return once cancelled is closed. In HTTP that is when the upstream
-	// closes; in MessagePack-RPC when the request is cancelled, and not when its connection ends.
+	// Wait, if set, blocks and returns the action. In HTTP, Wait runs after Delay; in MessagePack-RPC
+	// it replaces Delay. Wait must return once cancelled is closed. In HTTP, cancelled is closed when
+	// the upstream closes; in MessagePack-RPC, when the request is cancelled, but not when its
+	// connection ends.
 	Wait func(cancelled <-chan struct{}) ResponseAction
 }
 
-// Script decides how an upstream responds. It is called from each connection's goroutine.
+// Script decides how an upstream responds to a request. Each connection's goroutine calls it, so it
+// must be safe for concurrent use.
 type Script func(Call) Response
 
-// ServeAll is a script that serves each request at once.
+// ServeAll is a script that serves each request immediately.
 func ServeAll(Call) Response { return Response{} }
--- a/internal/peers/upstream.go
+++ b/internal/peers/upstream.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// Upstream is a stand-in for an upstream that responds by a script. It is safe for concurrent use.
+// Upstream is a stand-in for an upstream whose script decides its responses. Upstream is safe for
+// concurrent use.
 //
-// One goroutine accepts connections and starts one for each of them; with MessagePack-RPC a
-// connection starts one for each request that is not responded to at once. Close ends all of them
-// and waits for them.
+// One goroutine accepts connections and starts a goroutine for each connection. With MessagePack-RPC,
+// a connection also starts a goroutine for each request that gets no immediate response. Close ends
+// all goroutines and waits for them.
 type Upstream struct {
-	Name      string // in the ledger
-	ledger    *Ledger
+	Name      string  // in the ledger
+	ledger    *Ledger // nil: nothing is recorded
 	listener  net.Listener
 	serveConn func(net.Conn)
 	script    atomic.Pointer[Script]
@@ -30,12 +31,12 @@
 	ignoreCancels                       atomic.Bool
 }
 
-// StartUpstream starts an upstream on a free loopback port. Without a ledger nothing is recorded.
+// StartUpstream starts an upstream on a free loopback port. If ledger is nil, nothing is recorded.
 func StartUpstream(protocol Protocol, name string, ledger *Ledger, script Script) (*Upstream, error) {
 	return StartUpstreamAt(loopbackAddr, protocol, name, ledger, script)
 }
 
-// StartUpstreamAt starts an upstream at an address, as StartUpstream does.
+// StartUpstreamAt starts an upstream like StartUpstream, at an address.
 func StartUpstreamAt(addr string, protocol Protocol, name string, ledger *Ledger, script Script) (*Upstream, error) {
 	listener, err := listen(addr)
 	if err != nil {
@@ -58,28 +59,28 @@
 	return u, nil
 }
 
-// SetScript changes the script for the requests that arrive from now on.
+// SetScript sets the script for requests that arrive after the call.
 func (u *Upstream) SetScript(script Script) { u.script.Store(&script) }
 
-// IgnoreCancels makes a MessagePack-RPC upstream go on with cancelled requests.
+// IgnoreCancels sets whether a MessagePack-RPC upstream continues to process cancelled requests.
 func (u *Upstream) IgnoreCancels(ignore bool) { u.ignoreCancels.Store(ignore) }
 
-// Addr returns the address that it listens at.
+// Addr returns the address that the upstream listens on.
 func (u *Upstream) Addr() string { return u.listener.Addr().String() }
 
-// Accepted returns how many connections it accepted.
+// Accepted returns how many connections the upstream has accepted.
 func (u *Upstream) Accepted() int64 { return u.accepted.Load() }
 
-// InFlight returns how many requests have arrived and not been responded to.
+// InFlight returns how many requests have arrived and have no response yet.
 func (u *Upstream) InFlight() int64 { return u.inFlight.Load() }
 
-// Cancels returns how many cancel notifications arrived.
+// Cancels returns how many cancel notifications the upstream has received.
 func (u *Upstream) Cancels() int64 { return u.cancels.Load() }
 
-// Served returns how many requests it responded to with success.
+// Served returns how many requests the upstream has responded to with success.
 func (u *Upstream) Served() int64 { return u.served.Load() }
 
-// ResetConnections resets the connections that are open. It goes on accepting new ones.
+// ResetConnections resets the open connections. The upstream continues to accept new connections.
 func (u *Upstream) ResetConnections() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -89,15 +90,16 @@
 	}
 }
 
-// Close ends the listener, the connections and their requests, and waits for their goroutines.
-// Further calls return at once.
+// Close closes the listener and the connections, ends their requests and waits for all goroutines.
+// Further calls return immediately.
 func (u *Upstream) Close() {
 	if u.beginClose() {
 		u.wg.Wait()
 	}
 }
 
-// beginClose reports whether this call is the first one.
+// beginClose closes the listener and the connections on its first call. It reports whether this
+// call is the first one.
 func (u *Upstream) beginClose() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -113,6 +115,7 @@
 	return true
 }
 
+// accept accepts connections until the listener is closed.
 func (u *Upstream) accept() {
 	defer u.wg.Done()
 	for {
@@ -134,7 +137,8 @@
 	}
 }
 
-// addConn adds a connection and its goroutine's share of wg; false: the upstream is closed.
+// addConn adds a connection to conns and its goroutine to wg. It returns false if the upstream is
+// closed.
 func (u *Upstream) addConn(conn net.Conn) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -152,7 +156,7 @@
 	delete(u.conns, conn)
 }
 
-// decide records a request in the ledger, if there is one, and calls the script.
+// decide records a request in the ledger, if there is one, and returns the script's response.
 func (u *Upstream) decide(call Call) Response {
 	if u.ledger != nil {
 		call.Attempt = u.ledger.recordAttempt(u.Name, call.ID, time.Now())
@@ -167,7 +171,7 @@
 	return response
 }
 
-// sleep waits for a delay, or until the upstream closes.
+// sleep blocks for a delay, or until the upstream closes.
 func (u *Upstream) sleep(delay time.Duration) {
 	if delay <= 0 {
 		return
--- a/internal/peers/upstream_http.go
+++ b/internal/peers/upstream_http.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// serveHTTP serves one connection of HTTP/1.1, one request after the other.
+// serveHTTP serves the requests of one HTTP/1.1 connection one after the other.
 func (u *Upstream) serveHTTP(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	var out bytes.Buffer
@@ -37,11 +37,12 @@
 	}
 }
 
+// isHealthCheck reports whether a request is for a load report rather than for the script.
 func isHealthCheck(request *http.Request) bool {
 	return request.URL.Path == "/health/live" || request.URL.Path == "/stats"
 }
 
-// respondToHealthCheck writes the load report; false ends the connection.
+// respondToHealthCheck writes a load report. It returns false if the connection must be closed.
 func (u *Upstream) respondToHealthCheck(conn net.Conn, out *bytes.Buffer) bool {
 	report := fmt.Sprintf("TEXT busy_reqs=%d", u.inFlight.Load())
 	appendHTTPResponse(out, "200 OK", "", []byte(report))
@@ -49,7 +50,7 @@
 	return err == nil
 }
 
-// httpCall reads a request's header fields.
+// httpCall returns the call that a request's method, header fields and body describe.
 func httpCall(request *http.Request, body []byte) Call {
 	header := request.Header
 	seconds, _ := strconv.ParseFloat(header.Get("Request-Timeout"), 64)
@@ -66,7 +67,8 @@
 	}
 }
 
-// handleHTTP carries out what the script decides for a request; false ends the connection.
+// handleHTTP responds to a request as the script decides. It returns false if the connection must
+// be closed.
 func (u *Upstream) handleHTTP(conn net.Conn, out *bytes.Buffer, call Call) bool {
 	u.inFlight.Add(1)
 	defer u.inFlight.Add(-1)
@@ -76,12 +78,12 @@
 		response.Action = response.Wait(u.closing)
 	}
 	if response.Action == Hang {
-		_, _ = io.Copy(io.Discard, conn) // until the client closes
+		_, _ = io.Copy(io.Discard, conn) // blocks until the client closes the connection
 	}
 	return u.respondHTTP(conn, out, response)
 }
 
-// respondHTTP carries out a response action; false ends the connection.
+// respondHTTP performs a response action. It returns false if the connection must be closed.
 func (u *Upstream) respondHTTP(conn net.Conn, out *bytes.Buffer, response Response) bool {
 	switch response.Action {
 	case Hang:
@@ -102,8 +104,8 @@
 	return err == nil && response.Action != Malformed
 }
 
-// appendHTTPAction appends what a response action writes in full. HTTP/1.1 matches responses to
-// requests by order, so that an unsolicited one can only follow the request's own.
+// appendHTTPAction appends the complete output of a response action to out. HTTP/1.1 matches
+// responses to requests by order, so an unsolicited response can only follow the request's own.
 func appendHTTPAction(out *bytes.Buffer, response Response) {
 	switch response.Action {
 	case Error:
@@ -123,13 +125,14 @@
 	}
 }
 
-// The bodies of the further responses of Duplicate and Unsolicited.
+// Bodies of the second responses that Duplicate and Unsolicited write.
 const (
 	duplicateBody   = "the second answer"
 	unsolicitedBody = "to nobody"
 )
 
-// appendHTTPResponse appends a response; fields are further header lines, each with its line break.
+// appendHTTPResponse appends a response to out. fields contains additional header lines, each with its
+// line break.
 func appendHTTPResponse(out *bytes.Buffer, status, fields string, body []byte) {
 	out.WriteString("HTTP/1.1 ")
 	out.WriteString(status)
--- a/internal/peers/upstream_rpc.go
+++ b/internal/peers/upstream_rpc.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	rpcReadTimeout = 10 * time.Second // for the rest of a frame after its first byte
-	rpcHangTime    = time.Hour        // after which Hang responds after all
-	// unsolicitedIDOffset is added to a request's id for a response that belongs to no request.
+	rpcReadTimeout = 10 * time.Second // limit for reading the rest of a frame after its first byte
+	rpcHangTime    = time.Hour        // time after which Hang responds
+	// unsolicitedIDOffset is added to a request's id to get the id of a response to no request.
 	unsolicitedIDOffset = 1000
 )
 
-// rpcServerConn is one connection of a MessagePack-RPC upstream. Its reader responds to a request
-// that needs no wait; each other request has a goroutine, which ends with its response, its
-// cancellation, the connection or the upstream. serveRPC waits for them.
+// rpcServerConn is one connection of a MessagePack-RPC upstream. The goroutine that reads the
+// connection responds to requests that need no wait. Each other request has a goroutine that ends
+// when the request is responded to or cancelled, or when the connection ends or the upstream closes.
+// serveRPC waits for these goroutines.
 type rpcServerConn struct {
 	upstream *Upstream
 	conn     net.Conn
-	closed   chan struct{} // closed when the reader ends
+	closed   chan struct{} // closed when serveRPC stops reading
 	wg       sync.WaitGroup
 
 	mu        sync.Mutex
-	cancelled map[uint32]chan struct{} // of waiting requests, by id; closed on a cancel notification
+	cancelled map[uint32]chan struct{} // by id of the waiting requests; closed on a cancel notification
 }
 
-// serveRPC serves one connection of MessagePack-RPC.
+// serveRPC serves one MessagePack-RPC connection.
 func (u *Upstream) serveRPC(conn net.Conn) {
 	framer := msgrpc.NewFramer(conn, msgrpc.MaxRequestBytes, rpcReadTimeout)
 	c := &rpcServerConn{
@@ -55,7 +56,7 @@
 	}
 }
 
-// handleMessage handles one message; false ends the connection.
+// handleMessage handles one message. It returns false if the connection must be closed.
 func (c *rpcServerConn) handleMessage(message msgrpc.Message) bool {
 	if message.Kind == msgrpc.Notification && string(message.Method) == msgrpc.MethodCancel {
 		c.handleCancel(message)
@@ -75,6 +76,7 @@
 	return c.handleCall(message.ID, rpcCall(request))
 }
 
+// handleCancel cancels a waiting request, unless the upstream ignores cancel notifications.
 func (c *rpcServerConn) handleCancel(message msgrpc.Message) {
 	c.upstream.cancels.Add(1)
 	id, err := msgrpc.ParseCancel(message.Params)
@@ -89,6 +91,7 @@
 	}
 }
 
+// rpcCall converts a decoded request to a Call.
 func rpcCall(request *msgrpc.Call) Call {
 	return Call{
 		ID:             request.ID,
@@ -101,7 +104,8 @@
 	}
 }
 
-// handleCall carries out what the script decides for a request; false ends the connection.
+// handleCall responds to a request as the script decides. It returns false if the connection must
+// be closed.
 func (c *rpcServerConn) handleCall(id uint32, call Call) bool {
 	c.upstream.inFlight.Add(1)
 	response := c.upstream.decide(call)
@@ -120,11 +124,12 @@
 	return true
 }
 
+// respondsAtOnce reports whether a response needs no wait.
 func respondsAtOnce(response Response) bool {
 	return response.Action != Hang && response.Delay == 0 && response.Wait == nil
 }
 
-// respondLater responds after the response's delay or wait, unless the request is cancelled before.
+// respondLater responds after the response's Delay or Wait, unless the request is cancelled first.
 func (c *rpcServerConn) respondLater(id uint32, response Response, cancelled <-chan struct{}) {
 	if response.Action == Hang {
 		response.Delay = rpcHangTime
@@ -155,7 +160,7 @@
 	}
 }
 
-// respond carries out a response action; false ends the connection.
+// respond performs a response action. It returns false if the connection must be closed.
 func (c *rpcServerConn) respond(id uint32, response Response) bool {
 	result := msgrpc.Result{Body: response.Body, InFlight: -1}
 	switch response.Action {
@@ -189,7 +194,8 @@
 	return c.write(fault.Append(nil, id))
 }
 
-// write writes with one call, so that messages of different goroutines do not mix.
+// write writes a message with one call, so that messages from different goroutines are not interleaved.
+// It returns false if the write fails.
 func (c *rpcServerConn) write(message []byte) bool {
 	_, err := c.conn.Write(message)
 	return err == nil
