--- a/internal/rig/accept_test.go
+++ b/internal/rig/accept_test.go
@@ -11,7 +11,7 @@
 	"mothridge/internal/peers"
 )
 
-// failingListener fails to accept with each error, one after the other, before it accepts at all.
+// failingListener returns each of its errors from Accept in order, and accepts connections after that.
 type failingListener struct {
 	*net.TCPListener
 	errs []error
@@ -25,9 +25,9 @@
 	return l.TCPListener.Accept()
 }
 
-// What accept(2) says of a connection that came to nothing, or of a machine that is
-// out of something, does not end service.
-func TestFailedAcceptsAreWaitedOut(t *testing.T) {
+// An error of accept(2) that concerns one failed connection, or a temporary lack of a resource, does not
+// end the service. The test guards against a sidecar that stops serving after such an error.
+func TestAcceptErrorsAreRetried(t *testing.T) {
 	for _, front := range []peers.Protocol{peers.HTTP, peers.RPC} {
 		for _, errno := range []syscall.Errno{
 			syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ETIMEDOUT,
@@ -35,14 +35,14 @@
 		} {
 			t.Run(fmt.Sprintf("%s/%s", front, errno), func(t *testing.T) {
 				t.Parallel()
-				testFailedAccept(t, front, errno)
+				testAcceptError(t, front, errno)
 			})
 		}
 	}
 }
 
-func testFailedAccept(t *testing.T, front peers.Protocol, errno syscall.Errno) {
-	rig, err := Start(Options{Front: front, Number: 1, Listener: func(listener *net.TCPListener) net.Listener {
+func testAcceptError(t *testing.T, front peers.Protocol, errno syscall.Errno) {
+	rig, err := Start(Options{Front: front, Number: 1, WrapListener: func(listener *net.TCPListener) net.Listener {
 		return &failingListener{TCPListener: listener, errs: []error{errno, errno, errno}}
 	}})
 	if err != nil {
@@ -52,14 +52,16 @@
 	client := rig.Client()
 	defer client.Close()
 	for i := range 5 {
-		call := peers.Call{ID: fmt.Sprint(i), Class: Once, NotIdempotent: true, Tenant: Tenant(0), Timeout: Deadline}
+		call := peers.Call{
+			ID: fmt.Sprint(i), Class: NonIdempotent, NotIdempotent: true, Tenant: Tenant(0), Timeout: RequestTimeout,
+		}
 		if got := client.Do(t.Context(), call); got.Outcome != peers.Served {
-			t.Errorf("request %d: %+v", i, got)
+			t.Errorf("request %d: got %+v, want outcome served", i, got)
 		}
 	}
 	select {
 	case err := <-rig.Ended():
-		t.Fatalf("service ended: %v", err)
+		t.Fatalf("the sidecar stopped serving: %v", err)
 	default:
 	}
 }
--- a/internal/rig/bench_test.go
+++ b/internal/rig/bench_test.go
@@ -18,8 +18,8 @@
 	"mothridge/internal/peers"
 )
 
-// processorTime is what this process used so far.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that this process has used, or 0 if it is unavailable.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -27,13 +27,13 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// sendAll sends requests from a number of clients, each one request at a time, and
-// returns how many were not served.
+// sendAll sends requests from a number of concurrent clients, each of which sends one request at a time.
+// It returns how many requests were not served.
 func sendAll(client peers.Client, clients, requests int, prefix string) int64 {
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	var unserved, next atomic.Int64
 	for range clients {
-		running.Go(func() {
+		wg.Go(func() {
 			for i := next.Add(1); i <= int64(requests); i = next.Add(1) {
 				call := Request(Read, fmt.Sprintf("%s%d", prefix, i), Tenant(int(i)))
 				if got := client.Do(context.Background(), call); got.Outcome != peers.Served {
@@ -42,28 +42,29 @@
 			}
 		})
 	}
-	running.Wait()
+	wg.Wait()
 	return unserved.Load()
 }
 
-// benchmarkRequests sends b.N requests from a number of clients.
+// benchmarkRequests sends b.N requests from a number of concurrent clients and reports the CPU time and
+// the share of unserved requests.
 func benchmarkRequests(b *testing.B, address string, protocol peers.Protocol, clients int) {
 	b.Helper()
 	shared := peers.NewClient(protocol, address)
 	defer shared.Close()
-	sendAll(shared, clients, 20*clients, "warm-") // connections are open, and the sidecar knows its nodes' latency
+	sendAll(shared, clients, 20*clients, "warm-") // opens connections and gives the sidecar latencies of its nodes
 	b.ReportAllocs()
 	b.ResetTimer()
-	before := processorTime()
+	before := cpuTime()
 	unserved := sendAll(shared, clients, b.N, "b")
 	b.StopTimer()
-	b.ReportMetric(float64(processorTime()-before)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(cpuTime()-before)/float64(b.N), "cpu-ns/op")
 	b.ReportMetric(float64(unserved)/float64(b.N), "unserved/op")
 }
 
-// BenchmarkPath compares the ways to a stand-in node that responds at once, with
-// client and node in the same process: direct, through the plain alternative,
-// and through the sidecar by each pairing. Run with -cpu 2, or 1.
+// BenchmarkPath compares the paths from a client to a stand-in node that responds immediately: direct,
+// through the reverse proxy of Go's library, and through the sidecar with each pairing of protocols.
+// Client and node run in the benchmark's process. Run the benchmark with -cpu 2 or -cpu 1.
 func BenchmarkPath(b *testing.B) {
 	log.SetOutput(io.Discard)
 	for _, clients := range []int{1, 2, 8, 16, 64, 256} {
@@ -80,7 +81,7 @@
 		for _, pair := range pairings {
 			b.Run(fmt.Sprintf("sidecar/%s-%s/clients=%d", pair.front, pair.nodes, clients), func(b *testing.B) {
 				rig := start(b, Options{
-					Front: pair.front, Nodes: pair.nodes, Number: 1, Slots: 1024, Open: 512, Sockets: 4096,
+					Front: pair.front, Nodes: pair.nodes, Number: 1, Slots: 1024, MaxInFlightPerConn: 512, Sockets: 4096,
 				})
 				benchmarkRequests(b, rig.Addr, rig.Front, clients)
 			})
@@ -88,6 +89,7 @@
 	}
 }
 
+// startNode starts a node that serves each request immediately.
 func startNode(b *testing.B, protocol peers.Protocol) *peers.Upstream {
 	b.Helper()
 	node, err := peers.StartUpstream(protocol, "n", peers.NewLedger(false), peers.ServeAll)
@@ -98,7 +100,7 @@
 	return node
 }
 
-// startReverseProxy runs the reverse proxy of Go's library and returns its address.
+// startReverseProxy starts the reverse proxy of Go's library and returns its address.
 func startReverseProxy(b *testing.B, upstream string) string {
 	b.Helper()
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: upstream})
@@ -113,8 +115,8 @@
 	return listener.Addr().String()
 }
 
-// BenchmarkDefaultSlots shows what the slots derived by default reject when 64
-// clients send at once, by the number of nodes that respond at once.
+// BenchmarkDefaultSlots shows how many requests are rejected when 64 clients send concurrently, by the
+// number of nodes and of slots. 0 slots stands for the derived default. All nodes respond immediately.
 func BenchmarkDefaultSlots(b *testing.B) {
 	log.SetOutput(io.Discard)
 	for _, nodes := range []int{1, 8} {
--- a/internal/rig/cancel_test.go
+++ b/internal/rig/cancel_test.go
@@ -10,12 +10,14 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// The cancel notification is lost or ignored: an unsafe request that was given
-// up is not repeated, and a keyed one runs its effect once.
-func TestIgnoredCancelDoublesNothing(t *testing.T) {
+// Nodes ignore cancel notifications and continue to process requests that the sidecar has given up. The
+// sidecar does not retry such a request if it is not idempotent, and a request with an idempotency key has
+// its effect once. The test guards against effects that are executed twice.
+func TestIgnoredCancelExecutesNothingTwice(t *testing.T) {
 	rig := start(t, Options{Front: peers.RPC, Nodes: peers.RPC, Script: func(call peers.Call) peers.Response {
 		if call.Attempt == 1 {
-			return peers.Response{Delay: 700 * time.Millisecond} // longer than the client waits, and it runs on
+			// Longer than the client waits; the node continues after the cancel notification.
+			return peers.Response{Delay: 700 * time.Millisecond}
 		}
 		return peers.Response{}
 	}})
@@ -23,47 +25,48 @@
 		node.IgnoreCancels(true)
 	}
 	client := startClient(t, rig)
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 4 {
-		for _, class := range []string{Once, Entry} {
-			running.Go(func() {
+		for _, class := range []string{NonIdempotent, Keyed} {
+			wg.Go(func() {
 				call := Request(class, fmt.Sprintf("%s-%d", class, i), Tenant(i))
 				call.Timeout = 300 * time.Millisecond
 				doRequest(t, client, call)
-				if attempts := rig.Ledger.Attempts(call.ID); class == Once && attempts != 1 {
-					t.Errorf("%s had %d attempts", call.ID, attempts)
+				if attempts := rig.Ledger.Attempts(call.ID); class == NonIdempotent && attempts != 1 {
+					t.Errorf("request %s: got %d attempts, want 1", call.ID, attempts)
 				}
 			})
 		}
 	}
-	running.Wait()
-	expectNoneDoubled(t, rig, anyID)
+	wg.Wait()
+	expectNoneExecutedTwice(t, rig, anyID)
 	if rig.Nodes[0].Cancels()+rig.Nodes[1].Cancels() == 0 {
-		t.Error("no node was notified of a cancel")
+		t.Error("got no cancel notification at any node, want at least 1")
 	}
 }
 
-// A client disconnects with 100 requests in flight: the nodes are notified, and the sidecar holds nothing.
+// A client disconnects with 100 requests in flight. The nodes get a cancel notification for each request,
+// and the sidecar serves later requests. The test guards against requests that stay in flight without a client.
 func TestClientDisconnectsWithHundredInFlight(t *testing.T) {
 	rig := start(t, Options{
-		Front: peers.RPC, Nodes: peers.RPC, Slots: 400, Open: 200,
+		Front: peers.RPC, Nodes: peers.RPC, Slots: 400, MaxInFlightPerConn: 200,
 		Script: func(peers.Call) peers.Response { return peers.Response{Action: peers.Hang} },
 	})
 	client := rig.Client()
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 100 {
-		running.Go(func() { client.Do(t.Context(), Request(Read, fmt.Sprint("r-", i), Tenant(i))) })
+		wg.Go(func() { client.Do(t.Context(), Request(Read, fmt.Sprint("r-", i), Tenant(i))) })
 	}
 	inFlight := func() int64 { return rig.Nodes[0].InFlight() + rig.Nodes[1].InFlight() }
-	peertest.Until(t, "100 to be in flight", func() bool { return inFlight() == 100 })
+	peertest.Until(t, "100 requests to be in flight", func() bool { return inFlight() == 100 })
 	client.Close()
-	running.Wait()
-	peertest.Until(t, "the nodes to be notified", func() bool {
+	wg.Wait()
+	peertest.Until(t, "100 cancel notifications at the nodes", func() bool {
 		return inFlight() == 0 && rig.Nodes[0].Cancels()+rig.Nodes[1].Cancels() == 100
 	})
 	other := startClient(t, rig)
 	for _, node := range rig.Nodes {
 		node.SetScript(peers.ServeAll)
 	}
-	expectServed(t, "after it", other, Request(Read, "after", "north"))
+	expectServed(t, "after the disconnect", other, Request(Read, "after", "north"))
 }
--- a/internal/rig/eureka_flips_test.go
+++ b/internal/rig/eureka_flips_test.go
@@ -12,146 +12,157 @@
 	"mothridge/internal/peers/peertest"
 )
 
-var interval = flag.Duration("interval", 50*time.Millisecond,
-	"how often the sidecar polls its registry in the test of flips under load")
+var pollInterval = flag.Duration("interval", 50*time.Millisecond,
+	"interval at which the sidecar polls its registry in the test of status changes under load")
 
 const (
-	// minFlipInterval is between two drains of one node so long that its penalty stays
-	// below what damping drains it for by itself: 1/(1-2^-(16/20)) is 2.3, of 3.
-	minFlipInterval = 16 * time.Second
-	// minDrain is how long a drain lasts at least, so that there is a time in which nothing may reach its node.
-	minDrain = DrainWithin + 700*time.Millisecond
-	// notificationSlack is for a good answer of the registry to be written and read.
+	// minDrainInterval is the minimum time between the starts of two drains of the same node. With this
+	// interval the node's flap penalty stays below the limit of 3 at which damping drains the node:
+	// it reaches at most 1/(1-2^-(16/20)), which is 2.3.
+	minDrainInterval = 16 * time.Second
+	// minDrainDuration is the minimum duration of a drain. It exceeds DrainWithin, so that each drain has a
+	// period in which no request may reach its node.
+	minDrainDuration = DrainWithin + 700*time.Millisecond
+	// notificationSlack is the time for a correct response of the registry to be written and read.
 	notificationSlack = 50 * time.Millisecond
-	// recently before its drain a node that is in use has received something.
-	recently = 200 * time.Millisecond
+	// recentUseWindow is the time before a drain in which a node that is in use has received a request.
+	recentUseWindow = 200 * time.Millisecond
 )
 
-// Under load the registry flips states at random, falls silent, answers with
-// nothing and loses half of its instances: no request reaches a drained node
-// more than 2 s after the sidecar could know of it, the pool is never empty, no
-// request is lost and no effect doubled.
-func TestEurekaFlipsUnderLoad(t *testing.T) {
-	for _, pair := range oneProtocol { // that both protocols are played is enough here
+// Under load the registry drains up to three nodes at a time at random, stops responding, and responds with
+// an empty list, an error or an invalid body. No request reaches a drained node more than 2 s after the first
+// response that lists the drain, the pool is never empty, no request is lost and no effect is executed twice.
+// The test guards against membership changes that lose endpoints or requests.
+func TestEurekaStatusChangesUnderLoad(t *testing.T) {
+	for _, pair := range sameProtocol { // one pairing with each protocol is sufficient here
 		t.Run(pair.String(), func(t *testing.T) {
 			t.Parallel()
-			testFlips(t, pair)
+			testStatusChanges(t, pair)
 		})
 	}
 }
 
-func testFlips(t *testing.T, pair pairing) {
+func testStatusChanges(t *testing.T, pair pairing) {
 	nodes, duration := 6, 5*time.Second
 	if *long {
 		nodes, duration = 18, time.Minute
 	}
 	registry := peertest.NewEureka(t)
 	rig, _ := startWithEureka(t, registry, Options{
-		Front: pair.front, Nodes: pair.nodes, Number: nodes, Slots: 120, Open: 200, Script: delayed(2 * time.Millisecond),
-		Operators: func(file *operator.File) { file.Eureka[0].Interval = operator.Duration(interval.String()) },
+		Front: pair.front, Nodes: pair.nodes, Number: nodes, Slots: 120, MaxInFlightPerConn: 200,
+		Script:            delayed(2 * time.Millisecond),
+		ConfigureOperator: func(file *operator.File) { file.Eureka[0].Interval = operator.Duration(pollInterval.String()) },
 	})
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
 	client := startClient(t, rig)
-	verdicts := newVerdictCounts()
-	stop := keepSending(8, func(worker, i int) { verdicts.add(doRequest(t, client, mixedRequest(worker, i))) })
-	flips := newFlips(rig, rand.New(rand.NewPCG(seed, 4)))
+	outcomes := newOutcomeCounts()
+	stop := sendContinuously(8, func(worker, i int) { outcomes.add(doRequest(t, client, mixedRequest(worker, i))) })
+	changer := newStatusChanger(rig, rand.New(rand.NewPCG(seed, 4)))
 	for until := time.Now().Add(duration); time.Now().Before(until); {
-		flips.next()
+		changer.changeRandomStatus()
 		time.Sleep(20 * time.Millisecond)
 	}
-	flips.end()
+	changer.endAllDrains()
 	stop()
-	late, lags := flips.measure()
-	served, unserved := verdicts.counts[peers.Served], verdicts.counts[peers.Rejected]+verdicts.counts[peers.Failed]
-	t.Logf("%v; %d drains, %d attempts too late; %d answers in a row at most were not served",
-		verdicts, len(lags), late, verdicts.worstUnserved)
+	late, lags := changer.measure()
+	served, unserved := outcomes.counts[peers.Served], outcomes.counts[peers.Rejected]+outcomes.counts[peers.Failed]
+	t.Logf("%v; %d drains, %d attempts too late; at most %d consecutive responses were not served",
+		outcomes, len(lags), late, outcomes.longestUnservedRun)
 	if slices.Sort(lags); len(lags) > 0 {
-		t.Logf("from the registry's change to the last attempt, polled every %v: median %v, worst %v",
-			*interval, lags[len(lags)/2], lags[len(lags)-1])
+		t.Logf("time from the registry's change to the last attempt, polled every %v: median %v, maximum %v",
+			*pollInterval, lags[len(lags)/2], lags[len(lags)-1])
 	}
 	if late > 0 || len(lags) == 0 {
-		t.Errorf("%d attempts reached a drained node too late, of %d drains", late, len(lags))
+		t.Errorf("got %d late attempts at drained nodes in %d drains, want 0 in at least 1", late, len(lags))
 	}
-	if served < 1000 || unserved > served/50 || verdicts.worstUnserved > 30 {
-		t.Errorf("verdicts %v, %d in a row not served: was the pool empty?", verdicts.counts, verdicts.worstUnserved)
+	if served < 1000 || unserved > served/50 || outcomes.longestUnservedRun > 30 {
+		t.Errorf("got outcomes %v, %d consecutive unserved; want at least 1000 served, at most 2%% unserved, 30 consecutive",
+			outcomes.counts, outcomes.longestUnservedRun)
 	}
-	expectNoneDoubled(t, rig, anyID)
+	expectNoneExecutedTwice(t, rig, anyID)
 }
 
-// flips drains nodes and ends their drains at random, and makes the registry fail now and then.
-type flips struct {
+// statusChanger starts and ends drains of random nodes, and occasionally makes the registry fail.
+type statusChanger struct {
 	rig     *Rig
-	rng     *rand.Rand
-	drained map[int]time.Time     // since when, by the node's number
-	drains  map[int][]drainPeriod // by the node's number, in the order of their time
+	random  *rand.Rand
+	drained map[int]time.Time     // start of the current drain, by the node's index
+	drains  map[int][]drainPeriod // ended drains in order of time, by the node's index
 }
 
+// drainPeriod is the time of a drain in the registry.
 type drainPeriod struct{ from, to time.Time }
 
-func newFlips(rig *Rig, rng *rand.Rand) *flips {
-	return &flips{rig: rig, rng: rng, drained: make(map[int]time.Time), drains: make(map[int][]drainPeriod)}
+func newStatusChanger(rig *Rig, random *rand.Rand) *statusChanger {
+	return &statusChanger{
+		rig: rig, random: random, drained: make(map[int]time.Time), drains: make(map[int][]drainPeriod),
+	}
 }
 
-// next makes one change, or none.
-func (f *flips) next() {
-	if f.rng.IntN(12) == 0 {
-		f.failRegistry()
+// changeRandomStatus makes the registry fail, or starts or ends the drain of a random node. It does nothing
+// if the node may not change yet.
+func (s *statusChanger) changeRandomStatus() {
+	if s.random.IntN(12) == 0 {
+		s.failRegistry()
 		return
 	}
-	node := f.rng.IntN(len(f.rig.Nodes) - 1) // one always stays in service
-	from, isDrained := f.drained[node]
+	node := s.random.IntN(len(s.rig.Nodes) - 1) // the last node always stays in service
+	from, isDrained := s.drained[node]
 	switch {
-	case isDrained && time.Since(from) >= minDrain:
-		f.rig.Eureka.Override(f.rig.Nodes[node].Name, "")
-		f.endDrain(node, from)
-	case !isDrained && f.mayDrain(node):
-		f.rig.Eureka.Override(f.rig.Nodes[node].Name, "OUT_OF_SERVICE")
-		f.drained[node] = time.Now()
+	case isDrained && time.Since(from) >= minDrainDuration:
+		s.rig.Eureka.Override(s.rig.Nodes[node].Name, "")
+		s.endDrain(node, from)
+	case !isDrained && s.mayDrain(node):
+		s.rig.Eureka.Override(s.rig.Nodes[node].Name, "OUT_OF_SERVICE")
+		s.drained[node] = time.Now()
 	}
 }
 
-func (f *flips) failRegistry() {
+// failRegistry injects a random fault for 150 ms.
+func (s *statusChanger) failRegistry() {
 	faults := [...]peers.EurekaFault{peers.EmptyList, peers.ServerError, peers.TruncatedBody, peers.NotJSON, peers.NoResponse}
-	f.rig.Eureka.SetFault(faults[f.rng.IntN(len(faults))])
+	s.rig.Eureka.SetFault(faults[s.random.IntN(len(faults))])
 	time.Sleep(150 * time.Millisecond)
-	f.rig.Eureka.SetFault(peers.NoFault)
+	s.rig.Eureka.SetFault(peers.NoFault)
 }
 
-// mayDrain is whether a node may be drained without flapping, and without too many others.
-func (f *flips) mayDrain(node int) bool {
-	if len(f.drained) >= 3 {
+// mayDrain reports whether a node may be drained: at most three nodes are drained at a time, and a node is
+// not drained so often that flap damping drains it.
+func (s *statusChanger) mayDrain(node int) bool {
+	if len(s.drained) >= 3 {
 		return false
 	}
-	earlier := f.drains[node]
-	return len(earlier) == 0 || time.Since(earlier[len(earlier)-1].from) > minFlipInterval
+	earlier := s.drains[node]
+	return len(earlier) == 0 || time.Since(earlier[len(earlier)-1].from) > minDrainInterval
 }
 
-func (f *flips) endDrain(node int, from time.Time) {
-	f.drains[node] = append(f.drains[node], drainPeriod{from, time.Now()})
-	delete(f.drained, node)
+// endDrain records the end of a drain.
+func (s *statusChanger) endDrain(node int, from time.Time) {
+	s.drains[node] = append(s.drains[node], drainPeriod{from, time.Now()})
+	delete(s.drained, node)
 }
 
-// end ends the drains that still last, as far as they are measured.
-func (f *flips) end() {
-	for node, from := range f.drained {
-		f.endDrain(node, from)
+// endAllDrains records the current time as the end of the drains that have not ended.
+func (s *statusChanger) endAllDrains() {
+	for node, from := range s.drained {
+		s.endDrain(node, from)
 	}
 }
 
-// measure counts the attempts that reached drained nodes too late. The lags are from
-// the registry's change to the last attempt, a drain that shows one each.
-func (f *flips) measure() (late int, lags []time.Duration) {
-	for node, drains := range f.drains {
-		attempts := f.rig.Ledger.AttemptTimes(f.rig.Nodes[node].Name)
+// measure returns how many attempts reached drained nodes too late. lags contains, for each drain of a node
+// that was in use, the time from the registry's change to the last attempt.
+func (s *statusChanger) measure() (late int, lags []time.Duration) {
+	for node, drains := range s.drains {
+		attempts := s.rig.Ledger.AttemptTimes(s.rig.Nodes[node].Name)
 		for _, drain := range drains {
-			notified, ok := f.notification(drain)
+			notified, ok := s.notificationTime(drain)
 			if !ok {
 				continue
 			}
 			lag, used := time.Duration(0), false
 			for _, at := range attempts {
-				used = used || at.Before(drain.from) && drain.from.Sub(at) < recently
+				used = used || at.Before(drain.from) && drain.from.Sub(at) < recentUseWindow
 				if at.After(notified.Add(DrainWithin+notificationSlack)) && at.Before(drain.to) {
 					late++
 				}
@@ -159,7 +170,7 @@
 					lag = at.Sub(drain.from)
 				}
 			}
-			if used { // one that had nothing before shows nothing
+			if used { // a node that was not in use before the drain gives no information
 				lags = append(lags, lag)
 			}
 		}
@@ -167,10 +178,10 @@
 	return late, lags
 }
 
-// notification is when the sidecar could know of a drain: by the first good answer of
-// the registry. Without one in its time there is none.
-func (f *flips) notification(drain drainPeriod) (at time.Time, ok bool) {
-	for _, at := range f.rig.Eureka.FetchTimes() {
+// notificationTime returns when the sidecar could detect a drain: the time of the registry's first correct
+// response after the start of the drain. It returns false if there is no such response.
+func (s *statusChanger) notificationTime(drain drainPeriod) (at time.Time, ok bool) {
+	for _, at := range s.rig.Eureka.FetchTimes() {
 		if at.After(drain.from) {
 			return at, at != drain.to
 		}
--- a/internal/rig/eureka_test.go
+++ b/internal/rig/eureka_test.go
@@ -11,11 +11,11 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// startWithEureka starts a rig whose endpoint list comes from a Eureka registry alone, and
-// waits until all are in use.
+// startWithEureka starts a rig whose only source of endpoints is a Eureka registry. It waits until all
+// nodes have served a request.
 func startWithEureka(t *testing.T, registry *peers.Eureka, options Options) (*Rig, peers.Client) {
 	t.Helper()
-	options.Eureka, options.Times = registry, true
+	options.Eureka, options.KeepAttemptTimes = registry, true
 	rig := start(t, options)
 	client := startClient(t, rig)
 	peertest.Until(t, "all nodes to be in use", func() bool {
@@ -31,20 +31,21 @@
 	return rig, client
 }
 
-// polls counts the sidecar's calls for the list.
-func polls(registry *peers.Eureka) int {
+// pollCount returns how many times the sidecar has fetched the list or the delta.
+func pollCount(registry *peers.Eureka) int {
 	return registry.Calls("/apps") + registry.Calls("/apps/delta")
 }
 
-// awaitPolls waits until the sidecar has polled some times more.
+// awaitPolls waits until the sidecar has polled count more times.
 func awaitPolls(t *testing.T, registry *peers.Eureka, count int) {
 	t.Helper()
-	before := polls(registry)
-	peertest.Until(t, "polls", func() bool { return polls(registry) >= before+count })
+	before := pollCount(registry)
+	peertest.Until(t, "polls", func() bool { return pollCount(registry) >= before+count })
 }
 
-// A registry that goes silent, or answers with nothing, leaves the pool as it was.
-func TestEurekaSilentKeepsThePool(t *testing.T) {
+// A registry that stops responding, or responds with an empty list, does not change the pool. It guards
+// against losing all endpoints because of a fault of the registry.
+func TestEurekaSilentRegistryKeepsEndpoints(t *testing.T) {
 	registry := peertest.NewEureka(t)
 	_, client := startWithEureka(t, registry, Options{Number: 3})
 	for _, fault := range []peers.EurekaFault{peers.EmptyList, peers.NoResponse} {
@@ -55,17 +56,17 @@
 			time.Sleep(2500 * time.Millisecond) // longer than silent_after
 		}
 		for i := range 30 {
-			expectServed(t, fmt.Sprint("fault ", fault), client, Request(Once, fmt.Sprint(fault, "-", i), Tenant(i)))
+			expectServed(t, fmt.Sprint("fault ", fault), client, Request(NonIdempotent, fmt.Sprint(fault, "-", i), Tenant(i)))
 		}
 		registry.SetFault(peers.NoFault)
 	}
 }
 
-// A node registers again under a new id at its old address while work that it
-// had taken still runs: that work ends and counts, the connections of the old
-// process carry nothing of the new one's.
+// A node registers with a new id at its old address while a request to the old id is in flight. That request
+// is served, and requests to the new id use new connections. The test guards against lost requests, and against
+// requests to the new process on connections of the old one.
 func TestEurekaNewIDAtTheSameAddress(t *testing.T) {
-	for _, pair := range oneProtocol {
+	for _, pair := range sameProtocol {
 		t.Run(pair.String(), func(t *testing.T) {
 			t.Parallel()
 			testNewID(t, pair)
@@ -79,40 +80,40 @@
 	node := rig.Nodes[0]
 	node.SetScript(func(call peers.Call) peers.Response {
 		if call.ID == "old" {
-			return peers.Response{Delay: 400 * time.Millisecond} // within its latency objective
+			return peers.Response{Delay: 400 * time.Millisecond} // less than the latency objective
 		}
 		return peers.Response{}
 	})
 	before := node.Accepted()
 	old := make(chan peers.Result, 1)
-	go func() { old <- doRequest(t, client, Request(Once, "old", "north")) }()
-	peertest.Until(t, "the old work", func() bool { return node.InFlight() == 1 })
-	registry.Register(rig.Instance(node, node.Name+"-again", "UP", 0))
+	go func() { old <- doRequest(t, client, Request(NonIdempotent, "old", "north")) }()
+	peertest.Until(t, "the old request to be in flight", func() bool { return node.InFlight() == 1 })
+	registry.Register(rig.EurekaRegistration(node, node.Name+"-again", "UP", 0))
 	registry.Cancel(node.Name)
-	peertest.Until(t, "the new one's connection", func() bool {
+	peertest.Until(t, "a connection for the new id", func() bool {
 		client.Do(t.Context(), Request(Read, fmt.Sprint("n-", time.Now().UnixNano()), "north"))
 		return node.Accepted() > before
 	})
 	if got := <-old; got.Outcome != peers.Served || string(got.Body) != "old" {
-		t.Errorf("the old work: %+v", got)
+		t.Errorf("request to the old id: got %+v, want it served with its own body", got)
 	}
-	expectServed(t, "the new one", client, Request(Once, "new", "north"))
+	expectServed(t, "request to the new id", client, Request(NonIdempotent, "new", "north"))
 }
 
-// nodeUsage finds which nodes are in use, a round of requests each time.
+// nodeUsage determines which nodes are in use by sending rounds of requests.
 type nodeUsage struct {
 	rig    *Rig
 	client peers.Client
 	round  int
 }
 
-// used is the names of the nodes that receive something of forty requests.
-func (usage *nodeUsage) used(t *testing.T) (nodes []string) {
+// nodesInUse sends 40 requests and returns the names of the nodes that received any of them.
+func (usage *nodeUsage) nodesInUse(t *testing.T) (nodes []string) {
 	t.Helper()
 	usage.round++
 	since := time.Now()
 	for i := range 40 {
-		call := Request(Once, fmt.Sprint("g", usage.round, "-", i), Tenant(i))
+		call := Request(NonIdempotent, fmt.Sprint("g", usage.round, "-", i), Tenant(i))
 		expectServed(t, fmt.Sprint("round ", usage.round), usage.client, call)
 	}
 	for _, node := range usage.rig.Nodes {
@@ -124,17 +125,17 @@
 	return nodes
 }
 
-// What the membership decisions guard against, through the program: half of
-// the nodes vanish at once, another replica is stale, clocks are an hour off.
-func TestEurekaGuardsThroughTheProgram(t *testing.T) {
+// The whole sidecar handles what the membership protection guards against: half of the nodes disappear at
+// once, another replica of the registry is stale, and the registry's clock is off by an hour.
+func TestEurekaMembershipProtection(t *testing.T) {
 	stale, registry := peertest.NewEureka(t), peertest.NewEureka(t)
-	rig, client := startWithEureka(t, registry, Options{Number: 6, Operators: func(file *operator.File) {
+	rig, client := startWithEureka(t, registry, Options{Number: 6, ConfigureOperator: func(file *operator.File) {
 		file.Eureka[0].Replicas = append(file.Eureka[0].Replicas, operator.URL(stale.URL()))
 	}})
 	usage := &nodeUsage{rig: rig, client: client}
 	drained := rig.Nodes[5].Name
 	testDrainWithClockSkew(t, registry, usage, drained)
-	for _, node := range rig.Nodes { // the other replica has no notification of the drain
+	for _, node := range rig.Nodes { // the other replica does not have the drain
 		instance, _ := registry.Instance(node.Name)
 		instance.Override = ""
 		stale.SetClockSkew(-time.Hour)
@@ -142,8 +143,8 @@
 	}
 	registry.SetFault(peers.ServerError)
 	awaitPolls(t, stale, 3)
-	if nodes := usage.used(t); len(nodes) != 5 || slices.Contains(nodes, drained) {
-		t.Errorf("a stale replica rolled the drain back: %v are used", nodes)
+	if nodes := usage.nodesInUse(t); len(nodes) != 5 || slices.Contains(nodes, drained) {
+		t.Errorf("with a stale replica: got nodes %v in use, want 5 without the drained node", nodes)
 	}
 	registry.SetFault(peers.NoFault)
 	stale.SetFault(peers.ServerError)
@@ -152,26 +153,26 @@
 		registry.Cancel(node.Name)
 	}
 	awaitPolls(t, registry, 3)
-	if nodes := usage.used(t); len(nodes) < 4 { // one of six may vanish, and one is out of service
-		t.Errorf("half of the nodes vanished at once, and %v are used", nodes)
+	if nodes := usage.nodesInUse(t); len(nodes) < 4 { // of six nodes, one may disappear and one is out of service
+		t.Errorf("after half of the nodes disappeared: got nodes %v in use, want at least 4", nodes)
 	}
 }
 
-// testDrainWithClockSkew drains a node, which is honoured whatever the registry's clock says.
+// testDrainWithClockSkew checks that a drain takes effect whatever the skew of the registry's clock.
 func testDrainWithClockSkew(t *testing.T, registry *peers.Eureka, usage *nodeUsage, drained string) {
 	t.Helper()
 	for _, skew := range []time.Duration{time.Hour, -time.Hour, 0} {
 		registry.SetClockSkew(skew)
 		registry.Override(drained, "OUT_OF_SERVICE")
 		awaitPolls(t, registry, 3)
-		if nodes := usage.used(t); len(nodes) != 5 || slices.Contains(nodes, drained) {
-			t.Errorf("clock off by %v, a node out of service: %v are used", skew, nodes)
+		if nodes := usage.nodesInUse(t); len(nodes) != 5 || slices.Contains(nodes, drained) {
+			t.Errorf("clock skew %v, a node out of service: got nodes %v in use, want the other 5", skew, nodes)
 		}
-		if skew > 0 { // a second time would be flapping
+		if skew > 0 { // ending the drain a second time would count as flapping
 			registry.Override(drained, "")
 			awaitPolls(t, registry, 3)
-			if nodes := usage.used(t); len(nodes) != 6 {
-				t.Errorf("clock off by %v, it is back: %v are used", skew, nodes)
+			if nodes := usage.nodesInUse(t); len(nodes) != 6 {
+				t.Errorf("clock skew %v, the node back in service: got nodes %v in use, want all 6", skew, nodes)
 			}
 		}
 	}
--- a/internal/rig/hang_test.go
+++ b/internal/rig/hang_test.go
@@ -9,54 +9,57 @@
 	"mothridge/internal/peers"
 )
 
-// One connection interleaves requests to a node that then hangs for 19 s: those
-// of the other nodes and those answered already go on, each hung one ends at
-// its own deadline, and new requests do not pile up at the node that hangs.
+// A client sends all requests on one connection while a node hangs for 19 s. Requests to the other nodes are
+// served, each request at the hanging node ends at its own deadline, and new requests do not accumulate at
+// the hanging node. The test guards against head-of-line blocking and an unbounded queue at one node.
 func TestHangOnOneConnection(t *testing.T) {
 	const requests = 600
-	rig := start(t, Options{Front: peers.RPC, Nodes: peers.RPC, Number: 4, Slots: 200, Open: 400, Times: true})
-	hangs := playHangs(rig)
+	rig := start(t, Options{
+		Front: peers.RPC, Nodes: peers.RPC, Number: 4, Slots: 200, MaxInFlightPerConn: 400, KeepAttemptTimes: true,
+	})
+	hangs := scriptHangs(rig)
 	client := startClient(t, rig)
 	for i := range 20 {
-		if got := doRequest(t, client, Request(Once, fmt.Sprint("before-", i), "north")); got.Outcome != peers.Served {
-			t.Fatalf("before the hang: %+v", got)
+		if got := doRequest(t, client, Request(NonIdempotent, fmt.Sprint("before-", i), "north")); got.Outcome != peers.Served {
+			t.Fatalf("before the hang: got %+v, want outcome served", got)
 		}
 	}
 	hanging := rig.Nodes[0]
 	hangs.Store(hanging.Name, true)
 	earlier := len(rig.Ledger.AttemptTimes(hanging.Name))
-	verdicts := newVerdictCounts()
-	var running sync.WaitGroup
+	outcomes := newOutcomeCounts()
+	var wg sync.WaitGroup
 	for i := range requests {
-		running.Go(func() {
-			call := Request(Once, fmt.Sprint("during-", i), Tenant(i))
+		wg.Go(func() {
+			call := Request(NonIdempotent, fmt.Sprint("during-", i), Tenant(i))
 			call.Timeout = time.Duration(400+i%5*100) * time.Millisecond
-			verdicts.add(doRequest(t, client, call))
+			outcomes.add(doRequest(t, client, call))
 		})
-		time.Sleep(2 * time.Millisecond) // an even load: 500 a second
+		time.Sleep(2 * time.Millisecond) // a constant load of 500 requests per second
 	}
-	running.Wait()
+	wg.Wait()
 	hung := len(rig.Ledger.AttemptTimes(hanging.Name)) - earlier
-	served, failed := verdicts.counts[peers.Served], verdicts.counts[peers.Failed]
-	t.Logf("%v; %d attempts at the node that hangs", verdicts, hung)
+	served, failed := outcomes.counts[peers.Served], outcomes.counts[peers.Failed]
+	t.Logf("%v; %d attempts at the hanging node", outcomes, hung)
 	if failed != hung || hung == 0 {
-		t.Errorf("%d failed and %d hang: each one that hangs must fail, and no other", failed, hung)
+		t.Errorf("got %d failed requests and %d attempts at the hanging node, want equal numbers above 0", failed, hung)
 	}
-	// The bulkheads bound what may be at one node; trials come on top now and then.
+	// The bulkheads limit the requests at one node. Occasional trial requests exceed this limit.
 	if hung > requests/4 || served < requests*6/10 {
-		t.Errorf("%d of %d requests went to the node that hangs, %d were served", hung, requests, served)
+		t.Errorf("got %d of %d requests at the hanging node and %d served, want at most a quarter and at least 60%%",
+			hung, requests, served)
 	}
 	if accepted := hanging.Accepted(); accepted > 4+20 {
-		t.Errorf("%d connections to the node that hangs", accepted)
+		t.Errorf("got %d connections to the hanging node, want at most 24", accepted)
 	}
-	expectNoneDoubled(t, rig, anyID)
+	expectNoneExecutedTwice(t, rig, anyID)
 }
 
-// playHangs lets each node hang for 19 s whose name is stored.
-func playHangs(rig *Rig) (hangs *sync.Map) {
+// scriptHangs makes each node whose name is stored in hangs respond after 19 s, and the others after 2 ms.
+func scriptHangs(rig *Rig) (hangs *sync.Map) {
 	hangs = new(sync.Map)
 	for _, node := range rig.Nodes {
-		node.IgnoreCancels(true) // the worst: what is given up runs on for all of the 19 s
+		node.IgnoreCancels(true) // worst case: a node processes a cancelled request for the full 19 s
 		node.SetScript(func(peers.Call) peers.Response {
 			if _, hung := hangs.Load(node.Name); hung {
 				return peers.Response{Delay: 19 * time.Second}
--- a/internal/rig/helpers_test.go
+++ b/internal/rig/helpers_test.go
@@ -13,12 +13,12 @@
 	"mothridge/internal/peers"
 )
 
-var long = flag.Bool("long", false, "run the long form of the tests that have one")
+var long = flag.Bool("long", false, "run the long form of tests that have a long form")
 
-// Whatever a rig started has ended when the tests have.
+// TestMain fails if goroutines that a rig started still run when the tests have ended.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// pairing is the protocols of a request's clients and nodes.
+// pairing is a combination of the protocols of the clients (front) and of the nodes.
 type pairing struct{ front, nodes peers.Protocol }
 
 func (p pairing) String() string { return fmt.Sprintf("%s to %s", p.front, p.nodes) }
@@ -27,10 +27,10 @@
 	{peers.HTTP, peers.HTTP}, {peers.HTTP, peers.RPC}, {peers.RPC, peers.HTTP}, {peers.RPC, peers.RPC},
 }
 
-// oneProtocol are the pairings in which clients and nodes speak the same.
-var oneProtocol = []pairing{pairings[0], pairings[3]}
+// sameProtocol contains the pairings in which clients and nodes use the same protocol.
+var sameProtocol = []pairing{pairings[0], pairings[3]}
 
-// start puts a rig together that ends with the test.
+// start starts a rig that is closed at the end of the test.
 func start(t testing.TB, options Options) *Rig {
 	t.Helper()
 	rig, err := Start(options)
@@ -39,13 +39,13 @@
 	}
 	t.Cleanup(func() {
 		if err := rig.Close(); err != nil {
-			t.Errorf("the sidecar ended with %v", err)
+			t.Errorf("sidecar: got error %v, want nil", err)
 		}
 	})
 	return rig
 }
 
-// startClient makes a client that is closed before the rig is.
+// startClient returns a client of a rig. The client is closed before the rig.
 func startClient(t testing.TB, rig *Rig) peers.Client {
 	t.Helper()
 	client := rig.Client()
@@ -53,48 +53,51 @@
 	return client
 }
 
-// delayed is a script whose nodes take their time to respond.
+// delayed returns a script that serves each request after a delay.
 func delayed(delay time.Duration) peers.Script {
 	return func(peers.Call) peers.Response { return peers.Response{Delay: delay} }
 }
 
-// doRequest sends a request and fails the test if its response is late or lost.
+// doRequest sends a request. It fails the test if the response is late or missing, or if the sidecar
+// considers the request invalid.
 func doRequest(t *testing.T, client peers.Client, call peers.Call) peers.Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), call.Timeout+5*time.Second)
 	defer cancel()
 	startedAt := time.Now()
 	got := client.Do(ctx, call)
-	// The rule allows 50 ms; a busy machine of two cores may add its own.
+	// The rule allows 50 ms after the deadline. The rest of the 500 ms is for delays of a busy machine with
+	// two cores.
 	if took := time.Since(startedAt); took > call.Timeout+500*time.Millisecond {
-		t.Errorf("%s: answered after %v of %v", call.ID, took, call.Timeout)
+		t.Errorf("%s: got a response after %v, want one within %v plus 500ms", call.ID, took, call.Timeout)
 	}
 	if got.Outcome == peers.Lost || got.Outcome == peers.InvalidRequest {
-		t.Errorf("%s: %+v", call.ID, got)
+		t.Errorf("%s: got %+v, want outcome served, rejected or failed", call.ID, got)
 	}
 	return got
 }
 
-// expectServed sends a request that must be served.
+// expectServed sends a request and fails the test unless the request is served.
 func expectServed(t *testing.T, what string, client peers.Client, call peers.Call) {
 	t.Helper()
 	if got := doRequest(t, client, call); got.Outcome != peers.Served {
-		t.Errorf("%s: %+v", what, got)
+		t.Errorf("%s: got %+v, want outcome served", what, got)
 	}
 }
 
-// mixedRequest is the i-th request of a worker; the classes and tenants take turns.
+// mixedRequest returns the i-th request of a worker. Successive requests cycle through the classes and
+// tenants.
 func mixedRequest(worker, i int) peers.Call {
-	return Request([]string{Read, Entry, Once}[i%3], fmt.Sprintf("%d-%d", worker, i), Tenant(i))
+	return Request([]string{Read, Keyed, NonIdempotent}[i%3], fmt.Sprintf("%d-%d", worker, i), Tenant(i))
 }
 
-// keepSending runs workers that send one request after the other until stop is
-// called, which waits for the last ones.
-func keepSending(workers int, sendOne func(worker, i int)) (stop func()) {
+// sendContinuously starts workers, each of which sends one request after the other. stop ends the workers and
+// waits for their last requests.
+func sendContinuously(workers int, sendOne func(worker, i int)) (stop func()) {
 	done := make(chan struct{})
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	for worker := range workers {
-		running.Go(func() {
+		wg.Go(func() {
 			for i := 0; ; i++ {
 				select {
 				case <-done:
@@ -107,38 +110,39 @@
 	}
 	return func() {
 		close(done)
-		running.Wait()
+		wg.Wait()
 	}
 }
 
-// verdictCounts counts results by verdict.
-type verdictCounts struct {
-	lock          sync.Mutex
-	counts        map[peers.Outcome]int
-	unserved      int // in a row, of all clients
-	worstUnserved int
+// outcomeCounts counts results by outcome. It is safe for concurrent use.
+type outcomeCounts struct {
+	mu                 sync.Mutex
+	counts             map[peers.Outcome]int
+	unservedRun        int // consecutive unserved results so far, over all clients
+	longestUnservedRun int // maximum of unservedRun
 }
 
-func newVerdictCounts() *verdictCounts { return &verdictCounts{counts: make(map[peers.Outcome]int)} }
+func newOutcomeCounts() *outcomeCounts { return &outcomeCounts{counts: make(map[peers.Outcome]int)} }
 
-func (c *verdictCounts) add(got peers.Result) {
-	c.lock.Lock()
-	defer c.lock.Unlock()
+func (c *outcomeCounts) add(got peers.Result) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	c.counts[got.Outcome]++
-	c.unserved++
+	c.unservedRun++
 	if got.Outcome == peers.Served {
-		c.unserved = 0
+		c.unservedRun = 0
 	}
-	c.worstUnserved = max(c.worstUnserved, c.unserved)
+	c.longestUnservedRun = max(c.longestUnservedRun, c.unservedRun)
 }
 
-func (c *verdictCounts) String() string {
+func (c *outcomeCounts) String() string {
 	return fmt.Sprintf("served %d, rejected %d, failed %d",
 		c.counts[peers.Served], c.counts[peers.Rejected], c.counts[peers.Failed])
 }
 
-// expectNoneDoubled checks the effects of the requests whose id is of interest.
-func expectNoneDoubled(t *testing.T, rig *Rig, ofInterest func(id string) bool) {
+// expectNoneExecutedTwice fails the test if the effect of a request for whose id ofInterest returns true was
+// executed more than once.
+func expectNoneExecutedTwice(t *testing.T, rig *Rig, ofInterest func(id string) bool) {
 	t.Helper()
 	for _, what := range rig.Ledger.ExecutedTwice(ofInterest) {
 		t.Error(what)
--- a/internal/rig/listing.go
+++ b/internal/rig/listing.go
@@ -7,33 +7,33 @@
 	"mothridge/internal/peers"
 )
 
-// eurekaStatus is the status in a Eureka registry by the platform's health.
+// eurekaStatus maps the platform's health to the status in a Eureka registry.
 var eurekaStatus = map[string]string{"up": "UP", "draining": "OUT_OF_SERVICE"}
 
-// List sets a node's entry in the endpoint list; health is up, draining or
-// removed, started its last start in Unix ms, zero for long ago.
-func (rig *Rig) List(node *peers.Upstream, health string, started int64) {
-	if rig.Eureka == nil {
-		rig.Discovery.Set(peers.Endpoint{
-			Name: node.Name, Addr: node.Addr(), Zone: "a", MachineType: "m", Cell: 1, Health: health, Weight: 1, StartedAtMs: started,
+// SetHealth sets a node's entry in the endpoint list. health is up, draining or removed. startedAtMs is the
+// Unix time of the node's last start in milliseconds; 0 stands for long ago.
+func (r *Rig) SetHealth(node *peers.Upstream, health string, startedAtMs int64) {
+	if r.Eureka == nil {
+		r.Discovery.Set(peers.Endpoint{
+			Name: node.Name, Addr: node.Addr(), Zone: "a", MachineType: "m", Cell: 1, Health: health, Weight: 1, StartedAtMs: startedAtMs,
 		})
 		return
 	}
 	if health == "removed" {
-		rig.Eureka.Cancel(node.Name)
+		r.Eureka.Cancel(node.Name)
 		return
 	}
-	rig.Eureka.Register(rig.Instance(node, node.Name, eurekaStatus[health], started))
+	r.Eureka.Register(r.EurekaRegistration(node, node.Name, eurekaStatus[health], startedAtMs))
 }
 
-// Instance is a node as it registers with a Eureka registry under an id.
-func (rig *Rig) Instance(node *peers.Upstream, id, status string, started int64) peers.EurekaInstance {
+// EurekaRegistration returns the instance with which a node registers under an id with a Eureka registry.
+func (r *Rig) EurekaRegistration(node *peers.Upstream, id, status string, startedAtMs int64) peers.EurekaInstance {
 	host, port, _ := net.SplitHostPort(node.Addr())
 	number, _ := strconv.Atoi(port)
 	return peers.EurekaInstance{
 		ID: id, App: "RECORDS", Host: host, IP: host, Port: number, Status: status, Metadata: map[string]string{
-			"zone": "a", "protocol": string(rig.protocol), "weight": "1", "cell": "1",
-			"started_ms": strconv.FormatInt(started, 10),
+			"zone": "a", "protocol": string(r.protocol), "weight": "1", "cell": "1",
+			"started_ms": strconv.FormatInt(startedAtMs, 10),
 		},
 	}
 }
--- a/internal/rig/metrics_test.go
+++ b/internal/rig/metrics_test.go
@@ -16,17 +16,18 @@
 	"mothridge/internal/peers"
 )
 
-// failOnce fails the requests that are not idempotent and serves the others.
-func failOnce(call peers.Call) peers.Response {
-	if call.Class == Once {
+// failNotIdempotent is a script that fails the requests that are not idempotent and serves the others.
+func failNotIdempotent(call peers.Call) peers.Response {
+	if call.Class == NonIdempotent {
 		return peers.Response{Action: peers.Error}
 	}
 	return peers.Response{}
 }
 
-// What the metrics say is what happened, with either protocol.
-func TestMetricsCountWhatHappened(t *testing.T) {
-	for _, pair := range oneProtocol {
+// The metrics match the requests that were sent, with either protocol. The test guards against counters that miss
+// requests or count them twice.
+func TestMetricsMatchRequests(t *testing.T) {
+	for _, pair := range sameProtocol {
 		t.Run(pair.String(), func(t *testing.T) { testMetrics(t, pair) })
 	}
 }
@@ -34,44 +35,45 @@
 func testMetrics(t *testing.T, pair pairing) {
 	socket := filepath.Join(t.TempDir(), "s")
 	rig := start(t, Options{
-		Front: pair.front, Nodes: pair.nodes, Slots: 50, Script: failOnce,
-		Operators: func(file *operator.File) { file.Admin = operator.Admin{Socket: socket, Metrics: true} },
+		Front: pair.front, Nodes: pair.nodes, Slots: 50, Script: failNotIdempotent,
+		ConfigureOperator: func(file *operator.File) { file.Admin = operator.Admin{Socket: socket, Metrics: true} },
 	})
 	client := startClient(t, rig)
 	for i := range 30 {
-		doRequest(t, client, Request([]string{Read, Entry, Once}[i%3], fmt.Sprint("m", i), Tenant(i)))
+		doRequest(t, client, Request([]string{Read, Keyed, NonIdempotent}[i%3], fmt.Sprint("m", i), Tenant(i)))
 	}
 	if got := client.Do(t.Context(), Request(Read, "wrong", "nobody")); got.Outcome != peers.InvalidRequest {
-		t.Errorf("a wrong one: %+v", got)
+		t.Errorf("request of an unknown tenant: got %+v, want an invalid request", got)
 	}
 	families := scrape(t, socket)
 	for _, want := range wantedMetrics(string(pair.front)) {
 		if got := valueOf(families[want.family], want.labels); got != want.value {
-			t.Errorf("%s%v is %v, want %v", want.family, want.labels, got, want.value)
+			t.Errorf("%s%v: got %v, want %v", want.family, want.labels, got, want.value)
 		}
 	}
 	dialled := map[string]string{"event": "dials", "protocol": string(pair.nodes)}
 	if dials := valueOf(families["mothridge_transport_total"], dialled); dials < 1 {
-		t.Errorf("%v dials", dials)
+		t.Errorf("got %v dials, want at least 1", dials)
 	}
 	if families["go_goroutines"] == nil {
-		t.Error("there is no metric of the process")
+		t.Error("got no metric go_goroutines, want the metrics of the process")
 	}
 }
 
+// wantedMetric is an expected value of the metrics of a family that have all the labels.
 type wantedMetric struct {
 	family string
 	labels map[string]string
 	value  float64
 }
 
-// wantedMetrics are those after ten requests of each class and a wrong one.
+// wantedMetrics returns the expected metrics after ten requests of each class and one invalid request.
 func wantedMetrics(front string) []wantedMetric {
 	return []wantedMetric{
 		{"mothridge_request_seconds", map[string]string{"class": Read, "ending": "served"}, 10},
-		{"mothridge_request_seconds", map[string]string{"class": Entry, "ending": "served"}, 10},
-		{"mothridge_request_seconds", map[string]string{"class": Once, "ending": "failed"}, 10},
-		{"mothridge_request_seconds", map[string]string{"class": Once, "ending": "served"}, 0},
+		{"mothridge_request_seconds", map[string]string{"class": Keyed, "ending": "served"}, 10},
+		{"mothridge_request_seconds", map[string]string{"class": NonIdempotent, "ending": "failed"}, 10},
+		{"mothridge_request_seconds", map[string]string{"class": NonIdempotent, "ending": "served"}, 0},
 		{"mothridge_front_total", map[string]string{"event": "taken", "protocol": front}, 30},
 		{"mothridge_front_total", map[string]string{"event": "rejected", "protocol": front}, 1},
 		{"mothridge_decisions_total", map[string]string{"decision": "failed"}, 10},
@@ -82,6 +84,7 @@
 	}
 }
 
+// scrape fetches and parses the metrics from the admin socket.
 func scrape(t *testing.T, socket string) map[string]*dto.MetricFamily {
 	t.Helper()
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -101,7 +104,8 @@
 	return families
 }
 
-// valueOf adds up the metrics of a family that have all the labels.
+// valueOf returns the sum of the metrics of a family that have all the labels. A histogram's value is its
+// number of samples.
 func valueOf(family *dto.MetricFamily, labels map[string]string) (sum float64) {
 	for _, metric := range family.GetMetric() {
 		matching := 0
--- a/internal/rig/options.go
+++ b/internal/rig/options.go
@@ -9,63 +9,65 @@
 	"mothridge/internal/peers"
 )
 
-// Options say what to put together. Zeros take the defaults in brackets.
+// Options configures a rig. Zero values stand for the defaults in brackets.
 type Options struct {
-	Front  peers.Protocol // how clients speak [HTTP]
-	Nodes  peers.Protocol // how nodes speak [HTTP]
-	Number int            // of nodes [2]
-	Script peers.Script   // of every node [peers.ServeAll]
-	Times  bool           // the ledger keeps when each node received something
+	Front            peers.Protocol // protocol of the clients [HTTP]
+	Nodes            peers.Protocol // protocol of the nodes [HTTP]
+	Number           int            // number of nodes [2]
+	Script           peers.Script   // script of each node [peers.ServeAll]
+	KeepAttemptTimes bool           // the ledger keeps the time of each attempt by node
 
-	Slots     int                                 // in place of the settings' own
-	Open      int                                 // requests open on a MessagePack-RPC connection
-	Settings  map[string]any                      // replace the default settings, by top-level key
-	Listener  func(*net.TCPListener) net.Listener // wraps the one that clients use
-	Sockets   int                                 // the sidecar's limit [1024]
-	Eureka    *peers.Eureka                       // lists the nodes in the platform's place
-	Operators func(*operator.File)                // changes the operators' file
-	Reload    <-chan os.Signal                    // the signals that say 'read your files again'
-	Seed      string                              // of the decisions ["1"]
-	Beside    *Rig                                // its nodes and discovery are used, and closed with it alone
+	Slots              int                                 // slots of the sidecar [derived from the settings]
+	MaxInFlightPerConn int                                 // limit for a client's MessagePack-RPC connection
+	Settings           map[string]any                      // replace the default settings with the same top-level key
+	WrapListener       func(*net.TCPListener) net.Listener // wraps each listener of the sidecar
+	Sockets            int                                 // maximum number of sockets of the sidecar [1024]
+	Eureka             *peers.Eureka                       // lists the nodes instead of the platform's discovery
+	ConfigureOperator  func(*operator.File)                // changes the operators' file before the sidecar starts
+	Reload             <-chan os.Signal                    // signals on which the sidecar reloads its files
+	Seed               string                              // seed of the sidecar's decisions ["1"]
+
+	// Beside is another rig whose nodes and discovery this rig uses. Only the other rig's Close closes them.
+	Beside *Rig
 }
 
-// withDefaults gives the options with the defaults in place of zeros.
-func (options Options) withDefaults() Options {
-	options.Front = cmp.Or(options.Front, peers.HTTP)
-	options.Nodes = cmp.Or(options.Nodes, peers.HTTP)
-	options.Number = cmp.Or(options.Number, 2)
-	options.Sockets = cmp.Or(options.Sockets, 1024)
-	options.Seed = cmp.Or(options.Seed, "1")
-	if options.Script == nil {
-		options.Script = peers.ServeAll
+// withDefaults returns the options with the defaults instead of zero values.
+func (o Options) withDefaults() Options {
+	o.Front = cmp.Or(o.Front, peers.HTTP)
+	o.Nodes = cmp.Or(o.Nodes, peers.HTTP)
+	o.Number = cmp.Or(o.Number, 2)
+	o.Sockets = cmp.Or(o.Sockets, 1024)
+	o.Seed = cmp.Or(o.Seed, "1")
+	if o.Script == nil {
+		o.Script = peers.ServeAll
 	}
-	return options
+	return o
 }
 
-// operatorFile is the operators' file that the options describe; rpcAddress is where
-// clients connect with MessagePack-RPC.
-func (options Options) operatorFile(rpcAddress string) operator.File {
-	file := operator.File{Limits: operator.Limits{Slots: operator.Count(options.Slots)}}
-	if options.Front == peers.RPC {
+// operatorFile returns the operators' file that the options describe. rpcAddress is the address of the
+// MessagePack-RPC listener.
+func (o Options) operatorFile(rpcAddress string) operator.File {
+	file := operator.File{Limits: operator.Limits{Slots: operator.Count(o.Slots)}}
+	if o.Front == peers.RPC {
 		file.Listeners = []operator.Listener{{
-			Protocol: operator.RPC, Address: operator.Address(rpcAddress), MaxInFlight: operator.Count(options.Open),
+			Protocol: operator.RPC, Address: operator.Address(rpcAddress), MaxInFlight: operator.Count(o.MaxInFlightPerConn),
 		}}
 	}
-	if options.Nodes == peers.RPC {
+	if o.Nodes == peers.RPC {
 		file.Pools = []operator.Pool{{Name: "records", Protocol: operator.RPC, Hosts: []operator.Pattern{"records-*"}}}
 	}
-	if options.Eureka != nil {
+	if o.Eureka != nil {
 		platform := false
 		file.Membership = operator.Membership{Platform: &platform, SilentAfter: "2s"}
 		file.Eureka = []operator.Eureka{{
-			Name: "eureka", Replicas: []operator.URL{operator.URL(options.Eureka.URL())}, Interval: "50ms", Timeout: "1s",
+			Name: "eureka", Replicas: []operator.URL{operator.URL(o.Eureka.URL())}, Interval: "50ms", Timeout: "1s",
 			Metadata: operator.Metadata{
 				Zone: "zone", Protocol: "protocol", Weight: "weight", Cell: "cell", StartedAtMS: "started_ms",
 			},
 		}}
 	}
-	if options.Operators != nil {
-		options.Operators(&file)
+	if o.ConfigureOperator != nil {
+		o.ConfigureOperator(&file)
 	}
 	return file
 }
--- a/internal/rig/plugins_bench_test.go
+++ b/internal/rig/plugins_bench_test.go
@@ -12,14 +12,15 @@
 	"mothridge/internal/peers"
 )
 
-// runawayPhase is how long the calm and the runaway phase last, one after the other.
+// runawayPhase is the duration of each calm phase and each runaway phase. The phases alternate.
 const runawayPhase = 200 * time.Millisecond
 
-// runawayLatencies are those of the tenant whose requests the plug-in leaves alone, by phase.
+// runawayLatencies records the latencies, by phase, of the tenant whose requests do not make the plug-in run
+// away.
 type runawayLatencies struct {
-	lock    sync.Mutex
-	byPhase [2]*hdrhistogram.Histogram
-	served  int // of both tenants
+	mu      sync.Mutex
+	byPhase [2]*hdrhistogram.Histogram // in microseconds; calm, runaway
+	served  int                        // served requests of both tenants
 }
 
 func newRunawayLatencies() *runawayLatencies {
@@ -30,15 +31,17 @@
 	return latencies
 }
 
+// add counts a served request and records the latency of tenant 0.
 func (latencies *runawayLatencies) add(phase, tenant int, latency time.Duration) {
-	latencies.lock.Lock()
-	defer latencies.lock.Unlock()
+	latencies.mu.Lock()
+	defer latencies.mu.Unlock()
 	latencies.served++
 	if tenant == 0 {
 		latencies.byPhase[phase].RecordValue(latency.Microseconds())
 	}
 }
 
+// report reports the quantiles by phase and the number of unserved requests.
 func (latencies *runawayLatencies) report(b *testing.B, requests int) {
 	b.Helper()
 	for phase, name := range []string{"calm", "runaway"} {
@@ -48,14 +51,14 @@
 	b.ReportMetric(float64(requests-latencies.served), "unserved")
 }
 
-// BenchmarkRunaway shows what a plug-in that runs away, or nearly so, on one
-// tenant's requests costs the other tenant's: the two phases change every 200 ms
-// in one run, under one load.
+// BenchmarkRunaway measures how a plug-in that uses up its fuel, or almost all of it, on the requests of one
+// tenant affects the latency of the other tenant. Calm and runaway phases alternate every 200 ms in the same
+// run, under the same load.
 func BenchmarkRunaway(b *testing.B) {
 	for name, program := range map[string]string{
 		"endless": `on request { if header("Spin") == "yes" { while true { } } }`,
 		"doubles": `on request { if header("Spin") == "yes" { var s = "x"  while true { s = s + s } } }`,
-		// Just under its fuel: it is never suspended.
+		// Uses slightly less than its fuel, so that the plug-in is never suspended.
 		"nearly": `on request { if header("Spin") == "yes" { for i in 0..1400 { } } }`,
 	} {
 		b.Run(name, func(b *testing.B) { benchmarkRunaway(b, program) })
@@ -65,12 +68,12 @@
 func benchmarkRunaway(b *testing.B, program string) {
 	file := newOperatorsFile(b, "[[plugin]]\nname = \"p\"\nfile = \"0.hook\"\n", program)
 	rig := start(b, Options{
-		Operators: file.load, Slots: 256, Sockets: 4096, Number: 4, Script: delayed(5 * time.Millisecond),
+		ConfigureOperator: file.load, Slots: 256, Sockets: 4096, Number: 4, Script: delayed(5 * time.Millisecond),
 	})
 	client := startClient(b, rig)
 	latencies := newRunawayLatencies()
-	var running sync.WaitGroup
-	ticker := time.NewTicker(2 * time.Millisecond) // 500 a second, half of them of each tenant
+	var wg sync.WaitGroup
+	ticker := time.NewTicker(2 * time.Millisecond) // 500 requests per second, half of them from each tenant
 	defer ticker.Stop()
 	b.ResetTimer()
 	requests, startedAt := 1000*b.N, time.Now()
@@ -82,19 +85,19 @@
 		if phase == 1 && tenant == 1 {
 			call.Fields["Spin"] = "yes"
 		}
-		running.Go(func() {
+		wg.Go(func() {
 			requestedAt := time.Now()
 			if got := client.Do(context.Background(), call); got.Outcome == peers.Served {
 				latencies.add(phase, tenant, time.Since(requestedAt))
 			}
 		})
 	}
-	running.Wait()
+	wg.Wait()
 	latencies.report(b, requests)
 }
 
-// BenchmarkPlugins is what a request costs through the real program, by how many
-// plug-ins see it, each of which tags it.
+// BenchmarkPlugins measures the cost of a request through the whole sidecar, by the number of plug-ins. Each
+// plug-in tags the request.
 func BenchmarkPlugins(b *testing.B) {
 	const program = `on request { if event.class == "read" and has_prefix(event.target, "/") { tag("seen") } }`
 	for _, plugins := range []int{0, 1, 10} {
@@ -105,7 +108,7 @@
 				programs = append(programs, program)
 			}
 			file := newOperatorsFile(b, text, programs...)
-			rig := start(b, Options{Operators: file.load, Number: 1, Slots: 1024, Sockets: 4096})
+			rig := start(b, Options{ConfigureOperator: file.load, Number: 1, Slots: 1024, Sockets: 4096})
 			benchmarkRequests(b, rig.Addr, rig.Front, 16)
 		})
 	}
--- a/internal/rig/plugins_test.go
+++ b/internal/rig/plugins_test.go
@@ -15,13 +15,13 @@
 	"mothridge/internal/peers"
 )
 
-// operatorsFile is an operators' file with plug-ins in a folder of the test.
+// operatorsFile is an operators' file with plug-ins in a temporary folder of the test.
 type operatorsFile struct {
 	t      testing.TB
 	folder string
 }
 
-// newOperatorsFile writes the file, and its programs as 0.hook and so on.
+// newOperatorsFile writes the operators' file, and the programs as 0.hook, 1.hook and so on.
 func newOperatorsFile(t testing.TB, text string, programs ...string) *operatorsFile {
 	t.Helper()
 	file := &operatorsFile{t, t.TempDir()}
@@ -32,6 +32,7 @@
 	return file
 }
 
+// write writes a file of the folder.
 func (file *operatorsFile) write(name, text string) {
 	file.t.Helper()
 	if err := os.WriteFile(filepath.Join(file.folder, name), []byte(text), 0o600); err != nil {
@@ -39,13 +40,14 @@
 	}
 }
 
-// writeProgram writes another program in place of one.
+// writeProgram writes or replaces program i.
 func (file *operatorsFile) writeProgram(i int, program string) {
 	file.t.Helper()
 	file.write(fmt.Sprintf("%d.hook", i), program)
 }
 
-// load reads the file, but for what the options of a rig say.
+// load reads the operators' file into a rig's configuration. Limits, listeners and pools keep the values of
+// the rig's options.
 func (file *operatorsFile) load(into *operator.File) {
 	file.t.Helper()
 	loaded, err := operator.Load(filepath.Join(file.folder, "mothridge.toml"))
@@ -56,7 +58,8 @@
 	*into = *loaded
 }
 
-// reloadTwice returns once a reload has been carried out: that is when the second is taken.
+// reloadTwice sends two reload signals and returns once the first reload is complete. The sidecar accepts the
+// second signal only then.
 func reloadTwice(reload chan<- os.Signal) {
 	reload <- syscall.SIGHUP
 	reload <- syscall.SIGHUP
@@ -74,34 +77,34 @@
 headers = ["X-*"]
 `
 
-// seenByNodes collects what the nodes receive of the plug-ins.
-type seenByNodes struct {
-	lock sync.Mutex
+// receivedByNodes records the tags and headers from plug-ins that the nodes receive.
+type receivedByNodes struct {
+	mu   sync.Mutex
 	seen []string
 }
 
-func (s *seenByNodes) script(call peers.Call) peers.Response {
-	s.lock.Lock()
-	defer s.lock.Unlock()
+func (s *receivedByNodes) script(call peers.Call) peers.Response {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.seen = append(s.seen, call.ID+" "+call.Field("Request-Tags")+" "+call.Field("X-Was"))
 	return peers.Response{}
 }
 
-// take returns what was seen and forgets it.
-func (s *seenByNodes) take() string {
-	s.lock.Lock()
-	defer s.lock.Unlock()
+// take returns the recorded requests and clears the record.
+func (s *receivedByNodes) take() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	text := strings.Join(s.seen, "; ")
 	s.seen = nil
 	return text
 }
 
-// With either protocol: what a plug-in rejects is answered at once with Retry-After
-// and why, reaches no node and is a rejection; what it tags reaches
-// the node so; one that fails follows the rule of the class; a reload takes other
-// programs, or none where one of them is wrong.
+// With either protocol: a request that a plug-in rejects is refused immediately with Retry-After and a
+// reason, and reaches no node. Tags and headers that a plug-in sets reach the node, and tags that a client
+// sets do not. A plug-in that fails follows the rule of the request's class. A reload replaces all programs,
+// or none of them if one is invalid.
 func TestPlugins(t *testing.T) {
-	for _, pair := range oneProtocol {
+	for _, pair := range sameProtocol {
 		t.Run(pair.String(), func(t *testing.T) { testPlugins(t, pair) })
 	}
 }
@@ -111,61 +114,63 @@
 		`on request { if event.class == "keyed-entry" { refuse("closed", 1s) }
 			else if event.class == "harvest-entry" { while true { } } }`,
 		`on request { tag("one")  set_header("X-Was", event.class) }`)
-	var nodes seenByNodes
+	var nodes receivedByNodes
 	reload := make(chan os.Signal)
 	rig := start(t, Options{
-		Front: pair.front, Nodes: pair.nodes, Operators: file.load, Reload: reload, Script: nodes.script,
+		Front: pair.front, Nodes: pair.nodes, ConfigureOperator: file.load, Reload: reload, Script: nodes.script,
 	})
 	client := startClient(t, rig)
 	do := func(call peers.Call) peers.Result { return client.Do(t.Context(), call) }
-	if got := do(Request(Entry, "a", Tenant(0))); got.Outcome != peers.Rejected || got.RetryAfter != time.Second {
-		t.Errorf("out of season: %+v", got)
+	if got := do(Request(Keyed, "a", Tenant(0))); got.Outcome != peers.Rejected || got.RetryAfter != time.Second {
+		t.Errorf("rejection by a plug-in: got %+v, want a rejection with RetryAfter 1s", got)
 	}
-	if got := do(Request(Once, "b", Tenant(0))); got.Outcome != peers.Rejected || got.RetryAfter <= 0 {
-		t.Errorf("a failure, of a class that is rejected then: %+v", got)
+	if got := do(Request(NonIdempotent, "b", Tenant(0))); got.Outcome != peers.Rejected || got.RetryAfter <= 0 {
+		t.Errorf("failed plug-in, for a class that is rejected on failure: got %+v, want a rejection with RetryAfter",
+			got)
 	}
 	forged := Request(Read, "c", Tenant(0))
 	forged.Fields = map[string]string{"Request-Tags": "forged"}
 	if got := do(forged); got.Outcome != peers.Served {
-		t.Errorf("%+v", got)
+		t.Errorf("request with a forged tag: got %+v, want outcome served", got)
 	}
 	if got := nodes.take(); got != "c one read" {
-		t.Errorf("the nodes saw %q", got)
+		t.Errorf("the nodes received %q, want request c with tag one and header read", got)
 	}
 	file.writeProgram(0, `on request { }`)
 	file.writeProgram(1, `on request { tag(2) }`)
 	reloadTwice(reload)
-	if got := do(Request(Entry, "d", Tenant(0))); got.Outcome != peers.Rejected {
-		t.Errorf("after a reload to a broken program: %+v", got)
+	if got := do(Request(Keyed, "d", Tenant(0))); got.Outcome != peers.Rejected {
+		t.Errorf("after a reload with an invalid program: got %+v, want a rejection by the previous program", got)
 	}
 	file.writeProgram(1, `on request { tag("two") }`)
 	reloadTwice(reload)
-	if got := do(Request(Entry, "e", Tenant(0))); got.Outcome != peers.Served {
-		t.Errorf("after a reload: %+v", got)
+	if got := do(Request(Keyed, "e", Tenant(0))); got.Outcome != peers.Served {
+		t.Errorf("after a reload: got %+v, want outcome served", got)
 	}
 	if got := nodes.take(); got != "e two " {
-		t.Errorf("after a reload the nodes saw %q", got)
+		t.Errorf("after a reload: the nodes received %q, want request e with tag two", got)
 	}
 }
 
-// A reload with requests under way: each has one response, by one of the two sets.
+// Programs are reloaded with requests in flight. Each request is processed by either the old or the new set of
+// programs, and gets one response. The test guards against a request that is processed by a mixture of both sets.
 func TestPluginsReloadUnderLoad(t *testing.T) {
 	program := func(value int) string {
 		return fmt.Sprintf(`on request { set_header("X-A", "%d")  set_header("X-B", "%d") }`, value, value)
 	}
 	file := newOperatorsFile(t, "[[plugin]]\nname = \"p\"\nfile = \"0.hook\"\nheaders = [\"X-*\"]\n", program(1))
 	reload := make(chan os.Signal)
-	rig := start(t, Options{Operators: file.load, Reload: reload, Slots: 64, Script: func(call peers.Call) peers.Response {
+	rig := start(t, Options{ConfigureOperator: file.load, Reload: reload, Slots: 64, Script: func(call peers.Call) peers.Response {
 		if a, b := call.Field("X-A"), call.Field("X-B"); a != b || a == "" {
-			return peers.Response{Action: peers.Error} // of two sets, or of none
+			return peers.Response{Action: peers.Error} // headers from two sets of programs, or from none
 		}
 		return peers.Response{}
 	}})
 	client := startClient(t, rig)
-	stop := keepSending(4, func(worker, i int) {
+	stop := sendContinuously(4, func(worker, i int) {
 		call := Request(Read, fmt.Sprintf("%d-%d", worker, i), Tenant(0))
 		if got := client.Do(context.Background(), call); got.Outcome != peers.Served {
-			t.Errorf("%+v", got)
+			t.Errorf("request during a reload: got %+v, want outcome served", got)
 		}
 	})
 	for i := range 20 {
--- a/internal/rig/quotas_test.go
+++ b/internal/rig/quotas_test.go
@@ -36,12 +36,12 @@
 windows = ["1s"]
 `
 
-// Two tenants through the real program, with either protocol: the busy one has what
-// the quiet one leaves; the quiet one has its share when it comes back; of both
-// busy each has its share within 5%; every request has one response, and rejections
-// say when to come back.
+// Two tenants share a quota through the whole sidecar, with either protocol. While one tenant is idle, the
+// other tenant may use the idle tenant's share. When the idle tenant returns, it gets its share again. While
+// both tenants are busy, each gets its share within 5%. Each request gets one response, and each rejection
+// contains the time to wait.
 func TestQuotasOfTwoTenants(t *testing.T) {
-	for _, pair := range oneProtocol {
+	for _, pair := range sameProtocol {
 		t.Run(pair.String(), func(t *testing.T) {
 			t.Parallel()
 			testQuotasOfTwoTenants(t, pair)
@@ -53,41 +53,45 @@
 	socket := filepath.Join(t.TempDir(), "s")
 	file := newOperatorsFile(t, fmt.Sprintf("[admin]\nsocket = %q\n", socket)+twoTenants)
 	rig := start(t, Options{
-		Front: pair.front, Nodes: pair.nodes, Operators: file.load, Slots: 256, Open: 512, Sockets: 2048,
+		Front: pair.front, Nodes: pair.nodes, ConfigureOperator: file.load,
+		Slots: 256, MaxInFlightPerConn: 512, Sockets: 2048,
 	})
 	client := startClient(t, rig)
 	if got := sendAtRates(t, client, 2*time.Second, [2]int{0, 300}); got[1] < 300 {
-		t.Errorf("alone, a tenant of 50 a second was served %d in two seconds, want nearly 200 a second", got[1])
+		t.Errorf("tenant with a quota of 50/s, alone: got %d served in 2 s, want at least 300, near 200/s",
+			got[1])
 	}
-	sendAtRates(t, client, time.Second, [2]int{300, 300}) // uses up what was saved and lent
+	sendAtRates(t, client, time.Second, [2]int{300, 300}) // uses up the saved and lent quota
 	got := sendAtRates(t, client, 4*time.Second, [2]int{300, 300})
 	if got[0] < 570 || got[0] > 680 || got[1] < 180 || got[1] > 215 {
-		t.Errorf("both busy: %d and %d in four seconds, want 600 and 200, and a tenth of the debt", got[0], got[1])
+		t.Errorf("both tenants busy: got %d and %d served in 4 s, want 600 and 200, plus a tenth of the debt",
+			got[0], got[1])
 	}
 	var nodes []quotas.NodeView
 	err := admin.Query(t.Context(), socket, "quotas", &nodes)
 	if err != nil || len(nodes) != 3 ||
 		nodes[2].Usage.Borrowed == 0 || nodes[1].Usage.Lent == 0 || nodes[2].Rejection == "" {
-		t.Errorf("%v, %+v", err, nodes)
+		t.Errorf("quotas query: got error %v, nodes %+v, want 3 nodes with a borrower, a lender and a rejection",
+			err, nodes)
 	}
 }
 
-// sendAtRates sends the requests of each tenant at an even rate a second, and returns
-// how many were served.
+// sendAtRates sends the requests of each tenant at a constant rate per second and returns how many were
+// served, by tenant. It fails the test for any other result than served or rejected with RetryAfter.
 func sendAtRates(t *testing.T, client peers.Client, duration time.Duration, rates [2]int) (served [2]int) {
 	t.Helper()
-	var lock sync.Mutex
-	var running sync.WaitGroup
+	var mu sync.Mutex
+	var wg sync.WaitGroup
 	sendOne := func(tenant, i int) {
 		id := fmt.Sprintf("%d-%d-%d", tenant, i, time.Now().UnixNano())
 		got := client.Do(context.Background(), Request(Read, id, Tenant(tenant)))
-		lock.Lock()
-		defer lock.Unlock()
+		mu.Lock()
+		defer mu.Unlock()
 		switch {
 		case got.Outcome == peers.Served:
 			served[tenant]++
 		case got.Outcome != peers.Rejected || got.RetryAfter <= 0:
-			t.Errorf("tenant %d: %+v", tenant, got)
+			t.Errorf("tenant %d: got %+v, want outcome served, or rejected with RetryAfter", tenant, got)
 		}
 	}
 	for tenant, rate := range rates {
@@ -99,17 +103,17 @@
 			at := time.Duration(i) * interval
 			return at, at < duration
 		}
-		running.Go(func() {
+		wg.Go(func() {
 			peers.OpenLoop(context.Background(), time.Now(), schedule, func(i int, _ time.Time) {
-				running.Go(func() { sendOne(tenant, i) })
+				wg.Go(func() { sendOne(tenant, i) })
 			})
 		})
 	}
-	running.Wait()
+	wg.Wait()
 	return served
 }
 
-// A reload takes other quotas, and a file that is wrong changes nothing.
+// A reload applies changed quotas, and an invalid file changes nothing.
 func TestQuotasReload(t *testing.T) {
 	const name = "mothridge.toml"
 	quotasOf := func(rate float64) string {
@@ -117,7 +121,7 @@
 	}
 	file := newOperatorsFile(t, quotasOf(5))
 	reload := make(chan os.Signal)
-	rig := start(t, Options{Reload: reload, Operators: file.load})
+	rig := start(t, Options{Reload: reload, ConfigureOperator: file.load})
 	client := startClient(t, rig)
 	first := countServed(t, client, "a")
 	file.write(name, quotasOf(1000)+"[[quota]]\nname = \"x\"\nparent = \"nobody\"\ntenant = \"north\"\n")
@@ -125,14 +129,14 @@
 	second := countServed(t, client, "b")
 	file.write(name, quotasOf(1000))
 	reloadTwice(reload)
-	time.Sleep(50 * time.Millisecond) // of 1,000 a second: enough for all of the requests
+	time.Sleep(50 * time.Millisecond) // at 1,000 per second, enough quota for all 40 requests
 	if third := countServed(t, client, "c"); first < 5 || first > 7 || second > 3 || third != 40 {
-		t.Errorf("served %d of 40 at five a second, %d after a file that is wrong, %d after one of a thousand",
+		t.Errorf("got %d of 40 served at 5/s, %d after an invalid file, %d at 1000/s; want 5 to 7, at most 3, 40",
 			first, second, third)
 	}
 }
 
-// countServed sends 40 requests, one after the other.
+// countServed sends 40 requests one after the other and returns how many were served.
 func countServed(t *testing.T, client peers.Client, prefix string) (served int) {
 	t.Helper()
 	for i := range 40 {
--- a/internal/rig/ready.go
+++ b/internal/rig/ready.go
@@ -5,8 +5,9 @@
 	"net/http"
 )
 
-// ready is whether a sidecar's HTTP side says that it has an endpoint list.
-func ready(address string) bool {
+// isReady reports whether the readiness check of a sidecar at an HTTP address succeeds, which means that the
+// sidecar has an endpoint list.
+func isReady(address string) bool {
 	transport := &http.Transport{DisableKeepAlives: true}
 	url := "http://" + address + "/health/ready"
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
--- a/internal/rig/restart_test.go
+++ b/internal/rig/restart_test.go
@@ -9,8 +9,9 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// A planned restart with responses due: each request that was taken, and each
-// that crosses the announcement of the drain, is answered.
+// The sidecar shuts down for a planned restart with requests in flight. Each accepted request, and each request
+// that is sent while the sidecar announces the drain, is served. The test guards against requests that are lost in
+// a planned restart.
 func TestPlannedRestartWithAllPairings(t *testing.T) {
 	for _, pair := range pairings {
 		t.Run(pair.String(), func(t *testing.T) {
@@ -22,7 +23,8 @@
 
 func testPlannedRestart(t *testing.T, pair pairing) {
 	rig, err := Start(Options{
-		Front: pair.front, Nodes: pair.nodes, Slots: 400, Open: 200, Script: delayed(400 * time.Millisecond),
+		Front: pair.front, Nodes: pair.nodes, Slots: 400, MaxInFlightPerConn: 200,
+		Script: delayed(400 * time.Millisecond),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -30,28 +32,28 @@
 	defer rig.Close()
 	client := rig.Client()
 	defer client.Close()
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	send := func(name string) {
 		for i := range 30 {
-			running.Go(func() {
+			wg.Go(func() {
 				id := fmt.Sprint(name, i)
-				expectServed(t, id, client, Request(Once, id, Tenant(i)))
+				expectServed(t, id, client, Request(NonIdempotent, id, Tenant(i)))
 			})
 		}
 	}
 	send("taken-")
-	peertest.Until(t, "them to be in flight", func() bool {
+	peertest.Until(t, "30 requests to be in flight", func() bool {
 		return rig.Nodes[0].InFlight()+rig.Nodes[1].InFlight() == 30
 	})
 	rig.Stop()
 	send("crossing-")
-	running.Wait()
+	wg.Wait()
 	select {
 	case err := <-rig.Ended():
 		if rig.ended <- err; err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("sidecar: got error %v, want nil", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the sidecar does not end")
+		t.Error("the sidecar did not stop within 10 s")
 	}
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -1,6 +1,5 @@
-// Package rig is an integration harness: the real sidecar, stand-in nodes and
-// discovery in one process, on real loopback sockets. Tests, benchmarks and
-// 'sidecar try' run on it.
+// Package rig is an integration harness. It runs the real sidecar, stand-in nodes and a stand-in discovery in one
+// process, on real loopback sockets. Tests, benchmarks and 'sidecar try' use it.
 package rig
 
 import (
@@ -14,70 +13,72 @@
 	"mothridge/internal/sidecar"
 )
 
-// readyTimeout bounds the wait for the endpoint list after a start.
+// readyTimeout is the maximum time that a started sidecar may take to get the endpoint list.
 const readyTimeout = 10 * time.Second
 
-// Rig is a sidecar among its peers.
+// Rig is a sidecar with its stand-in nodes and discovery.
 type Rig struct {
-	Addr      string // where clients connect
+	Addr      string // address to which clients connect
 	Front     peers.Protocol
 	Nodes     []*peers.Upstream
 	Ledger    *peers.Ledger
 	Discovery *peers.Discovery
-	Eureka    *peers.Eureka // as the options have it
+	Eureka    *peers.Eureka // from the options; may be nil
 
-	protocol peers.Protocol
-	guest    bool // the peers are another's
-	stop     context.CancelFunc
-	ended    chan error
+	protocol    peers.Protocol
+	sharesPeers bool // the nodes and the discovery belong to another rig
+	stop        context.CancelFunc
+	ended       chan error
 }
 
-// Start puts a rig together and waits until the sidecar has the endpoint list.
+// Start starts a rig and waits until the sidecar has the endpoint list.
 func Start(options Options) (*Rig, error) {
 	options = options.withDefaults()
-	rig := &Rig{
-		Front: options.Front, Ledger: peers.NewLedger(options.Times), Eureka: options.Eureka,
+	r := &Rig{
+		Front: options.Front, Ledger: peers.NewLedger(options.KeepAttemptTimes), Eureka: options.Eureka,
 		protocol: options.Nodes, ended: make(chan error, 1), stop: func() {},
 	}
 	if host := options.Beside; host != nil {
-		rig.Ledger, rig.Discovery, rig.Nodes, rig.guest = host.Ledger, host.Discovery, host.Nodes, true
-		return rig, rig.startSidecar(options)
+		r.Ledger, r.Discovery, r.Nodes, r.sharesPeers = host.Ledger, host.Discovery, host.Nodes, true
+		return r, r.startSidecar(options)
 	}
 	var err error
-	if rig.Discovery, err = peers.StartDiscovery(); err != nil {
+	if r.Discovery, err = peers.StartDiscovery(); err != nil {
 		return nil, err
 	}
-	if err := rig.startNodes(options); err != nil {
-		rig.closePeers()
+	if err := r.startNodes(options); err != nil {
+		r.closePeers()
 		return nil, err
 	}
-	if err := rig.startSidecar(options); err != nil {
-		rig.closePeers()
+	if err := r.startSidecar(options); err != nil {
+		r.closePeers()
 		return nil, err
 	}
-	return rig, nil
+	return r, nil
 }
 
-func (rig *Rig) startNodes(options Options) error {
+// startNodes starts the nodes and adds them to the endpoint list.
+func (r *Rig) startNodes(options Options) error {
 	for i := range options.Number {
-		node, err := peers.StartUpstream(options.Nodes, fmt.Sprintf("records-%02d", i+1), rig.Ledger, options.Script)
+		node, err := peers.StartUpstream(options.Nodes, fmt.Sprintf("records-%02d", i+1), r.Ledger, options.Script)
 		if err != nil {
 			return err
 		}
-		rig.Nodes = append(rig.Nodes, node)
-		rig.List(node, "up", 0)
+		r.Nodes = append(r.Nodes, node)
+		r.SetHealth(node, "up", 0)
 	}
 	return nil
 }
 
-func (rig *Rig) startSidecar(options Options) error {
+// startSidecar starts the sidecar and waits until it is ready.
+func (r *Rig) startSidecar(options Options) error {
 	listeners, err := listen(options)
 	if err != nil {
 		return err
 	}
 	httpAddress := listeners[0].Addr().String()
-	rig.Addr = listeners[len(listeners)-1].Addr().String()
-	text, err := options.platformConfig(httpAddress, rig.Discovery.Addr())
+	r.Addr = listeners[len(listeners)-1].Addr().String()
+	text, err := options.platformConfig(httpAddress, r.Discovery.Addr())
 	if err != nil {
 		return err
 	}
@@ -85,14 +86,14 @@
 	if err != nil {
 		return err
 	}
-	config.Operator = options.operatorFile(rig.Addr)
+	config.Operator = options.operatorFile(r.Addr)
 	ctx, stop := context.WithCancel(context.Background())
-	rig.stop = stop
-	go func() { rig.ended <- sidecar.Serve(ctx, options.Reload, config, listeners) }()
+	r.stop = stop
+	go func() { r.ended <- sidecar.Serve(ctx, options.Reload, config, listeners) }()
 	return awaitReady(httpAddress)
 }
 
-// listen opens the HTTP/1.1 listener and, where clients speak it, that of MessagePack-RPC.
+// listen opens the HTTP/1.1 listener and, if clients use MessagePack-RPC, a second listener for that protocol.
 func listen(options Options) ([]net.Listener, error) {
 	count := 1
 	if options.Front != peers.HTTP {
@@ -104,55 +105,56 @@
 		if err != nil {
 			return nil, err
 		}
-		if options.Listener != nil {
-			listener = options.Listener(listener.(*net.TCPListener))
+		if options.WrapListener != nil {
+			listener = options.WrapListener(listener.(*net.TCPListener))
 		}
 		listeners = append(listeners, listener)
 	}
 	return listeners, nil
 }
 
-// awaitReady waits until the sidecar is ready.
+// awaitReady waits until the sidecar is ready. It returns an error after readyTimeout.
 func awaitReady(address string) error {
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if ready(address) {
+		if isReady(address) {
 			return nil
 		}
 	}
-	return errors.New("the sidecar does not get ready")
+	return errors.New("the sidecar did not become ready in time")
 }
 
-// Client makes a client that speaks as the front does.
-func (rig *Rig) Client() peers.Client { return peers.NewClient(rig.Front, rig.Addr) }
+// Client returns a client with the protocol of the sidecar's front end.
+func (r *Rig) Client() peers.Client { return peers.NewClient(r.Front, r.Addr) }
 
-// Stop ends the sidecar as a planned restart does; Ended brings how it ended.
-// The peers go on until Close.
-func (rig *Rig) Stop() { rig.stop() }
+// Stop shuts the sidecar down as in a planned restart, without waiting. The nodes and the discovery run until
+// Close.
+func (r *Rig) Stop() { r.stop() }
 
-// Ended brings how the sidecar ended.
-func (rig *Rig) Ended() <-chan error { return rig.ended }
+// Ended returns a channel that receives the error of the sidecar when it ends, nil after a normal shutdown.
+func (r *Rig) Ended() <-chan error { return r.ended }
 
-// Close ends everything.
-func (rig *Rig) Close() error {
-	rig.stop()
-	if !rig.guest {
-		rig.closeNodes() // nothing holds the sidecar up
+// Close stops the sidecar and waits for it to end, and closes the nodes and the discovery unless they belong to
+// another rig. It returns the error of the sidecar.
+func (r *Rig) Close() error {
+	r.stop()
+	if !r.sharesPeers {
+		r.closeNodes() // so that no request in flight delays the sidecar's shutdown
 	}
-	err := <-rig.ended
-	rig.ended <- err
-	if !rig.guest {
-		rig.Discovery.Close()
+	err := <-r.ended
+	r.ended <- err
+	if !r.sharesPeers {
+		r.Discovery.Close()
 	}
 	return err
 }
 
-func (rig *Rig) closeNodes() {
-	for _, node := range rig.Nodes {
+func (r *Rig) closeNodes() {
+	for _, node := range r.Nodes {
 		node.Close()
 	}
 }
 
-func (rig *Rig) closePeers() {
-	rig.closeNodes()
-	rig.Discovery.Close()
+func (r *Rig) closePeers() {
+	r.closeNodes()
+	r.Discovery.Close()
 }
--- a/internal/rig/settings.go
+++ b/internal/rig/settings.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// The classes of the settings, one for each idempotency.
+// Classes of the settings, one for each kind of idempotency.
 const (
-	Read  = "read"          // idempotent
-	Entry = "keyed-entry"   // idempotent by key, remembered by all nodes
-	Once  = "harvest-entry" // not idempotent
+	Read          = "read"          // idempotent
+	Keyed         = "keyed-entry"   // idempotent by key; all nodes share the deduplication of keys
+	NonIdempotent = "harvest-entry" // not idempotent
 )
 
 const (
-	// Deadline is how long a request of any class waits at most.
-	Deadline = 2 * time.Second
-	// LatencyObjective is that of all classes.
+	// RequestTimeout is the maximum time that a request of any class may wait.
+	RequestTimeout = 2 * time.Second
+	// LatencyObjective is the latency objective of all classes.
 	LatencyObjective = 500 * time.Millisecond
-	// ConnectIn is how long a connection may take to come up.
+	// ConnectIn is the timeout for establishing a connection to a node.
 	ConnectIn = 250 * time.Millisecond
-	// DrainWithin is how long after the notification of a drain a request may still reach a node.
+	// DrainWithin is the time after the notification of a drain in which a request may still reach the node.
 	DrainWithin = 2 * time.Second
 )
 
-// tenants are the tenants of the settings.
+// tenants contains the names of the tenants of the settings.
 var tenants = [...]string{"north", "south"}
 
-// Tenant gives the name of a tenant by its number, from 0.
+// Tenant returns the name of tenant n, counted from 0. Higher numbers wrap around.
 func Tenant(n int) string { return tenants[n%len(tenants)] }
 
+// settings returns the default settings of a rig.
 func settings() map[string]any {
 	class := func(name, semantics string) map[string]any {
 		return map[string]any{
 			"name": name, "semantics": semantics, "dedup_scope": "all", "window_ms": 5000,
-			"aim_ms": LatencyObjective.Milliseconds(), "hard_limit_ms": Deadline.Milliseconds(), "worth": 1,
+			"aim_ms": LatencyObjective.Milliseconds(), "hard_limit_ms": RequestTimeout.Milliseconds(), "worth": 1,
 		}
 	}
 	return map[string]any{
@@ -43,7 +44,7 @@
 			"may_cancel": true, "probes": false, "most_tries": 3, "dial_timeout_ms": ConnectIn.Milliseconds(),
 			"conn_idle_ms": 30000, "max_retry_after_ms": 1200,
 		},
-		"classes":   []any{class(Read, "free"), class(Entry, "guarded"), class(Once, "single_shot")},
+		"classes":   []any{class(Read, "free"), class(Keyed, "guarded"), class(NonIdempotent, "single_shot")},
 		"discovery": "push",
 		"orgs": []any{
 			map[string]any{"name": tenants[0], "share": 0.79}, map[string]any{"name": tenants[1], "share": 0.21},
@@ -55,12 +56,12 @@
 	}
 }
 
-// platformConfig is the platform's configuration of a sidecar.
-func (options Options) platformConfig(listen, discovery string) ([]byte, error) {
+// platformConfig returns the platform's configuration of the sidecar as JSON.
+func (o Options) platformConfig(listen, discovery string) ([]byte, error) {
 	merged := settings()
-	maps.Copy(merged, options.Settings)
+	maps.Copy(merged, o.Settings)
 	return json.Marshal(map[string]any{
-		"name": "rig", "listen": listen, "discovery": discovery, "seed": options.Seed,
-		"limits": map[string]any{"sockets": options.Sockets}, "settings": merged,
+		"name": "rig", "listen": listen, "discovery": discovery, "seed": o.Seed,
+		"limits": map[string]any{"sockets": o.Sockets}, "settings": merged,
 	})
 }
--- a/internal/try/load.go
+++ b/internal/try/load.go
@@ -12,17 +12,18 @@
 	"mothridge/internal/rig"
 )
 
-// The mix of the load, as shares of all requests. The others are of class read and of tenant 0.
+// Mix of the load, as shares of all requests. The other requests are of class read and of tenant 0,
+// respectively.
 const (
-	onceShare         = 0.15
-	entryShare        = 0.25
-	secondTenantShare = 0.21
+	notIdempotentShare = 0.15
+	keyedShare         = 0.25
+	secondTenantShare  = 0.21
 )
 
-// loadStream separates the load's random numbers from others of the same seed.
+// loadStream separates the load's random numbers from other random numbers with the same seed.
 const loadStream = 1
 
-// tally counts requests by outcome. It keeps each served request's latency.
+// tally counts requests by outcome and keeps the latency of each served request.
 type tally struct {
 	served, rejected, failed, lost int
 	latencies                      []time.Duration
@@ -42,8 +43,8 @@
 	}
 }
 
-// quantile returns the latency that a share q of the served requests did not exceed; 0 without any.
-// It sorts the latencies.
+// quantile returns the latency that a share q of the served requests did not exceed, or 0 if no request
+// was served. quantile sorts the latencies in place.
 func (t *tally) quantile(q float64) time.Duration {
 	if len(t.latencies) == 0 {
 		return 0
@@ -53,7 +54,7 @@
 	return t.latencies[min(index, len(t.latencies)-1)]
 }
 
-// sendLoad sends requests at an even rate until ctx ends, and waits for their outcomes.
+// sendLoad sends requests at a constant rate until ctx ends, and waits for their outcomes.
 func (d *demo) sendLoad(ctx context.Context) {
 	client := d.rig.Client()
 	defer client.Close()
@@ -68,14 +69,14 @@
 	})
 }
 
-// randomCall draws a request's class and tenant.
+// randomCall returns request i with a random class and tenant.
 func randomCall(random *rand.Rand, i int) peers.Call {
 	class := rig.Read
 	switch draw := random.Float64(); {
-	case draw < onceShare:
-		class = rig.Once
-	case draw < onceShare+entryShare:
-		class = rig.Entry
+	case draw < notIdempotentShare:
+		class = rig.NonIdempotent
+	case draw < notIdempotentShare+keyedShare:
+		class = rig.Keyed
 	}
 	tenant := rig.Tenant(0)
 	if random.Float64() < secondTenantShare {
@@ -84,8 +85,8 @@
 	return rig.Request(class, fmt.Sprintf("%s-%06d", class, i), tenant)
 }
 
-// sendRequest sends a request and records its outcome. Its latency counts from due. It waits for a
-// second past the deadline, so that a late response counts as late and not as lost.
+// sendRequest sends a request and records its outcome. The latency is measured from due. sendRequest
+// waits for one second after the deadline, so that a late response counts as late and not as lost.
 func (d *demo) sendRequest(client peers.Client, call peers.Call, due time.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), call.Timeout+time.Second)
 	defer cancel()
@@ -99,5 +100,5 @@
 			upstream.add(result.Outcome, latency)
 		}
 	}
-	d.checkFinalAnswer(call, result, latency)
+	d.checkFinalResponse(call, result, latency)
 }
--- a/internal/try/progress.go
+++ b/internal/try/progress.go
@@ -12,8 +12,8 @@
 	redrawInterval = 250 * time.Millisecond
 )
 
-// showProgress prints the progress until ctx ends: a line a second, or the table redrawn in place,
-// which it erases at the end.
+// showProgress prints the progress until ctx ends: one line per second or, if Live is set, the table
+// redrawn in place. At the end it erases the table.
 func (d *demo) showProgress(ctx context.Context) {
 	interval := lineInterval
 	if d.Live {
@@ -40,13 +40,14 @@
 	}
 }
 
-// eraseLines moves a terminal's cursor up and erases what follows.
+// eraseLines moves the terminal's cursor up by count lines and erases everything below the cursor.
 func (d *demo) eraseLines(count int) {
 	if count > 0 {
 		fmt.Fprintf(d.Out, "\x1b[%dA\x1b[J", count)
 	}
 }
 
+// progressLine returns a line with the totals and the upstreams that are not up.
 func (d *demo) progressLine() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -68,7 +69,7 @@
 
 func (d *demo) printTable() { fmt.Fprint(d.Out, "\n"+d.table()) }
 
-// table is a row for each upstream, and the totals.
+// table returns a row for each upstream, and the totals.
 func (d *demo) table() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/try/rules.go
+++ b/internal/try/rules.go
@@ -11,74 +11,76 @@
 	"mothridge/internal/rig"
 )
 
-// errRuleViolated is Run's error where a rule does not hold.
-var errRuleViolated = errors.New("a rule was broken")
+// errRuleViolated is the error that Run returns if a rule was violated.
+var errRuleViolated = errors.New("a rule was violated")
 
-// rule is the number of a rule, from 1, as the summary prints it.
+// rule is the number of a rule in the summary, from 1.
 type rule int
 
-// The rules.
+// Rules that the demo checks.
 const (
-	oneFinalAnswer rule = iota + 1 // each request gets one response before its deadline
-	noEffectTwice                  // no request that is not idempotent is executed twice
-	drainsKept                     // a draining endpoint gets no request after rig.DrainWithin
-	noOverload                     // an endpoint that warms up gets no more than it can serve
-	lastRule       = noOverload
+	oneFinalResponse    rule = iota + 1 // each request gets one response before its deadline
+	noEffectTwice                       // no request that is not idempotent is executed twice
+	noRequestAfterDrain                 // a draining endpoint gets no request after rig.DrainWithin
+	noOverload                          // an endpoint that is warming up gets no more requests than it can serve
+	lastRule            = noOverload
 )
 
-// ruleNames are printed: short with a violation, long in the summary.
+// ruleNames contains the printed names: short in the line of a violation, long in the summary.
 var ruleNames = [lastRule + 1]struct{ short, long string }{
-	oneFinalAnswer: {"one final answer", "one final answer before the deadline"},
-	noEffectTwice:  {"no effect twice", "no effect twice"},
-	drainsKept:     {"drains kept", "drains kept"},
-	noOverload:     {"no cold server pushed over", "no cold server pushed over"},
+	oneFinalResponse:    {"one final response", "one final response before the deadline"},
+	noEffectTwice:       {"no effect executed twice", "no effect executed twice"},
+	noRequestAfterDrain: {"no request after a drain", "no request after a drain"},
+	noOverload:          {"no overload during warm-up", "no overload during warm-up"},
 }
 
-// violation is how a rule was violated.
+// violation is a rule with a description of how it was violated.
 type violation struct {
 	rule        rule
 	description string
 }
 
-// String returns the line of the summary.
+// String returns the violation's line in the summary.
 func (v violation) String() string {
 	return fmt.Sprintf("rule %d (%s): %s", v.rule, ruleNames[v.rule].short, v.description)
 }
 
-// tolerance is what the rules allow on sockets beyond each of their times.
+// tolerance is added to each time limit of the rules, because the demo runs on real sockets.
 const tolerance = 50 * time.Millisecond
 
-// maxPrintedViolations bounds the violations in the summary.
+// maxPrintedViolations is the maximum number of violations in the summary.
 const maxPrintedViolations = 10
 
-// A restarted upstream warms up and overloads as the settings have it.
+// Warm-up and overload of a restarted upstream, as in the settings of package rig.
 const (
 	initialCapacityShare = 0.3
 	warmUpTime           = 8 * time.Second
-	overloadFactor       = 2.5 // of its capacity at the time, within overloadWindow
+	overloadFactor       = 2.5 // multiple of the current capacity that overloads within overloadWindow
 	overloadWindow       = time.Second
-	// capacityFactor is an upstream's capacity once warm, in even shares of the load.
+	// capacityFactor is the capacity of a warm upstream, as a multiple of an equal share of the load.
 	capacityFactor = 2.0
-	// chanceDeviations are the standard deviations of a Poisson count that count as chance.
+	// chanceDeviations is the number of standard deviations above the expected Poisson count that is
+	// still attributed to chance.
 	chanceDeviations = 3
 )
 
-// addViolation is called with mu held.
+// addViolation records a violation. The caller must hold d.mu.
 func (d *demo) addViolation(rule rule, format string, arguments ...any) {
 	d.violations = append(d.violations, violation{rule, fmt.Sprintf(format, arguments...)})
 }
 
-// checkFinalAnswer checks one request's outcome. It is called with mu held.
-func (d *demo) checkFinalAnswer(call peers.Call, result peers.Result, latency time.Duration) {
+// checkFinalResponse checks the outcome of one request. The caller must hold d.mu.
+func (d *demo) checkFinalResponse(call peers.Call, result peers.Result, latency time.Duration) {
 	switch {
 	case result.Outcome == peers.Lost || result.Outcome == peers.InvalidRequest:
-		d.addViolation(oneFinalAnswer, "%s: %s %s %v", call.ID, result.Outcome, result.Text, result.Err)
+		d.addViolation(oneFinalResponse, "%s: %s %s %v", call.ID, result.Outcome, result.Text, result.Err)
 	case latency > call.Timeout+tolerance:
-		d.addViolation(oneFinalAnswer, "%s: answered after %v of %v", call.ID, latency, call.Timeout)
+		d.addViolation(oneFinalResponse, "%s: got a response after %v, want one within %v",
+			call.ID, latency, call.Timeout)
 	}
 }
 
-// checkRules checks the rules that concern all requests together and prints the summary.
+// checkRules checks the rules that apply to all requests together and prints the summary.
 func (d *demo) checkRules() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,24 +97,26 @@
 	return errRuleViolated
 }
 
+// checkEffects checks that no request that is not idempotent was executed twice.
 func (d *demo) checkEffects() {
-	notIdempotent := func(id string) bool { return strings.HasPrefix(id, rig.Once) }
+	notIdempotent := func(id string) bool { return strings.HasPrefix(id, rig.NonIdempotent) }
 	for _, description := range d.rig.Ledger.ExecutedTwice(notIdempotent) {
 		d.addViolation(noEffectTwice, "%s", description)
 	}
 }
 
+// checkDrain checks that the draining upstream got no request after the drain's time limit.
 func (d *demo) checkDrain() {
 	name := d.rig.Nodes[drainingUpstream].Name
 	lastAllowed := d.drainedAt.Add(rig.DrainWithin + tolerance)
 	if late := len(timesAfter(d.rig.Ledger.AttemptTimes(name), lastAllowed)); late > 0 {
-		d.addViolation(drainsKept, "%d requests were sent to %s later than %v after it drained",
+		d.addViolation(noRequestAfterDrain, "%d requests were sent to %s more than %v after its drain began",
 			late, name, rig.DrainWithin)
 	}
 }
 
-// checkOverload looks for a window in which the restarted upstream got more requests than it can
-// serve while it warms up.
+// checkOverload checks that in no window the restarted upstream got more requests than it can serve
+// while it is warming up. It reports at most one violation.
 func (d *demo) checkOverload() {
 	if d.restartAt.IsZero() {
 		return
@@ -124,31 +128,34 @@
 		age := first.Sub(d.restartAt)
 		if budget := d.overloadBudget(age); exceedsByMoreThanChance(count, budget) {
 			d.addViolation(noOverload,
-				"%s was sent %d requests within %v, %v after its start; %.0f was its budget",
+				"%s was sent %d requests within %v, %v after its start; its budget was %.0f",
 				name, count, overloadWindow, age.Round(time.Millisecond), budget)
 			return
 		}
 	}
 }
 
-// overloadBudget is how many requests a restarted upstream can get in a window that begins at its age.
+// overloadBudget returns how many requests a restarted upstream may get in a window that begins when
+// the upstream has the given age.
 func (d *demo) overloadBudget(age time.Duration) float64 {
 	warmCapacity := capacityFactor * float64(d.Rate) / upstreamCount // a second
 	capacityShare := min(1, initialCapacityShare+(1-initialCapacityShare)*float64(age)/float64(warmUpTime))
 	return overloadFactor * capacityShare * warmCapacity * overloadWindow.Seconds()
 }
 
+// exceedsByMoreThanChance reports whether a count is too high for a Poisson distribution with the
+// expected mean.
 func exceedsByMoreThanChance(count int, expected float64) bool {
 	return float64(count) > expected+chanceDeviations*math.Sqrt(expected)
 }
 
-// printRules prints whether each rule was kept.
+// printRules prints for each rule whether it was kept.
 func (d *demo) printRules() {
 	var violated [lastRule + 1]bool
 	for _, violation := range d.violations {
 		violated[violation.rule] = true
 	}
-	for rule := oneFinalAnswer; rule <= lastRule; rule++ {
+	for rule := oneFinalResponse; rule <= lastRule; rule++ {
 		result := "kept"
 		if violated[rule] {
 			result = "BROKEN"
@@ -157,7 +164,7 @@
 	}
 }
 
-// timesAfter returns the times that are later than a moment.
+// timesAfter returns the times that are later than moment.
 func timesAfter(times []time.Time, moment time.Time) []time.Time {
 	var later []time.Time
 	for _, at := range times {
@@ -168,7 +175,7 @@
 	return later
 }
 
-// countWithin counts the times that are less than a window after its start.
+// countWithin returns how many of the times are less than window after start.
 func countWithin(times []time.Time, start time.Time, window time.Duration) int {
 	count := 0
 	for _, at := range times {
--- a/internal/try/try.go
+++ b/internal/try/try.go
@@ -1,7 +1,7 @@
-// Package try is the demo behind 'sidecar try', in one process: the real sidecar, a stand-in
-// discovery, eight stand-in upstreams and clients' load, on real loopback sockets. One upstream
-// hangs for a while, one drains, one restarts and warms up. At the end four rules are checked
-// against what clients and upstreams observed.
+// Package try implements the demo of the command 'sidecar try'. The demo runs in one process, on real
+// loopback sockets: the real sidecar, a stand-in discovery, eight stand-in upstreams and clients that
+// generate load. One upstream hangs for a while, one drains, and one restarts and warms up. At the end
+// the demo checks four rules against the observations of the clients and the upstreams.
 package try
 
 import (
@@ -16,25 +16,25 @@
 	"mothridge/internal/rig"
 )
 
-// Options configure a run. None of them has a default, but for Duration's lower bound.
+// Options configures a run. No option has a default; Duration has a lower bound.
 type Options struct {
-	Protocol peers.Protocol // of clients and upstreams
+	Protocol peers.Protocol // protocol of the clients and the upstreams
 	Duration time.Duration  // at least Shortest
 	Eureka   bool           // a stand-in Eureka registry lists the upstreams
-	Rate     int            // requests a second; at least 1
-	Seed     uint64         // of the load and the service times
-	Out      io.Writer      // gets the progress and the summary; its errors are ignored
-	Live     bool           // redraw the table in place; else print a line a second
+	Rate     int            // requests per second; at least 1
+	Seed     uint64         // seed of the load and the service times
+	Out      io.Writer      // receives the progress and the summary; write errors are ignored
+	Live     bool           // redraw the table in place; if false, print one line per second
 }
 
-// Shortest is the shortest duration, in which each fault still has an effect.
+// Shortest is the shortest duration in which each fault still has an effect.
 const Shortest = 4 * time.Second
 
-// upstreamCount is how many upstreams a run has.
+// upstreamCount is the number of upstreams of a run.
 const upstreamCount = 8
 
-// demo is one run. Its goroutines are those that run starts and one for each request in flight; run
-// waits for all of them.
+// demo is one run. The method run starts a goroutine for the faults, one for the progress and one for
+// each request in flight, and waits for all of them.
 type demo struct {
 	Options
 	rig       *rig.Rig
@@ -43,15 +43,15 @@
 	mu         sync.Mutex
 	total      tally
 	byUpstream map[string]*tally
-	states     [upstreamCount]string // as the progress shows them
+	states     [upstreamCount]string // shown in the progress
 	violations []violation
 	drainedAt  time.Time
 	restartAt  time.Time // zero: the upstream has not restarted
 }
 
-// Run runs the demo and writes the table and the summary. It returns an error where a rule is
-// violated or the demo cannot start. It discards the process's log in the meantime, as log lines
-// would disturb the table. The end of ctx ends it early.
+// Run runs the demo and writes the table and the summary. It returns an error if a rule is violated or
+// the demo cannot start. While Run runs, it discards the process's log, because log lines would disturb
+// the table. If ctx ends, the demo ends early.
 func Run(ctx context.Context, options Options) error {
 	options.Duration = max(options.Duration, Shortest)
 	log := slog.Default()
@@ -60,11 +60,11 @@
 
 	d := &demo{Options: options, byUpstream: make(map[string]*tally)}
 	rigOptions := rig.Options{
-		Front:  options.Protocol,
-		Nodes:  options.Protocol,
-		Number: upstreamCount,
-		Script: d.serveAfterDelay,
-		Times:  true,
+		Front:            options.Protocol,
+		Nodes:            options.Protocol,
+		Number:           upstreamCount,
+		Script:           d.serveAfterDelay,
+		KeepAttemptTimes: true,
 	}
 	if options.Eureka {
 		registry, err := peers.StartEureka("")
@@ -78,12 +78,12 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = r.Close() }() // the rules are checked by then
+	defer func() { _ = r.Close() }() // the rules have been checked, so the error no longer matters
 	d.rig = r
 	return d.run(ctx)
 }
 
-// run plays the demo on a started rig and checks the rules.
+// run runs the demo on a started rig and checks the rules.
 func (d *demo) run(ctx context.Context) error {
 	for i, upstream := range d.rig.Nodes {
 		d.states[i] = "up"
--- a/internal/try/try_test.go
+++ b/internal/try/try_test.go
@@ -13,8 +13,10 @@
 	"mothridge/internal/rig"
 )
 
-// A short run with each protocol and source ends by itself with all four rules kept.
-func TestShortRunKeepsTheRules(t *testing.T) {
+// A run of the shortest duration ends without an error and keeps all four rules, with each protocol and
+// with either source of the endpoint list. The test guards against load, faults or checks that fail in a short
+// run.
+func TestShortRunViolatesNoRule(t *testing.T) {
 	for _, test := range []struct {
 		protocol peers.Protocol
 		eureka   bool
@@ -41,15 +43,17 @@
 			kept := strings.Count(text, " kept\n")
 			hasTable := strings.Contains(text, "records-08") && strings.Contains(text, "served")
 			if kept != 4 || !hasTable {
-				t.Errorf("%d rules are said to be kept:\n%s", kept, text)
+				t.Errorf("got %d rules reported as kept, want 4 and a table with all upstreams:\n%s", kept, text)
 			}
 		})
 	}
 }
 
-// The summary reports each rule that is violated.
+// The summary reports each violated rule, and checkRules returns errRuleViolated. The test violates all
+// four rules: it sends requests to the upstreams without the sidecar, and one request through a client
+// that loses it.
 func TestCheckRulesReportsViolations(t *testing.T) {
-	r, err := rig.Start(rig.Options{Number: upstreamCount, Times: true})
+	r, err := rig.Start(rig.Options{Number: upstreamCount, KeepAttemptTimes: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,19 +75,20 @@
 	d.sendRequest(lossyClient{}, rig.Request(rig.Read, "read-1", "north"), time.Now())
 	err = d.checkRules()
 	if broken := strings.Count(out.String(), "BROKEN"); broken != 4 || !errors.Is(err, errRuleViolated) {
-		t.Errorf("%d rules are said to be broken, error %v:\n%s", broken, err, out.String())
+		t.Errorf("got %d rules reported as BROKEN and error %v, want 4 and errRuleViolated:\n%s",
+			broken, err, out.String())
 	}
 }
 
-// sendOnce sends a request that is not idempotent to an upstream, without the sidecar.
+// sendOnce sends a request that is not idempotent directly to an upstream, without the sidecar.
 func sendOnce(t *testing.T, r *rig.Rig, upstream int, id string) {
 	t.Helper()
 	client := peers.NewClient(peers.HTTP, r.Nodes[upstream].Addr())
 	defer client.Close()
-	client.Do(t.Context(), rig.Request(rig.Once, id, "north"))
+	client.Do(t.Context(), rig.Request(rig.NonIdempotent, id, "north"))
 }
 
-// lossyClient loses each request.
+// lossyClient is a client that loses each request.
 type lossyClient struct{}
 
 func (lossyClient) Do(context.Context, peers.Call) peers.Result {
