--- a/internal/hook/ast.go
+++ b/internal/hook/ast.go
@@ -2,8 +2,9 @@
 
 import "github.com/alecthomas/participle/v2/lexer"
 
-// The abstract syntax tree. The fields' tags are the grammar of the parser, from which Grammar
-// makes docs/plugins/grammar.ebnf; a node type's name without Node is its rule's.
+// This file defines the abstract syntax tree. The struct tags of the fields are the grammar of the
+// parser; Grammar generates docs/plugins/grammar.ebnf from them. The name of a grammar rule is the
+// name of its node type without the suffix Node.
 
 type fileNode struct {
 	Decls []*declNode `parser:"@@*"`
@@ -23,8 +24,8 @@
 	Value *exprNode `parser:"@@"`
 }
 
-// stateNode declares what is kept from one run to the next: a counter, or a map
-// from texts to numbers with a bound and an age.
+// stateNode declares a state that is kept between runs: a counter, or a map from texts to numbers
+// with a maximum number of entries (Most) and a maximum age of an entry (Age).
 type stateNode struct {
 	Pos     lexer.Position
 	Name    string  `parser:"'state' @Name ':'"`
@@ -113,7 +114,7 @@
 	Value *exprNode `parser:"'return' @@?"`
 }
 
-// simpleNode is a call, or an assignment to what the left side names.
+// simpleNode is a call, or an assignment to the variable or entry on the left side. Value is nil for a call.
 type simpleNode struct {
 	Pos   lexer.Position
 	Left  *postfixNode `parser:"@@"`
@@ -208,7 +209,7 @@
 	Args []*exprNode `parser:"( @@ ( ',' @@ )* )? ')'"`
 }
 
-// listNode is a list's literal; one without entries has its type before it.
+// listNode is a list literal. A list without entries is written with its type: list[TYPE]().
 type listNode struct {
 	Pos   lexer.Position
 	Type  *typeNode   `parser:"( 'list' '[' @@ ']' '(' ')' )"`
--- a/internal/hook/bench_test.go
+++ b/internal/hook/bench_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// benchmarkPrograms are the programs that BenchmarkRun runs, by name.
 var benchmarkPrograms = []struct{ name, source string }{
 	{"tags", `const apiary = "ridge-7"
 		on request { if event.class == "weight-reading" and header("Apiary") == apiary {
@@ -17,7 +18,7 @@
 	{"calendar", `on request { let m = month(now(), "Australia/Brisbane")  if m >= 9 or m <= 3 { refuse("no", 1h) } }`},
 }
 
-// BenchmarkRun is one run of a program.
+// BenchmarkRun measures one run of each of benchmarkPrograms.
 func BenchmarkRun(b *testing.B) {
 	for _, program := range benchmarkPrograms {
 		b.Run(program.name, func(b *testing.B) {
@@ -31,7 +32,7 @@
 			store := memoryStore{}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := machine.Run(compiled, event, store, generous); err != nil {
+				if _, err := machine.Run(compiled, event, store, ampleLimits); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/hook/builtins.go
+++ b/internal/hook/builtins.go
@@ -2,31 +2,33 @@
 
 import "slices"
 
-// builtin is a function that the language defines, except for those of the state (check_calls.go).
+// builtin is a function that the language defines. The functions of the declared state are not among
+// them; check_calls.go defines those.
 type builtin struct {
 	name      string
 	signature signature
-	hooks     hookSet // that may call it; 0: all
-	takesZone bool    // its last argument is a time zone's name; a run gets the zone's number
+	hooks     hookSet // the hooks that may call the function; 0: all hooks
+	takesZone bool    // the last argument is a time zone: its name in the source, its index in Program.zones at run time
 
-	// What a call costs beside its instruction; some functions spend their fuel themselves.
+	// The fuel that a call costs in addition to its instruction. Some run functions spend further fuel.
 	fuel int64
-	cost costFunction // nil: nothing that depends on the arguments
+	cost costFunction // the part of the cost that depends on the arguments; nil: none
 
 	run builtinFunction
 }
 
-// costFunction returns fuel by the arguments.
+// costFunction returns the fuel that a call with these arguments costs.
 type costFunction func(arguments []value) int64
 
-// builtinFunction carries out a call. It replaces the first of the operands, which are the
-// arguments, by its result; without arguments there is one operand that is not set. It takes
-// memory before it makes what the memory is for. The kind is that of the first argument.
+// builtinFunction executes a call. The operands are the arguments; the function replaces the first
+// operand by its result. A function without parameters gets one operand that is not set. The function
+// accounts for memory with Machine.allocate; where the size is known beforehand, it does so before it
+// creates a value. kind is the kind of the first argument.
 type builtinFunction func(m *Machine, operands []value, kind kind) error
 
 var requestHook = hookSetOf(KindRequest)
 
-// builtins are the built-in functions; an instruction refers to one by its index.
+// builtins are the built-in functions. An opBuiltin instruction refers to a function by its index.
 var builtins = [...]builtin{
 	// Texts.
 	{name: "len", signature: signatureLen, run: runLen},
@@ -78,25 +80,26 @@
 	{name: "label", signature: fixed(typeNone, typeText, typeText), hooks: effectHooks[Label], run: runLabel},
 }
 
-// builtinNumber returns a built-in function's index in builtins by its name.
-func builtinNumber(name string) (number int, ok bool) {
-	number = slices.IndexFunc(builtins[:], func(b builtin) bool { return b.name == name })
-	return number, number >= 0
+// builtinIndex returns the index in builtins of the function with a name.
+func builtinIndex(name string) (index int, ok bool) {
+	index = slices.IndexFunc(builtins[:], func(b builtin) bool { return b.name == name })
+	return index, index >= 0
 }
 
-// callBuiltin replaces the arguments on top of the stack by the result, if there is one.
-func (m *Machine) callBuiltin(number int, kind kind) error {
-	called := &builtins[number]
-	base := len(m.stack) - len(called.signature.parameters)
-	operands := m.stack[base : base+called.signature.operands()]
-	if !m.spend(called.fuel) {
+// callBuiltin calls a built-in function. It replaces the arguments on top of the stack by the result,
+// if the function has one.
+func (m *Machine) callBuiltin(index int, kind kind) error {
+	callee := &builtins[index]
+	base := len(m.stack) - len(callee.signature.parameters)
+	operands := m.stack[base : base+callee.signature.operands()]
+	if !m.spend(callee.fuel) {
 		return ErrFuel
 	}
-	if called.cost != nil && !m.spend(called.cost(operands)) {
+	if callee.cost != nil && !m.spend(callee.cost(operands)) {
 		return ErrFuel
 	}
-	m.stack = m.stack[:base+called.signature.results()]
-	return called.run(m, operands, kind)
+	m.stack = m.stack[:base+callee.signature.results()]
+	return callee.run(m, operands, kind)
 }
 
 func sizeOfFirst(arguments []value) int64 { return sizeCost(len(arguments[0].text)) }
--- a/internal/hook/builtins_collection.go
+++ b/internal/hook/builtins_collection.go
@@ -32,7 +32,8 @@
 	return nil
 }
 
-// runDelete removes an entry; the others keep their order. It spends fuel only if there is one.
+// runDelete removes an entry from a map; the other entries keep their order. It spends fuel only if the
+// entry exists.
 func runDelete(m *Machine, operands []value, _ kind) error {
 	dict, key := operands[0].dict, operands[1].text
 	deleted, ok := dict.indexes[key]
--- a/internal/hook/builtins_event.go
+++ b/internal/hook/builtins_event.go
@@ -16,16 +16,17 @@
 	return nil
 }
 
-// The signatures of the calendar's functions. Their last argument is a time zone's name, of which
-// a run gets the number in the program's zones.
+// The signatures of the calendar functions. The last argument is the name of a time zone. The checker
+// replaces the name by the zone's index in Program.zones.
 var (
 	signatureCalendar = fixed(typeInt, typeTime, typeText)
 	signatureDate     = fixed(typeTime, typeInt, typeInt, typeInt, typeText)
 )
 
-func (m *Machine) zone(number int64) *time.Location { return m.program.zones[number] }
+func (m *Machine) zone(index int64) *time.Location { return m.program.zones[index] }
 
-// localTime returns the time and zone that are the arguments of a calendar function.
+// localTime returns the first argument of a calendar function, a time, in the time zone that is the second
+// argument.
 func (m *Machine) localTime(arguments []value) time.Time {
 	return time.Unix(0, arguments[0].number).In(m.zone(arguments[1].number))
 }
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// runDate returns the beginning of a day. A time as Unix nanoseconds holds the years in bounds.
+// runDate returns midnight of a date. Every year that isDate allows fits into Unix time in int64 nanoseconds.
 func runDate(m *Machine, operands []value, _ kind) error {
 	year, month, day := operands[0].number, operands[1].number, operands[2].number
 	if !isDate(year, month, day) {
@@ -74,8 +75,8 @@
 	return nil
 }
 
-// isDate reports whether a date is within the calendar's bounds. Days that a month does not have
-// are of the next one, as in time.Date.
+// isDate reports whether a date is within the bounds of the calendar: years 1700 to 2200, months 1 to
+// 12, days 1 to 31. A day that the month does not have is a day of the next month, as in time.Date.
 func isDate(year, month, day int64) bool {
 	const minYear, maxYear = 1700, 2200
 	inYears := year >= minYear && year <= maxYear
--- a/internal/hook/builtins_text.go
+++ b/internal/hook/builtins_text.go
@@ -30,9 +30,9 @@
 	return m.changeText(&operands[0], strings.ToUpper)
 }
 
-// changeText applies a function to a text. A result that is the same takes no memory.
-func (m *Machine) changeText(operand *value, change func(string) string) error {
-	changed := change(operand.text)
+// changeText replaces a text by the result of transform. An unchanged text takes no memory.
+func (m *Machine) changeText(operand *value, transform func(string) string) error {
+	changed := transform(operand.text)
 	if changed == operand.text {
 		return nil
 	}
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// runSplit spends its fuel itself: an empty separator fails before it.
+// runSplit splits a text. It spends its fuel itself, because a split by an empty separator fails before that
+// fuel is spent.
 func runSplit(m *Machine, operands []value, _ kind) error {
 	text, separator := operands[0].text, operands[1].text
 	if separator == "" {
@@ -116,7 +117,7 @@
 	return m.allocate(textSize(text))
 }
 
-// maxIntDigits is the length of the longest text that can be an int.
+// maxIntDigits is the length of the longest text that can be an int: 19 digits and a sign.
 const maxIntDigits = 20
 
 func parseIntCost(arguments []value) int64 {
--- a/internal/hook/check_calls.go
+++ b/internal/hook/check_calls.go
@@ -3,10 +3,11 @@
 import (
 	"slices"
 	"time"
-	_ "time/tzdata" // the same calendar on every machine
+	_ "time/tzdata" // embeds the time zones, so that every machine uses the same calendar
 )
 
-// The functions of the declared state. Their first argument is a state's name, which is no value.
+// The functions of the declared state. Their first argument is the name of a state, which is not an
+// expression.
 const (
 	stateValue  = "value"  // value(s), value(m, key)
 	stateAdd    = "add"    // add(s, n), add(m, key, n)
@@ -17,7 +18,7 @@
 	return name == stateValue || name == stateAdd || name == stateForget
 }
 
-// call checks the call of a function: of the program, built in, or of the state.
+// call checks a call of a function of the program, of a built-in function or of a function of the state.
 func (c *checker) call(node *callNode) *expression {
 	if isStateFunction(node.Name) {
 		return c.stateCall(node)
@@ -31,30 +32,30 @@
 		types = append(types, operand.valueType)
 		valid = valid && !operand.isInvalid()
 	}
-	if number, ok := c.functionNumbers[node.Name]; ok {
-		return c.functionCall(node, e, number, types, valid)
+	if index, ok := c.functionIndexes[node.Name]; ok {
+		return c.functionCall(node, e, index, types, valid)
 	}
-	number, ok := builtinNumber(node.Name)
+	index, ok := builtinIndex(node.Name)
 	if !ok {
-		c.fail(node.Pos, "there is no function %q", node.Name)
+		c.report(node.Pos, "there is no function %q", node.Name)
 		return invalidExpression(node.Pos)
 	}
 	if !valid {
 		return invalidExpression(node.Pos)
 	}
-	return c.builtinCall(node, e, number, types)
+	return c.builtinCall(node, e, index, types)
 }
 
-// functionCall completes a call of a function of the program. The types are only compared if all
-// arguments are valid.
-func (c *checker) functionCall(node *callNode, e *expression, number int, types []*valueType, valid bool) *expression {
-	called := c.program.functions[number]
+// functionCall completes the expression of a call of a function of the program. It compares the types
+// of the arguments only if all arguments are valid.
+func (c *checker) functionCall(node *callNode, e *expression, index int, types []*valueType, valid bool) *expression {
+	callee := c.program.functions[index]
 	e.kind = expressionCall
-	e.number = number
-	e.valueType = called.result
+	e.index = index
+	e.valueType = callee.result
 	c.function.uses[feature{name: node.Name, isCall: true}] = node.Pos
-	if valid && !areSameTypes(types, called.parameters) {
-		c.fail(node.Pos, "%s takes %v; these are %v", node.Name, called.parameters, types)
+	if valid && !areSameTypes(types, callee.parameters) {
+		c.report(node.Pos, "%s takes %v; these are %v", node.Name, callee.parameters, types)
 	}
 	return e
 }
@@ -63,64 +64,64 @@
 	return slices.EqualFunc(a, b, (*valueType).isSame)
 }
 
-// builtinCall completes a call of a built-in function.
-func (c *checker) builtinCall(node *callNode, e *expression, number int, types []*valueType) *expression {
-	called := &builtins[number]
+// builtinCall completes the expression of a call of a built-in function.
+func (c *checker) builtinCall(node *callNode, e *expression, index int, types []*valueType) *expression {
+	callee := &builtins[index]
 	e.kind = expressionBuiltin
-	e.number = number
-	e.valueType = called.signature.resultFor(types)
+	e.index = index
+	e.valueType = callee.signature.resultFor(types)
 	if e.valueType == nil {
-		c.fail(node.Pos, "%s takes %s; these are %v", node.Name, called.signature.description(), types)
+		c.report(node.Pos, "%s takes %s; these are %v", node.Name, callee.signature.description(), types)
 		return invalidExpression(node.Pos)
 	}
-	if called.hooks != 0 {
-		c.function.uses[feature{name: node.Name, hooks: called.hooks}] = node.Pos
+	if callee.hooks != 0 {
+		c.function.uses[feature{name: node.Name, hooks: callee.hooks}] = node.Pos
 	}
-	if called.takesZone {
+	if callee.takesZone {
 		c.resolveZone(e.operands[len(e.operands)-1])
 	}
 	return e
 }
 
-// resolveZone replaces a time zone's name by its number in the program. The name has to be a
-// constant, as a run must not read files.
+// resolveZone replaces the name of a time zone by the zone's index in the program. The name must be a
+// constant, because a run must not read files.
 func (c *checker) resolveZone(operand *expression) {
 	if operand.kind != expressionConstant {
-		c.fail(operand.position, "a time zone's name is meant that is known beforehand, such as \"Australia/Brisbane\"")
+		c.report(operand.position, "a time zone's name is meant that is known beforehand, such as \"Australia/Brisbane\"")
 		return
 	}
 	name := operand.constant.text
-	number, known := c.zoneNumbers[name]
+	index, known := c.zoneIndexes[name]
 	if !known {
 		location, err := time.LoadLocation(name)
 		if err != nil || name == "" || name == "Local" {
-			c.fail(operand.position, "there is no time zone %q: one such as \"Australia/Brisbane\" or \"UTC\" is meant", name)
+			c.report(operand.position, "there is no time zone %q: one such as \"Australia/Brisbane\" or \"UTC\" is meant", name)
 			return
 		}
-		number = len(c.program.zones)
-		c.zoneNumbers[name] = number
+		index = len(c.program.zones)
+		c.zoneIndexes[name] = index
 		c.program.zones = append(c.program.zones, location)
 	}
 	operand.valueType = typeInt
-	operand.constant = intValue(int64(number))
+	operand.constant = intValue(int64(index))
 }
 
 // stateCall checks a call of value, add or forget.
 func (c *checker) stateCall(node *callNode) *expression {
-	number, ok := c.stateArgument(node)
+	index, ok := c.stateArgument(node)
 	if !ok {
-		c.fail(node.Pos, "%s takes a state first, as \"state NAME: counter\" declares one", node.Name)
+		c.report(node.Pos, "%s takes a state first, as \"state NAME: counter\" declares one", node.Name)
 		return invalidExpression(node.Pos)
 	}
-	state := &c.program.states[number]
+	state := &c.program.states[index]
 	if node.Name == stateForget && !state.isMap() {
-		c.fail(node.Pos, "%s is a counter and has no entries", state.Name)
+		c.report(node.Pos, "%s is a counter and has no entries", state.Name)
 		return invalidExpression(node.Pos)
 	}
 	e := &expression{
 		kind:      expressionState,
 		valueType: typeInt,
-		number:    number,
+		index:     index,
 		operator:  node.Name,
 		position:  node.Pos,
 	}
@@ -132,7 +133,7 @@
 	}
 	parameters := stateParameters(node.Name, state)
 	if len(e.operands) != len(parameters) {
-		c.fail(node.Pos, "%s of %s takes %d more, %v", node.Name, state.Name, len(parameters), parameters)
+		c.report(node.Pos, "%s of %s takes %d more, %v", node.Name, state.Name, len(parameters), parameters)
 		return invalidExpression(node.Pos)
 	}
 	for i, operand := range e.operands {
@@ -141,16 +142,16 @@
 	return e
 }
 
-// stateArgument returns the number of the state that is a call's first argument.
-func (c *checker) stateArgument(node *callNode) (number int, ok bool) {
+// stateArgument returns the index of the state that is the first argument of a call.
+func (c *checker) stateArgument(node *callNode) (index int, ok bool) {
 	if len(node.Args) == 0 {
 		return 0, false
 	}
-	number, ok = c.stateNumbers[node.Args[0].plainName()]
-	return number, ok
+	index, ok = c.stateIndexes[node.Args[0].identifier()]
+	return index, ok
 }
 
-// stateParameters returns the types of the arguments after the state.
+// stateParameters returns the types of the arguments that follow the name of the state.
 func stateParameters(name string, state *State) []*valueType {
 	var parameters []*valueType
 	if state.isMap() {
@@ -162,8 +163,8 @@
 	return parameters
 }
 
-// plainName returns the name that an expression consists of, "" if it is more than that.
-func (n *exprNode) plainName() string {
+// identifier returns the name if an expression consists of a single name, otherwise "".
+func (n *exprNode) identifier() string {
 	negation := n.Left.Left
 	if len(n.Rest) > 0 || len(n.Left.Rest) > 0 || negation.Not != nil {
 		return ""
--- a/internal/hook/check_declarations.go
+++ b/internal/hook/check_declarations.go
@@ -10,16 +10,16 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// day is a unit that time.ParseDuration does not know.
+// day is the length of the unit d, which time.ParseDuration does not support.
 const day = 24 * time.Hour
 
-// functionBody is the part of a function or hook that is checked after all declarations.
+// functionBody is the part of a function or hook that is checked after all declarations have been checked.
 type functionBody struct {
 	parameters []*paramNode
 	block      *blockNode
 }
 
-// declareAll checks the declarations and returns the bodies by the number of their function.
+// declareAll checks the declarations and returns the function bodies, in the order of checkedProgram.functions.
 func (c *checker) declareAll(declarations []*declNode) []functionBody {
 	var bodies []functionBody
 	for _, declaration := range declarations {
@@ -45,7 +45,7 @@
 	c.scopes = nil
 	e := c.expression(node.Value)
 	if e.kind != expressionConstant && !e.isInvalid() {
-		c.fail(node.Value.Pos, "a constant is a plain value that is known beforehand")
+		c.report(node.Value.Pos, "a constant is a plain value that is known beforehand")
 	}
 	c.constants[node.Name] = e
 }
@@ -54,21 +54,21 @@
 	c.checkNameFree(at, node.Name)
 	state := State{Name: node.Name}
 	if !node.Counter {
-		state.MaxEntries, _ = strconv.Atoi(*node.Most) // too large a number is not within bounds either
+		state.MaxEntries, _ = strconv.Atoi(*node.Most) // an overflow yields the maximum int, which is out of bounds
 		state.MaxAge, _ = parseDuration(*node.Age)
 		if !isWithinBounds(state) {
-			c.fail(at, "a map of %s entries for %s: 1 to %d entries, and an age of up to 30d, are meant",
+			c.report(at, "a map of %s entries for %s: 1 to %d entries, and an age of up to 30d, are meant",
 				*node.Most, *node.Age, MaxEntries)
 		}
 	}
 	if len(c.program.states) == MaxStates {
-		c.fail(at, "more than %d states", MaxStates)
+		c.report(at, "more than %d states", MaxStates)
 	}
-	c.stateNumbers[state.Name] = len(c.program.states)
+	c.stateIndexes[state.Name] = len(c.program.states)
 	c.program.states = append(c.program.states, state)
 }
 
-// isWithinBounds reports whether a map of the state may be as large and as old as it is declared.
+// isWithinBounds reports whether the number of entries and the age that a map declares are allowed.
 func isWithinBounds(state State) bool {
 	sizeAllowed := state.MaxEntries >= 1 && state.MaxEntries <= MaxEntries
 	ageAllowed := state.MaxAge > 0 && state.MaxAge <= MaxEntryAge
@@ -84,16 +84,16 @@
 	if node.Result != nil {
 		f.result = c.resolveType(node.Result)
 	}
-	c.functionNumbers[f.name] = len(c.program.functions)
+	c.functionIndexes[f.name] = len(c.program.functions)
 	c.program.functions = append(c.program.functions, f)
 }
 
 func (c *checker) declareHook(at lexer.Position, node *hookNode) {
 	if _, known := eventFields[node.Name]; !known {
-		c.fail(at, "there is no hook %q: request, outcome or member is meant", node.Name)
+		c.report(at, "there is no hook %q: request, outcome or member is meant", node.Name)
 	}
 	if _, exists := c.program.hooks[node.Name]; exists {
-		c.fail(at, "there are two hooks %q", node.Name)
+		c.report(at, "there are two hooks %q", node.Name)
 	}
 	c.program.hooks[node.Name] = len(c.program.functions)
 	c.program.functions = append(c.program.functions, &function{
@@ -104,7 +104,7 @@
 	})
 }
 
-// resolveType returns the type that a node names; for an unknown one it reports a diagnostic and
+// resolveType returns the type that a node names. For an unknown type it reports a diagnostic and
 // returns int, so that the check can continue.
 func (c *checker) resolveType(node *typeNode) *valueType {
 	switch {
@@ -116,12 +116,12 @@
 	if t := namedTypes[node.Name]; t != nil {
 		return t
 	}
-	c.fail(node.Pos, "there is no type %q: bool, int, float, text, duration, time, list[...] or map[...] is meant",
+	c.report(node.Pos, "there is no type %q: bool, int, float, text, duration, time, list[...] or map[...] is meant",
 		node.Name)
 	return typeInt
 }
 
-// checkBody checks the body of a function or hook.
+// checkBody checks the body of a function or hook and sets f.body.
 func (c *checker) checkBody(f *function, body functionBody) {
 	c.function = f
 	c.loopDepth = 0
@@ -132,7 +132,7 @@
 	}
 	f.body = c.block(body.block)
 	if f.result != typeNone && !alwaysReturns(f.body) {
-		c.fail(body.block.EndPos, "%s may end without a value: a return of %s is needed on every way", f.name, f.result)
+		c.report(body.block.EndPos, "%s may end without a value: a return of %s is needed on every way", f.name, f.result)
 	}
 }
 
@@ -142,15 +142,15 @@
 		if s.kind == statementReturn {
 			return true
 		}
-		hasElse := s.kind == statementIf && s.orElse != nil
-		if hasElse && alwaysReturns(s.body) && alwaysReturns(s.orElse) {
+		hasElse := s.kind == statementIf && s.elseBody != nil
+		if hasElse && alwaysReturns(s.body) && alwaysReturns(s.elseBody) {
 			return true
 		}
 	}
 	return false
 }
 
-// parseDuration reads a duration literal: those of Go, and days as "7d".
+// parseDuration parses a duration literal: a duration in the syntax of Go, or a number of days such as "7d".
 func parseDuration(text string) (time.Duration, error) {
 	days, isDays := strings.CutSuffix(text, "d")
 	if !isDays {
--- a/internal/hook/check_expressions.go
+++ b/internal/hook/check_expressions.go
@@ -2,7 +2,7 @@
 
 import "github.com/alecthomas/participle/v2/lexer"
 
-// expression checks an expression; its node is the one that binds least, or.
+// expression checks an expression. The node is the operand list of "or", the operator with the lowest precedence.
 func (c *checker) expression(node *exprNode) *expression {
 	left := c.and(node.Left)
 	for _, next := range node.Rest {
@@ -35,7 +35,7 @@
 	return &expression{kind: kind, valueType: typeBool, operands: operands, position: at}
 }
 
-// compare checks a comparison or a test with in.
+// compare checks a comparison, or a membership test with "in".
 func (c *checker) compare(node *compareNode) *expression {
 	left := c.sum(node.Left)
 	if node.Op == "" {
@@ -46,7 +46,7 @@
 		return invalidExpression(node.Pos)
 	}
 	if !isComparable(node.Op, left.valueType, right.valueType) {
-		c.fail(node.Pos, "%s %s %s: two values of one type that can be compared are meant",
+		c.report(node.Pos, "%s %s %s: two values of one type that can be compared are meant",
 			left.valueType, node.Op, right.valueType)
 		return invalidExpression(node.Pos)
 	}
@@ -58,25 +58,25 @@
 	return e
 }
 
-// isComparable reports whether a comparison operator, or in, is defined for two types.
+// isComparable reports whether a comparison operator, or "in", is defined for the types of its operands.
 func isComparable(operator string, left, right *valueType) bool {
 	switch operator {
 	case "in":
 		return mayContain(right, left)
 	case "==", "!=":
-		return left.isSame(right) && left.isPlain()
+		return left.isSame(right) && left.isScalar()
 	default:
 		return left.isSame(right) && left.isOrdered()
 	}
 }
 
-// mayContain reports whether in is defined for a container and an element.
+// mayContain reports whether "in" is defined for the types of a container and an element.
 func mayContain(container, element *valueType) bool {
 	switch container.kind {
 	case kindText, kindMap:
 		return element == typeText
 	case kindList:
-		return container.element.isSame(element) && element.isPlain()
+		return container.element.isSame(element) && element.isScalar()
 	default:
 		return false
 	}
@@ -98,14 +98,14 @@
 	return left
 }
 
-// operation is an arithmetic operator with its operands' types.
+// operation is an arithmetic operator with the types of its operands.
 type operation struct {
 	left     *valueType
 	operator string
 	right    *valueType
 }
 
-// arithmeticResults are the operations that exist, and the types of their results.
+// arithmeticResults lists the supported operations and the types of their results.
 var arithmeticResults = map[operation]*valueType{
 	{typeInt, "+", typeInt}: typeInt,
 	{typeInt, "-", typeInt}: typeInt,
@@ -138,7 +138,7 @@
 	}
 	result := arithmeticResults[operation{left.valueType, operator, right.valueType}]
 	if result == nil {
-		c.fail(at, "%s %s %s has no meaning%s", left.valueType, operator, right.valueType,
+		c.report(at, "%s %s %s has no meaning%s", left.valueType, operator, right.valueType,
 			conversionHint(left.valueType, right.valueType))
 		return invalidExpression(at)
 	}
@@ -151,7 +151,8 @@
 	}
 }
 
-// conversionHint says how an int and a float are brought together.
+// conversionHint returns a hint for a diagnostic: how to combine an int with a float. The hint is
+// "" for other types.
 func conversionHint(left, right *valueType) string {
 	intAndFloat := left == typeInt && right == typeFloat
 	floatAndInt := left == typeFloat && right == typeInt
@@ -161,7 +162,7 @@
 	return ""
 }
 
-// unary checks a negation. That of a constant is a constant.
+// unary checks a negation. The negation of a constant is a constant.
 func (c *checker) unary(node *unaryNode) *expression {
 	if node.Minus == nil {
 		return c.postfix(node.Value)
@@ -171,7 +172,7 @@
 		return operand
 	}
 	if !operand.valueType.isSigned() {
-		c.fail(node.Pos, "-%s has no meaning", operand.valueType)
+		c.report(node.Pos, "-%s has no meaning", operand.valueType)
 		return invalidExpression(node.Pos)
 	}
 	e := &expression{valueType: operand.valueType, position: node.Pos}
--- a/internal/hook/check_features.go
+++ b/internal/hook/check_features.go
@@ -6,7 +6,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// hookSet is a set of kinds of events: bit i is hookKinds[i].
+// hookSet is a set of kinds of events; bit i stands for hookKinds[i].
 type hookSet uint8
 
 func hookSetOf(kinds ...string) hookSet {
@@ -17,50 +17,50 @@
 	return set
 }
 
-// has reports whether a kind is in the set; one that does not exist is not.
+// has reports whether a kind is in the set. An unknown kind is in no set.
 func (s hookSet) has(kind string) bool {
 	bit := slices.Index(hookKinds, kind)
 	return bit >= 0 && s&(1<<bit) != 0
 }
 
-// feature is an event's field or a built-in function that not every hook has, or a call of another
-// function, whose features the caller needs too.
+// feature is a field of the event or a built-in function that only some hooks may use, or a call of
+// another function of the program. A caller also uses the features of the functions that it calls.
 type feature struct {
 	name   string
 	hooks  hookSet
 	isCall bool
 }
 
-// featureUses holds the features that a function uses, each with its last position.
+// featureUses maps each feature that a function uses to the position of its last use.
 type featureUses map[feature]lexer.Position
 
 // checkFeatureUses reports a diagnostic for each feature that a hook uses, directly or through the
-// functions that it calls, and does not have.
+// functions that it calls, but that is not available to the hook.
 func (c *checker) checkFeatureUses() {
-	for number, f := range c.program.functions {
+	for index, f := range c.program.functions {
 		if f.hook == "" {
 			continue
 		}
 		uses := make(featureUses)
-		c.collectFeatures(number, uses, make(map[int]bool))
+		c.collectFeatures(index, uses, make(map[int]bool))
 		for used, at := range uses {
 			if !used.hooks.has(f.hook) {
-				c.fail(at, "%s is of no use in \"on %s\"", used.name, f.hook)
+				c.report(at, "%s is of no use in \"on %s\"", used.name, f.hook)
 			}
 		}
 	}
 }
 
-// collectFeatures adds the features of a function and of those that it calls. Functions that were
-// visited are left out, as calls may be recursive.
-func (c *checker) collectFeatures(number int, uses featureUses, visited map[int]bool) {
-	if visited[number] {
+// collectFeatures adds to uses the features of a function and of the functions that it calls. It skips
+// functions that are in visited, because calls may be recursive.
+func (c *checker) collectFeatures(index int, uses featureUses, visited map[int]bool) {
+	if visited[index] {
 		return
 	}
-	visited[number] = true
-	for used, at := range c.program.functions[number].uses {
+	visited[index] = true
+	for used, at := range c.program.functions[index].uses {
 		if used.isCall {
-			c.collectFeatures(c.functionNumbers[used.name], uses, visited)
+			c.collectFeatures(c.functionIndexes[used.name], uses, visited)
 		} else {
 			uses[used] = at
 		}
--- a/internal/hook/check_primary.go
+++ b/internal/hook/check_primary.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// postfix checks a value with what follows it: an index, or a field of the event.
+// postfix checks an operand with its suffixes: indexes, or a field of the event.
 func (c *checker) postfix(node *postfixNode) *expression {
 	if node.Value.Name == eventName {
 		if len(node.Rest) != 1 || node.Rest[0].Field == "" {
-			c.fail(node.Pos, "event has fields alone, such as event.class")
+			c.report(node.Pos, "event has fields alone, such as event.class")
 			return invalidExpression(node.Pos)
 		}
 		return c.field(node.Rest[0])
@@ -25,10 +25,10 @@
 	return e
 }
 
-// index checks an entry of a list or map.
+// index checks an access to an entry of a list or map.
 func (c *checker) index(container *expression, node *suffix) *expression {
 	if node.Field != "" {
-		c.fail(node.Pos, "%s has no fields: event alone has", container.valueType)
+		c.report(node.Pos, "%s has no fields: event alone has", container.valueType)
 		return invalidExpression(node.Pos)
 	}
 	index := c.expression(node.Index)
@@ -38,7 +38,7 @@
 	case kindMap:
 		c.expectType(index, typeText, "a map's key")
 	default:
-		c.fail(node.Pos, "%s has no places: a list or a map is meant", container.valueType)
+		c.report(node.Pos, "%s has no places: a list or a map is meant", container.valueType)
 		return invalidExpression(node.Pos)
 	}
 	return &expression{
@@ -49,8 +49,8 @@
 	}
 }
 
-// field checks event.NAME. In a function, every hook that calls it must have the field, with the
-// same type and number.
+// field checks event.NAME. Every hook that calls a function must have the fields that the function
+// reads, with the same type and index.
 func (c *checker) field(node *suffix) *expression {
 	var e *expression
 	var hooks hookSet
@@ -58,32 +58,33 @@
 		if !c.mayRunFor(kind) {
 			continue
 		}
-		for number, field := range eventFields[kind] {
+		for index, field := range eventFields[kind] {
 			if field.name != node.Field {
 				continue
 			}
 			if e == nil {
-				e = &expression{kind: expressionField, valueType: field.valueType, number: number, position: node.Pos}
+				e = &expression{kind: expressionField, valueType: field.valueType, index: index, position: node.Pos}
 			}
-			if e.number == number && e.valueType == field.valueType {
+			if e.index == index && e.valueType == field.valueType {
 				hooks |= hookSetOf(kind)
 			}
 		}
 	}
 	if e == nil {
-		c.fail(node.Pos, "an event has no %q here; there are %s", node.Field, strings.Join(c.fieldNames(), ", "))
+		c.report(node.Pos, "an event has no %q here; there are %s", node.Field, strings.Join(c.fieldNames(), ", "))
 		return invalidExpression(node.Pos)
 	}
 	c.function.uses[feature{name: eventName + "." + node.Field, hooks: hooks}] = node.Pos
 	return e
 }
 
-// mayRunFor reports whether the function that is being checked may run for a kind of event.
+// mayRunFor reports whether the function that is being checked may run for a kind of event: a hook runs
+// for its own kind, any other function for all kinds.
 func (c *checker) mayRunFor(kind string) bool {
 	return c.function.hook == "" || c.function.hook == kind
 }
 
-// fieldNames returns the names of the fields that the function may use, sorted.
+// fieldNames returns the sorted names of the event fields that the function being checked may use.
 func (c *checker) fieldNames() []string {
 	var names []string
 	for kind, fields := range eventFields {
@@ -97,7 +98,7 @@
 	return names
 }
 
-// primary checks an operand.
+// primary checks an operand: a literal, a list or map, a call, a name or an expression in parentheses.
 func (c *checker) primary(node *primaryNode) *expression {
 	switch {
 	case node.List != nil:
@@ -114,13 +115,13 @@
 	}
 	t, constant, err := literal(node)
 	if err != nil {
-		c.fail(node.Pos, "this cannot be held: %v", err)
+		c.report(node.Pos, "this cannot be held: %v", err)
 		return invalidExpression(node.Pos)
 	}
 	return &expression{kind: expressionConstant, valueType: t, constant: constant, position: node.Pos}
 }
 
-// literal returns the value of a literal, or an error if its type cannot hold it.
+// literal returns the value of a literal, or an error if the value does not fit its type.
 func literal(node *primaryNode) (*valueType, value, error) {
 	switch {
 	case node.Duration != nil:
@@ -140,13 +141,13 @@
 	}
 }
 
-// name checks a name that stands for a value: a variable or a constant.
+// name checks a name that is used as a value. It must be a variable or a constant.
 func (c *checker) name(node *primaryNode) *expression {
 	if found, ok := c.lookUp(node.Name); ok {
 		return &expression{
 			kind:      expressionVariable,
 			valueType: found.valueType,
-			number:    found.slot,
+			index:     found.slot,
 			position:  node.Pos,
 		}
 	}
@@ -155,19 +156,19 @@
 		copied.position = node.Pos
 		return &copied
 	}
-	_, isState := c.stateNumbers[node.Name]
+	_, isState := c.stateIndexes[node.Name]
 	switch {
 	case isState:
-		c.fail(node.Pos, "%q is a state: value(%s), or value(%s, key) of a map, is meant", node.Name, node.Name, node.Name)
+		c.report(node.Pos, "%q is a state: value(%s), or value(%s, key) of a map, is meant", node.Name, node.Name, node.Name)
 	case keywords[node.Name]:
-		c.fail(node.Pos, "%q is a word of the language and no value", node.Name)
+		c.report(node.Pos, "%q is a word of the language and no value", node.Name)
 	default:
-		c.fail(node.Pos, "there is no %q here", node.Name)
+		c.report(node.Pos, "there is no %q here", node.Name)
 	}
 	return invalidExpression(node.Pos)
 }
 
-// list checks a list's literal. Its first entry gives the type.
+// list checks a list literal. The first entry determines the type of the entries.
 func (c *checker) list(node *listNode) *expression {
 	if node.Type != nil {
 		return &expression{kind: expressionList, valueType: listOf(c.resolveType(node.Type)), position: node.Pos}
@@ -187,7 +188,7 @@
 	case nil:
 		return invalidExpression(node.Pos)
 	case typeNone:
-		c.fail(node.Pos, "this has no value")
+		c.report(node.Pos, "this has no value")
 		return invalidExpression(node.Pos)
 	default:
 		e.valueType = listOf(element)
--- a/internal/hook/check_statements.go
+++ b/internal/hook/check_statements.go
@@ -1,6 +1,6 @@
 package hook
 
-// block checks the statements of a block in a scope of its own.
+// block checks the statements of a block, in a new scope.
 func (c *checker) block(node *blockNode) []*statement {
 	c.openScope()
 	defer c.closeScope()
@@ -12,19 +12,19 @@
 		}
 		body = append(body, s)
 		if s.endsBlock() && i < len(node.Stmts)-1 {
-			c.fail(node.Stmts[i+1].Pos, "this is never reached")
+			c.report(node.Stmts[i+1].Pos, "this is never reached")
 			break
 		}
 	}
 	return body
 }
 
-// endsBlock reports whether the statement after it is never reached.
+// endsBlock reports whether the statements that follow s in its block are unreachable.
 func (s *statement) endsBlock() bool {
 	return s.kind == statementReturn || s.kind == statementBreak || s.kind == statementContinue
 }
 
-// statement checks a statement. It may return nil for one that has a diagnostic.
+// statement checks a statement. It may return nil if it reports a diagnostic.
 func (c *checker) statement(node *stmtNode) *statement {
 	switch {
 	case node.Let != nil:
@@ -46,7 +46,7 @@
 	}
 }
 
-// variableDeclaration checks let and var.
+// variableDeclaration checks a "let" or "var" statement.
 func (c *checker) variableDeclaration(node *stmtNode) *statement {
 	initial := c.expression(node.Let.Value)
 	if node.Let.Type != nil {
@@ -54,7 +54,7 @@
 	}
 	t := initial.valueType
 	if t == typeNone {
-		c.fail(initial.position, "this has no value")
+		c.report(initial.position, "this has no value")
 	}
 	if initial.isInvalid() {
 		t = typeInt
@@ -63,7 +63,7 @@
 	return &statement{kind: statementAssign, slot: slot, value: initial, position: node.Pos}
 }
 
-// condition checks the condition of an if or while.
+// condition checks the condition of an "if" or "while" statement.
 func (c *checker) condition(node *exprNode) *expression {
 	return c.expectType(c.expression(node), typeBool, "the condition")
 }
@@ -73,9 +73,9 @@
 	s.body = c.block(node.Then)
 	switch {
 	case node.ElseIf != nil:
-		s.orElse = []*statement{c.ifStatement(node.ElseIf)}
+		s.elseBody = []*statement{c.ifStatement(node.ElseIf)}
 	case node.Else != nil:
-		s.orElse = c.block(node.Else)
+		s.elseBody = c.block(node.Else)
 	}
 	return s
 }
@@ -112,7 +112,7 @@
 	s.from = c.expectType(from, typeInt, "the beginning")
 	s.to = c.expectType(c.expression(node.For.To), typeInt, "the end")
 	s.slot = c.declareVariable(node.Pos, node.For.Name, typeInt, true)
-	c.reserveSlots(1) // the bound
+	c.reserveSlots(1) // for the bound of the range
 }
 
 // forEach checks the head of "for NAME in LIST".
@@ -123,12 +123,12 @@
 	case list.valueType.kind == kindList:
 		element = list.valueType.element
 	default:
-		c.fail(list.position, "this is %s; a list, or FROM..TO, is meant", list.valueType)
+		c.report(list.position, "this is %s; a list, or FROM..TO, is meant", list.valueType)
 	}
 	s.kind = statementForEach
 	s.value = list
 	s.slot = c.declareVariable(node.Pos, node.For.Name, element, true)
-	c.reserveSlots(2) // the list and the position in it
+	c.reserveSlots(2) // for the list and the position in the list
 }
 
 func (c *checker) returnStatement(node *stmtNode) *statement {
@@ -137,19 +137,19 @@
 	switch returned := node.Return.Value; {
 	case returned != nil && result == typeNone:
 		c.expression(returned)
-		c.fail(returned.Pos, "%s gives no value", c.function.name)
+		c.report(returned.Pos, "%s gives no value", c.function.name)
 	case returned != nil:
 		s.value = c.expectType(c.expression(returned), result, "the value")
 	case result != typeNone:
-		c.fail(node.Pos, "%s gives %s: a value is needed", c.function.name, result)
+		c.report(node.Pos, "%s gives %s: a value is needed", c.function.name, result)
 	}
 	return s
 }
 
-// jumpStatement checks break and continue.
+// jumpStatement checks a "break" or "continue" statement.
 func (c *checker) jumpStatement(node *stmtNode) *statement {
 	if c.loopDepth == 0 {
-		c.fail(node.Pos, "there is no loop around this")
+		c.report(node.Pos, "there is no loop around this")
 	}
 	kind := statementBreak
 	if node.Continue {
@@ -161,7 +161,7 @@
 func (c *checker) callStatement(node *stmtNode) *statement {
 	e := c.postfix(node.Simple.Left)
 	if !e.isCall() && !e.isInvalid() {
-		c.fail(node.Pos, "this does nothing: a call or an assignment is meant")
+		c.report(node.Pos, "this does nothing: a call or an assignment is meant")
 	}
 	return &statement{kind: statementExpression, value: e, position: node.Pos}
 }
@@ -175,11 +175,11 @@
 	target, found := c.lookUp(name)
 	switch {
 	case name == "":
-		c.fail(node.Pos, "nothing can be set here")
+		c.report(node.Pos, "nothing can be set here")
 	case !found:
-		c.fail(node.Pos, "there is no variable %q here: \"var %s = ...\" declares one", name, name)
+		c.report(node.Pos, "there is no variable %q here: \"var %s = ...\" declares one", name, name)
 	case target.readOnly:
-		c.fail(node.Pos, "%q does not change: it was declared by let or for, and not by var", name)
+		c.report(node.Pos, "%q does not change: it was declared by let or for, and not by var", name)
 	default:
 		c.expectType(assigned, target.valueType, "the value")
 		return &statement{kind: statementAssign, slot: target.slot, value: assigned, position: node.Pos}
@@ -195,7 +195,7 @@
 		return nil
 	}
 	if target.kind != expressionIndex || target.operands[0].valueType.kind == kindText {
-		c.fail(node.Pos, "nothing can be set here")
+		c.report(node.Pos, "nothing can be set here")
 		return nil
 	}
 	return &statement{
--- a/internal/hook/compile.go
+++ b/internal/hook/compile.go
@@ -2,25 +2,27 @@
 
 import "github.com/alecthomas/participle/v2/lexer"
 
-// compiler makes bytecode of a checked program, one function after the other.
+// compiler translates a checked program to bytecode, one function after the other.
 type compiler struct {
 	program         *Program
-	constantNumbers map[any]int // by int64 or string
+	constantIndexes map[any]int // indexes in Program.constants; keys are int64 or string
 
-	// The function that is being compiled.
+	// The fields for the function that is being compiled.
 	instructions []instruction
-	operands     int // on the stack, at this instruction
+	operands     int // operands on the stack after the last instruction
 	maxOperands  int
-	loops        []loopJumps // those around this instruction
+	loops        []loopJumps // the loops that enclose the next instruction, innermost last
 }
 
-// loopJumps are the jumps of a loop's break and continue statements, whose targets are not known yet.
+// loopJumps are the indexes of the jump instructions of a loop's break and continue statements. Their
+// targets are not known yet.
 type loopJumps struct {
 	breaks    []int
 	continues []int
 }
 
-// compile makes bytecode of a checked program. The error is an *Error.
+// compile translates a checked program to bytecode. The error is an *Error: the program has more than
+// maxInstructions.
 func compile(file string, checked *checkedProgram) (*Program, error) {
 	c := &compiler{
 		program: &Program{
@@ -29,7 +31,7 @@
 			hooks:  checked.hooks,
 			zones:  checked.zones,
 		},
-		constantNumbers: make(map[any]int),
+		constantIndexes: make(map[any]int),
 	}
 	total := 0
 	for _, f := range checked.functions {
@@ -57,37 +59,37 @@
 	})
 }
 
-// emit adds an instruction with operand a, which changes the number of operands on the stack by
-// growth. It returns the instruction's index.
-func (c *compiler) emit(op opcode, a int, at lexer.Position, growth int) int {
+// emit adds an instruction with operand a and returns its index. The instruction changes the number
+// of operands on the stack by stackChange.
+func (c *compiler) emit(op opcode, a int, at lexer.Position, stackChange int) int {
 	c.instructions = append(c.instructions, instruction{op: op, a: int32(a), line: int32(at.Line)})
-	c.operands += growth
+	c.operands += stackChange
 	c.maxOperands = max(c.maxOperands, c.operands)
 	return len(c.instructions) - 1
 }
 
-// next returns the index of the next instruction.
-func (c *compiler) next() int { return len(c.instructions) }
+// nextIndex returns the index of the next instruction.
+func (c *compiler) nextIndex() int { return len(c.instructions) }
 
-// setTargets makes jumps lead to the next instruction.
+// setTargets makes the next instruction the target of jumps.
 func (c *compiler) setTargets(jumps ...int) {
 	for _, jump := range jumps {
-		c.instructions[jump].a = int32(c.next())
+		c.instructions[jump].a = int32(c.nextIndex())
 	}
 }
 
-// constant returns the number of a constant. Numbers with the same bits are one constant, whatever
-// their type.
+// constant returns the index of a constant in Program.constants and adds the constant if necessary.
+// Numbers with the same bits share one constant, regardless of their type.
 func (c *compiler) constant(t *valueType, constant value) int {
 	key := any(constant.number)
 	if t == typeText {
 		key = constant.text
 	}
-	if number, ok := c.constantNumbers[key]; ok {
+	if number, ok := c.constantIndexes[key]; ok {
 		return number
 	}
 	number := len(c.program.constants)
-	c.constantNumbers[key] = number
+	c.constantIndexes[key] = number
 	c.program.constants = append(c.program.constants, constant)
 	return number
 }
--- a/internal/hook/compile_expressions.go
+++ b/internal/hook/compile_expressions.go
@@ -1,18 +1,18 @@
 package hook
 
-// expression compiles an expression, which leaves its value on the stack, if it has one.
+// expression compiles an expression. Its instructions leave the value on the stack, if there is one.
 func (c *compiler) expression(e *expression) {
 	switch e.kind {
 	case expressionConstant:
 		c.emit(opConst, c.constant(e.valueType, e.constant), e.position, 1)
 	case expressionVariable:
-		c.emit(opLoad, e.number, e.position, 1)
+		c.emit(opLoad, e.index, e.position, 1)
 	case expressionField:
 		c.field(e)
 	case expressionAnd:
-		c.shortCircuit(e, opJumpKeepFalse)
+		c.shortCircuit(e, opJumpIfFalseOrPop)
 	case expressionOr:
-		c.shortCircuit(e, opJumpKeepTrue)
+		c.shortCircuit(e, opJumpIfTrueOrPop)
 	default:
 		for _, operand := range e.operands {
 			c.expression(operand)
@@ -22,14 +22,14 @@
 }
 
 func (c *compiler) field(e *expression) {
-	op := opFieldNumber
+	op := opNumberField
 	if e.valueType == typeText {
-		op = opField
+		op = opTextField
 	}
-	c.emit(op, e.number, e.position, 1)
+	c.emit(op, e.index, e.position, 1)
 }
 
-// shortCircuit compiles and/or: the jump skips the right side if the left one decides.
+// shortCircuit compiles an "and" or "or" expression. The jump skips the right side if the left side decides the result.
 func (c *compiler) shortCircuit(e *expression, jump opcode) {
 	c.expression(e.operands[0])
 	end := c.emit(jump, 0, e.position, -1)
@@ -37,7 +37,7 @@
 	c.setTargets(end)
 }
 
-// operation compiles an expression whose operands are on the stack.
+// operation compiles the operation of an expression. Its operands are on the stack.
 func (c *compiler) operation(e *expression) {
 	switch e.kind {
 	case expressionNot:
@@ -49,20 +49,20 @@
 	case expressionCompare:
 		c.emit(compareOpcode(e), int(comparisons[e.operator]), e.position, -1)
 	case expressionIn:
-		c.in(e)
+		c.inOperator(e)
 	case expressionIndex:
 		c.emit(indexOpcode(e), 0, e.position, -1)
 	case expressionCall:
-		c.emit(opCall, e.number, e.position, callGrowth(e))
+		c.emit(opCall, e.index, e.position, callStackChange(e))
 	case expressionBuiltin:
 		c.builtin(e)
 	case expressionState:
-		c.emit(c.stateOpcode(e), e.number, e.position, callGrowth(e))
+		c.emit(c.stateOpcode(e), e.index, e.position, callStackChange(e))
 	case expressionList:
 		c.emit(opNewList, len(e.operands), e.position, 1-len(e.operands))
 	case expressionMap:
 		c.emit(opNewMap, 0, e.position, 1)
-	default: // expression has compiled the others
+	default: // expression has compiled the other kinds
 	}
 }
 
@@ -73,7 +73,7 @@
 	return opNegInt
 }
 
-// arithmeticOpcodes are the opcodes by operator and kind of the result.
+// arithmeticOpcodes are the opcodes by operator and by kind of the result.
 var arithmeticOpcodes = map[string]map[kind]opcode{
 	"+": {
 		kindInt:      opAddInt,
@@ -105,7 +105,7 @@
 
 func arithmeticOpcode(e *expression) opcode {
 	if e.valueType == typeFloat && e.operands[0].valueType == typeDuration {
-		return opRatio
+		return opDivDurations
 	}
 	return arithmeticOpcodes[e.operator][e.valueType.kind]
 }
@@ -121,7 +121,7 @@
 	}
 }
 
-func (c *compiler) in(e *expression) {
+func (c *compiler) inOperator(e *expression) {
 	container := e.operands[1].valueType
 	switch container.kind {
 	case kindText:
@@ -135,39 +135,39 @@
 
 func indexOpcode(e *expression) opcode {
 	if e.operands[0].valueType.kind == kindMap {
-		return opMapAt
+		return opMapGet
 	}
-	return opListAt
+	return opListGet
 }
 
-// callGrowth returns how a call changes the number of operands on the stack.
-func callGrowth(e *expression) int {
-	growth := -len(e.operands)
+// callStackChange returns by how much a call changes the number of operands on the stack.
+func callStackChange(e *expression) int {
+	change := -len(e.operands)
 	if e.valueType != typeNone {
-		growth++
+		change++
 	}
-	return growth
+	return change
 }
 
 func (c *compiler) builtin(e *expression) {
-	call := c.emit(opBuiltin, e.number, e.position, callGrowth(e))
+	call := c.emit(opBuiltin, e.index, e.position, callStackChange(e))
 	if len(e.operands) > 0 {
 		c.instructions[call].b = uint8(e.operands[0].valueType.kind)
 	}
 }
 
 func (c *compiler) stateOpcode(e *expression) opcode {
-	isMap := c.program.States[e.number].isMap()
+	isMap := c.program.States[e.index].isMap()
 	switch {
 	case e.operator == stateForget:
-		return opForget
+		return opEntryForget
 	case e.operator == stateAdd && isMap:
-		return opAddAt
+		return opEntryAdd
 	case e.operator == stateAdd:
-		return opAdd
+		return opCounterAdd
 	case isMap:
-		return opValueAt
+		return opEntryValue
 	default:
-		return opValue
+		return opCounterValue
 	}
 }
--- a/internal/hook/compile_statements.go
+++ b/internal/hook/compile_statements.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// assign stores a value in a slot.
+// assign compiles an assignment to the variable in a slot.
 func (c *compiler) assign(s *statement, assigned *expression, slot int) {
 	c.expression(assigned)
 	c.emit(opStore, slot, s.position, -1)
@@ -57,13 +57,13 @@
 	c.expression(s.condition)
 	toElse := c.emit(opJumpIfFalse, 0, s.position, -1)
 	c.block(s.body)
-	if len(s.orElse) == 0 {
+	if len(s.elseBody) == 0 {
 		c.setTargets(toElse)
 		return
 	}
 	toEnd := c.emit(opJump, 0, s.position, 0)
 	c.setTargets(toElse)
-	c.block(s.orElse)
+	c.block(s.elseBody)
 	c.setTargets(toEnd)
 }
 
@@ -77,7 +77,7 @@
 }
 
 func (c *compiler) whileLoop(s *statement) {
-	start := c.next()
+	start := c.nextIndex()
 	c.expression(s.condition)
 	exit := c.emit(opJumpIfFalse, 0, s.position, -1)
 	c.loopBody(s)
@@ -87,7 +87,7 @@
 func (c *compiler) forRange(s *statement) {
 	c.assign(s, s.from, s.slot)
 	c.assign(s, s.to, s.slot+1)
-	start := c.next()
+	start := c.nextIndex()
 	c.emit(opRangeTest, s.slot, s.position, 1)
 	exit := c.emit(opJumpIfFalse, 0, s.position, -1)
 	c.loopBody(s)
@@ -99,21 +99,22 @@
 	c.assign(s, s.value, s.slot+1)
 	c.emit(opConst, c.constant(typeInt, intValue(0)), s.position, 1)
 	c.emit(opStore, s.slot+2, s.position, -1)
-	start := c.next()
-	c.emit(opEachNext, s.slot, s.position, 1)
+	start := c.nextIndex()
+	c.emit(opListNext, s.slot, s.position, 1)
 	exit := c.emit(opJumpIfFalse, 0, s.position, -1)
 	c.loopBody(s)
 	c.endLoop(s, start, exit)
 }
 
-// loopBody compiles a loop's body. A continue leads to the instruction after it.
+// loopBody compiles the body of a loop. A continue jumps to the instruction after the body.
 func (c *compiler) loopBody(s *statement) {
 	c.loops = append(c.loops, loopJumps{})
 	c.block(s.body)
 	c.setTargets(c.loops[len(c.loops)-1].continues...)
 }
 
-// endLoop jumps back to a loop's start. The jump exit and each break lead to the instruction after it.
+// endLoop emits the jump back to the start of a loop. The instruction after it is the target of the jump
+// exit and of each break.
 func (c *compiler) endLoop(s *statement, start, exit int) {
 	c.emit(opJump, start, s.position, 0)
 	innermost := len(c.loops) - 1
--- a/internal/hook/diagnostic.go
+++ b/internal/hook/diagnostic.go
@@ -7,16 +7,16 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Error is a diagnostic: what is wrong with a program, and where.
+// Error is a diagnostic: it describes a mistake in a program and its position.
 type Error struct {
 	File   string
-	Line   int    // from 1; 0: the error has no position
-	Column int    // in bytes, from 1
-	Text   string // what is wrong, and what would be right
-	Source string // the line
+	Line   int    // counted from 1; 0: the error has no position
+	Column int    // in bytes, counted from 1
+	Text   string // what was found, and what is allowed
+	Source string // the source line
 }
 
-// Error returns position, text and the source line with a mark under the column.
+// Error returns the position, the text and the source line with a mark (^) under the column.
 func (e *Error) Error() string {
 	if e.Line == 0 {
 		return e.File + ": " + e.Text
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s\n\t%s\n\t%s^", e.File, e.Line, e.Column, e.Text, e.Source, blankOut(before))
 }
 
-// blankOut replaces every character but tabs by a blank, so that the mark stands under its column.
+// blankOut replaces every character except tabs by a blank, so that the mark is printed under its column.
 func blankOut(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r == '\t' {
@@ -35,13 +35,13 @@
 	}, text)
 }
 
-// maxDiagnostics is how many diagnostics the checker reports.
+// maxDiagnostics is the maximum number of diagnostics that the checker reports.
 const maxDiagnostics = 20
 
-// Errors are the diagnostics of a program by line, at most maxDiagnostics of them.
+// Errors are the diagnostics of a program, sorted by line. There are at most maxDiagnostics.
 type Errors []*Error
 
-// Error returns all diagnostics, one after the other.
+// Error returns the texts of all diagnostics, separated by line breaks.
 func (es Errors) Error() string {
 	texts := make([]string, len(es))
 	for i, e := range es {
--- a/internal/hook/diagnostic_test.go
+++ b/internal/hook/diagnostic_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// mistakeCases are wrong programs and a part of the diagnostic.
-var mistakeCases = []struct{ source, want string }{
+// diagnosticCases are invalid programs, each with a part of the expected error text. The part is "" if only
+// the failure of the compilation is checked.
+var diagnosticCases = []struct{ source, want string }{
 	{"on request {\n\ttag(1)\n}", `test.hook:2:2: tag takes (text); these are [int]`},
 	{"on request {\n\tlet a = 1 + 2.0\n}", `test.hook:2:12: int + float has no meaning; float(...) makes a float of an int`},
 	{`on request { let x = 1 x = 2 }`, `"x" does not change`},
@@ -65,20 +66,24 @@
 			s += fmt.Sprintf("state t%d: counter ", i)
 		}
 		return s
-	}() + `on request { }`, `more than 16 states`}, {`const a = now() on request { }`, `a constant is a plain value`}, {`on request { tag(tag) }`, ``}, {`on request { let l = [tag("x")] }`, `this has no value`},
+	}() + `on request { }`, `more than 16 states`},
+	{`const a = now() on request { }`, `a constant is a plain value`},
+	{`on request { tag(tag) }`, ``},
+	{`on request { let l = [tag("x")] }`, `this has no value`},
 }
 
-// Every mistake is named with its place.
-func TestMistakes(t *testing.T) {
-	for _, x := range mistakeCases {
-		_, err := Compile("test.hook", x.source)
-		if err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "%!") {
-			t.Errorf("%.80s: %v, want %s", x.source, err, x.want)
+// TestDiagnostics checks that the compiler rejects invalid programs with the expected error, and that a
+// program with two mistakes gets two diagnostics, with the line and the mark under the column.
+func TestDiagnostics(t *testing.T) {
+	for _, test := range diagnosticCases {
+		_, err := Compile("test.hook", test.source)
+		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "%!") {
+			t.Errorf("%.80s: got %v, want %s", test.source, err, test.want)
 		}
 	}
 	_, err := Compile("test.hook", "on request {\n\ttag(a)\n\n\ttag(b)\n}")
 	var all Errors
 	if !errors.As(err, &all) || len(all) != 2 || all[1].Line != 4 || !strings.HasSuffix(all[0].Error(), "\ttag(a)\n\t\t    ^") {
-		t.Errorf("two mistakes: %q", err)
+		t.Errorf("got %q, want two diagnostics, the first with a mark under a, the second in line 4", err)
 	}
 }
--- a/internal/hook/differential_test.go
+++ b/internal/hook/differential_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// differentialLimits bound the random programs: they end by themselves, but texts may double in loops.
+// differentialLimits are the limits for the random programs. All of them terminate, but a text that doubles
+// in a loop may become very long.
 var differentialLimits = Limits{Fuel: 1 << 24, Memory: 1 << 22}
 
-// checkSource parses and checks a program that must be right.
+// checkSource parses and checks a program. It fails the test if the program is invalid.
 func checkSource(t *testing.T, source string) *checkedProgram {
 	t.Helper()
 	tree, err := parse("x", source)
@@ -25,7 +26,7 @@
 	return checked
 }
 
-// differentialEvent returns the event for which the random programs run.
+// differentialEvent returns the event for the runs of the random programs.
 func differentialEvent() *Event {
 	event := &Event{Kind: KindRequest, Now: time.Unix(0, 0), Headers: headerMap{"Apiary": "ridge-7"}}
 	event.Text[RequestClass] = "weight-reading"
@@ -34,8 +35,11 @@
 	return event
 }
 
-// The machine gives the same result as the tree walker, on random programs.
-func TestMachineAgainstTree(t *testing.T) {
+// TestMachineMatchesTreeWalker checks that the machine and the tree walker, a second implementation of the
+// language, give the same effects and errors for random programs. It guards against faults of the compiler
+// and the machine. Runs that exceed the memory limit are skipped, because the tree walker does not count
+// memory.
+func TestMachineMatchesTreeWalker(t *testing.T) {
 	failed, withEffects := 0, 0
 	for seed := range uint64(400) {
 		source := generate(rand.New(rand.NewPCG(seed, 2)))
@@ -53,7 +57,7 @@
 		}
 		sameEffects := wantErr != nil || slices.Equal(result.Effects, wantEffects)
 		if !errors.Is(err, wantErr) || !sameEffects {
-			t.Fatalf("seed %d: the machine gives %v %v, the tree %v %v\n%s",
+			t.Fatalf("seed %d: the machine got %v %v, the tree walker %v %v\n%s",
 				seed, result.Effects, err, wantEffects, wantErr, source)
 		}
 		if err != nil {
@@ -63,6 +67,6 @@
 		}
 	}
 	if failed < 20 || withEffects < 60 {
-		t.Errorf("%d runs failed and %d had effects: that shows little", failed, withEffects)
+		t.Errorf("got %d failed runs and %d runs with effects, want at least 20 and 60", failed, withEffects)
 	}
 }
--- a/internal/hook/doc.go
+++ b/internal/hook/doc.go
@@ -1,47 +1,48 @@
-// Package hook is the language of plug-ins: small, statically typed, and compiled to bytecode for a
-// virtual machine that meters each run. A program sees its event and its declared state and nothing
-// else, so that a run and its cost are a pure function of the two. docs/plugins/language.md
-// describes the language.
+// Package hook implements the language of plug-ins. The language is small, statically typed and
+// compiled to bytecode for a virtual machine that limits the fuel and memory of each run. A program can
+// read only its event and its declared state, so that the result and the cost of a run are a pure
+// function of these two. docs/plugins/language.md describes the language.
 //
-// Compile takes a program from text to bytecode; a Machine runs it:
+// Compile translates the source of a program to bytecode; a Machine runs the bytecode. The files of the
+// compiler:
 //
-//	scanner.go             tokens, keywords, the bound of nesting
-//	ast.go                 abstract syntax tree, whose tags are the grammar
-//	parser.go              from tokens to the syntax tree; the grammar in EBNF
-//	check.go               from the syntax tree to the typed tree: type checker
+//	scanner.go             tokens, keywords, maximum nesting
+//	ast.go                 abstract syntax tree; its struct tags are the grammar
+//	parser.go              parser: from tokens to the syntax tree; the grammar in EBNF
+//	check.go               type checker: from the syntax tree to the typed tree
 //	check_declarations.go  constants, states, functions and hooks
 //	check_statements.go    statements
 //	check_expressions.go   operators
 //	check_primary.go       literals, names, fields, indexes, lists
-//	check_calls.go         calls, of the state and time zones too
-//	check_features.go      what not every hook has, by way of functions too
-//	scope.go               variables and their scopes, names that are taken
+//	check_calls.go         calls of functions, functions of the state, time zones
+//	check_features.go      fields and functions that only some hooks may use, directly or through calls
+//	scope.go               variables and their scopes, names that are already in use
 //	typed_tree.go          the typed tree
 //	diagnostic.go          errors with their position
-//	compile.go             from the typed tree to bytecode
+//	compile.go             code generator: from the typed tree to bytecode
 //	compile_statements.go  jumps and loops
 //	compile_expressions.go operators and calls
 //	program.go             Program: Load, Compile, bytecode
 //
-// What a run needs:
+// The files of a run:
 //
 //	machine.go             Machine: Run, calls and their frames
 //	machine_loop.go        the loop that executes instructions
 //	machine_stack.go       operand stack, jumps, loops, state
 //	machine_arithmetic.go  arithmetic and comparisons
 //	machine_collection.go  texts, lists and maps
-//	limits.go              fuel and memory, why a run failed
+//	limits.go              limits of fuel and memory, errors of a run
 //	event.go, effect.go    input and output of a run
 //	state.go               declared state
 //
-// Tables that several of them use:
+// Tables that the compiler and the machine share:
 //
 //	types.go               types of values
 //	value.go               values at run time
 //	opcode.go              instruction set
-//	builtins.go            built-in functions: signature, hooks, cost, function
-//	signature.go           signatures, generic ones too
-//	builtins_*.go          what the built-in functions do
+//	builtins.go            built-in functions: signature, hooks, cost, implementation
+//	signature.go           signatures of functions, including generic functions
+//	builtins_*.go          implementations of the built-in functions
 //
-// format.go sets a program in its canonical form.
+// format.go formats the source of a program in its canonical form.
 package hook
--- a/internal/hook/effect.go
+++ b/internal/hook/effect.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Effect is an action that a run requests. The caller of Machine.Run carries it out.
+// Effect is an action that a run requests. The caller of Machine.Run executes it.
 type Effect struct {
 	Kind  EffectKind
 	Name  string
@@ -19,12 +19,12 @@
 	RemoveHeader                   // Name
 	Tag                            // Text
 	SetTenant                      // Text
-	Refuse                         // Text is the reason, Pause the Retry-After
-	Count                          // Name, of the plug-in's own metric
-	Label                          // Name and Text, of an outcome or a member
+	Refuse                         // Text is the reason, Pause the value of Retry-After
+	Count                          // Name of a metric of the plug-in
+	Label                          // Name and Text label an outcome or a member
 )
 
-// effectHooks are the kinds of events for which a run may request an effect.
+// effectHooks are, for each kind of effect, the kinds of events for which a run may request the effect.
 var effectHooks = [...]hookSet{
 	SetHeader:    hookSetOf(KindRequest),
 	RemoveHeader: hookSetOf(KindRequest),
--- a/internal/hook/event.go
+++ b/internal/hook/event.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// The kinds of events; each has a hook of the same name.
+// The kinds of events. The hook for a kind has the same name.
 const (
-	KindRequest = "request" // a request, before the core gets it
+	KindRequest = "request" // a request, before the core receives it
 	KindOutcome = "outcome" // a request's final response
 	KindMember  = "member"  // an instance of the endpoint list
 )
 
-// hookKinds are the kinds of events in the order in which the checker looks at them.
+// hookKinds are the kinds of events. Their order is that of the bits of a hookSet, and the checker
+// searches for event fields in this order.
 var hookKinds = []string{KindRequest, KindOutcome, KindMember}
 
-// maxFields is how many fields an event has at most.
+// maxFields is the maximum number of fields of an event.
 const maxFields = 8
 
-// Event is the input of a run. The fields of its kind are in Text or Int, as their types are, by
-// the numbers below.
+// Event is the input of a run. The fields of its kind are entries of Text or Int, depending on their
+// type. The constants below are their indexes.
 type Event struct {
 	Kind    string // KindRequest, KindOutcome or KindMember
 	Now     time.Time
 	Text    [maxFields]string
-	Int     [maxFields]int64 // durations in ns; bools 0 or 1
-	Headers Headers          // of a request; may be nil
+	Int     [maxFields]int64 // ints; durations in ns; bools as 0 or 1
+	Headers Headers          // the headers of a request; may be nil
 }
 
-// Headers returns a request's header by name, "" if there is none.
+// Headers gives access to the headers of a request. Header returns the value of a header, "" if the
+// request does not have the header.
 type Headers interface{ Header(name string) string }
 
-// The fields of a request.
+// The indexes of the fields of a request.
 const (
 	RequestClass  = iota // Text
 	RequestTenant        // Text
@@ -40,16 +42,16 @@
 	RequestRetry         // Int; 1 if the client marked it as a retry
 )
 
-// The fields of an outcome.
+// The indexes of the fields of an outcome.
 const (
 	OutcomeClass  = iota // Text
 	OutcomeTenant        // Text
 	OutcomeID            // Text
 	OutcomeEnding        // Text; served, refused, failed, timed_out or duplicate
-	OutcomeTook          // Int; ns
+	OutcomeTook          // Int; duration in ns
 )
 
-// The fields of a member.
+// The indexes of the fields of a member.
 const (
 	MemberName    = iota // Text
 	MemberAddress        // Text
@@ -64,7 +66,7 @@
 	valueType *valueType
 }
 
-// eventFields are the fields of each kind of event by their numbers.
+// eventFields are the fields of each kind of event, by their indexes.
 var eventFields = map[string][]eventField{
 	KindRequest: {
 		RequestClass:  {"class", typeText},
--- a/internal/hook/format.go
+++ b/internal/hook/format.go
@@ -9,8 +9,9 @@
 // maxLineBreaks is how many line breaks in a row the formatter keeps: one empty line.
 const maxLineBreaks = 2
 
-// Format returns a program in the canonical form: a tab for each open bracket, one blank between
-// words and signs, at most one empty line. Comments and line breaks stay. An error is an *Error.
+// Format returns a program in the canonical form: lines are indented by one tab for each open bracket,
+// one blank separates words and signs, and there is at most one empty line in a row. Comments and line
+// breaks are kept. If the source cannot be parsed, the error is an *Error.
 func Format(file, source string) (string, error) {
 	if _, err := parse(file, source); err != nil {
 		return "", err
@@ -30,16 +31,16 @@
 	return strings.TrimRight(f.output.String(), "\n") + "\n", nil
 }
 
-// formatter writes tokens one after the other.
+// formatter writes the tokens of a program in the canonical form.
 type formatter struct {
 	symbols map[string]lexer.TokenType
 	output  strings.Builder
-	depth   int // open brackets
+	depth   int // number of open brackets
 
-	hasToken   bool // previous is set
+	hasToken   bool // whether previous is set
 	previous   lexer.Token
-	afterMinus bool // previous is the sign of a value
-	lineBreaks int  // since previous
+	afterMinus bool // whether previous is the minus sign of a value
+	lineBreaks int  // number of line breaks since previous
 }
 
 func (f *formatter) add(token lexer.Token) {
@@ -65,7 +66,7 @@
 	f.lineBreaks = 0
 }
 
-// separate writes what stands between the previous token and this one.
+// separate writes the white space between the previous token and this token.
 func (f *formatter) separate(token lexer.Token, text string) {
 	switch {
 	case !f.hasToken:
@@ -79,8 +80,8 @@
 
 func (f *formatter) isSign(token lexer.Token) bool { return token.Type == f.symbols[tokenSign] }
 
-// valueMayFollow reports whether a value may begin after the previous token, so that a minus there
-// is a value's sign.
+// valueMayFollow reports whether a value may begin after the previous token. A minus at this place is
+// the sign of a value.
 func (f *formatter) valueMayFollow() bool {
 	if !f.hasToken {
 		return true
@@ -95,7 +96,7 @@
 	return f.previous.Type == f.symbols[tokenName] && keywords[f.previous.Value]
 }
 
-// needsBlank reports whether a blank stands before a token on the same line.
+// needsBlank reports whether a blank separates a token from the previous token on the same line.
 func (f *formatter) needsBlank(token lexer.Token, text string) bool {
 	switch {
 	case token.Type == f.symbols[tokenComment]:
@@ -115,7 +116,7 @@
 	}
 }
 
-// bindsRight reports whether no blank stands after a sign.
+// bindsRight reports whether a sign is written without a blank after it.
 func bindsRight(sign string) bool {
 	switch sign {
 	case "(", "[", ".", "..":
@@ -125,7 +126,7 @@
 	}
 }
 
-// bindsLeft reports whether no blank stands before a sign.
+// bindsLeft reports whether a sign is written without a blank before it.
 func bindsLeft(sign string) bool {
 	switch sign {
 	case ")", "]", ",", ".", "..", ":":
@@ -135,7 +136,8 @@
 	}
 }
 
-// bracketBinds reports whether an opening bracket belongs to the previous token: a call or an index.
+// bracketBinds reports whether an opening bracket follows the previous token without a blank, as in a
+// call or an index.
 func (f *formatter) bracketBinds() bool {
 	switch f.previous.Value {
 	case "]", ")", "list", "map":
--- a/internal/hook/generator_test.go
+++ b/internal/hook/generator_test.go
@@ -6,36 +6,39 @@
 	"strings"
 )
 
-// programWriter writes random programs that end: all loops are for loops.
+// programWriter writes random programs. They terminate, because all loops are for loops.
 type programWriter struct {
 	*rand.Rand
-	b     strings.Builder
-	vars  map[string][]string // by type
-	fixed map[string]bool
-	next  int
-	depth int
+	output        strings.Builder
+	variables     map[string][]string // names of the variables in scope, by type
+	readOnly      map[string]bool     // by name; true for let and loop variables
+	variableCount int                 // number of variables so far; part of the next variable's name
+	depth         int                 // nesting depth of statements
 }
 
+// generate returns a random program with a request hook.
 func generate(rng *rand.Rand) string {
-	w := &programWriter{Rand: rng, vars: make(map[string][]string), fixed: make(map[string]bool)}
-	w.b.WriteString("const three = 3\nstate seen: map 100 1h\nfn twice(n: int) -> int {\n\tif n > 1000 { return 0 }\n\treturn n * 2\n}\nfn glue(a: text, b: text) -> text { return a + \"/\" + b }\non request {\n")
+	w := &programWriter{Rand: rng, variables: make(map[string][]string), readOnly: make(map[string]bool)}
+	w.output.WriteString("const three = 3\nstate seen: map 100 1h\nfn twice(n: int) -> int {\n\tif n > 1000 { return 0 }\n\treturn n * 2\n}\nfn glue(a: text, b: text) -> text { return a + \"/\" + b }\non request {\n")
 	w.block(6)
-	w.b.WriteString("}\n")
-	return w.b.String()
+	w.output.WriteString("}\n")
+	return w.output.String()
 }
 
-func (w *programWriter) block(n int) {
+// block writes 1 to maxStatements statements. Variables that they declare go out of scope at the end.
+func (w *programWriter) block(maxStatements int) {
 	saved := make(map[string][]string)
-	for t, names := range w.vars {
+	for t, names := range w.variables {
 		saved[t] = names[:len(names):len(names)]
 	}
-	for range 1 + w.IntN(n) {
-		w.stmt()
+	for range 1 + w.IntN(maxStatements) {
+		w.statement()
 	}
-	w.vars = saved
+	w.variables = saved
 }
 
-func (w *programWriter) stmt() {
+// statement writes a statement, or nothing if no variable is suitable.
+func (w *programWriter) statement() {
 	types := []string{"int", "text", "bool", "float", "list[int]", "map[text]"}
 	t := types[w.IntN(len(types))]
 	w.depth++
@@ -46,100 +49,101 @@
 	}
 	switch kind {
 	case 0, 1:
-		name := fmt.Sprintf("v%d", w.next)
-		w.next++
-		w.fixed[name] = w.IntN(3) == 0
-		fmt.Fprintf(&w.b, "%s %s = %s\n", map[bool]string{true: "let", false: "var"}[w.fixed[name]], name, w.expr(t, 3))
-		w.vars[t] = append(w.vars[t], name)
+		name := fmt.Sprintf("v%d", w.variableCount)
+		w.variableCount++
+		w.readOnly[name] = w.IntN(3) == 0
+		fmt.Fprintf(&w.output, "%s %s = %s\n", map[bool]string{true: "let", false: "var"}[w.readOnly[name]], name, w.expression(t, 3))
+		w.variables[t] = append(w.variables[t], name)
 	case 2:
-		if v := w.variable(t); v != "" && !w.fixed[v] {
-			fmt.Fprintf(&w.b, "%s = %s\n", v, w.expr(t, 3))
+		if v := w.variable(t); v != "" && !w.readOnly[v] {
+			fmt.Fprintf(&w.output, "%s = %s\n", v, w.expression(t, 3))
 		}
 	case 3:
-		fmt.Fprintf(&w.b, "tag(text(%s))\n", w.expr([]string{"int", "text", "bool", "float"}[w.IntN(4)], 3))
+		fmt.Fprintf(&w.output, "tag(text(%s))\n", w.expression([]string{"int", "text", "bool", "float"}[w.IntN(4)], 3))
 	case 4:
 		if l := w.variable("list[int]"); l != "" && w.IntN(2) == 0 {
-			fmt.Fprintf(&w.b, "push(%s, %s)\n", l, w.expr("int", 2))
+			fmt.Fprintf(&w.output, "push(%s, %s)\n", l, w.expression("int", 2))
 		} else if m := w.variable("map[text]"); m != "" {
-			fmt.Fprintf(&w.b, "%s[%s] = %s\n", m, w.expr("text", 1), w.expr("text", 2))
+			fmt.Fprintf(&w.output, "%s[%s] = %s\n", m, w.expression("text", 1), w.expression("text", 2))
 		} else {
-			fmt.Fprintf(&w.b, "add(seen, %s, %s)\n", w.expr("text", 1), w.expr("int", 1))
+			fmt.Fprintf(&w.output, "add(seen, %s, %s)\n", w.expression("text", 1), w.expression("int", 1))
 		}
 	case 5, 6:
-		fmt.Fprintf(&w.b, "if %s {\n", w.expr("bool", 2))
+		fmt.Fprintf(&w.output, "if %s {\n", w.expression("bool", 2))
 		w.block(3)
 		if w.IntN(2) == 0 {
-			w.b.WriteString("} else {\n")
+			w.output.WriteString("} else {\n")
 			w.block(3)
 		}
-		w.b.WriteString("}\n")
+		w.output.WriteString("}\n")
 	default:
-		name := fmt.Sprintf("v%d", w.next)
-		w.next++
-		w.fixed[name] = true
+		name := fmt.Sprintf("v%d", w.variableCount)
+		w.variableCount++
+		w.readOnly[name] = true
 		if l := w.variable("list[int]"); l != "" && w.IntN(2) == 0 {
-			fmt.Fprintf(&w.b, "for %s in [%s, %s] {\n", name, w.expr("int", 1), w.expr("int", 1))
+			fmt.Fprintf(&w.output, "for %s in [%s, %s] {\n", name, w.expression("int", 1), w.expression("int", 1))
 		} else {
-			fmt.Fprintf(&w.b, "for %s in %d..%d {\n", name, w.IntN(3), w.IntN(6))
+			fmt.Fprintf(&w.output, "for %s in %d..%d {\n", name, w.IntN(3), w.IntN(6))
 		}
-		w.vars["int"] = append(w.vars["int"], name)
+		w.variables["int"] = append(w.variables["int"], name)
 		w.block(3)
 		if w.IntN(3) == 0 {
-			fmt.Fprintf(&w.b, "if %s { %s }\n", w.expr("bool", 1), []string{"break", "continue"}[w.IntN(2)])
+			fmt.Fprintf(&w.output, "if %s { %s }\n", w.expression("bool", 1), []string{"break", "continue"}[w.IntN(2)])
 		}
-		w.b.WriteString("}\n")
-		w.vars["int"] = w.vars["int"][:len(w.vars["int"])-1]
+		w.output.WriteString("}\n")
+		w.variables["int"] = w.variables["int"][:len(w.variables["int"])-1]
 	}
 }
 
+// variable returns the name of a random variable of a type, "" if there is none.
 func (w *programWriter) variable(t string) string {
-	if names := w.vars[t]; len(names) > 0 {
+	if names := w.variables[t]; len(names) > 0 {
 		return names[w.IntN(len(names))]
 	}
 	return ""
 }
 
-// expr writes an expression of a type.
-func (w *programWriter) expr(t string, depth int) string {
+// expression returns a random expression of a type. depth is the maximum depth of its subexpressions.
+func (w *programWriter) expression(t string, depth int) string {
 	if v := w.variable(t); v != "" && (depth == 0 || w.IntN(3) == 0) {
 		return v
 	}
-	of := func(t string) string { return w.expr(t, depth-1) }
-	pick := func(s ...func() string) string { return s[w.IntN(len(s))]() }
+	sub := func(t string) string { return w.expression(t, depth-1) }
+	choose := func(s ...func() string) string { return s[w.IntN(len(s))]() }
 	leaf := func(s string) func() string { return func() string { return s } }
 	switch t {
 	case "int":
 		if depth <= 0 {
-			return pick(leaf("three"), leaf(fmt.Sprint(w.IntN(100))), leaf("9223372036854775807"), leaf("event.size"))
+			return choose(leaf("three"), leaf(fmt.Sprint(w.IntN(100))), leaf("9223372036854775807"), leaf("event.size"))
 		}
 		op := []string{"+", "-", "*", "/", "%"}[w.IntN(5)]
-		return pick(func() string { return "(" + of(t) + " " + op + " " + of(t) + ")" }, func() string { return "-" + of("int") }, func() string { return "twice(" + of(t) + ")" },
-			func() string { return "len(" + of("text") + ")" }, func() string { return "min(" + of(t) + ", " + of(t) + ")" }, func() string { return of("list[int]") + "[" + of(t) + "]" },
-			func() string { return "value(seen, " + of("text") + ")" }, func() string { return "parse_int(" + of("text") + ", " + of(t) + ")" }, func() string { return "add(seen, " + of("text") + ", " + of("int") + ")" })
+		return choose(func() string { return "(" + sub(t) + " " + op + " " + sub(t) + ")" }, func() string { return "-" + sub("int") }, func() string { return "twice(" + sub(t) + ")" },
+			func() string { return "len(" + sub("text") + ")" }, func() string { return "min(" + sub(t) + ", " + sub(t) + ")" }, func() string { return sub("list[int]") + "[" + sub(t) + "]" },
+			func() string { return "value(seen, " + sub("text") + ")" }, func() string { return "parse_int(" + sub("text") + ", " + sub(t) + ")" }, func() string { return "add(seen, " + sub("text") + ", " + sub("int") + ")" })
 	case "text":
 		if depth <= 0 {
-			return pick(leaf(`"a"`), leaf(`"ridge-7"`), leaf("event.class"), leaf(`header("Apiary")`), leaf(`""`))
+			return choose(leaf(`"a"`), leaf(`"ridge-7"`), leaf("event.class"), leaf(`header("Apiary")`), leaf(`""`))
 		}
-		return pick(func() string { return "(" + of(t) + " + " + of(t) + ")" }, func() string { return "glue(" + of(t) + ", " + of(t) + ")" }, func() string { return "text(" + of("int") + ")" },
-			func() string { return "upper(" + of(t) + ")" }, func() string { return "join(split(" + of(t) + `, "a"), "b")` }, func() string { return "get(" + of("map[text]") + ", " + of(t) + ", " + of(t) + ")" },
-			func() string { return "slice(" + of(t) + ", 0, " + of("int") + ")" })
+		return choose(func() string { return "(" + sub(t) + " + " + sub(t) + ")" }, func() string { return "glue(" + sub(t) + ", " + sub(t) + ")" }, func() string { return "text(" + sub("int") + ")" },
+			func() string { return "upper(" + sub(t) + ")" }, func() string { return "join(split(" + sub(t) + `, "a"), "b")` }, func() string { return "get(" + sub("map[text]") + ", " + sub(t) + ", " + sub(t) + ")" },
+			func() string { return "slice(" + sub(t) + ", 0, " + sub("int") + ")" })
 	case "bool":
 		if depth <= 0 {
-			return pick(leaf("true"), leaf("false"), leaf("event.retry"))
+			return choose(leaf("true"), leaf("false"), leaf("event.retry"))
 		}
 		cmp := []string{"==", "!=", "<", "<=", ">", ">="}[w.IntN(6)]
-		return pick(func() string { return "(" + of("int") + " " + cmp + " " + of("int") + ")" }, func() string { return "(" + of("float") + " " + cmp + " " + of("float") + ")" },
-			func() string { return "(" + of("text") + " " + cmp + " " + of("text") + ")" }, func() string { return "(" + of(t) + " and " + of(t) + ")" },
-			func() string { return "(" + of(t) + " or " + of(t) + ")" }, func() string { return "(not " + of(t) + ")" }, func() string { return "(" + of("int") + " in " + of("list[int]") + ")" },
-			func() string { return "(" + of("text") + " in " + of("map[text]") + ")" }, func() string { return "has_prefix(" + of("text") + ", " + of("text") + ")" })
+		return choose(func() string { return "(" + sub("int") + " " + cmp + " " + sub("int") + ")" }, func() string { return "(" + sub("float") + " " + cmp + " " + sub("float") + ")" },
+			func() string { return "(" + sub("text") + " " + cmp + " " + sub("text") + ")" }, func() string { return "(" + sub(t) + " and " + sub(t) + ")" },
+			func() string { return "(" + sub(t) + " or " + sub(t) + ")" }, func() string { return "(not " + sub(t) + ")" }, func() string { return "(" + sub("int") + " in " + sub("list[int]") + ")" },
+			func() string { return "(" + sub("text") + " in " + sub("map[text]") + ")" }, func() string { return "has_prefix(" + sub("text") + ", " + sub("text") + ")" })
 	case "float":
 		if depth <= 0 {
-			return pick(leaf("0.5"), leaf("2.0"), leaf("0.0"))
+			return choose(leaf("0.5"), leaf("2.0"), leaf("0.0"))
 		}
 		op := []string{"+", "-", "*", "/"}[w.IntN(4)]
-		return pick(func() string { return "(" + of(t) + " " + op + " " + of(t) + ")" }, func() string { return "float(" + of("int") + ")" }, func() string { return "-" + of(t) })
+		return choose(func() string { return "(" + sub(t) + " " + op + " " + sub(t) + ")" }, func() string { return "float(" + sub("int") + ")" }, func() string { return "-" + sub(t) })
 	case "list[int]":
-		return pick(leaf("list[int]()"), func() string { return "[" + w.expr("int", depth-1) + ", " + w.expr("int", depth-1) + "]" })
+		return choose(leaf("list[int]()"), func() string { return "[" + w.expression("int", depth-1) + ", " + w.expression("int", depth-1) + "]" })
 	}
 	return "map[text]()"
 }
--- a/internal/hook/golden_test.go
+++ b/internal/hook/golden_test.go
@@ -17,14 +17,15 @@
 	"mothridge/internal/golden"
 )
 
-// goldenRandomPrograms is the number of random programs, and of random programs with a mistake.
+// goldenRandomPrograms is the number of random programs, and also the number of random programs with a
+// mistake.
 const goldenRandomPrograms = 400
 
-// goldenProgram is a program of the corpus; its name is in testdata/runs.golden.
+// goldenProgram is a program of the corpus. Its name appears in testdata/runs.golden.
 type goldenProgram struct{ name, source string }
 
-// goldenCorpus returns the deployed plug-ins, the programs of the other tests, random programs,
-// and random programs in which a token is missing or wrong.
+// goldenCorpus returns the deployed plug-ins, the programs of the other tests, random programs, and random
+// programs in which one word is missing or replaced by another word of the program.
 func goldenCorpus(t *testing.T) []goldenProgram {
 	t.Helper()
 	var corpus []goldenProgram
@@ -33,7 +34,7 @@
 	}
 	files, err := filepath.Glob("../../deploy/plugins/*.hook")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no plug-ins: %v", err)
+		t.Fatalf("got no plug-ins in deploy/plugins, want at least one; error %v", err)
 	}
 	for _, file := range files {
 		source, err := os.ReadFile(file)
@@ -45,14 +46,14 @@
 	for i, expression := range slices.Sorted(maps.Keys(expressionCases)) {
 		add("expression", i, "on request {\n\ttag(text("+expression+"))\n}")
 	}
-	for i, x := range programCases {
-		add("program", i, x.source)
+	for i, test := range programCases {
+		add("program", i, test.source)
 	}
-	for i, x := range mistakeCases {
-		add("mistake", i, x.source)
+	for i, test := range diagnosticCases {
+		add("mistake", i, test.source)
 	}
-	for i, x := range limitCases {
-		add("limit", i, x.source)
+	for i, test := range runtimeErrorCases {
+		add("limit", i, test.source)
 	}
 	for seed := range goldenRandomPrograms {
 		random := rand.New(rand.NewPCG(uint64(seed), 2))
@@ -63,7 +64,7 @@
 	return corpus
 }
 
-// mutate replaces or deletes one word of a program.
+// mutate deletes one word of a program or replaces it by another word of the program.
 func mutate(random *rand.Rand, source string) string {
 	words := strings.SplitAfter(source, " ")
 	i := random.IntN(len(words))
@@ -74,21 +75,22 @@
 	return strings.Join(words, "")
 }
 
-// goldenEvent returns an event with all fields of its kind set.
+// goldenEvent returns an event of a kind with all its fields set.
 func goldenEvent(kind string) *Event {
-	e := &Event{Kind: kind, Now: time.Date(2026, 9, 1, 5, 30, 0, 0, time.UTC), Headers: headerMap{"Apiary": "ridge-7", "Tags": "a,b"}}
-	for i := range e.Text {
-		e.Text[i] = fmt.Sprintf("text-%d", i)
+	event := &Event{Kind: kind, Now: time.Date(2026, 9, 1, 5, 30, 0, 0, time.UTC), Headers: headerMap{"Apiary": "ridge-7", "Tags": "a,b"}}
+	for i := range event.Text {
+		event.Text[i] = fmt.Sprintf("text-%d", i)
 	}
-	e.Text[0] = "weight-reading"
-	e.Int[RequestSize], e.Int[RequestLeft], e.Int[RequestRetry] = 42, int64(time.Second), 1
+	event.Text[0] = "weight-reading"
+	event.Int[RequestSize], event.Int[RequestLeft], event.Int[RequestRetry] = 42, int64(time.Second), 1
 	if kind == "outcome" {
-		e.Int[OutcomeTook] = int64(30 * time.Millisecond)
+		event.Int[OutcomeTook] = int64(30 * time.Millisecond)
 	}
-	return e
+	return event
 }
 
-// goldenRuns runs a program within limits, three times with one store, and adds what came of it.
+// goldenRuns runs a program three times with the same limits and store. It adds the results, effects, errors
+// and states to the digest and returns the result and error of the first run.
 func goldenRuns(digest golden.Digest, p *Program, kind string, limits Limits) (first Result, firstErr error) {
 	var machine Machine
 	store := memoryStore{}
@@ -96,10 +98,10 @@
 		result, err := machine.Run(p, goldenEvent(kind), store, limits)
 		digest.Numbers('r', result.Fuel, result.Memory, int64(len(result.Effects)))
 		digest.Text('e', fmt.Sprint(err))
-		for _, e := range result.Effects {
-			digest.Numbers('k', int64(e.Kind), int64(e.Pause))
-			digest.Text('n', e.Name)
-			digest.Text('t', e.Text)
+		for _, effect := range result.Effects {
+			digest.Numbers('k', int64(effect.Kind), int64(effect.Pause))
+			digest.Text('n', effect.Name)
+			digest.Text('t', effect.Text)
 		}
 		for _, key := range slices.Sorted(maps.Keys(store)) {
 			digest.Text('s', key)
@@ -112,21 +114,22 @@
 	return first, firstErr
 }
 
-// goldenLine describes a program's runs for a kind of event: fuel and memory of the first run
-// and its error; the digest holds effects, state and the same with less fuel and memory.
+// goldenLine describes the runs of a program for a kind of event. The line contains the fuel, memory and error
+// of the first run, and a digest of the effects and states of all runs. The runs are repeated with fractions
+// of the fuel and memory that the first run spent.
 func goldenLine(name string, p *Program, kind string) string {
 	digest := golden.NewDigest()
 	limits := Limits{Fuel: 1 << 14, Memory: 1 << 16}
 	first, err := goldenRuns(digest, p, kind, limits)
-	for _, part := range []int64{1, 2, 3, 5, 8} {
-		goldenRuns(digest, p, kind, Limits{Fuel: (first.Fuel - 1) / part, Memory: limits.Memory})
-		goldenRuns(digest, p, kind, Limits{Fuel: limits.Fuel, Memory: (first.Memory - 1) / part})
+	for _, divisor := range []int64{1, 2, 3, 5, 8} {
+		goldenRuns(digest, p, kind, Limits{Fuel: (first.Fuel - 1) / divisor, Memory: limits.Memory})
+		goldenRuns(digest, p, kind, Limits{Fuel: limits.Fuel, Memory: (first.Memory - 1) / divisor})
 	}
 	return fmt.Sprintf("%s on %s: fuel %d, memory %d, %v, %s\n", name, kind, first.Fuel, first.Memory, err, digest)
 }
 
-// goldenLines describes a program: whether it compiles, a digest of its formatted text and its
-// diagnostics, and its runs.
+// goldenLines describes a program: whether it compiles, a digest of its formatted source and of its
+// diagnostics, and one line for the runs of each of its hooks.
 func goldenLines(program goldenProgram) string {
 	digest := golden.NewDigest()
 	formatted, err := Format("golden.hook", program.source)
@@ -146,7 +149,8 @@
 	return lines
 }
 
-// Results, effects, costs, diagnostics and formatted sources are those that were recorded.
+// TestGolden checks that results, effects, costs, diagnostics and formatted sources are equal to those recorded
+// in testdata/runs.golden. It guards against any unintended change of the language, its costs or its texts.
 func TestGolden(t *testing.T) {
 	corpus := goldenCorpus(t)
 	lines := make([]string, len(corpus))
--- a/internal/hook/grammar_test.go
+++ b/internal/hook/grammar_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// The published grammar is the parser's.
+// TestGrammar checks that docs/plugins/grammar.ebnf is the grammar of the parser, so that the published grammar
+// cannot become outdated.
 func TestGrammar(t *testing.T) {
-	b, err := os.ReadFile("../../docs/plugins/grammar.ebnf")
-	if err != nil || string(b) != Grammar()+"\n" {
-		t.Errorf("docs/plugins/grammar.ebnf is not the parser's: %v\n%s", err, Grammar())
+	content, err := os.ReadFile("../../docs/plugins/grammar.ebnf")
+	if err != nil || string(content) != Grammar()+"\n" {
+		t.Errorf("docs/plugins/grammar.ebnf differs from the grammar of the parser: error %v, want\n%s", err, Grammar())
 	}
 }
--- a/internal/hook/helpers_test.go
+++ b/internal/hook/helpers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// memoryStore is a Store without bounds.
+// memoryStore is a Store without a limit on entries or their age.
 type memoryStore map[string]int64
 
 func (s memoryStore) Value(state int, key string) int64 { return s[fmt.Sprint(state, key)] }
@@ -18,15 +18,15 @@
 
 func (s memoryStore) Forget(state int, key string) { delete(s, fmt.Sprint(state, key)) }
 
-// headerMap is a request's header.
+// headerMap contains the headers of a request; it implements Headers.
 type headerMap map[string]string
 
 func (h headerMap) Header(name string) string { return h[name] }
 
-// generous are limits that no program reaches that ends by itself.
-var generous = Limits{Fuel: 1 << 20, Memory: 1 << 20}
+// ampleLimits are limits that no terminating program of the tests reaches.
+var ampleLimits = Limits{Fuel: 1 << 20, Memory: 1 << 20}
 
-// runProgram compiles a program and runs its request hook.
+// runProgram compiles a program and runs its request hook. It fails the test if the program does not compile.
 func runProgram(t testing.TB, source string, limits Limits) (Result, error) {
 	t.Helper()
 	program, err := Compile("test.hook", source)
--- a/internal/hook/limits.go
+++ b/internal/hook/limits.go
@@ -5,59 +5,59 @@
 	"fmt"
 )
 
-// Limits bound one run. Fuel and memory are spent in an order that the program and its input alone
-// decide, so that a run ends at the same place on every machine.
+// Limits bound one run. The order in which fuel and memory are spent depends only on the program and
+// its input, so that a run that exceeds a limit ends at the same instruction on every machine.
 type Limits struct {
-	Fuel   int64 // an instruction takes 1; work that grows with a size takes 1 more for each 8 bytes
-	Memory int64 // bytes of texts, lists and maps that were made; none is given back during a run
+	Fuel   int64 // an instruction costs 1; work that grows with a size costs 1 more for each 8 bytes
+	Memory int64 // bytes of texts, lists and maps that a run creates; no memory is released during a run
 }
 
-// The defaults of Limits.
+// The default limits.
 const (
 	DefaultFuel   = 10_000
 	DefaultMemory = 64 << 10
 )
 
-// What values take of a run's memory, in bytes.
+// The sizes of values as they are counted against the memory limit, in bytes.
 const (
-	valueSize    = 40 // an entry of a list, and the list itself
-	entrySize    = 96 // an entry of a map beside its key, the map itself, and a change of the state
-	textOverhead = 16 // a text beside its bytes
+	valueSize    = 40 // size of an entry of a list, and of the list itself
+	entrySize    = 96 // size of an entry of a map or a change of the state, both without the key, and of the map itself
+	textOverhead = 16 // size of a text in addition to its bytes
 )
 
-// bytesPerFuel is the work that one unit of fuel pays for.
+// bytesPerFuel is the work, in bytes, that one unit of fuel pays for.
 const bytesPerFuel = 8
 
 // wordSize is the work of comparing or moving a number, in bytes.
 const wordSize = 8
 
-// What work that does not depend on a size costs, in fuel.
+// The costs of work that does not depend on a size, in fuel.
 const (
-	headerFuel   = 64/bytesPerFuel + 1  // a request's header
-	calendarFuel = 160/bytesPerFuel + 1 // a date in a time zone
+	headerFuel   = 64/bytesPerFuel + 1  // reading a header of a request
+	calendarFuel = 160/bytesPerFuel + 1 // calculating with a date in a time zone
 )
 
-// stateSize is the work of an access to the state beside its key, in bytes.
-const stateSize = 80
+// stateAccessBytes is the work of an access to the state, in bytes, without the work for its key.
+const stateAccessBytes = 80
 
-// Why a run failed.
+// The reasons why a run can fail.
 var (
 	ErrFuel    = errors.New("out of fuel")
 	ErrMemory  = errors.New("out of memory")
 	ErrDepth   = errors.New("calls nested too deep")
 	ErrEffects = errors.New("too many effects")
-	ErrValue   = errors.New("a value that cannot be") // such as a division by zero, or an index out of range
+	ErrValue   = errors.New("a value that cannot be") // for example a division by zero or an index out of range
 )
 
-// RuntimeError is the error of a run: errors.Is finds its reason, one of the errors above.
+// RuntimeError is the error of a failed run. errors.Is finds the reason, which is one of the errors above.
 type RuntimeError struct {
 	File     string
 	Line     int
-	Function string // in which it failed
+	Function string // the function in which the run failed
 	Err      error
 }
 
-// Error returns position, function and reason.
+// Error returns the position, the function and the reason.
 func (e *RuntimeError) Error() string {
 	return fmt.Sprintf("%s:%d: in %s: %v", e.File, e.Line, e.Function, e.Err)
 }
@@ -65,28 +65,28 @@
 // Unwrap returns the reason.
 func (e *RuntimeError) Unwrap() error { return e.Err }
 
-// valueError returns an error that is ErrValue.
+// valueError returns an error that wraps ErrValue.
 func valueError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrValue, fmt.Sprintf(format, args...))
 }
 
-// sizeCost returns the fuel for work on so many bytes.
+// sizeCost returns the fuel for work on size bytes: 1, and 1 more for each bytesPerFuel bytes.
 func sizeCost(size int) int64 { return int64(size)/bytesPerFuel + 1 }
 
-// textSize returns the memory of a text, in bytes.
+// textSize returns the size of a text as counted against the memory limit, in bytes.
 func textSize(text string) int { return textOverhead + len(text) }
 
-// listSize returns the memory of a list, in bytes.
+// listSize returns the size of a list as counted against the memory limit, in bytes.
 func listSize(length int) int { return valueSize * (length + 1) }
 
-// spend takes fuel. It reports false if there was too little.
+// spend spends fuel. It returns false if there is too little left.
 func (m *Machine) spend(fuel int64) bool {
 	m.fuel -= fuel
 	return m.fuel >= 0
 }
 
-// allocate takes memory, and fuel for making so many bytes. It is called before they are made,
-// where their number is known.
+// allocate counts size bytes against the memory limit and spends the fuel for creating them. Where the
+// size is known beforehand, allocate is called before the bytes are allocated.
 func (m *Machine) allocate(size int) error {
 	m.memory -= int64(size)
 	if m.memory < 0 {
--- a/internal/hook/machine.go
+++ b/internal/hook/machine.go
@@ -2,29 +2,29 @@
 
 import "errors"
 
-// maxDepth is how deep calls may nest, the hook included.
-const maxDepth = 64
+// maxCallDepth is the maximum number of nested calls, including the hook.
+const maxCallDepth = 64
 
-// initialStack is the least capacity of the stack, in values.
-const initialStack = 32
+// minStackCapacity is the minimum capacity of an allocated stack, in values.
+const minStackCapacity = 32
 
-// frame is a call in progress.
+// frame is the stack frame of a call in progress.
 type frame struct {
 	code *bytecode
 	base int // index of the first variable on the stack
 	next int // index of the next instruction
 }
 
-// Machine is the virtual machine. It runs one program at a time; the zero value is ready. Its stack,
-// frames and effects are used again by the next run, so that a typical run allocates nothing.
+// Machine is the virtual machine. It runs one program at a time; the zero value is ready to use. The
+// next run reuses the stack, the frames and the effects, so that a typical run allocates no memory.
 type Machine struct {
 	stack   []value
 	frames  []frame
 	effects []Effect
-	fuel    int64 // left
-	memory  int64 // left, in bytes
+	fuel    int64 // fuel left
+	memory  int64 // memory left, in bytes
 
-	// Of the run in progress.
+	// The input of the run in progress.
 	program *Program
 	event   *Event
 	store   Store
@@ -32,16 +32,16 @@
 
 // Result is the outcome of a run.
 type Result struct {
-	Effects []Effect // of a successful run, in their order; valid until the machine runs again
-	Fuel    int64    // spent
-	Memory  int64    // spent, in bytes
+	Effects []Effect // effects of a successful run, in the order of their calls; valid until the next run
+	Fuel    int64    // fuel spent
+	Memory  int64    // memory spent, in bytes
 }
 
-// Run runs a program's hook for the event's kind; without such a hook it does nothing. The store may
-// be nil if the program declares no state. An error is a *RuntimeError; the Result then has no effects,
-// but the fuel and memory that were spent.
+// Run runs the hook of a program for the kind of the event. If the program has no such hook, Run does
+// nothing. The store may be nil if the program declares no state. An error is a *RuntimeError; the
+// Result then contains the fuel and memory that were spent, but no effects.
 func (m *Machine) Run(p *Program, event *Event, store Store, limits Limits) (Result, error) {
-	number, ok := p.hooks[event.Kind]
+	index, ok := p.hooks[event.Kind]
 	if !ok {
 		return Result{}, nil
 	}
@@ -52,13 +52,13 @@
 	m.memory = limits.Memory
 	m.effects = m.effects[:0]
 	m.frames = m.frames[:0]
-	err := m.runHook(number)
+	err := m.runHook(index)
 	result := Result{
 		Fuel:   limits.Fuel - max(0, m.fuel),
 		Memory: limits.Memory - max(0, m.memory),
 	}
 	if err != nil {
-		err = m.failure(err)
+		err = m.runtimeError(err)
 	} else {
 		result.Effects = m.effects
 	}
@@ -66,15 +66,15 @@
 	return result, err
 }
 
-// failure adds the position of the instruction that failed to an error.
-func (m *Machine) failure(err error) *RuntimeError {
+// runtimeError wraps an error in a *RuntimeError with the position of the instruction that failed.
+func (m *Machine) runtimeError(err error) *RuntimeError {
 	current := &m.frames[len(m.frames)-1]
 	failed := current.code.instructions[max(0, current.next-1)]
 	return &RuntimeError{File: m.program.File, Line: int(failed.line), Function: current.code.name, Err: err}
 }
 
-// release ends the references to the program, the event and the store. What is left above the
-// stack's end is overwritten by the next run.
+// release drops the references to the program, the event and the store. It clears the stack up to its
+// end; the next run overwrites the values above the end.
 func (m *Machine) release() {
 	clear(m.stack)
 	m.stack = m.stack[:0]
@@ -83,8 +83,8 @@
 	m.store = nil
 }
 
-func (m *Machine) runHook(number int) error {
-	if err := m.enter(number); err != nil {
+func (m *Machine) runHook(index int) error {
+	if err := m.enter(index); err != nil {
 		return err
 	}
 	err := m.loop()
@@ -94,12 +94,12 @@
 	return err
 }
 
-// enter begins a call, whose arguments are on the stack.
-func (m *Machine) enter(number int) error {
-	if len(m.frames) >= maxDepth {
+// enter begins a call of the function with an index. The arguments are on the stack.
+func (m *Machine) enter(index int) error {
+	if len(m.frames) >= maxCallDepth {
 		return ErrDepth
 	}
-	code := &m.program.functions[number]
+	code := &m.program.functions[index]
 	base := len(m.stack) - code.parameters
 	m.growStack(base + code.slots + code.operands)
 	for len(m.stack) < base+code.slots {
@@ -109,18 +109,18 @@
 	return nil
 }
 
-// growStack makes the stack's capacity at least need values.
+// growStack grows the capacity of the stack to at least need values.
 func (m *Machine) growStack(need int) {
 	if need <= cap(m.stack) {
 		return
 	}
-	grown := make([]value, len(m.stack), max(need, 2*cap(m.stack), initialStack))
+	grown := make([]value, len(m.stack), max(need, 2*cap(m.stack), minStackCapacity))
 	copy(grown, m.stack)
 	m.stack = grown
 }
 
-// leave ends the innermost call. The result is on top of the stack, if there is one. It reports
-// whether that call was the hook.
+// leave ends the innermost call. If the call has a result, the result is on top of the stack. leave
+// reports whether this was the call of the hook.
 func (m *Machine) leave(hasResult bool) (isHook bool) {
 	innermost := len(m.frames) - 1
 	base := m.frames[innermost].base
--- a/internal/hook/machine_arithmetic.go
+++ b/internal/hook/machine_arithmetic.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// arithmetic carries out an operation that integerArithmetic does not.
+// arithmetic executes an arithmetic or logical instruction that integerArithmetic does not support.
 func (m *Machine) arithmetic(op opcode) error {
 	switch op {
 	case opAddFloat, opSubFloat, opMulFloat, opDivFloat:
@@ -20,8 +20,8 @@
 		return err
 	case opNegFloat:
 		m.top().number = floatBits(-m.top().float())
-	case opRatio:
-		return m.ratio()
+	case opDivDurations:
+		return m.divideDurations()
 	case opAddText:
 		return m.concatenate()
 	default:
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// integerArithmetic carries out an operation on two ints, durations or times.
+// integerArithmetic executes an instruction on two ints, durations or times.
 func (m *Machine) integerArithmetic(op opcode) error {
 	left, right := m.topTwo()
 	result, err := integerResult(op, left.number, right.number)
@@ -39,8 +39,8 @@
 	return err
 }
 
-// integerResult returns the result of an operation on ints, durations or times, or an error if it
-// overflows or divides by zero.
+// integerResult returns the result of an operation on ints, durations or times. It returns an error if
+// the operation overflows or divides by zero.
 func integerResult(op opcode, left, right int64) (int64, error) {
 	switch op {
 	case opAddInt:
@@ -63,12 +63,13 @@
 
 func errOverflow() error { return valueError("a number too large") }
 
-// productOverflows reports whether a product is not that of its factors.
+// productOverflows reports whether the multiplication that gave product has overflowed.
 func productOverflows(left, right, product int64) bool {
 	if left == 0 || right == 0 {
 		return false
 	}
-	// The least int has no negative: dividing its product by -1 overflows too.
+	// The least int has no positive counterpart. The division below cannot detect this overflow, because
+	// dividing by -1 overflows too.
 	if left == -1 {
 		return right == math.MinInt64
 	}
@@ -78,7 +79,8 @@
 	return product/right != left
 }
 
-// integerQuotient returns the quotient, or for opModInt the remainder.
+// integerQuotient returns the quotient for opDivInt, and the remainder for opModInt. It returns an error if
+// the division overflows or right is 0.
 func integerQuotient(op opcode, left, right int64) (int64, error) {
 	switch {
 	case right == 0:
@@ -109,8 +111,8 @@
 	}
 }
 
-// ratio divides two durations.
-func (m *Machine) ratio() error {
+// divideDurations divides two durations. The result is a float.
+func (m *Machine) divideDurations() error {
 	left, right := m.topTwo()
 	if right.number == 0 {
 		return errDivisionByZero()
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// concatenate joins two texts.
+// concatenate concatenates two texts.
 func (m *Machine) concatenate() error {
 	left, right := m.topTwo()
 	if err := m.allocate(textOverhead + len(left.text) + len(right.text)); err != nil {
@@ -131,28 +133,29 @@
 	return nil
 }
 
-// compare carries out a comparison of the values on top of the stack.
-func (m *Machine) compare(op opcode, which comparison) error {
+// compare executes a comparison of the two values on top of the stack.
+func (m *Machine) compare(op opcode, operator comparison) error {
 	left, right := m.topTwo()
 	var result bool
 	switch op {
 	case opCompareInt:
-		result = compareOrdered(which, left.number, right.number)
+		result = compareOrdered(operator, left.number, right.number)
 	case opCompareFloat:
-		result = compareOrdered(which, left.float(), right.float())
+		result = compareOrdered(operator, left.float(), right.float())
 	default:
 		if !m.spend(sizeCost(min(len(left.text), len(right.text)))) {
 			return ErrFuel
 		}
-		result = compareOrdered(which, strings.Compare(left.text, right.text), 0)
+		result = compareOrdered(operator, strings.Compare(left.text, right.text), 0)
 	}
 	m.replaceTwoByBool(result)
 	return nil
 }
 
-// compareOrdered compares two numbers. For a NaN all comparisons are false but compareNotEqual.
-func compareOrdered[T int | int64 | float64](which comparison, left, right T) bool {
-	switch which {
+// compareOrdered compares two numbers. If one is NaN, compareNotEqual is true and all other comparisons
+// are false.
+func compareOrdered[T int | int64 | float64](operator comparison, left, right T) bool {
+	switch operator {
 	case compareEqual:
 		return left == right
 	case compareNotEqual:
--- a/internal/hook/machine_collection.go
+++ b/internal/hook/machine_collection.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// collection carries out an instruction on a text, list or map on the stack.
+// collection executes an instruction on a text, list or map on the stack.
 func (m *Machine) collection(i *instruction) error {
 	switch i.op {
 	case opInText:
@@ -11,10 +11,10 @@
 		return m.inMap()
 	case opInList:
 		return m.inList(equality(i.a))
-	case opListAt:
-		return m.listAt()
-	case opMapAt:
-		return m.mapAt()
+	case opListGet:
+		return m.listGet()
+	case opMapGet:
+		return m.mapGet()
 	case opListSet:
 		return m.listSet()
 	case opMapSet:
@@ -45,12 +45,12 @@
 	return nil
 }
 
-// inList searches a list from its beginning and spends fuel for each entry that it compares.
-func (m *Machine) inList(how equality) error {
+// inList searches a list from its first entry and spends fuel for each entry that it compares.
+func (m *Machine) inList(mode equality) error {
 	wanted, list := m.topTwo()
 	found := false
 	for i := range list.list.items {
-		size, isEqual := compareEntry(how, &list.list.items[i], wanted)
+		size, isEqual := compareEntry(mode, &list.list.items[i], wanted)
 		if !m.spend(sizeCost(size)) {
 			return ErrFuel
 		}
@@ -63,9 +63,10 @@
 	return nil
 }
 
-// compareEntry returns whether two values are equal, and the size of the comparison in bytes.
-func compareEntry(how equality, entry, wanted *value) (size int, isEqual bool) {
-	switch how {
+// compareEntry compares an entry of a list with the wanted value. size is the work of the comparison, in
+// bytes.
+func compareEntry(mode equality, entry, wanted *value) (size int, isEqual bool) {
+	switch mode {
 	case equalTexts:
 		return min(len(wanted.text), len(entry.text)), entry.text == wanted.text
 	case equalFloats:
@@ -75,7 +76,7 @@
 	}
 }
 
-// entry returns a list's entry, or an error if there is none at the index.
+// entry returns the entry at an index. It returns an error if the index is out of range.
 func (l *listValue) entry(index int64) (*value, error) {
 	if index < 0 || index >= int64(len(l.items)) {
 		return nil, valueError("place %d of a list of %d", index, len(l.items))
@@ -83,7 +84,7 @@
 	return &l.items[index], nil
 }
 
-func (m *Machine) listAt() error {
+func (m *Machine) listGet() error {
 	list, index := m.topTwo()
 	entry, err := list.list.entry(index.number)
 	if err != nil {
@@ -93,7 +94,7 @@
 	return nil
 }
 
-func (m *Machine) mapAt() error {
+func (m *Machine) mapGet() error {
 	dict, key := m.topTwo()
 	if !m.spend(sizeCost(len(key.text))) {
 		return ErrFuel
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// setEntry sets a map's entry. A new one takes memory.
+// setEntry sets an entry of a map. A new entry takes memory.
 func (m *Machine) setEntry(dict *mapValue, key string, v value) error {
 	if !m.spend(sizeCost(len(key))) {
 		return ErrFuel
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// newList makes a list of the entries on top of the stack.
+// newList replaces the entries on top of the stack by a list of them.
 func (m *Machine) newList(length int) error {
 	if err := m.allocate(listSize(length)); err != nil {
 		return err
--- a/internal/hook/machine_loop.go
+++ b/internal/hook/machine_loop.go
@@ -1,7 +1,7 @@
 package hook
 
-// loop executes instructions until the hook returns. Each case is an instruction, or a group of
-// them that a method carries out.
+// loop executes instructions until the hook returns or an instruction fails. Each case is one
+// instruction, or a group of instructions that one method executes.
 func (m *Machine) loop() error {
 	current := &m.frames[len(m.frames)-1]
 	for {
@@ -18,14 +18,14 @@
 			*m.pushSlot() = m.stack[current.base+int(i.a)]
 		case opStore:
 			m.popInto(current.base + int(i.a))
-		case opField, opFieldNumber:
+		case opTextField, opNumberField:
 			m.pushField(i.op, i.a)
 		case opPop:
 			m.drop(1)
 		case opJump:
 			current.next = int(i.a)
-		case opJumpIfFalse, opJumpKeepFalse, opJumpKeepTrue:
-			if m.decideJump(i.op) {
+		case opJumpIfFalse, opJumpIfFalseOrPop, opJumpIfTrueOrPop:
+			if m.shouldJump(i.op) {
 				current.next = int(i.a)
 			}
 		case opCall:
@@ -42,7 +42,7 @@
 			err = m.integerArithmetic(i.op)
 		case opCompareInt, opCompareFloat, opCompareText:
 			err = m.compare(i.op, comparison(i.a))
-		case opRangeTest, opIncrement, opEachNext:
+		case opRangeTest, opIncrement, opListNext:
 			m.iterate(i.op, m.stack[current.base+int(i.a):])
 		default:
 			err = m.executeRare(i)
@@ -53,12 +53,12 @@
 	}
 }
 
-// executeRare executes an instruction that is rare, or costly beside a further switch.
+// executeRare executes an instruction that is rare, or whose cost is high compared with a second switch.
 func (m *Machine) executeRare(i *instruction) error {
 	switch i.op {
-	case opValue, opValueAt, opAdd, opAddAt, opForget:
+	case opCounterValue, opEntryValue, opCounterAdd, opEntryAdd, opEntryForget:
 		return m.accessState(i.op, int(i.a))
-	case opInText, opInMap, opInList, opListAt, opMapAt, opListSet, opMapSet, opNewList, opNewMap:
+	case opInText, opInMap, opInList, opListGet, opMapGet, opListSet, opMapSet, opNewList, opNewMap:
 		return m.collection(i)
 	default:
 		return m.arithmetic(i.op)
--- a/internal/hook/machine_stack.go
+++ b/internal/hook/machine_stack.go
@@ -1,7 +1,7 @@
 package hook
 
-// pushSlot adds a value to the stack and returns its place, which holds any value. The stack's
-// capacity suffices: enter reserves it for all operands of a call.
+// pushSlot adds a slot to the stack and returns it. The content of the slot is undefined. The capacity of
+// the stack is sufficient, because enter reserves it for all operands of a call.
 func (m *Machine) pushSlot() *value {
 	top := len(m.stack)
 	m.stack = m.stack[:top+1]
@@ -13,20 +13,20 @@
 // pushBool pushes a bool.
 func (m *Machine) pushBool(b bool) { m.pushSlot().number = boolNumber(b) }
 
-// popInto moves the top of the stack to another place on it.
+// popInto moves the value on top of the stack to another slot of the stack.
 func (m *Machine) popInto(slot int) {
 	top := len(m.stack) - 1
 	m.stack[slot] = m.stack[top]
 	m.stack = m.stack[:top]
 }
 
-// drop removes values from the stack.
+// drop removes count values from the top of the stack.
 func (m *Machine) drop(count int) { m.stack = m.stack[:len(m.stack)-count] }
 
-// top returns the value on top of the stack; it is valid until the stack changes.
+// top returns a pointer to the value on top of the stack. It is valid until the stack changes.
 func (m *Machine) top() *value { return &m.stack[len(m.stack)-1] }
 
-// topTwo returns the two values on top of the stack, the last one second.
+// topTwo returns pointers to the two values on top of the stack. right is the topmost value.
 func (m *Machine) topTwo() (left, right *value) {
 	last := len(m.stack) - 1
 	return &m.stack[last-1], &m.stack[last]
@@ -48,29 +48,29 @@
 
 // pushField pushes a field of the event.
 func (m *Machine) pushField(op opcode, number int32) {
-	if op == opField {
+	if op == opTextField {
 		m.pushSlot().text = m.event.Text[number]
 	} else {
 		m.pushSlot().number = m.event.Int[number]
 	}
 }
 
-// decideJump reports whether a conditional jump is taken, and removes the condition from the stack
-// where the instruction does.
-func (m *Machine) decideJump(op opcode) bool {
+// shouldJump reports whether a conditional jump is taken. It removes the condition from the stack if the
+// instruction requires it.
+func (m *Machine) shouldJump(op opcode) bool {
 	isFalse := m.top().number == 0
 	if op == opJumpIfFalse {
 		m.drop(1)
 		return isFalse
 	}
-	jumps := isFalse == (op == opJumpKeepFalse)
+	jumps := isFalse == (op == opJumpIfFalseOrPop)
 	if !jumps {
 		m.drop(1)
 	}
 	return jumps
 }
 
-// iterate carries out an instruction of a loop, whose variables are given.
+// iterate executes an instruction of a for loop on the variables of the loop.
 func (m *Machine) iterate(op opcode, variables []value) {
 	switch op {
 	case opRangeTest:
@@ -88,11 +88,11 @@
 	}
 }
 
-// accessState carries out an instruction of the declared state. The stack holds the key, if the
-// state is a map, and above it the number to add.
+// accessState executes an instruction on the declared state with an index. If the state is a map, its key
+// is on the stack. If the instruction adds a number, the number is on top of the stack.
 func (m *Machine) accessState(op opcode, state int) error {
-	hasKey := op == opValueAt || op == opAddAt || op == opForget
-	hasNumber := op == opAdd || op == opAddAt
+	hasKey := op == opEntryValue || op == opEntryAdd || op == opEntryForget
+	hasNumber := op == opCounterAdd || op == opEntryAdd
 	var number int64
 	var key string
 	base := len(m.stack)
@@ -107,10 +107,10 @@
 	if len(key) > MaxKeyBytes {
 		return valueError("a key of %d bytes: %d at the most", len(key), MaxKeyBytes)
 	}
-	if !m.spend(sizeCost(stateSize + len(key))) {
+	if !m.spend(sizeCost(stateAccessBytes + len(key))) {
 		return ErrFuel
 	}
-	if hasNumber { // the change is kept until the end of the run
+	if hasNumber { // the store keeps the change until the end of the run
 		if err := m.allocate(entrySize + len(key)); err != nil {
 			return err
 		}
@@ -119,7 +119,7 @@
 	switch {
 	case hasNumber:
 		m.push(intValue(m.store.Add(state, key, number)))
-	case op == opForget:
+	case op == opEntryForget:
 		m.store.Forget(state, key)
 	default:
 		m.push(intValue(m.store.Value(state, key)))
--- a/internal/hook/opcode.go
+++ b/internal/hook/opcode.go
@@ -1,87 +1,88 @@
 package hook
 
-// opcode says what an instruction does. The stack holds a frame's variables and, above them, the
-// operands of the expressions that are being evaluated.
+// opcode is the operation of an instruction. The stack contains the variables of a frame and, above them,
+// the operands of the expressions that are being evaluated.
 type opcode uint8
 
-// The instruction set. The stack effect is written as "operands -> results", the last one on top;
-// a and b are the instruction's own operands, "variable a" is the frame's slot a.
+// The instruction set. The stack effect is written as "operands -> results"; the last operand or result is
+// on top of the stack. a and b are the operands of the instruction itself, and "variable a" is slot a of
+// the frame.
 const (
-	// Stack, variables and the event's fields.
+	// Stack, variables and fields of the event.
 	opConst       opcode = iota // -> constant a
 	opLoad                      // -> variable a
 	opStore                     // x -> ; variable a = x
 	opPop                       // x ->
-	opField                     // -> field a of the event, a text
-	opFieldNumber               // -> field a of the event, a number
+	opTextField                 // -> field a of the event, a text
+	opNumberField               // -> field a of the event, a number
 
 	// Jumps; a is the index of an instruction.
-	opJump          // ->
-	opJumpIfFalse   // x -> ; jumps if x is false
-	opJumpKeepFalse // x -> x and a jump if x is false; else x ->
-	opJumpKeepTrue  // x -> x and a jump if x is true; else x ->
+	opJump             // ->
+	opJumpIfFalse      // x -> ; jumps if x is false
+	opJumpIfFalseOrPop // x -> x, and jumps if x is false; otherwise x ->
+	opJumpIfTrueOrPop  // x -> x, and jumps if x is true; otherwise x ->
 
 	// Calls.
-	opCall        // arguments -> result, if any; function a
+	opCall        // arguments -> result, if any; calls function a
 	opReturn      // ends the call without a result
 	opReturnValue // x -> ; ends the call with x as the result
-	opBuiltin     // arguments -> result, if any; built-in function a, the first argument is of kind b
-
-	// Arithmetic. Ints, durations and times that overflow, and a division by zero, fail the run.
-	opNot      // x -> not x
-	opNegInt   // x -> -x
-	opNegFloat // x -> -x
-	opAddInt   // x y -> x + y
-	opSubInt   // x y -> x - y
-	opMulInt   // x y -> x * y
-	opDivInt   // x y -> x / y, towards zero
-	opModInt   // x y -> x % y, with the sign of x
-	opAddFloat // x y -> x + y
-	opSubFloat // x y -> x - y
-	opMulFloat // x y -> x * y
-	opDivFloat // x y -> x / y
-	opRatio    // x y -> x / y of two durations, a float
-	opAddText  // x y -> x + y
-
-	// Comparisons; a is a comparison.
+	opBuiltin     // arguments -> result, if any; calls built-in function a; b is the kind of the first argument
+
+	// Arithmetic. A run fails if an int, duration or time overflows, or if one of them is divided by zero.
+	opNot          // x -> not x
+	opNegInt       // x -> -x
+	opNegFloat     // x -> -x
+	opAddInt       // x y -> x + y
+	opSubInt       // x y -> x - y
+	opMulInt       // x y -> x * y
+	opDivInt       // x y -> x / y, rounded towards zero
+	opModInt       // x y -> x % y, with the sign of x
+	opAddFloat     // x y -> x + y
+	opSubFloat     // x y -> x - y
+	opMulFloat     // x y -> x * y
+	opDivFloat     // x y -> x / y
+	opDivDurations // x y -> x / y; x and y are durations, the result is a float
+	opAddText      // x y -> x + y
+
+	// Comparisons. a is a value of type comparison.
 	opCompareInt   // x y -> bool
 	opCompareFloat // x y -> bool
 	opCompareText  // x y -> bool
 
-	// Lists and maps. A wrong index, or a key that is not there, fails the run.
+	// Lists and maps. A run fails if an index is out of range or a key is missing.
 	opInText  // x y -> whether the text y contains x
 	opInMap   // x y -> whether the map y has the key x
-	opInList  // x y -> whether the list y contains x; a is an equality
-	opListAt  // list index -> entry
-	opMapAt   // map key -> value
+	opInList  // x y -> whether the list y contains x; a is a value of type equality
+	opListGet // list index -> entry
+	opMapGet  // map key -> value
 	opListSet // list index x ->
 	opMapSet  // map key x ->
 	opNewList // a entries -> list
 	opNewMap  // -> map
 
-	// Declared state a.
-	opValue   // -> value of the counter
-	opValueAt // key -> value
-	opAdd     // n -> sum of the counter
-	opAddAt   // key n -> sum
-	opForget  // key ->
+	// Access to the declared state a.
+	opCounterValue // -> value of the counter
+	opEntryValue   // key -> value
+	opCounterAdd   // n -> sum of the counter
+	opEntryAdd     // key n -> sum
+	opEntryForget  // key ->
 
-	// Loops. A range has its position in variable a and its bound in a+1; a loop through a list has
-	// its entry in variable a, the list in a+1 and the position in a+2.
+	// Loops. A loop over a range keeps its position in variable a and its bound in a+1. A loop over a list
+	// keeps the entry in variable a, the list in a+1 and the position in a+2.
 	opRangeTest // -> whether the position is below the bound
 	opIncrement // -> ; variable a = a + 1
-	opEachNext  // -> whether there is a further entry; if so, sets the entry and the position
+	opListNext  // -> whether there is another entry; if so, sets the entry and increments the position
 )
 
-// instruction is one of a function's.
+// instruction is one instruction of a compiled function.
 type instruction struct {
 	op   opcode
 	b    uint8
 	a    int32
-	line int32 // in the source, from 1
+	line int32 // line of the source, counted from 1
 }
 
-// comparison is the operand a of opCompareInt, opCompareFloat and opCompareText.
+// comparison is a comparison operator. It is the operand a of opCompareInt, opCompareFloat and opCompareText.
 type comparison int32
 
 const (
@@ -93,7 +94,7 @@
 	compareGreaterOrEqual
 )
 
-// comparisons are the comparisons by their operators.
+// comparisons are the comparisons by the operators of the language.
 var comparisons = map[string]comparison{
 	"==": compareEqual,
 	"!=": compareNotEqual,
@@ -103,7 +104,7 @@
 	">=": compareGreaterOrEqual,
 }
 
-// equality is the operand a of opInList: how its entries are compared.
+// equality defines how entries of a list are compared. It is the operand a of opInList.
 type equality int32
 
 const (
--- a/internal/hook/parser.go
+++ b/internal/hook/parser.go
@@ -8,13 +8,13 @@
 	"github.com/alecthomas/participle/v2"
 )
 
-// MaxSourceBytes is the size of the largest program, in bytes.
+// MaxSourceBytes is the maximum size of the source of a program, in bytes.
 const MaxSourceBytes = 64 << 10
 
-// parserLookahead is how many tokens the grammar needs to choose an alternative.
+// parserLookahead is the number of tokens that the grammar needs to choose an alternative.
 const parserLookahead = 3
 
-// parser is built when the first program is read, like tokenRules.
+// parser returns the parser. Like tokenRules, it is built when the first program is read.
 var parser = sync.OnceValue(func() *participle.Parser[fileNode] {
 	return participle.MustBuild[fileNode](
 		participle.Lexer(tokenRules()),
@@ -23,7 +23,7 @@
 	)
 })
 
-// parse makes the syntax tree of a source. An error is an *Error: the first one in the source.
+// parse returns the syntax tree of a source. An error is an *Error for the first mistake in the source.
 func parse(file, source string) (*fileNode, error) {
 	if len(source) > MaxSourceBytes {
 		text := fmt.Sprintf("%d bytes: a program has %d at the most", len(source), MaxSourceBytes)
@@ -39,8 +39,8 @@
 	return tree, nil
 }
 
-// nodeType matches the names of the syntax tree's types.
+// nodeType matches the names of the types of the syntax tree. Its group is the name without Node.
 var nodeType = regexp.MustCompile(`([A-Z][a-z]+)Node\b`)
 
-// Grammar returns the language's grammar in EBNF.
+// Grammar returns the grammar of the language in EBNF.
 func Grammar() string { return nodeType.ReplaceAllString(parser().String(), "$1") }
--- a/internal/hook/program.go
+++ b/internal/hook/program.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// maxInstructions is how many instructions a program may have.
+// maxInstructions is the maximum number of instructions of a program.
 const maxInstructions = 16 << 10
 
-// Program is a compiled plug-in. It is immutable: any number of machines may run it at once.
+// Program is a compiled plug-in. It is immutable, so that any number of machines may run it concurrently.
 type Program struct {
 	File      string
 	States    []State
 	functions []bytecode
 	constants []value
-	hooks     map[string]int // index in functions by kind of event
+	hooks     map[string]int // indexes in functions, by kind of event
 	zones     []*time.Location
 }
 
@@ -22,8 +22,8 @@
 type bytecode struct {
 	name         string
 	parameters   int
-	slots        int // variables, parameters included
-	operands     int // the most that are on the stack above the variables
+	slots        int // number of variables, including parameters
+	operands     int // maximum number of operands on the stack above the variables
 	instructions []instruction
 }
 
@@ -33,7 +33,7 @@
 	return ok
 }
 
-// Load reads and compiles a file. Errors are those of os.ReadFile and Compile.
+// Load reads and compiles a file. It returns the errors of os.ReadFile and Compile.
 func Load(path string) (*Program, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return Compile(path, string(source))
 }
 
-// Compile makes a program of a source. The error is an *Error if the source cannot be parsed or the
-// program is too large, else Errors with all diagnostics.
+// Compile compiles the source of a program. The error is an *Error if the source cannot be parsed or the
+// program is too large. Otherwise the error is of type Errors and contains the diagnostics.
 func Compile(file, source string) (*Program, error) {
 	tree, err := parse(file, source)
 	if err != nil {
--- a/internal/hook/run_test.go
+++ b/internal/hook/run_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// expressionCases are expressions and the text of their values.
+// expressionCases are expressions with their values, as formatted by the function text. The value "" marks an
+// expression with a type error.
 var expressionCases = map[string]string{
 	`1 + 2 * 3`:                              "7",
 	`(1 + 2) * 3`:                            "9",
@@ -69,20 +70,20 @@
 	`"tab\t\"quoted\""`:                       "tab\t\"quoted\"",
 }
 
-// What expressions come to, each as the text of a tag.
-func TestValues(t *testing.T) {
-	for expr, want := range expressionCases {
+// TestExpressions checks the values of expressions. Each program passes the formatted value to tag.
+func TestExpressions(t *testing.T) {
+	for source, want := range expressionCases {
 		if want == "" {
-			continue // two types: an error, see TestMistakes
+			continue // operands of two types are a compile-time error; TestDiagnostics checks these errors
 		}
-		r, err := runProgram(t, "on request {\n\ttag(text("+expr+"))\n}", generous)
-		if err != nil || len(r.Effects) != 1 || r.Effects[0].Text != want {
-			t.Errorf("%s: %+v, %v; want %s", expr, r.Effects, err, want)
+		result, err := runProgram(t, "on request {\n\ttag(text("+source+"))\n}", ampleLimits)
+		if err != nil || len(result.Effects) != 1 || result.Effects[0].Text != want {
+			t.Errorf("%s: got %+v and error %v, want a tag with the text %s", source, result.Effects, err, want)
 		}
 	}
 }
 
-// programCases are programs and the text of their first effect.
+// programCases are programs, each with the text of its first effect.
 var programCases = []struct{ source, want string }{
 	{`on request { var s = 0  for i in 0..5 { if i == 3 { continue } s = s + i } tag(text(s)) }`, "7"},
 	{`on request { var s = ""  for x in ["a", "b", "c"] { if x == "c" { break } s = s + x } tag(s) }`, "ab"},
@@ -102,15 +103,16 @@
 	{`on request { tag("kept")  refuse("go away", 2s)  tag("never") }`, "kept"},
 }
 
-// Statements, functions, lists, maps and state.
+// TestPrograms checks statements, functions, lists, maps and state by the first effect of a program, and the
+// effect of refuse.
 func TestPrograms(t *testing.T) {
-	for _, x := range programCases {
-		r, err := runProgram(t, x.source, generous)
-		if err != nil || len(r.Effects) == 0 || r.Effects[0].Text != x.want {
-			t.Errorf("%s: %+v, %v; want %s", x.source, r.Effects, err, x.want)
+	for _, test := range programCases {
+		result, err := runProgram(t, test.source, ampleLimits)
+		if err != nil || len(result.Effects) == 0 || result.Effects[0].Text != test.want {
+			t.Errorf("%s: got %+v and error %v, want a first effect with the text %s", test.source, result.Effects, err, test.want)
 		}
 	}
-	if r, _ := runProgram(t, `on request { refuse("go away", 2s) tag("never") }`, generous); len(r.Effects) != 1 || r.Effects[0] != (Effect{Kind: Refuse, Text: "go away", Pause: 2 * time.Second}) {
-		t.Errorf("a refusal gives %+v", r.Effects)
+	if result, _ := runProgram(t, `on request { refuse("go away", 2s) tag("never") }`, ampleLimits); len(result.Effects) != 1 || result.Effects[0] != (Effect{Kind: Refuse, Text: "go away", Pause: 2 * time.Second}) {
+		t.Errorf("got effects %+v, want one refusal with the text go away and a pause of 2s", result.Effects)
 	}
 }
--- a/internal/hook/scanner.go
+++ b/internal/hook/scanner.go
@@ -9,10 +9,10 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// maxNesting is how deep brackets, blocks and prefix operators may nest.
+// maxNesting is the maximum nesting depth of brackets, blocks and prefix operators.
 const maxNesting = 64
 
-// The names of the token rules that code refers to.
+// The names of the token rules that the code refers to.
 const (
 	tokenComment = "Comment"
 	tokenSpace   = "Space"
@@ -20,8 +20,8 @@
 	tokenSign    = "Sign"
 )
 
-// tokenRules returns the scanner's definition. It is built when the first program is read, so that
-// a process without plug-ins does not pay for it.
+// tokenRules returns the definition of the scanner. It is built when the first program is read, so that
+// a process without plug-ins does not bear the cost.
 var tokenRules = sync.OnceValue(func() *lexer.StatefulDefinition {
 	return lexer.MustStateful(lexer.Rules{"Root": {
 		{Name: tokenComment, Pattern: `#[^\n]*`},
@@ -35,7 +35,7 @@
 	}})
 })
 
-// keywords cannot be used as names.
+// keywords are the reserved words. A program cannot use them as names.
 var keywords = map[string]bool{
 	"and": true, "break": true, "const": true, "continue": true, "counter": true, "else": true,
 	"false": true, "fn": true, "for": true, "if": true, "in": true, "let": true, "list": true,
@@ -47,13 +47,13 @@
 
 func isClosingBracket(text string) bool { return text == ")" || text == "]" || text == "}" }
 
-// nesting measures how deep the recursive-descent parser recurses on the tokens so far.
+// nesting measures how deeply the recursive-descent parser recurses on the tokens that were added.
 type nesting struct {
-	brackets int // open ones
-	prefixes int // tokens in a row that each open a level without a closing bracket
+	brackets int // number of open brackets
+	prefixes int // number of consecutive tokens that each open a level without needing a closing bracket
 }
 
-// add counts a token.
+// add updates the nesting for the next token.
 func (n *nesting) add(token lexer.Token, isSign bool) {
 	switch {
 	case isSign && isOpeningBracket(token.Value):
@@ -73,8 +73,8 @@
 
 func (n *nesting) isTooDeep() bool { return n.brackets > maxNesting || n.prefixes > maxNesting }
 
-// checkNesting returns an *Error if a source is nested deeper than maxNesting or has a character
-// that begins no token. It bounds the parser's recursion.
+// checkNesting returns an *Error if a source is nested deeper than maxNesting or contains a character
+// that cannot begin a token. This bounds the recursion of the parser.
 func checkNesting(file, source string) error {
 	scanner, err := tokenRules().LexString(file, source)
 	if err != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// syntaxError makes an *Error of the scanner's or parser's error.
+// syntaxError converts an error of the scanner or parser to an *Error.
 func syntaxError(file, source string, err error) *Error {
 	var positioned participle.Error
 	if errors.As(err, &positioned) {
--- a/internal/hook/scope.go
+++ b/internal/hook/scope.go
@@ -2,17 +2,17 @@
 
 import "github.com/alecthomas/participle/v2/lexer"
 
-// eventName is the name of the event in a program.
+// eventName is the name by which a program refers to the event.
 const eventName = "event"
 
-// variable is a symbol of a scope.
+// variable is a variable in a scope.
 type variable struct {
 	slot      int
 	valueType *valueType
 	readOnly  bool
 }
 
-// scope holds the variables of a block by name.
+// scope maps names to the variables of a block.
 type scope map[string]variable
 
 func (c *checker) openScope() { c.scopes = append(c.scopes, make(scope)) }
@@ -24,21 +24,21 @@
 	c.checkNameFree(at, name)
 	innermost := c.scopes[len(c.scopes)-1]
 	if _, exists := innermost[name]; exists {
-		c.fail(at, "%q is declared already", name)
+		c.report(at, "%q is declared already", name)
 	}
 	slot := c.reserveSlots(1)
 	innermost[name] = variable{slot: slot, valueType: t, readOnly: readOnly}
 	return slot
 }
 
-// reserveSlots reserves slots of the function's frame and returns the first.
+// reserveSlots reserves slots in the frame of the function being checked and returns the first slot.
 func (c *checker) reserveSlots(count int) int {
 	first := c.function.slots
 	c.function.slots += count
 	return first
 }
 
-// lookUp finds a variable by name, in the innermost scope first.
+// lookUp finds a variable by name. It searches the innermost scope first.
 func (c *checker) lookUp(name string) (variable, bool) {
 	for i := len(c.scopes) - 1; i >= 0; i-- {
 		if found, ok := c.scopes[i][name]; ok {
@@ -48,15 +48,16 @@
 	return variable{}, false
 }
 
-// checkNameFree reports a diagnostic if a name that is to be declared has a meaning already.
+// checkNameFree reports a diagnostic if a name that is to be declared is a keyword or is already defined
+// by the language or the program.
 func (c *checker) checkNameFree(at lexer.Position, name string) {
 	switch {
 	case keywords[name]:
-		c.fail(at, "%q is a word of the language and no name", name)
+		c.report(at, "%q is a word of the language and no name", name)
 	case isPredeclared(name):
-		c.fail(at, "%q is the language's own", name)
+		c.report(at, "%q is the language's own", name)
 	case c.isDeclared(name):
-		c.fail(at, "%q is declared already", name)
+		c.report(at, "%q is declared already", name)
 	}
 }
 
@@ -65,14 +66,14 @@
 	if name == eventName || isStateFunction(name) || namedTypes[name] != nil {
 		return true
 	}
-	_, isBuiltin := builtinNumber(name)
+	_, isBuiltin := builtinIndex(name)
 	return isBuiltin
 }
 
-// isDeclared reports whether a declaration of the program defines a name.
+// isDeclared reports whether the program declares a constant, function or state with a name.
 func (c *checker) isDeclared(name string) bool {
 	_, isConstant := c.constants[name]
-	_, isFunction := c.functionNumbers[name]
-	_, isState := c.stateNumbers[name]
+	_, isFunction := c.functionIndexes[name]
+	_, isState := c.stateIndexes[name]
 	return isConstant || isFunction || isState
 }
--- a/internal/hook/signature.go
+++ b/internal/hook/signature.go
@@ -4,32 +4,32 @@
 
 // signature is the type of a built-in function.
 type signature struct {
-	parameters []*valueType // nil for each of a generic function
-	result     *valueType   // of a function that is not generic, or typeNone
-	// infer returns the result type of a generic function, nil if it does not take these arguments.
-	// The number of arguments is right when it is called.
-	infer func(arguments []*valueType) *valueType
-	takes string // the parameters of a generic function, for diagnostics
+	parameters []*valueType // one for each parameter; the entries are nil if the function is generic
+	result     *valueType   // nil if infer determines the result; typeNone: the function returns nothing
+	// infer is set for a generic function. It returns the result type for the types of the arguments, nil
+	// if the function does not accept them. The caller has checked the number of arguments.
+	infer         func(arguments []*valueType) *valueType
+	parameterText string // the parameters of a generic function, for diagnostics
 }
 
-// fixed is the signature of a function that is not generic.
+// fixed returns the signature of a function that is not generic.
 func fixed(result *valueType, parameters ...*valueType) signature {
 	return signature{parameters: parameters, result: result}
 }
 
-// generic is the signature of a function whose parameters have no single type.
-func generic(count int, takes string, infer func(arguments []*valueType) *valueType) signature {
-	return signature{parameters: make([]*valueType, count), takes: takes, infer: infer}
+// generic returns the signature of a generic function, which accepts arguments of several types.
+func generic(count int, parameterText string, infer func(arguments []*valueType) *valueType) signature {
+	return signature{parameters: make([]*valueType, count), parameterText: parameterText, infer: infer}
 }
 
-// genericProcedure is generic for a function that returns nothing.
-func genericProcedure(count int, takes string, infer func(arguments []*valueType) *valueType) signature {
-	s := generic(count, takes, infer)
+// genericProcedure returns the signature of a generic function that returns nothing.
+func genericProcedure(count int, parameterText string, infer func(arguments []*valueType) *valueType) signature {
+	s := generic(count, parameterText, infer)
 	s.result = typeNone
 	return s
 }
 
-// results returns how many values a call leaves on the stack.
+// results returns the number of values that a call leaves on the stack: 0 or 1.
 func (s *signature) results() int {
 	if s.result == typeNone {
 		return 0
@@ -37,10 +37,11 @@
 	return 1
 }
 
-// operands returns how many values of the stack a call uses: the arguments, or the result.
+// operands returns the number of stack values that a call uses: the number of arguments, but at least
+// 1 for the result.
 func (s *signature) operands() int { return max(1, len(s.parameters)) }
 
-// resultFor returns the result type for arguments of these types, nil if the function does not take them.
+// resultFor returns the result type for arguments of these types, nil if the function does not accept them.
 func (s *signature) resultFor(arguments []*valueType) *valueType {
 	if len(arguments) != len(s.parameters) {
 		return nil
@@ -54,10 +55,10 @@
 	return s.result
 }
 
-// description returns the parameters for diagnostics.
+// description returns a description of the parameters for diagnostics.
 func (s *signature) description() string {
 	if s.infer != nil {
-		return s.takes
+		return s.parameterText
 	}
 	names := make([]string, len(s.parameters))
 	for i, parameter := range s.parameters {
@@ -87,7 +88,7 @@
 }
 
 func inferText(arguments []*valueType) *valueType {
-	if !arguments[0].isPlain() {
+	if !arguments[0].isScalar() {
 		return nil
 	}
 	return typeText
--- a/internal/hook/state.go
+++ b/internal/hook/state.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// State is a declared state: numbers that are kept from one run to the next.
+// State is a state that a program declares: a counter, or a map of numbers, that is kept between runs.
 type State struct {
 	Name       string
-	MaxEntries int           // entries of a map; 0: it is a counter
-	MaxAge     time.Duration // after which an entry is dropped that nothing was added to
+	MaxEntries int           // maximum number of entries of a map; 0: the state is a counter
+	MaxAge     time.Duration // an entry of a map expires if no number is added to it for this long
 }
 
-// isMap reports whether a state is a map, and not a counter.
+// isMap reports whether a state is a map. Otherwise it is a counter.
 func (s *State) isMap() bool { return s.MaxEntries > 0 }
 
-// Bounds of a program's state. Together they keep a map to some 3 MB.
+// The bounds of the state of a program. They limit the size of a map to about 3 MB.
 const (
 	MaxStates   = 16
 	MaxEntries  = 10_000
 	MaxEntryAge = 30 * 24 * time.Hour
-	MaxKeyBytes = 128 // bytes
+	MaxKeyBytes = 128 // length of a key, in bytes
 )
 
-// Store gives a run access to the program's declared state, by the number of the State in
-// Program.States. The key is "" for a counter. A run that fails has called it nevertheless: the
-// caller of Machine.Run keeps the changes only if there was no error.
+// Store gives a run access to the declared state of the program. state is the index of the State in
+// Program.States; key is "" for a counter. A run that fails may have called the Store before it failed, so
+// the caller of Machine.Run must keep the changes only if Run returns no error.
 type Store interface {
-	// Value returns an entry, 0 if there is none.
+	// Value returns the number of an entry, 0 if the entry does not exist.
 	Value(state int, key string) int64
-	// Add adds to an entry and returns the sum.
+	// Add adds n to an entry and returns the sum.
 	Add(state int, key string, n int64) int64
 	// Forget deletes an entry.
 	Forget(state int, key string)
--- a/internal/hook/tree_walker_test.go
+++ b/internal/hook/tree_walker_test.go
@@ -8,42 +8,45 @@
 	"strings"
 )
 
-// treeWalker runs a checked program by walking its tree, with Go's own values: what
-// the machine is held against. It counts nothing.
+// treeWalker runs a checked program by walking its typed tree, with Go values. It is the reference
+// implementation with which the machine is compared. It does not count fuel or memory.
 type treeWalker struct {
-	p       *checkedProgram
-	e       *Event
-	state   map[string]int64
-	effects []Effect
+	program      *checkedProgram
+	currentEvent *Event
+	state        map[string]int64
+	effects      []Effect
 }
 
-type wlist struct{ items []any }
+// walkerList is a list at run time.
+type walkerList struct{ items []any }
 
-type wmap struct {
+// walkerMap is a map at run time. It keeps the order of its keys.
+type walkerMap struct {
 	keys []string
 	vals map[string]any
 }
 
-// The ways out of a block.
-type way int
+// controlFlow says how a statement or block ends.
+type controlFlow int
 
 const (
-	onward way = iota
-	breaks
-	continues
-	gives
+	flowNext controlFlow = iota // the next statement follows
+	flowBreak
+	flowContinue
+	flowReturn
 )
 
-type badValue struct{}
+// valueFailure is the panic value for a failure that the machine reports as ErrValue.
+type valueFailure struct{}
 
-// walkTree runs a program's request hook.
+// walkTree runs the request hook of a program and returns its effects and its error.
 func walkTree(checked *checkedProgram, event *Event) (effects []Effect, err error) {
-	w := &treeWalker{p: checked, e: event, state: make(map[string]int64)}
+	w := &treeWalker{program: checked, currentEvent: event, state: make(map[string]int64)}
 	defer func() {
 		effects = w.effects
 		switch failure := recover().(type) {
 		case nil:
-		case badValue:
+		case valueFailure:
 			err = ErrValue
 		case error:
 			err = failure
@@ -55,56 +58,59 @@
 	return nil, nil
 }
 
-func (w *treeWalker) call(number int, args []any) (result any) {
-	f := w.p.functions[number]
-	vars := make([]any, f.slots)
-	copy(vars, args)
-	w.block(f.body, vars, &result)
+// call runs a function or hook and returns its result, nil if it has none.
+func (w *treeWalker) call(index int, args []any) (result any) {
+	f := w.program.functions[index]
+	variables := make([]any, f.slots)
+	copy(variables, args)
+	w.block(f.body, variables, &result)
 	return result
 }
 
-func (w *treeWalker) block(body []*statement, vars []any, result *any) way {
+// block executes statements. A return statement stores its value in result.
+func (w *treeWalker) block(body []*statement, variables []any, result *any) controlFlow {
 	for _, s := range body {
-		if at := w.stmt(s, vars, result); at != onward {
-			return at
+		if flow := w.execute(s, variables, result); flow != flowNext {
+			return flow
 		}
 	}
-	return onward
+	return flowNext
 }
 
-func (w *treeWalker) stmt(s *statement, vars []any, result *any) way {
+// execute executes a statement.
+func (w *treeWalker) execute(s *statement, variables []any, result *any) controlFlow {
 	switch s.kind {
 	case statementAssign:
-		vars[s.slot] = w.eval(s.value, vars)
+		variables[s.slot] = w.evaluate(s.value, variables)
 	case statementAssignIndex:
-		on, at, v := w.eval(s.container, vars), w.eval(s.index, vars), w.eval(s.value, vars)
-		if m, ok := on.(*wmap); ok {
-			m.set(at.(string), v)
+		collection, key, v := w.evaluate(s.container, variables), w.evaluate(s.index, variables), w.evaluate(s.value, variables)
+		if m, ok := collection.(*walkerMap); ok {
+			m.set(key.(string), v)
 		} else {
-			*place(on, at) = v
+			*listEntry(collection, key) = v
 		}
 	case statementIf:
-		if w.eval(s.condition, vars).(bool) {
-			return w.block(s.body, vars, result)
+		if w.evaluate(s.condition, variables).(bool) {
+			return w.block(s.body, variables, result)
 		}
-		return w.block(s.orElse, vars, result)
+		return w.block(s.elseBody, variables, result)
 	case statementForRange, statementForEach:
 		var items []any
-		each := func(i int) (any, bool) { return nil, false }
+		entryAt := func(i int) (any, bool) { return nil, false }
 		if s.kind == statementForRange {
-			from, to := w.eval(s.from, vars).(int64), w.eval(s.to, vars).(int64)
+			from, to := w.evaluate(s.from, variables).(int64), w.evaluate(s.to, variables).(int64)
 			for i := from; i < to; i++ {
 				items = append(items, i)
 			}
-			each = func(i int) (any, bool) {
+			entryAt = func(i int) (any, bool) {
 				if i < len(items) {
 					return items[i], true
 				}
 				return nil, false
 			}
 		} else {
-			l := w.eval(s.value, vars).(*wlist)
-			each = func(i int) (any, bool) {
+			l := w.evaluate(s.value, variables).(*walkerList)
+			entryAt = func(i int) (any, bool) {
 				if i < len(l.items) {
 					return l.items[i], true
 				}
@@ -112,66 +118,68 @@
 			}
 		}
 		for i := 0; ; i++ {
-			v, more := each(i)
-			if !more {
+			v, hasNext := entryAt(i)
+			if !hasNext {
 				break
 			}
-			vars[s.slot] = v
-			if at := w.block(s.body, vars, result); at == breaks {
+			variables[s.slot] = v
+			if flow := w.block(s.body, variables, result); flow == flowBreak {
 				break
-			} else if at == gives {
-				return gives
+			} else if flow == flowReturn {
+				return flowReturn
 			}
 		}
 	case statementReturn:
 		if s.value != nil {
-			*result = w.eval(s.value, vars)
+			*result = w.evaluate(s.value, variables)
 		}
-		return gives
+		return flowReturn
 	case statementBreak:
-		return breaks
+		return flowBreak
 	case statementContinue:
-		return continues
+		return flowContinue
 	case statementExpression:
-		w.eval(s.value, vars)
+		w.evaluate(s.value, variables)
 	}
-	return onward
+	return flowNext
 }
 
-func place(on, at any) *any {
-	l, i := on.(*wlist), at.(int64)
+// listEntry returns the entry of a list at an index. It panics with valueFailure if the index is out of range.
+func listEntry(list, index any) *any {
+	l, i := list.(*walkerList), index.(int64)
 	if i < 0 || i >= int64(len(l.items)) {
-		panic(badValue{})
+		panic(valueFailure{})
 	}
 	return &l.items[i]
 }
 
-func (m *wmap) set(k string, v any) {
+func (m *walkerMap) set(k string, v any) {
 	if _, ok := m.vals[k]; !ok {
 		m.keys = append(m.keys, k)
 	}
 	m.vals[k] = v
 }
 
-func (w *treeWalker) eval(e *expression, vars []any) any {
+// evaluate returns the value of an expression: a bool, int64, float64, string, *walkerList or *walkerMap.
+func (w *treeWalker) evaluate(e *expression, variables []any) any {
 	switch e.kind {
 	case expressionConstant:
-		return plainValue(e.valueType, e.constant)
+		return goValue(e.valueType, e.constant)
 	case expressionVariable:
-		return vars[e.number]
+		return variables[e.index]
 	case expressionField:
 		if e.valueType == typeText {
-			return w.e.Text[e.number]
+			return w.currentEvent.Text[e.index]
 		}
-		return plainValue(e.valueType, value{number: w.e.Int[e.number]})
+		return goValue(e.valueType, value{number: w.currentEvent.Int[e.index]})
 	case expressionAnd:
-		return w.eval(e.operands[0], vars).(bool) && w.eval(e.operands[1], vars).(bool)
+		return w.evaluate(e.operands[0], variables).(bool) && w.evaluate(e.operands[1], variables).(bool)
 	case expressionOr:
-		return w.eval(e.operands[0], vars).(bool) || w.eval(e.operands[1], vars).(bool)
+		return w.evaluate(e.operands[0], variables).(bool) || w.evaluate(e.operands[1], variables).(bool)
 	}
 	args := make([]any, len(e.operands))
 	for i, a := range e.operands {
-		args[i] = w.eval(a, vars)
+		args[i] = w.evaluate(a, variables)
 	}
 	switch e.kind {
 	case expressionNot:
@@ -185,7 +193,7 @@
 		switch a := args[0].(type) {
 		case string:
 			if len(a) > 1<<16 {
-				panic(ErrMemory) // texts double in loops
+				panic(ErrMemory) // a text that doubles in a loop must not exhaust the memory of the test
 			}
 			return a + args[1].(string)
 		case float64:
@@ -206,24 +214,24 @@
 		}
 		return map[string]bool{"==": same, "!=": !same, "<": less, "<=": less || same, ">": !less && !same, ">=": !less}[e.operator]
 	case expressionIn:
-		if m, ok := args[1].(*wmap); ok {
+		if m, ok := args[1].(*walkerMap); ok {
 			_, found := m.vals[args[0].(string)]
 			return found
 		}
-		for _, x := range args[1].(*wlist).items {
+		for _, x := range args[1].(*walkerList).items {
 			if x == args[0] {
 				return true
 			}
 		}
 		return false
 	case expressionIndex:
-		return *place(args[0], args[1])
+		return *listEntry(args[0], args[1])
 	case expressionCall:
-		return w.call(e.number, args)
+		return w.call(e.index, args)
 	case expressionList:
-		return &wlist{args}
+		return &walkerList{args}
 	case expressionMap:
-		return &wmap{vals: make(map[string]any)}
+		return &walkerMap{vals: make(map[string]any)}
 	case expressionState:
 		if e.operator == "add" {
 			w.state[args[0].(string)] += args[1].(int64)
@@ -233,7 +241,8 @@
 	return w.builtin(e, args)
 }
 
-func plainValue(t *valueType, v value) any {
+// goValue converts a scalar value to a Go value. Durations and times become an int64.
+func goValue(t *valueType, v value) any {
 	switch t {
 	case typeBool:
 		return v.number != 0
@@ -245,13 +254,14 @@
 	return v.number
 }
 
-// checkedArithmetic computes with big integers and fails if the result is no int64.
-func checkedArithmetic(sign string, a, b int64) int64 {
+// checkedArithmetic computes with big integers. It panics with valueFailure if the result does not fit into an
+// int64, or for a division by zero.
+func checkedArithmetic(operator string, a, b int64) int64 {
 	x, y, z := big.NewInt(a), big.NewInt(b), new(big.Int)
-	if b == 0 && (sign == "/" || sign == "%") {
-		panic(badValue{})
+	if b == 0 && (operator == "/" || operator == "%") {
+		panic(valueFailure{})
 	}
-	switch sign {
+	switch operator {
 	case "+":
 		z.Add(x, y)
 	case "-":
@@ -264,14 +274,15 @@
 		z.Rem(x, y)
 	}
 	if !z.IsInt64() {
-		panic(badValue{})
+		panic(valueFailure{})
 	}
 	return z.Int64()
 }
 
+// builtin calls a built-in function. It supports the functions that the random programs use.
 func (w *treeWalker) builtin(e *expression, args []any) any {
 	text := func(i int) string { return args[i].(string) }
-	switch builtins[e.number].name {
+	switch builtins[e.index].name {
 	case "tag":
 		w.effects = append(w.effects, Effect{Kind: Tag, Text: text(0)})
 		if len(w.effects) > maxEffects {
@@ -295,39 +306,39 @@
 	case "upper":
 		return strings.ToUpper(text(0))
 	case "split":
-		l := &wlist{}
+		l := &walkerList{}
 		for _, s := range strings.Split(text(0), text(1)) {
 			l.items = append(l.items, s)
 		}
 		return l
 	case "join":
 		var parts []string
-		for _, x := range args[0].(*wlist).items {
+		for _, x := range args[0].(*walkerList).items {
 			parts = append(parts, x.(string))
 		}
 		return strings.Join(parts, text(1))
 	case "get":
-		if v, ok := args[0].(*wmap).vals[text(1)]; ok {
+		if v, ok := args[0].(*walkerMap).vals[text(1)]; ok {
 			return v
 		}
 		return args[2]
 	case "slice":
 		from, to := args[1].(int64), args[2].(int64)
 		if from < 0 || to < from || to > int64(len(text(0))) {
-			panic(badValue{})
+			panic(valueFailure{})
 		}
 		return text(0)[from:to]
 	case "has_prefix":
 		return strings.HasPrefix(text(0), text(1))
 	case "push":
-		l := args[0].(*wlist)
+		l := args[0].(*walkerList)
 		l.items = append(l.items, args[1])
 	case "float":
 		return float64(args[0].(int64))
 	case "header":
-		return w.e.Headers.Header(text(0))
+		return w.currentEvent.Headers.Header(text(0))
 	default:
-		panic("the walker has no " + builtins[e.number].name)
+		panic("the tree walker does not support " + builtins[e.index].name)
 	}
 	return nil
 }
--- a/internal/hook/typed_tree.go
+++ b/internal/hook/typed_tree.go
@@ -6,27 +6,27 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// checkedProgram is what the checker makes of a syntax tree: every name is resolved, and every
-// expression has its type. The compiler makes bytecode of it.
+// checkedProgram is the typed tree, the result of the checker. Every name is resolved, and every expression
+// has a type. The compiler translates the typed tree to bytecode.
 type checkedProgram struct {
 	functions []*function
-	hooks     map[string]int // index in functions by kind of event
+	hooks     map[string]int // indexes in functions, by kind of event
 	states    []State
 	zones     []*time.Location
 }
 
-// function is a function or a hook. A hook has no parameters and no result.
+// function is a function or a hook of a program. A hook has no parameters and no result.
 type function struct {
 	name       string
 	parameters []*valueType
 	result     *valueType
-	slots      int // variables; parameters come first
+	slots      int // number of slots for variables; the parameters come first
 	body       []*statement
-	hook       string // the hook's kind of event; "" for a function
+	hook       string // the kind of event of a hook; "" for a function
 	uses       featureUses
 }
 
-// statementKind says which fields of a statement are set.
+// statementKind is the kind of a statement. It determines which fields of the statement are set.
 type statementKind uint8
 
 const (
@@ -34,8 +34,8 @@
 	statementAssignIndex                      // container[index] = value
 	statementIf                               // condition, body, orElse
 	statementWhile                            // condition, body
-	statementForRange                         // slot (and the bound's after it), from, to, body
-	statementForEach                          // slot (and the list's and the position's after it), value, body
+	statementForRange                         // slot (the next slot is for the bound), from, to, body
+	statementForEach                          // slot (the next two slots are for the list and the position), value, body
 	statementReturn                           // value, or nil
 	statementBreak
 	statementContinue
@@ -51,17 +51,18 @@
 	from, to  *expression
 	value     *expression
 	body      []*statement
-	orElse    []*statement
+	elseBody  []*statement
 	position  lexer.Position
 }
 
-// expressionKind says which fields of an expression are set, beside its type.
+// expressionKind is the kind of an expression. It determines which fields are set in addition to the type,
+// the position and the operands.
 type expressionKind uint8
 
 const (
 	expressionConstant expressionKind = iota // constant
-	expressionVariable                       // number: slot
-	expressionField                          // number: of the event's field
+	expressionVariable                       // index: slot of the variable
+	expressionField                          // index: field of the event
 	expressionAnd
 	expressionOr
 	expressionNot
@@ -70,24 +71,25 @@
 	expressionCompare    // operator
 	expressionIn
 	expressionIndex
-	expressionCall    // number: of the function
-	expressionBuiltin // number: of the built-in function
-	expressionState   // number: of the state; operator: value, add or forget
+	expressionCall    // index: function of the program
+	expressionBuiltin // index: entry of builtins
+	expressionState   // index: state; operator: value, add or forget
 	expressionList
 	expressionMap
 )
 
 type expression struct {
 	kind      expressionKind
-	valueType *valueType // nil: a diagnostic was reported for it
+	valueType *valueType // nil: the expression is invalid, and a diagnostic was reported
 	operator  string
-	number    int
+	index     int
 	operands  []*expression
 	constant  value
 	position  lexer.Position
 }
 
-// invalidExpression stands for an expression with a diagnostic, so that no second one is reported for it.
+// invalidExpression returns the expression that replaces an expression with a diagnostic, so that no second
+// diagnostic is reported for the same mistake.
 func invalidExpression(at lexer.Position) *expression { return &expression{position: at} }
 
 func (e *expression) isInvalid() bool { return e.valueType == nil }
--- a/internal/hook/types.go
+++ b/internal/hook/types.go
@@ -1,6 +1,6 @@
 package hook
 
-// kind says what a value is.
+// kind is the kind of a value.
 type kind uint8
 
 const (
@@ -9,17 +9,17 @@
 	kindInt
 	kindFloat
 	kindText
-	kindDuration // in ns
-	kindTime     // Unix time in ns
+	kindDuration // nanoseconds
+	kindTime     // Unix time in nanoseconds
 	kindList
 	kindMap // keys are texts
 )
 
-// valueType is the static type of an expression. There is one valueType for each kind without
-// elements, so that these are compared by their pointers; lists and maps are compared by isSame.
+// valueType is the static type of an expression. There is exactly one valueType for each kind without
+// elements, so that pointers to them can be compared. The types of lists and maps are compared by isSame.
 type valueType struct {
 	kind    kind
-	element *valueType // of a list's entries, or of a map's values
+	element *valueType // type of the entries of a list, or of the values of a map
 }
 
 var (
@@ -34,7 +34,7 @@
 	typeTextList = listOf(typeText)
 )
 
-// namedTypes are the types that a program names by one word.
+// namedTypes are the types whose name in a program is a single word.
 var namedTypes = map[string]*valueType{
 	"bool":     typeBool,
 	"int":      typeInt,
@@ -84,8 +84,9 @@
 	}
 }
 
-// isPlain reports whether values of the type are compared by content: all but lists and maps.
-func (t *valueType) isPlain() bool { return t.isOrdered() || t.kind == kindBool }
+// isScalar reports whether values of the type are compared by content. This applies to all types except
+// lists and maps.
+func (t *valueType) isScalar() bool { return t.isOrdered() || t.kind == kindBool }
 
 // isSigned reports whether values of the type can be negated.
 func (t *valueType) isSigned() bool { return t == typeInt || t == typeFloat || t == typeDuration }
--- a/internal/hook/value.go
+++ b/internal/hook/value.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// value is a value of the virtual machine. Its type, which the compiler knows, says which field
-// holds it; the other fields are not read.
+// value is a value of the virtual machine. The compiler knows its type, which determines the field that
+// contains the value. The other fields are not read.
 type value struct {
-	number int64 // bool, int, a float's bits, duration, time
+	number int64 // a bool, an int, the bits of a float, a duration or a time
 	text   string
 	list   *listValue
 	dict   *mapValue
 }
 
-// listValue is a mutable list; all values that refer to it see a change.
+// listValue is a mutable list. A change is visible through all values that refer to the list.
 type listValue struct{ items []value }
 
-// mapValue is a mutable map from texts. It keeps its keys in the order in which they were added, so
-// that iteration is deterministic.
+// mapValue is a mutable map whose keys are texts. It keeps the keys in the order in which they were added,
+// so that iteration is deterministic.
 type mapValue struct {
-	indexes map[string]int // in keys and values
+	indexes map[string]int // indexes in keys and values, by key
 	keys    []string
 	values  []value
 }
@@ -47,7 +47,7 @@
 
 func bitsFloat(n int64) float64 { return math.Float64frombits(uint64(n)) }
 
-// formatValue returns the text of a plain value.
+// formatValue returns the text of a scalar value.
 func formatValue(kind kind, v value) string {
 	switch kind {
 	case kindBool:
