--- a/internal/hook/check_declarations.go
+++ b/internal/hook/check_declarations.go
@@ -158,7 +158,7 @@
 	}
 	n, err := strconv.ParseInt(days, 10, 64)
 	if err != nil || n > math.MaxInt64/int64(day) {
-		return 0, fmt.Errorf("%s is too long", text)
+		return 0, fmt.Errorf("duration %s is out of range", text)
 	}
 	return time.Duration(n) * day, nil
 }
--- a/internal/hook/check_expressions.go
+++ b/internal/hook/check_expressions.go
@@ -27,7 +27,7 @@
 	if node.Not == nil {
 		return c.compare(node.Comp)
 	}
-	operand := c.expectType(c.not(node.Not), typeBool, "what not takes")
+	operand := c.expectType(c.not(node.Not), typeBool, "the operand of not")
 	return boolExpression(expressionNot, node.Pos, operand)
 }
 
--- a/internal/hook/check_primary.go
+++ b/internal/hook/check_primary.go
@@ -10,7 +10,7 @@
 func (c *checker) postfix(node *postfixNode) *expression {
 	if node.Value.Name == eventName {
 		if len(node.Rest) != 1 || node.Rest[0].Field == "" {
-			c.report(node.Pos, "event has fields alone, such as event.class")
+			c.report(node.Pos, "event must be followed by the name of a field, such as event.class")
 			return invalidExpression(node.Pos)
 		}
 		return c.field(node.Rest[0])
@@ -28,13 +28,13 @@
 // index checks an access to an entry of a list or map.
 func (c *checker) index(container *expression, node *suffix) *expression {
 	if node.Field != "" {
-		c.report(node.Pos, "%s has no fields: event alone has", container.valueType)
+		c.report(node.Pos, "%s has no fields; only event has fields", container.valueType)
 		return invalidExpression(node.Pos)
 	}
 	index := c.expression(node.Index)
 	switch container.valueType.kind {
 	case kindList:
-		c.expectType(index, typeInt, "a list's place")
+		c.expectType(index, typeInt, "a list index")
 	case kindMap:
 		c.expectType(index, typeText, "a map's key")
 	default:
--- a/internal/hook/check_statements.go
+++ b/internal/hook/check_statements.go
@@ -109,8 +109,8 @@
 // forRange checks the head of "for NAME in FROM..TO".
 func (c *checker) forRange(s *statement, node *stmtNode, from *expression) {
 	s.kind = statementForRange
-	s.from = c.expectType(from, typeInt, "the beginning")
-	s.to = c.expectType(c.expression(node.For.To), typeInt, "the end")
+	s.from = c.expectType(from, typeInt, "the start of the range")
+	s.to = c.expectType(c.expression(node.For.To), typeInt, "the end of the range")
 	s.slot = c.declareVariable(node.Pos, node.For.Name, typeInt, true)
 	c.reserveSlots(1) // for the bound of the range
 }
@@ -175,7 +175,7 @@
 	target, found := c.lookUp(name)
 	switch {
 	case name == "":
-		c.report(node.Pos, "nothing can be set here")
+		c.report(node.Pos, "the left side of an assignment must be a variable or an entry of a list or map")
 	case !found:
 		c.report(node.Pos, "there is no variable %q here: \"var %s = ...\" declares one", name, name)
 	case target.readOnly:
@@ -195,7 +195,7 @@
 		return nil
 	}
 	if target.kind != expressionIndex || target.operands[0].valueType.kind == kindText {
-		c.report(node.Pos, "nothing can be set here")
+		c.report(node.Pos, "the left side of an assignment must be a variable or an entry of a list or map")
 		return nil
 	}
 	return &statement{
--- a/internal/hook/signature.go
+++ b/internal/hook/signature.go
@@ -71,8 +71,8 @@
 var (
 	signatureLen    = generic(1, "(a text, list or map)", inferLen)
 	signatureText   = generic(1, "(a bool, number, text, duration or time)", inferText)
-	signatureMinMax = generic(2, "(two values of one type that has an order)", inferMinMax)
-	signaturePush   = genericProcedure(2, "(a list, a value of its type)", inferPush)
+	signatureMinMax = generic(2, "(two values of one type: int, float, text, duration or time)", inferMinMax)
+	signaturePush   = genericProcedure(2, "(a list, a value of the type of its entries)", inferPush)
 	signatureKeys   = generic(1, "(a map)", inferKeys)
 	signatureGet    = generic(3, "(a map, a text, a value of the map's type for where there is none)", inferGet)
 	signatureDelete = genericProcedure(2, "(a map, a text)", inferDelete)
