--- a/internal/fleet/client_retry.go
+++ b/internal/fleet/client_retry.go
@@ -3,34 +3,35 @@
 import "time"
 
 const (
-	// maxBackoffDoublings keeps a client's backoff from overflowing.
+	// maxBackoffDoublings limits how often a backoff is doubled, so that it does not overflow.
 	maxBackoffDoublings = 16
-	// minBackoffFactor: a backoff is drawn from this multiple of its length on, to 1 more.
+	// minBackoffFactor is the least random factor on a backoff. The factor is uniformly distributed up to 1 more.
 	minBackoffFactor = 0.5
 )
 
-// clientTimeout draws for how long a client waits for one submission.
+// clientTimeout draws how long a client waits for the response to one submission.
 func (sidecar *sidecar) clientTimeout(submission *submission) time.Duration {
-	left := submission.deadline - sidecar.now
+	remaining := submission.deadline - sidecar.now
 	shares := sidecar.scenario.Clients.TimeoutShares
 	if len(shares) != 2 {
-		return left
+		return remaining
 	}
 	deadline := float64(sidecar.scenario.Classes[submission.class].Deadline)
 	share := shares[0] + (shares[1]-shares[0])*sidecar.clientRandom.Float64()
-	return min(left, time.Duration(deadline*share))
+	return min(remaining, time.Duration(deadline*share))
 }
 
-// retryBackoff draws a client's own pause before its next submission.
+// retryBackoff draws the client's own backoff before its next submission.
 func (sidecar *sidecar) retryBackoff(submission *submission) time.Duration {
 	backoff := sidecar.scenario.Clients.RetryBackoff << min(submission.number-1, maxBackoffDoublings)
 	return time.Duration(float64(backoff) * (minBackoffFactor + sidecar.clientRandom.Float64()))
 }
 
-// scheduleRetry schedules the client's next submission after a pause. It reports false if the client gives up.
+// scheduleRetry schedules the client's next submission after a pause. It reports false if the client gives up: it has
+// no submission left, or its deadline would have passed.
 func (sidecar *sidecar) scheduleRetry(submission *submission, pause time.Duration) bool {
-	noneLeft := submission.number >= sidecar.scenario.Clients.MaxSubmissions
-	if noneLeft || sidecar.now+pause >= submission.deadline {
+	exhausted := submission.number >= sidecar.scenario.Clients.MaxSubmissions
+	if exhausted || sidecar.now+pause >= submission.deadline {
 		return false
 	}
 	sidecar.openRequests++
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -8,23 +8,24 @@
 	Kind FaultKind `toml:"kind"`
 	// Start of the fault, from the start of the run.
 	Start time.Duration `toml:"at"`
-	// Duration of the fault; 0: it does not end.
+	// Duration of the fault; 0: the fault does not end.
 	Duration time.Duration `toml:"for,omitempty"`
-	// Node is the number of the node that is affected.
+	// Node is the number of the affected node.
 	Node int `toml:"node,omitempty"`
-	// NodeShare of the nodes, drawn by the seed, are affected in place of Node; 0: Node decides.
+	// NodeShare is the share of the nodes that are affected instead of Node, drawn from the seed; 0: only Node is
+	// affected.
 	NodeShare float64 `toml:"of,omitempty"`
-	// Share of the cores (StealCPU) or of the responses (ResetConnections), above 0, 1 at most.
+	// Share of the cores (StealCPU) or of the responses (ResetConnections); above 0 and at most 1.
 	Share float64 `toml:"share,omitempty"`
-	// Period of StealCPU: on for one half of it, off for the other; 0: always on.
+	// Period of StealCPU: the fault is on for one half of each period and off for the other half; 0: always on.
 	Period time.Duration `toml:"every,omitempty"`
 	// Tenant whose traffic changes (TrafficBurst).
 	Tenant int `toml:"tenant,omitempty"`
-	// RateFactor on the tenant's arrival rate (TrafficBurst).
+	// RateFactor is the factor on the tenant's arrival rate (TrafficBurst).
 	RateFactor float64 `toml:"times,omitempty"`
 }
 
-// FaultKind is a kind of Fault.
+// FaultKind is a kind of fault, by its name in scenario files.
 type FaultKind string
 
 // The kinds of faults.
@@ -34,14 +35,14 @@
 	DropRequests     FaultKind = "deaf"       // requests to a node are lost
 	ResetConnections FaultKind = "break"      // a share of a node's responses is lost with their connections
 	StealCPU         FaultKind = "steal"      // a share of a node's cores is used by others
-	Drain            FaultKind = "drain"      // the list has a node as draining, then as ready again
-	Restart          FaultKind = "restart"    // a node loses its requests, is down for Duration and warms up
-	ListOutage       FaultKind = "silent"     // updates of the list are held back until the end
-	IncompleteList   FaultKind = "wrong"      // the list leaves out nodes that exist
-	StaleList        FaultKind = "stale"      // the list is as it was Duration before, and right after Duration
+	Drain            FaultKind = "drain"      // the list shows a node as draining, then as ready again
+	Restart          FaultKind = "restart"    // a node loses its requests, is down for Duration and then warms up
+	ListOutage       FaultKind = "silent"     // updates of the list are delayed until the end of the fault
+	IncompleteList   FaultKind = "wrong"      // the list omits existing nodes
+	StaleList        FaultKind = "stale"      // the list is as it was Duration earlier, and up to date after Duration
 	TrafficBurst     FaultKind = "burst"      // a tenant's arrival rate is multiplied
 	PowerLoss        FaultKind = "power-cut"  // all nodes and sidecars are down, then start together
-	SidecarRestart   FaultKind = "sidecar-up" // all sidecars restart; what they held is lost
+	SidecarRestart   FaultKind = "sidecar-up" // all sidecars restart and lose their submissions and state
 )
 
 var faultKinds = []FaultKind{
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// PlannedArrival is a request as a scenario creates it.
+// PlannedArrival is a request that a scenario creates.
 type PlannedArrival struct {
 	Arrival
-	// Sidecar that gets the request, from 0.
+	// Sidecar is the number of the sidecar that receives the request, from 0.
 	Sidecar int
 }
 
 // PlanArrivals returns the requests that a run of the scenario creates, with their times and work, in order of time.
-// The error says what is wrong with the scenario.
+// It returns an error if the scenario is invalid.
 func PlanArrivals(scenario Scenario) ([]PlannedArrival, error) {
 	sim, err := newSimulation(&scenario)
 	if err != nil {
@@ -19,7 +19,7 @@
 	var plan []PlannedArrival
 	sim.plan = &plan
 	for _, fault := range scenario.Faults {
-		if fault.Kind == TrafficBurst { // the only one that changes arrivals
+		if fault.Kind == TrafficBurst { // the only kind of fault that changes arrivals
 			sim.schedule(fault.Start, func() { sim.injectFault(fault) })
 		}
 	}
--- a/internal/fleet/quotas.go
+++ b/internal/fleet/quotas.go
@@ -10,13 +10,13 @@
 
 const (
 	rootQuotaName = "all"
-	// minQuotaRetryAfter is the least Retry-After of a submission that the quotas reject.
+	// minQuotaRetryAfter is the shortest Retry-After of a submission that the quotas reject.
 	minQuotaRetryAfter = 10 * time.Millisecond
 )
 
 var defaultQuotaWindows = []time.Duration{time.Second, 10 * time.Second}
 
-// newQuotaTree returns a sidecar's quotas; nil if there are none.
+// newQuotaTree returns a sidecar's quota tree; nil if the scenario has no quotas.
 func (scenario *Scenario) newQuotaTree() (*quota.Tree, error) {
 	quotas := &scenario.Quotas
 	if quotas.SidecarShare == 0 {
@@ -44,7 +44,7 @@
 	return quota.New(config)
 }
 
-// limits returns a limit for each window; a window is so long that one request fits into it.
+// limits returns a limit for each window. A window that is too short for one request is lengthened until one fits.
 func (quotas *Quotas) limits(rate float64) []quota.Limit {
 	windows := quotas.Windows
 	if len(windows) == 0 {
@@ -65,7 +65,7 @@
 
 func tenantQuotaName(tenant int) string { return fmt.Sprint("tenant-", tenant) }
 
-// admitByQuota has the quotas decide on a submission. It reports false if they rejected it.
+// admitByQuota reports whether the quotas admit a submission, and rejects the submission if they do not.
 func (sidecar *sidecar) admitByQuota(submission *submission) bool {
 	if sidecar.quotaTree == nil {
 		return true
@@ -87,7 +87,7 @@
 	return false
 }
 
-// settleQuota refunds the charge of a rejected submission and releases that of a failed one.
+// settleQuota refunds the quota charge of a rejected submission, and releases the charge of a failed submission.
 func (sidecar *sidecar) settleQuota(submission *submission, result policy.AttemptResult) {
 	if sidecar.quotaTree == nil || submission.receipt == nil {
 		return
--- a/internal/fleet/scenario.go
+++ b/internal/fleet/scenario.go
@@ -6,147 +6,150 @@
 	"mothridge/policy"
 )
 
-// Scenario is the complete input of a run. The toml names are the settings of a scenario file
-// (docs/operate/laboratory.md), which stay as they are. A setting that is left out has its zero value.
+// Scenario is the complete input of a run. The toml tags are the names of the settings in a scenario file
+// (docs/operate/laboratory.md) and must not change. An omitted setting has its zero value.
 type Scenario struct {
 	// Seed of all random number streams.
 	Seed uint64 `toml:"seed,omitempty"`
-	// Policy that decides in every sidecar; empty: Mothridge.
+	// Policy makes the decisions in every sidecar; empty: Mothridge.
 	Policy Policy `toml:"policy,omitempty"`
-	// Duration in which new requests arrive. The run ends when the last of them is complete.
+	// Duration is the time in which new requests arrive. The run ends when the last request is complete.
 	Duration time.Duration `toml:"duration"`
-	// Nodes is the number of nodes, 1 at least.
+	// Nodes is the number of nodes, at least 1.
 	Nodes int `toml:"nodes"`
-	// Sidecars is the number of sidecars, 1 at least.
+	// Sidecars is the number of sidecars, at least 1.
 	Sidecars int `toml:"sidecars"`
-	// ArrivalRate is the number of new requests a second at all sidecars together; 0: OfferedLoad decides.
+	// ArrivalRate is the number of new requests per second at all sidecars together; 0: OfferedLoad determines it.
 	ArrivalRate float64 `toml:"rate,omitempty"`
-	// OfferedLoad decides the arrival rate: work that arrives / work that all nodes can do. One of the two is set.
+	// OfferedLoad determines the arrival rate: work that arrives / work that all nodes can process. Exactly one of
+	// ArrivalRate and OfferedLoad is set, unless there are recorded arrivals.
 	OfferedLoad float64 `toml:"load,omitempty"`
-	// TrafficSkew is the exponent of Zipf's law: sidecar i has 1/i^TrafficSkew of the traffic; 0: all have the same.
+	// TrafficSkew is the exponent of Zipf's law: the traffic of sidecar i, from 1, is proportional to 1/i^TrafficSkew;
+	// 0: all sidecars have the same traffic.
 	TrafficSkew float64 `toml:"skew,omitempty"`
-	// Node is what each node can do.
+	// Node has the parameters of each node.
 	Node NodeParams `toml:"node"`
-	// SpeedFactors of the nodes, by number modulo their count, multiplied with Node.Speed; none: 1.
+	// SpeedFactors multiply Node.Speed; a node uses the factor at its number modulo the number of factors; none: 1.
 	SpeedFactors []float64 `toml:"speeds,omitempty"`
 	// Network between sidecars and nodes.
 	Network Network `toml:"network,omitempty"`
-	// List is how sidecars learn of the nodes.
+	// List determines how sidecars learn of the nodes.
 	List EndpointList `toml:"list,omitempty"`
-	// Classes of requests, one at least.
+	// Classes of requests, at least one.
 	Classes []Class `toml:"class"`
-	// Tenants; none: a single one.
+	// Tenants of the fleet; none: a single tenant.
 	Tenants []Tenant `toml:"tenant,omitempty"`
-	// Slots of each sidecar; 0: the decision module's default.
+	// Slots is the number of slots of each sidecar; 0: the decision module's default.
 	Slots int `toml:"slots,omitempty"`
-	// MaxAttempts for one submission, 1 at least.
+	// MaxAttempts is the largest number of attempts for one submission, at least 1.
 	MaxAttempts int `toml:"attempts"`
-	// LoadReports: nodes respond to probes with the number of requests that they hold.
+	// LoadReports means that nodes respond to probes with their number of requests in flight.
 	LoadReports bool `toml:"probes,omitempty"`
-	// Retries is when a reference policy sends a further attempt.
+	// Retries determines when a reference policy sends a further attempt.
 	Retries RetryMode `toml:"retries,omitempty"`
-	// Quotas in front of each sidecar's balancer.
+	// Quotas are applied before each sidecar's balancer.
 	Quotas Quotas `toml:"quotas,omitempty"`
-	// Clients is how clients wait and retry.
+	// Clients determines how clients wait and retry.
 	Clients Clients `toml:"clients"`
-	// Daily variation of the arrival rate.
+	// Daily is the daily variation of the arrival rate.
 	Daily Wave `toml:"daily,omitempty"`
-	// RecordedArrivals replace the drawn ones, in order of time.
+	// RecordedArrivals replace the random arrivals; they are in order of time.
 	RecordedArrivals []Arrival `toml:"arrival,omitempty"`
 	// Faults to inject.
 	Faults []Fault `toml:"trouble,omitempty"`
 
-	// MaxEvents ends a run that would not end; 0: defaultMaxEvents.
+	// MaxEvents is the number of events after which a run is truncated; 0: defaultMaxEvents.
 	MaxEvents uint64 `toml:"most_events,omitempty"`
-	// ExplainRequest is a submission of which Result.Explanation gives all that happened; 0: none.
+	// ExplainRequest is the submission whose events are recorded in Result.Explanation; 0: none.
 	ExplainRequest policy.RequestID `toml:"-"`
-	// RecordUtilisation fills Result.WindowUtilisation.
+	// RecordUtilisation records Result.WindowUtilisation.
 	RecordUtilisation bool `toml:"-"`
 }
 
 const defaultMaxEvents = 100_000_000
 
-// NodeParams is what a node can do.
+// NodeParams are the parameters of a node.
 type NodeParams struct {
-	// Cores of the node, 1 at least.
+	// Cores is the number of cores of the node, at least 1.
 	Cores int `toml:"cores"`
-	// Speed of a core, above 0: work is given in time on a core of speed 1.
+	// Speed of a core, above 0. Work is given as the time that it takes on a core of speed 1.
 	Speed float64 `toml:"speed"`
-	// MaxRequests that it holds; 0: any number. It rejects the others.
+	// MaxRequests is the largest number of requests in flight at the node, which rejects further requests; 0: no bound.
 	MaxRequests int `toml:"queue,omitempty"`
-	// InitialSpeedShare is the share of its speed, 0 to 1, that a process has at its start.
+	// InitialSpeedShare is the share of its full speed, 0 to 1, that a process has at its start.
 	InitialSpeedShare float64 `toml:"cold_from,omitempty"`
-	// WarmUpTime from the start until a process has its full speed; 0: it has it at once.
+	// WarmUpTime is the time from its start until a process has its full speed; 0: full speed from the start.
 	WarmUpTime time.Duration `toml:"cold_time,omitempty"`
-	// WarmUpOverloadFactor is the offered load / what the node can do while it warms up, above which it goes
-	// down; 0: it does not.
+	// WarmUpOverloadFactor is the ratio of the offered load to the node's current capacity above which a node that
+	// warms up goes down; 0: the node does not go down.
 	WarmUpOverloadFactor float64 `toml:"cold_multiple,omitempty"`
-	// StartsCold: all processes have just started when the run begins.
+	// StartsCold means that all processes start when the run begins, and warm up.
 	StartsCold bool `toml:"fresh,omitempty"`
-	// KeepsAbandoned: the node completes requests even if their sidecar has given them up.
+	// KeepsAbandoned means that the node completes requests even if their sidecar has given them up.
 	KeepsAbandoned bool `toml:"keeps_abandoned,omitempty"`
-	// OverloadCollapse of the node.
+	// OverloadCollapse has the parameters of the node's overload collapse.
 	OverloadCollapse OverloadCollapse `toml:"choke,omitempty"`
 }
 
-// OverloadCollapse is a state in which a node works more slowly after it was overloaded.
+// OverloadCollapse has the parameters of overload collapse: after an overload a node works more slowly.
 type OverloadCollapse struct {
-	// RequestsPerCore that a node holds when it counts as overloaded.
+	// RequestsPerCore is the number of requests in flight per core above which a node counts as overloaded.
 	RequestsPerCore float64 `toml:"above,omitempty"`
-	// OnsetTime of overload after which the node collapses.
+	// OnsetTime is how long the node has to be overloaded until it collapses.
 	OnsetTime time.Duration `toml:"after,omitempty"`
-	// Slowdown is by how much the node is slower; 1 or less: it never collapses.
+	// Slowdown is the divisor of a collapsed node's speed; 1 or less: the node never collapses.
 	Slowdown float64 `toml:"times,omitempty"`
-	// RecoveryTime for which the node has to be half idle until it recovers.
+	// RecoveryTime is how long the node has to be half idle until it recovers.
 	RecoveryTime time.Duration `toml:"rest,omitempty"`
-	// MaxDuration after which it recovers in any case; 0: no bound.
+	// MaxDuration is the time after which the node recovers in any case; 0: no bound.
 	MaxDuration time.Duration `toml:"longest,omitempty"`
 }
 
-// Network is the model of what is between a sidecar and a node.
+// Network has the parameters of the network between sidecars and nodes.
 type Network struct {
 	// Delay is the mean of the exponentially distributed one-way delay.
 	Delay time.Duration `toml:"delay,omitempty"`
-	// HandshakeWork of the node for a new connection; 0: connections are not modelled.
+	// HandshakeWork is the node's work for a new connection; 0: connections are not modelled.
 	HandshakeWork time.Duration `toml:"handshake,omitempty"`
-	// HandshakeRoundTrips before the first byte of a request.
+	// HandshakeRoundTrips is the number of round trips on a new connection before the first byte of a request.
 	HandshakeRoundTrips int `toml:"trips,omitempty"`
-	// IdleTimeout after which a connection is closed; 0: it stays open.
+	// IdleTimeout is the time after which an idle connection is closed; 0: idle connections stay open.
 	IdleTimeout time.Duration `toml:"idle,omitempty"`
-	// MaxConnections that a node accepts; 0: any number.
+	// MaxConnections is the largest number of connections that a node accepts; 0: no bound.
 	MaxConnections int `toml:"most,omitempty"`
 }
 
-// EndpointList is how sidecars learn of the nodes.
+// EndpointList determines how sidecars learn of the nodes.
 type EndpointList struct {
-	// MaxDelay of an update, uniformly distributed from 0.
+	// MaxDelay is the longest delay of an update; delays are uniformly distributed from 0.
 	MaxDelay time.Duration `toml:"lag,omitempty"`
-	// WatchRequired: updates are not pushed; sidecars send watch requests and lose the watch in a list outage.
+	// WatchRequired means that updates are not pushed: sidecars send watch requests and lose the watch in a list
+	// outage.
 	WatchRequired bool `toml:"asked,omitempty"`
-	// Membership: updates pass through the membership module.
+	// Membership means that updates pass through the membership module.
 	Membership bool `toml:"membership,omitempty"`
-	// CellSize is the number of nodes that share their idempotency keys; 0: 1.
+	// CellSize is the number of nodes in a cell, which share their idempotency keys; 0: 1.
 	CellSize int `toml:"cell,omitempty"`
 }
 
-// Quotas puts the quota module in front of every sidecar's balancer: a root with the sum of all tenants' quotas and
-// a node for each tenant.
+// Quotas has the parameters of the quota module in front of every sidecar's balancer. The quota tree has a root with
+// the sum of all tenants' quotas and a node for each tenant.
 type Quotas struct {
-	// SidecarShare of every quota that each sidecar may use, 0 to 1; 0: no quotas.
+	// SidecarShare is the share of every quota, 0 to 1, that each sidecar may use; 0: no quotas.
 	SidecarShare float64 `toml:"part,omitempty"`
 	// Windows of the limits; none: 1 s and 10 s.
 	Windows []time.Duration `toml:"windows,omitempty"`
-	// LenderReserve is quota.Config's: time for which a lender's own demand is kept free.
+	// LenderReserve is the time for which a lender's own demand is kept free, as in quota.Config.
 	LenderReserve time.Duration `toml:"reclaim,omitempty"`
-	// RepaymentShare is quota.Config's.
+	// RepaymentShare is used as in quota.Config.
 	RepaymentShare float64 `toml:"repay,omitempty"`
-	// DebtLifetime is quota.Config's.
+	// DebtLifetime is used as in quota.Config.
 	DebtLifetime time.Duration `toml:"debt_age,omitempty"`
-	// LendingAllowed: tenants may use what others leave; otherwise each has its own share and no more.
+	// LendingAllowed means that tenants may use quota that others do not use; otherwise each has only its own quota.
 	LendingAllowed bool `toml:"lends,omitempty"`
 }
 
-// meanWork returns the mean work of a request, in seconds of a core of speed 1.
+// meanWork returns the mean work of a request, in seconds on a core of speed 1.
 func (scenario *Scenario) meanWork() float64 {
 	work, shares := 0.0, 0.0
 	for _, class := range scenario.Classes {
@@ -156,7 +159,7 @@
 	return work / shares
 }
 
-// meanArrivalRate returns the requests a second at all sidecars together.
+// meanArrivalRate returns the mean number of new requests per second at all sidecars together.
 func (scenario *Scenario) meanArrivalRate() float64 {
 	if scenario.OfferedLoad > 0 {
 		return scenario.OfferedLoad * scenario.Capacity() / scenario.meanWork()
@@ -164,7 +167,7 @@
 	return scenario.ArrivalRate
 }
 
-// NodeParamsAt returns what a node can do, by its number from 0.
+// NodeParamsAt returns the parameters of a node, by its number from 0.
 func (scenario *Scenario) NodeParamsAt(number int) NodeParams {
 	params := scenario.Node
 	if factors := scenario.SpeedFactors; len(factors) > 0 {
@@ -173,12 +176,12 @@
 	return params
 }
 
-// NodeCapacity returns the work that a node can do in a second, in seconds of a core of speed 1.
+// NodeCapacity returns the work that a node can process per second, in seconds on a core of speed 1.
 func (scenario *Scenario) NodeCapacity(number int) float64 {
 	return scenario.NodeParamsAt(number).Speed * float64(scenario.Node.Cores)
 }
 
-// Capacity returns the work that all nodes can do in a second, in seconds of a core of speed 1.
+// Capacity returns the work that all nodes can process per second, in seconds on a core of speed 1.
 func (scenario *Scenario) Capacity() float64 {
 	sum := 0.0
 	for number := range scenario.Nodes {
--- a/internal/fleet/scenario_check.go
+++ b/internal/fleet/scenario_check.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Check returns an error that names the first setting that is wrong, and what would be right.
+// Check returns an error for the first invalid setting, with the setting's name and the rule that it violates.
 func (scenario *Scenario) Check() error {
 	if err := scenario.checkSettings(); err != nil {
 		return fmt.Errorf("scenario: %w", err)
@@ -25,14 +25,14 @@
 	earliest := time.Duration(0)
 	for i, arrival := range scenario.RecordedArrivals {
 		if !arrival.valid(scenario, earliest) {
-			return arrival.invalid(scenario, i)
+			return arrival.invalidError(scenario, i)
 		}
 		earliest = arrival.At
 	}
 	return nil
 }
 
-// checkSettings checks all but the lists of classes, faults and recorded arrivals.
+// checkSettings checks all settings except the lists of classes, faults and recorded arrivals.
 func (scenario *Scenario) checkSettings() error {
 	for _, check := range []func() error{
 		scenario.checkSizes, scenario.Node.check, scenario.checkLimits, scenario.Clients.check, scenario.checkShares,
@@ -45,20 +45,20 @@
 	return nil
 }
 
-func positive(value float64) bool { return value > 0 } // false of NaN
+func positive(value float64) bool { return value > 0 } // false for NaN
 
 func (scenario *Scenario) checkSizes() error {
 	node := &scenario.Node
 	switch {
 	case scenario.Nodes < 1 || scenario.Sidecars < 1:
-		return fmt.Errorf("%d nodes and %d sidecars: at least one of each is needed", scenario.Nodes, scenario.Sidecars)
+		return fmt.Errorf("%d nodes and %d sidecars: both must be at least 1", scenario.Nodes, scenario.Sidecars)
 	case scenario.Duration <= 0:
-		return fmt.Errorf("a duration of %v: above 0 is needed", scenario.Duration)
+		return fmt.Errorf("duration must be above 0, got %v", scenario.Duration)
 	case !scenario.arrivalsDefined():
-		return fmt.Errorf("a rate of %v and a load of %v: one of the two above 0 is needed",
+		return fmt.Errorf("exactly one of rate and load must be above 0, got rate %v and load %v",
 			scenario.ArrivalRate, scenario.OfferedLoad)
 	case node.Cores < 1 || !positive(node.Speed) || !allPositive(scenario.SpeedFactors):
-		return fmt.Errorf("nodes of %d cores of speed %v, times %v: all above 0 are needed",
+		return fmt.Errorf("node cores, node speed and all speeds must be above 0, got %d, %v and %v",
 			node.Cores, node.Speed, scenario.SpeedFactors)
 	}
 	return nil
@@ -80,10 +80,10 @@
 	collapse := &node.OverloadCollapse
 	switch {
 	case !node.warmUpValid():
-		return fmt.Errorf("nodes cold from %v for %v: a share above 0 and a time are needed",
+		return fmt.Errorf("cold_from must be 0 to 1 (above 0 with cold_time) and cold_time at least 0, got %v and %v",
 			node.InitialSpeedShare, node.WarmUpTime)
 	case collapse.enabled() && !collapse.valid():
-		return fmt.Errorf("choke: above %v, after %v and rest %v: all above 0 are needed",
+		return fmt.Errorf("choke: above, after and rest must be above 0, got %v, %v and %v",
 			collapse.RequestsPerCore, collapse.OnsetTime, collapse.RecoveryTime)
 	}
 	return nil
@@ -104,9 +104,9 @@
 func (scenario *Scenario) checkLimits() error {
 	switch {
 	case len(scenario.Classes) == 0:
-		return errors.New("no class of requests: at least one [[class]] is needed")
+		return errors.New("class: at least one [[class]] is required")
 	case scenario.MaxAttempts < 1 || scenario.Clients.MaxSubmissions < 1:
-		return fmt.Errorf("%d attempts and %d tries of clients: at least one of each is needed",
+		return fmt.Errorf("attempts and tries of clients must be at least 1, got %d and %d",
 			scenario.MaxAttempts, scenario.Clients.MaxSubmissions)
 	}
 	return nil
@@ -117,7 +117,7 @@
 	if len(shares) == 0 || validShareRange(shares) {
 		return nil
 	}
-	return fmt.Errorf("clients: patience %v: two shares, the lesser first, are meant", shares)
+	return fmt.Errorf("clients: patience must be two shares above 0 and at most 1 in ascending order, got %v", shares)
 }
 
 func validShareRange(shares []float64) bool {
@@ -130,7 +130,8 @@
 func (scenario *Scenario) checkShares() error {
 	retryAfter, swing := scenario.Clients.RetryAfterShare, scenario.Daily.Swing
 	if retryAfter < 0 || retryAfter > 1 || swing < 0 || swing > 1 {
-		return fmt.Errorf("clients: heeds %v, daily: swing %v: shares are meant", retryAfter, swing)
+		return fmt.Errorf("heeds of clients and swing of daily must be between 0 and 1, got %v and %v",
+			retryAfter, swing)
 	}
 	return nil
 }
@@ -143,21 +144,22 @@
 	withoutQuota := func(tenant Tenant) bool { return !positive(tenant.Quota) }
 	haveQuotas := len(scenario.Tenants) > 0 && !slices.ContainsFunc(scenario.Tenants, withoutQuota)
 	if share < 0 || share > 1 || share > 0 && !haveQuotas {
-		return fmt.Errorf("quotas: a part of %v: 0 to 1, and tenants with a quota each, are meant", share)
+		return fmt.Errorf("quotas: part must be between 0 and 1 and every tenant needs a quota above 0, got part %v",
+			share)
 	}
 	return nil
 }
 
 func (scenario *Scenario) checkList() error {
 	if scenario.List.WatchRequired && scenario.List.Membership {
-		return errors.New("list: asked and membership: one of the two is meant")
+		return errors.New("list: asked and membership must not both be true")
 	}
 	times := []time.Duration{
 		scenario.Network.Delay, scenario.Network.HandshakeWork, scenario.List.MaxDelay,
 		scenario.Clients.MaxRetryAfter, scenario.Clients.RetryBackoff,
 	}
 	if slices.Min(times) < 0 || scenario.TrafficSkew < 0 || scenario.Slots < 0 {
-		return errors.New("a delay, a lag, a pause, skew or slots below 0")
+		return errors.New("delay, handshake, lag, max_pause, pause, skew and slots must be at least 0")
 	}
 	return nil
 }
@@ -165,9 +167,9 @@
 func (scenario *Scenario) checkNames() error {
 	switch {
 	case !slices.Contains(knownPolicies, scenario.Policy):
-		return fmt.Errorf("policy %q is not known: one of %q is meant", scenario.Policy, knownPolicies)
+		return fmt.Errorf("unknown policy %q: must be one of %q", scenario.Policy, knownPolicies)
 	case !slices.Contains(knownRetryModes, scenario.Retries):
-		return fmt.Errorf("retries %q are not known: one of %q is meant", scenario.Retries, knownRetryModes)
+		return fmt.Errorf("unknown retries %q: must be one of %q", scenario.Retries, knownRetryModes)
 	}
 	return nil
 }
@@ -175,13 +177,13 @@
 func (class *Class) check() error {
 	switch {
 	case !class.timesValid():
-		return fmt.Errorf("share %v, work %v, aim %v and deadline %v: all above 0 are needed, "+
-			"the deadline not before the aim",
+		return fmt.Errorf("share, work and aim must be above 0 "+
+			"and deadline at least aim, got %v, %v, %v and %v",
 			class.Share, class.Work, class.LatencyObjective, class.Deadline)
 	case !slices.Contains([]WorkDistribution{Exponential, Fixed, LogNormal}, class.WorkDistribution):
-		return fmt.Errorf("spread %q is not known: %q, %q or nothing is meant", class.WorkDistribution, Fixed, LogNormal)
+		return fmt.Errorf("unknown spread %q: must be %q, %q or empty", class.WorkDistribution, Fixed, LogNormal)
 	case class.WorkDistribution == LogNormal && !positive(class.CoefficientOfVariation):
-		return fmt.Errorf("log-normal work with a cv of %v: above 0 is needed", class.CoefficientOfVariation)
+		return fmt.Errorf("cv must be above 0 for log-normal work, got %v", class.CoefficientOfVariation)
 	}
 	return nil
 }
@@ -195,35 +197,35 @@
 
 func (fault *Fault) check(scenario *Scenario) error {
 	if !slices.Contains(faultKinds, fault.Kind) {
-		return fmt.Errorf("kind %q is not known: one of %q is meant", fault.Kind, faultKinds)
+		return fmt.Errorf("unknown kind %q: must be one of %q", fault.Kind, faultKinds)
 	}
-	if !fault.placeValid(scenario) {
-		return fmt.Errorf("node %d of %d, or a share of %v, at %v for %v, every %v: "+
-			"what there is is meant, and no time below 0",
+	if !fault.nodesAndTimesValid(scenario) {
+		return fmt.Errorf("node %d of %d, of %v, at %v, for %v, every %v: "+
+			"the node must exist, of must be between 0 and 1, at, for and every must be at least 0",
 			fault.Node, scenario.Nodes, fault.NodeShare, fault.Start, fault.Duration, fault.Period)
 	}
 	switch fault.Kind {
 	case StealCPU, ResetConnections:
 		if !positive(fault.Share) || fault.Share > 1 {
-			return fmt.Errorf("%s with a share of %v: above 0, and 1 at most, is meant", fault.Kind, fault.Share)
+			return fmt.Errorf("%s: share must be above 0 and at most 1, got %v", fault.Kind, fault.Share)
 		}
 	case TrafficBurst:
 		if !fault.burstValid(scenario) {
-			return fmt.Errorf("burst of %v times of tenant %d for %v: "+
-				"a multiple, a tenant that there is and a time are meant",
+			return fmt.Errorf("burst: times %v, tenant %d, for %v: "+
+				"times must be at least 0, the tenant must exist and for must be above 0",
 				fault.RateFactor, fault.Tenant, fault.Duration)
 		}
 	case ListOutage, IncompleteList, StaleList:
 		if fault.Duration == 0 {
-			return fmt.Errorf("%s without a time: for how long is needed", fault.Kind)
+			return fmt.Errorf("%s: for must be above 0", fault.Kind)
 		}
-	default: // the others have no settings of their own
+	default: // the other kinds have no settings of their own
 	}
 	return nil
 }
 
-// placeValid reports whether the fault's nodes exist and its times are not negative.
-func (fault *Fault) placeValid(scenario *Scenario) bool {
+// nodesAndTimesValid reports whether the fault's nodes exist and its times are not negative.
+func (fault *Fault) nodesAndTimesValid(scenario *Scenario) bool {
 	if fault.Node < 0 || fault.Node >= scenario.Nodes || fault.NodeShare < 0 || fault.NodeShare > 1 {
 		return false
 	}
@@ -235,15 +237,16 @@
 	return tenantExists && fault.RateFactor >= 0 && fault.Duration != 0
 }
 
-// valid reports whether the arrival's class and tenant exist and it is not before the earliest time.
+// valid reports whether the arrival's class and tenant exist, its work is not negative and its time is not before the
+// earliest time.
 func (arrival *Arrival) valid(scenario *Scenario, earliest time.Duration) bool {
 	classExists := arrival.Class >= 0 && arrival.Class < len(scenario.Classes)
 	tenantExists := arrival.Tenant >= 0 && arrival.Tenant < scenario.tenantCount()
 	return classExists && tenantExists && arrival.At >= earliest && arrival.Work >= 0
 }
 
-func (arrival *Arrival) invalid(scenario *Scenario, number int) error {
+func (arrival *Arrival) invalidError(scenario *Scenario, number int) error {
 	return fmt.Errorf("scenario: arrival %d: at %v, class %d of %d, tenant %d of %d, work %v: "+
-		"in order of time and of those that there are is meant",
+		"arrivals must be in order of time, class and tenant must exist and work must be at least 0",
 		number, arrival.At, arrival.Class, len(scenario.Classes), arrival.Tenant, scenario.tenantCount(), arrival.Work)
 }
--- a/internal/fleet/scenario_check_test.go
+++ b/internal/fleet/scenario_check_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// invalidChanges each make a random scenario one that cannot be run.
+// invalidChanges are changes that each make a valid random scenario invalid.
 var invalidChanges = []func(*Scenario){
 	func(scenario *Scenario) { scenario.Nodes = 0 },
 	func(scenario *Scenario) { scenario.ArrivalRate = 1 },
@@ -31,12 +31,13 @@
 	func(scenario *Scenario) { scenario.Node.InitialSpeedShare = 0 },
 }
 
+// Run returns an error of one line for each invalid scenario.
 func TestInvalidScenariosAreErrors(t *testing.T) {
 	for i, change := range invalidChanges {
 		scenario := RandomScenario(1)
 		change(&scenario)
 		if _, err := Run(scenario); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("change %d: %v", i, err)
+			t.Errorf("change %d: got error %v, want an error of one line", i, err)
 		}
 	}
 }
--- a/internal/fleet/scenario_clients.go
+++ b/internal/fleet/scenario_clients.go
@@ -16,19 +16,19 @@
 	Share float64 `toml:"share"`
 	// Work is the mean work of a request: its service time alone on a core of speed 1.
 	Work time.Duration `toml:"work"`
-	// WorkDistribution about the mean; empty: Exponential.
+	// WorkDistribution is the distribution of the work around its mean; empty: Exponential.
 	WorkDistribution WorkDistribution `toml:"spread,omitempty"`
-	// CoefficientOfVariation of log-normal work: standard deviation / mean.
+	// CoefficientOfVariation of log-normal work: standard deviation / mean; above 0.
 	CoefficientOfVariation float64 `toml:"cv,omitempty"`
 	// LatencyObjective within which a response earns its full value.
 	LatencyObjective time.Duration `toml:"aim"`
-	// Deadline of the client, for all its submissions, not before the objective.
+	// Deadline of the client for all submissions of a request; at least LatencyObjective.
 	Deadline time.Duration `toml:"deadline"`
-	// Idempotency is what repeating the request may do.
+	// Idempotency says whether the request may run more than once.
 	Idempotency Idempotency `toml:"effect"`
-	// DedupScope: which nodes drop a repeat of an idempotency key.
+	// DedupScope determines which nodes drop a request with a repeated idempotency key.
 	DedupScope DedupScope `toml:"scope,omitempty"`
-	// DedupWindow for which they drop it, from when the first attempt may have run.
+	// DedupWindow is how long these nodes drop repeats, from the time at which the first attempt may have run.
 	DedupWindow time.Duration `toml:"window,omitempty"`
 }
 
@@ -50,8 +50,8 @@
 type DedupScope policy.DedupScope
 
 var (
-	idempotencyNames = []string{"safe", "keyed", "unsafe"} // by value of policy.Idempotency
-	dedupScopeNames  = []string{"all", "zone", "cell"}     // by value of policy.DedupScope
+	idempotencyNames = []string{"safe", "keyed", "unsafe"} // indexed by policy.Idempotency
+	dedupScopeNames  = []string{"all", "zone", "cell"}     // indexed by policy.DedupScope
 )
 
 // UnmarshalText implements encoding.TextUnmarshaler; an unknown name is an error.
@@ -72,11 +72,11 @@
 // MarshalText implements encoding.TextMarshaler.
 func (scope DedupScope) MarshalText() ([]byte, error) { return []byte(dedupScopeNames[scope]), nil }
 
-// parseName sets a value to the index of a name.
+// parseName sets a value to the index of a name in names; an unknown name is an error.
 func parseName(names []string, name string, value *int) error {
 	i := slices.Index(names, name)
 	if i < 0 {
-		return fmt.Errorf("%q is not known: %s is meant", name, strings.Join(names, ", "))
+		return fmt.Errorf("unknown name %q: must be one of %s", name, strings.Join(names, ", "))
 	}
 	*value = i
 	return nil
@@ -87,28 +87,29 @@
 	Name string `toml:"name,omitempty"`
 	// Share of the requests, in proportion to the other tenants' shares.
 	Share float64 `toml:"share"`
-	// Quota in requests a second at all sidecars together; 0: none is known.
+	// Quota is the tenant's quota in requests per second at all sidecars together; 0: no quota is known.
 	Quota float64 `toml:"quota,omitempty"`
 }
 
-// Clients is how clients wait for a response and retry.
+// Clients determines how clients wait for a response and retry.
 type Clients struct {
-	// MaxSubmissions of one request to its sidecar: the first and the client retries; 1 at least.
+	// MaxSubmissions is the largest number of submissions of a request, client retries included; at least 1.
 	MaxSubmissions int `toml:"tries"`
-	// TimeoutShares is the least and the greatest share of the deadline for which a client waits for one submission,
-	// uniformly distributed; none: it waits for the time that is left.
+	// TimeoutShares are the least and the greatest share of the deadline for which a client waits for the response to
+	// one submission, uniformly distributed; none: the client waits until its deadline.
 	TimeoutShares []float64 `toml:"patience,omitempty"`
-	// RetryAfterShare of the clients that wait as long as Retry-After says, 0 to 1.
+	// RetryAfterShare is the share of rejections, 0 to 1, after which the client waits as long as Retry-After says.
 	RetryAfterShare float64 `toml:"heeds,omitempty"`
-	// MaxRetryAfter that sidecars send and clients follow; 0: no bound.
+	// MaxRetryAfter is the longest Retry-After that sidecars send; 0: no bound.
 	MaxRetryAfter time.Duration `toml:"max_pause,omitempty"`
-	// RetryBackoff of the other clients, doubled for each retry; 0: they retry at once.
+	// RetryBackoff is the mean backoff before a client retry without Retry-After, doubled for each further retry; 0: no
+	// backoff.
 	RetryBackoff time.Duration `toml:"pause,omitempty"`
-	// RetriesFailures: idempotent requests are submitted again after a failure, too.
+	// RetriesFailures means that clients also submit idempotent requests again after a failure.
 	RetriesFailures bool `toml:"insists,omitempty"`
 }
 
-// Wave varies the arrival rate by a sine, as in a day.
+// Wave varies the arrival rate as a sine, like the variation over a day.
 type Wave struct {
 	// Period of the sine; 0: the rate is constant.
 	Period time.Duration `toml:"period,omitempty"`
@@ -124,6 +125,6 @@
 	Class int `toml:"class,omitempty"`
 	// Tenant is an index into Scenario.Tenants.
 	Tenant int `toml:"tenant,omitempty"`
-	// Work of the request; 0: drawn as its class has it.
+	// Work of the request; 0: the work is drawn from the distribution of the class.
 	Work time.Duration `toml:"work,omitempty"`
 }
