--- a/internal/fleet/policies_test.go
+++ b/internal/fleet/policies_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// At a load of 0.9 two choices have a lower mean latency than a random one, as Mitzenmacher has it. No policy violates
-// a rule.
-func TestTwoChoicesAgainstRandom(t *testing.T) {
+// At a load of 0.9, two random choices have a lower mean latency than one random choice, as shown by Mitzenmacher. No
+// policy violates a rule.
+func TestTwoChoicesHaveLowerLatencyThanRandom(t *testing.T) {
 	mean := make(map[Policy]float64)
 	for _, policy := range knownPolicies {
 		scenario := steadyScenario(10, 0.9)
@@ -16,12 +16,13 @@
 	}
 	lower := func(policy Policy, factor float64) bool { return mean[policy] < factor*mean[Random] }
 	if !lower(TwoChoices, 0.6) || !lower(PeakEWMA, 0.8) || !lower(RoundRobin, 1) {
-		t.Errorf("mean latencies in µs: %v", mean)
+		t.Errorf("got mean latencies %v µs, want two-choices < 0.6, peak-ewma < 0.8 and round-robin < 1 times random",
+			mean)
 	}
 }
 
-// retryStorm is a fleet in which a burst can start a metastable failure: timed-out attempts are retried while
-// the nodes still work on the first ones (Bronson et al., Metastable Failures in Distributed Systems, HotOS 2021).
+// retryStorm returns a scenario in which a burst can start a metastable failure: timed-out attempts are retried while
+// the nodes still work on the first attempts (Bronson et al., Metastable Failures in Distributed Systems, HotOS 2021).
 func retryStorm(policy Policy, retries RetryMode) Scenario {
 	scenario := steadyScenario(10, 0.5)
 	scenario.Policy, scenario.Retries, scenario.Sidecars = policy, retries, 4
@@ -31,12 +32,13 @@
 	return scenario
 }
 
-// Naive retries keep the fleet down after the burst; with a budget, or the decision module, it recovers by itself.
-func TestRetryStorm(t *testing.T) {
+// Naive retries keep the fleet overloaded after the burst. With a retry budget, or with the decision module, the fleet
+// recovers by itself.
+func TestRetryStormEndsUnlessRetriesAreNaive(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		scenario    Scenario
-		least, most float64 // objective share of the last 15 s, 25 s after the burst
+		least, most float64 // bounds of the objective share in the last 15 s, 25 s after the burst
 	}{
 		{"naive", retryStorm(Random, RetryNaively), 0, 0.2},
 		{"budget", retryStorm(Random, RetryWithBudget), 0.95, 1},
@@ -45,7 +47,7 @@
 		windows := mustRun(t, test.scenario).Windows
 		before, after := objectiveShare(windows[0:15]), objectiveShare(windows[45:60])
 		if before < 0.95 || after < test.least || after > test.most {
-			t.Errorf("%s: objective share %.3f before the burst, %.3f long after it; want 0.95 or more, and %v to %v",
+			t.Errorf("%s: objective share: got %.3f before the burst, want 0.95; got %.3f 25 s after it, want %v to %v",
 				test.name, before, after, test.least, test.most)
 		}
 	}
--- a/internal/fleet/reference.go
+++ b/internal/fleet/reference.go
@@ -8,7 +8,7 @@
 	"mothridge/policy"
 )
 
-// reference is a reference policy: it selects an endpoint by a simple rule (selector) and sends further attempts by
+// reference is a reference policy: it selects endpoints with a simple selector and sends further attempts according to
 // its retry mode.
 type reference struct {
 	config  policy.Config
@@ -16,33 +16,33 @@
 	retries RetryMode
 
 	selector    selector
-	ready       []*target // in the order of the list
+	ready       []*target // in list order
 	targets     map[policy.EndpointID]*target
 	requests    map[policy.RequestID]*referenceRequest
-	retryBudget float64             // further attempts that it may start
-	bulkheads   []referenceBulkhead // by tenant; none: no submission waits
+	retryBudget float64             // number of further attempts that may start
+	bulkheads   []referenceBulkhead // by tenant; nil: submissions do not wait for a slot
 }
 
-// selector selects one of the ready endpoints, which are one at least.
+// selector selects one of the ready endpoints, of which there is at least one.
 type selector interface {
 	selectTarget(now time.Duration, ready []*target) *target
 }
 
-// target is an endpoint as a reference policy knows it.
+// target is the state that a reference policy keeps for an endpoint.
 type target struct {
 	id              policy.EndpointID
-	inFlight        int           // attempts of this sidecar
+	inFlight        int           // attempts of this sidecar in flight
 	smoothedLatency float64       // seconds
-	smoothedAt      time.Duration // when smoothedLatency was worked out
+	smoothedAt      time.Duration // when smoothedLatency was last updated
 }
 
-// referenceRequest is a submission that a reference policy holds.
+// referenceRequest is a submission that a reference policy has not yet responded to.
 type referenceRequest struct {
 	class, tenant  int
 	deadline       time.Duration
 	attemptTimeout time.Duration
 	attempts       []referenceAttempt
-	mayHaveRun     bool // one of the attempts may have run
+	mayHaveRun     bool // at least one of the attempts may have run
 }
 
 type referenceAttempt struct {
@@ -79,7 +79,7 @@
 	return &randomSelector{random}
 }
 
-// Start implements balancer; nothing is to do.
+// Start implements balancer; a reference policy needs no start.
 func (reference *reference) Start(time.Duration) {}
 
 // ProbeCompleted implements balancer; a reference policy sends no probes.
@@ -89,7 +89,7 @@
 // TimerFired implements balancer; a reference policy sets no timer.
 func (reference *reference) TimerFired(time.Duration) {}
 
-// EndpointsUpdated notes which endpoints are ready.
+// EndpointsUpdated implements balancer: it updates the ready endpoints.
 func (reference *reference) EndpointsUpdated(_ time.Duration, kind policy.UpdateKind, entries []policy.Endpoint) {
 	switch kind {
 	case policy.FailedUpdate:
@@ -118,7 +118,7 @@
 	}
 }
 
-// RequestReceived sends a first attempt, or has the submission wait for a slot.
+// RequestReceived implements balancer: it sends a first attempt, or passes the submission to its tenant's bulkhead.
 func (reference *reference) RequestReceived(now time.Duration, received policy.Request) {
 	request := &referenceRequest{
 		class:          received.Class,
@@ -130,7 +130,7 @@
 		request.attemptTimeout = received.Timeout / time.Duration(reference.config.MaxAttempts)
 	}
 	reference.requests[received.ID] = request
-	reference.earnRetryBudget()
+	reference.addRetryBudget()
 	if reference.bulkheads == nil {
 		reference.send(now, received.ID, request)
 		return
@@ -152,7 +152,7 @@
 	reference.host.Send(id, selected.id, min(request.attemptTimeout, request.deadline-now), 0)
 }
 
-// respond rejects a submission if retrying it is harmless, and fails it otherwise.
+// respond rejects a submission if a retry is safe, and fails the submission otherwise.
 func (reference *reference) respond(id policy.RequestID, request *referenceRequest) {
 	delete(reference.requests, id)
 	if request.mayHaveRun && !reference.isIdempotent(request) {
@@ -166,7 +166,7 @@
 	return reference.config.Classes[request.class].Idempotency == policy.Idempotent
 }
 
-// AttemptEnded releases the attempt, then sends a further one or responds.
+// AttemptEnded implements balancer: it releases the attempt, then sends a further attempt or responds.
 func (reference *reference) AttemptEnded(now time.Duration, outcome policy.AttemptOutcome) {
 	request := reference.requests[outcome.ID]
 	if request == nil {
@@ -193,12 +193,12 @@
 	reference.respond(outcome.ID, request)
 }
 
-// neverRan reports whether the result shows that the request did not run.
+// neverRan reports whether the result proves that the request did not run.
 func neverRan(result policy.AttemptResult) bool {
 	return result == policy.Rejected || result == policy.ConnectionFailed || result == policy.NotSent
 }
 
-// ClientDisconnected forgets a submission.
+// ClientDisconnected implements balancer: it removes the submission.
 func (reference *reference) ClientDisconnected(_ time.Duration, id policy.RequestID) {
 	delete(reference.requests, id)
 }
--- a/internal/fleet/reference_bulkhead.go
+++ b/internal/fleet/reference_bulkhead.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	bulkheadSlotsPerNode = 3.0  // slots of all sidecars for each node
-	bulkheadQueueShare   = 0.15 // queue limit for each slot
-	// bulkheadSidecars is the number of sidecars from which each has less than the slots of all: twice its share.
+	bulkheadSlotsPerNode = 3.0  // slots per node, of all sidecars together
+	bulkheadQueueShare   = 0.15 // queue limit per slot
+	// bulkheadSidecars is the largest number of sidecars of which each has all the slots. With more sidecars, each has
+	// twice its even share of the slots.
 	bulkheadSidecars = 2
 )
 
-// referenceBulkhead is a tenant's slots and queue (Bulkhead).
+// referenceBulkhead holds the slots and the queue of a tenant (Bulkhead).
 type referenceBulkhead struct {
 	slots, inFlight, queueLimit int
 	queue                       []policy.RequestID
--- a/internal/fleet/reference_random.go
+++ b/internal/fleet/reference_random.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// randomSelector selects any ready endpoint (Random).
+// randomSelector selects a random ready endpoint (Random).
 type randomSelector struct{ random *rand.Rand }
 
 func (selector *randomSelector) selectTarget(_ time.Duration, ready []*target) *target {
--- a/internal/fleet/reference_retry.go
+++ b/internal/fleet/reference_retry.go
@@ -1,17 +1,17 @@
 package fleet
 
-// The retry budget of RetryWithBudget is a token bucket as Finagle's, without its floor: first attempts earn it,
-// further ones spend it.
+// The retry budget of RetryWithBudget is a token bucket like Finagle's, but without Finagle's minimum budget: first
+// attempts add to the budget, further attempts are taken from it.
 const (
-	retryBudgetShare = 0.1  // further attempts that each first one earns
-	maxRetryBudget   = 10.0 // further attempts that can be saved up
+	retryBudgetShare = 0.1  // further attempts that each first attempt adds to the budget
+	maxRetryBudget   = 10.0 // largest budget, in further attempts
 )
 
-func (reference *reference) earnRetryBudget() {
+func (reference *reference) addRetryBudget() {
 	reference.retryBudget = min(maxRetryBudget, reference.retryBudget+retryBudgetShare)
 }
 
-// mayRetry reports whether a further attempt may start, and spends the retry budget for it.
+// mayRetry reports whether a further attempt may start, and takes that attempt from the retry budget.
 func (reference *reference) mayRetry(request *referenceRequest) bool {
 	if len(request.attempts) >= reference.config.MaxAttempts {
 		return false
--- a/internal/fleet/reference_round_robin.go
+++ b/internal/fleet/reference_round_robin.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// roundRobinSelector selects the ready endpoints one after the other (RoundRobin, Bulkhead).
+// roundRobinSelector selects the ready endpoints in turn (RoundRobin, Bulkhead).
 type roundRobinSelector struct{ next int }
 
 func (selector *roundRobinSelector) selectTarget(_ time.Duration, ready []*target) *target {
--- a/internal/fleet/reference_two_choices.go
+++ b/internal/fleet/reference_two_choices.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// twoChoicesSelector draws two ready endpoints and selects the one of lower cost (Mitzenmacher, 2001).
+// twoChoicesSelector draws two ready endpoints and selects the one with the lower cost (Mitzenmacher, 2001).
 type twoChoicesSelector struct {
 	random *rand.Rand
 	cost   func(now time.Duration, target *target) float64
@@ -20,5 +20,5 @@
 	return first
 }
 
-// inFlightCost is the number of this sidecar's attempts in flight (TwoChoices).
+// inFlightCost returns the number of this sidecar's attempts in flight to an endpoint (TwoChoices).
 func inFlightCost(_ time.Duration, target *target) float64 { return float64(target.inFlight) }
