--- a/internal/fleet/discovery_trial.go
+++ b/internal/fleet/discovery_trial.go
@@ -9,67 +9,68 @@
 	"mothridge/resolver"
 )
 
-// DiscoveryTrial is a load trial of the discovery service: all sidecars need a list from it at once. The service
-// takes the calls first in, first out, works on those that were given up, too, and rejects a call that would wait too long.
-// The trial has a clock of its own with a fixed step.
+// DiscoveryTrial is a load test of the discovery service: all sidecars request the endpoint list at about the same
+// time. The service processes calls first in, first out, including calls that their sidecar has given up, and rejects
+// a call that would wait too long. The trial has its own clock with a fixed step.
 type DiscoveryTrial struct {
-	// Sidecars that need the list, 1 at least.
+	// Sidecars is the number of sidecars that need the list, at least 1.
 	Sidecars int
-	// ServiceTime of one call.
+	// ServiceTime is the time in which the service processes one call.
 	ServiceTime time.Duration
-	// MaxWait of a call in the service's queue: one that would wait for longer is rejected; 0: no bound.
+	// MaxWait is the longest time that a call may wait in the service's queue. The service rejects a call that would
+	// wait longer; 0: no bound.
 	MaxWait time.Duration
-	// HasList: the sidecars hold a list already, which is out of date.
+	// HasList means that the sidecars already have a list, which is out of date.
 	HasList bool
-	// Rule by which the sidecars call.
+	// Rule determines when the sidecars call the service.
 	Rule DiscoveryRule
-	// StartSpread is the time in which the sidecars start, uniformly distributed.
+	// StartSpread is the period over which the starts of the sidecars are uniformly distributed.
 	StartSpread time.Duration
 	// Seed of the random numbers.
 	Seed uint64
-	// MaxCalls ends the trial.
+	// MaxCalls is the number of calls after which the trial ends.
 	MaxCalls int
 }
 
-// DiscoveryRule is how the sidecars of a trial call the discovery service.
+// DiscoveryRule determines when the sidecars of a trial call the discovery service.
 type DiscoveryRule string
 
-// The rules.
+// The discovery rules. Recorded results include their texts.
 const (
 	FixedTimeout DiscoveryRule = "give up after 3 s and call again"
-	HedgedCalls  DiscoveryRule = "resolver.Schedule" // as the real sidecar does
+	HedgedCalls  DiscoveryRule = "resolver.Schedule" // the schedule of the real sidecar
 )
 
 // DiscoveryResult is the result of a trial.
 type DiscoveryResult struct {
-	// Answered is the number of sidecars that got the list.
-	Answered int
-	// Median and Last are when the sidecars got it, from the trial's start.
+	// Served is the number of sidecars that received the list.
+	Served int
+	// Median and Last are the median and the latest time at which a sidecar received the list, from the trial's start.
 	Median, Last time.Duration
-	// Calls of all sidecars.
+	// Calls is the number of calls of all sidecars.
 	Calls int
-	// Rejected calls.
+	// Rejected is the number of calls that the service rejected.
 	Rejected int
-	// Wasted are the calls that were served after their sidecar had given them up.
+	// Wasted is the number of calls that the service completed after their sidecar had given them up.
 	Wasted int
 }
 
 const (
-	timeStep        = 10 * time.Millisecond  // of the trial's clock
-	fixedTimeout    = 3 * time.Second        // of FixedTimeout
-	callBackoff     = 250 * time.Millisecond // after a rejected call; doubled after each further one
-	maxCallBackoff  = 1500 * time.Millisecond
-	discoveryStream = 1 // of the random numbers
+	timeStep           = 10 * time.Millisecond  // step of the trial's clock
+	fixedTimeout       = 3 * time.Second        // timeout of a call by the rule FixedTimeout
+	initialCallBackoff = 250 * time.Millisecond // after the first rejected call; doubled after each further one
+	maxCallBackoff     = 1500 * time.Millisecond
+	discoveryStream    = 1 // PCG stream of the random numbers
 )
 
-// discoveryCaller is a sidecar of a trial.
+// discoveryCaller is a sidecar that calls the discovery service.
 type discoveryCaller struct {
 	schedule   *resolver.Schedule
 	pending    map[resolver.CallID]bool
 	nextCallAt time.Duration
 	failures   int
-	answered   bool
-	answeredAt time.Duration
+	served     bool
+	servedAt   time.Duration
 }
 
 // discoveryCall is a call in the service's queue.
@@ -85,7 +86,7 @@
 	random  *rand.Rand
 	callers []*discoveryCaller
 	queue   []discoveryCall
-	idleAt  time.Duration // when the service has worked through its queue
+	idleAt  time.Duration // when the service has completed all queued calls
 	result  DiscoveryResult
 }
 
@@ -95,14 +96,14 @@
 	for now := time.Duration(0); !run.done(); now += timeStep {
 		run.completeCalls(now)
 		for _, caller := range run.callers {
-			if !caller.answered && now >= caller.nextCallAt {
+			if !caller.served && now >= caller.nextCallAt {
 				run.call(caller, now)
 			}
 		}
 	}
-	slices.SortFunc(run.callers, func(a, b *discoveryCaller) int { return cmp.Compare(a.answeredAt, b.answeredAt) })
-	run.result.Last = run.callers[len(run.callers)-1].answeredAt
-	run.result.Median = run.callers[len(run.callers)/2].answeredAt
+	slices.SortFunc(run.callers, func(a, b *discoveryCaller) int { return cmp.Compare(a.servedAt, b.servedAt) })
+	run.result.Last = run.callers[len(run.callers)-1].servedAt
+	run.result.Median = run.callers[len(run.callers)/2].servedAt
 	return run.result
 }
 
@@ -121,10 +122,10 @@
 }
 
 func (run *discoveryRun) done() bool {
-	return run.result.Answered >= run.trial.Sidecars || run.result.Calls >= run.trial.MaxCalls
+	return run.result.Served >= run.trial.Sidecars || run.result.Calls >= run.trial.MaxCalls
 }
 
-// completeCalls responds to the calls that the service has worked through.
+// completeCalls responds to the calls that the service has completed by now.
 func (run *discoveryRun) completeCalls(now time.Duration) {
 	for len(run.queue) > 0 && run.queue[0].completesAt <= now {
 		call := run.queue[0]
@@ -133,13 +134,13 @@
 			run.result.Wasted++
 			continue
 		}
-		call.caller.answered, call.caller.answeredAt = true, now
+		call.caller.served, call.caller.servedAt = true, now
 		clear(call.caller.pending)
-		run.result.Answered++
+		run.result.Served++
 	}
 }
 
-// call makes a caller's next call, if its rule starts one now, and queues or rejects it.
+// call makes a caller's next call if the rule starts one now. The service queues or rejects the call.
 func (run *discoveryRun) call(caller *discoveryCaller, now time.Duration) {
 	id, started := caller.nextCall(run.trial.Rule, now)
 	if !started {
@@ -155,7 +156,8 @@
 	run.queue = append(run.queue, discoveryCall{caller, id, run.idleAt})
 }
 
-// nextCall follows the rule; started is false if it only cancels calls or waits.
+// nextCall applies the rule and returns the ID of the call that it starts. If the caller only cancels calls or waits,
+// started is false.
 func (caller *discoveryCaller) nextCall(rule DiscoveryRule, now time.Duration) (id resolver.CallID, started bool) {
 	if rule == FixedTimeout {
 		clear(caller.pending)
@@ -175,13 +177,14 @@
 	return step.Call, step.Start
 }
 
-// callRejected backs off as the decision module does after a failed call, unless another call is pending.
+// callRejected schedules the next call after a backoff, as the decision module does after a failed call, unless
+// another call is pending.
 func (caller *discoveryCaller) callRejected(id resolver.CallID, now time.Duration, random *rand.Rand) {
 	delete(caller.pending, id)
 	if caller.schedule.CallFailed(id) && len(caller.pending) > 0 {
 		return
 	}
-	backoff := min(callBackoff<<min(caller.failures, maxBackoffDoublings), maxCallBackoff)
+	backoff := min(initialCallBackoff<<min(caller.failures, maxBackoffDoublings), maxCallBackoff)
 	caller.failures++
 	caller.nextCallAt = now + time.Duration((minBackoffFactor+random.Float64())*float64(backoff))
 }
--- a/internal/fleet/discovery_trial_test.go
+++ b/internal/fleet/discovery_trial_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// discoveryTrials are fleets of several sizes at a service that takes from 2 to 20 s for one call of every sidecar.
+// discoveryTrials returns trials of several fleet sizes, in which the service takes from 2 to 20 s in total to process
+// one call of every sidecar.
 func discoveryTrials() []DiscoveryTrial {
 	var trials []DiscoveryTrial
 	for _, sidecars := range []int{30, 300, 900} {
@@ -24,19 +25,20 @@
 	return trials
 }
 
-// All sidecars get the list within little more than the time that the service takes for a call of each, and make few
-// calls in all.
-func TestAllSidecarsAreAnsweredByDiscovery(t *testing.T) {
+// Every sidecar receives the list within 5 s plus twice the time that the service takes to process one call of every
+// sidecar, and a sidecar makes at most 12 calls on average.
+func TestDiscoveryServesAllSidecars(t *testing.T) {
 	for _, trial := range discoveryTrials() {
 		result := trial.Run()
 		fixed := trial
 		fixed.Rule = FixedTimeout
 		total := trial.ServiceTime * time.Duration(trial.Sidecars)
-		name := fmt.Sprintf("%d sidecars, all in %v, longest wait %v, with a list %v",
+		name := fmt.Sprintf("%d sidecars, total service time %v, longest wait %v, with a list %v",
 			trial.Sidecars, total, trial.MaxWait, trial.HasList)
-		t.Logf("%s: %+v; with a fixed timeout %+v", name, result, fixed.Run())
-		if result.Answered != trial.Sidecars || result.Last > 2*total+5*time.Second || result.Calls > 12*trial.Sidecars {
-			t.Errorf("%s: %+v", name, result)
+		t.Logf("%s: got %+v; with a fixed timeout %+v", name, result, fixed.Run())
+		if result.Served != trial.Sidecars || result.Last > 2*total+5*time.Second || result.Calls > 12*trial.Sidecars {
+			t.Errorf("%s: got %+v, want all sidecars served within 5 s + 2 * service time, 12 calls each at most",
+				name, result)
 		}
 	}
 }
