--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// replayArrival schedules a recorded request and the ones after it. Sidecars get them round robin.
+// replayArrival schedules the recorded request with the given number, and then the requests after it. Sidecars get
+// the recorded requests in round-robin order.
 func (sim *simulation) replayArrival(number int) {
 	if number >= len(sim.scenario.RecordedArrivals) {
 		return
@@ -32,11 +33,11 @@
 	})
 }
 
-// arrivalProcess creates a sidecar's new requests: a Poisson process. Where the rate varies, it runs at the peak rate
-// and drops arrivals at random (thinning; Lewis and Shedler, 1979).
+// arrivalProcess creates a sidecar's new requests as a Poisson process. If the rate varies, the process runs at the
+// peak rate and drops arrivals at random (thinning; Lewis and Shedler, 1979).
 type arrivalProcess struct {
 	*sidecar
-	rate       float64 // arrivals a second at the peak
+	rate       float64 // arrivals per second at the peak
 	peakFactor float64 // peak rate / mean rate
 }
 
@@ -61,7 +62,8 @@
 	return total
 }
 
-// peakRateFactor returns the greatest factor on the mean arrival rate by the daily variation and traffic bursts.
+// peakRateFactor returns the greatest factor on the mean arrival rate that the daily variation and the traffic bursts
+// can reach.
 func (scenario *Scenario) peakRateFactor() float64 {
 	daily := 1 + scenario.Daily.Swing
 	peak := daily
@@ -73,13 +75,13 @@
 	return peak
 }
 
-// scheduleNext draws the interarrival time to the next request.
+// scheduleNext draws the time to the next arrival and schedules it.
 func (process *arrivalProcess) scheduleNext() {
 	interarrival := process.arrivalRandom.ExpFloat64() / process.rate * float64(time.Second)
 	process.scheduleEvent(time.Duration(interarrival), process, onlyEvent)
 }
 
-// handleEvent is the arrival of a request.
+// handleEvent processes an arrival: it schedules the next one and begins the request unless thinning drops it.
 func (process *arrivalProcess) handleEvent(eventKind) {
 	if process.now > process.scenario.Duration {
 		return
@@ -97,7 +99,8 @@
 	process.beginRequest(request, 0)
 }
 
-// tenantShare returns a tenant's present share of the traffic, bursts included.
+// tenantShare returns a tenant's current share of the traffic, bursts included. A scenario without tenants has one,
+// with a share of 1.
 func (process *arrivalProcess) tenantShare(tenant int) float64 {
 	if len(process.scenario.Tenants) == 0 {
 		return process.rateFactors[0]
@@ -105,18 +108,18 @@
 	return process.scenario.Tenants[tenant].Share * process.rateFactors[tenant]
 }
 
-// rateFactor returns the present factor on the mean arrival rate.
+// rateFactor returns the current factor on the mean arrival rate.
 func (process *arrivalProcess) rateFactor() float64 {
-	present, usual := 0.0, 0.0
+	current, baseline := 0.0, 0.0
 	for tenant, factor := range process.rateFactors {
 		share := process.tenantShare(tenant)
-		present += share
-		usual += share / max(factor, 1e-9)
+		current += share
+		baseline += share / max(factor, 1e-9)
 	}
-	return present / usual * process.scenario.Daily.factorAt(process.now)
+	return current / baseline * process.scenario.Daily.factorAt(process.now)
 }
 
-// factorAt returns the factor on the mean arrival rate at a time.
+// factorAt returns the factor on the mean arrival rate at the given time.
 func (wave *Wave) factorAt(at time.Duration) float64 {
 	if wave.Period <= 0 {
 		return 1
@@ -124,7 +127,7 @@
 	return 1 + wave.Swing*math.Sin(2*math.Pi*float64(at)/float64(wave.Period))
 }
 
-// drawWork draws the work of a request, in seconds of a core of speed 1.
+// drawWork draws the work of a request, in seconds on a core of speed 1.
 func (class *Class) drawWork(random *rand.Rand) float64 {
 	mean := class.Work.Seconds()
 	switch class.WorkDistribution {
@@ -132,7 +135,7 @@
 		return mean * random.ExpFloat64()
 	case LogNormal:
 		variance := math.Log(1 + class.CoefficientOfVariation*class.CoefficientOfVariation)
-		factor := distuv.LogNormal{Mu: -variance / 2, Sigma: math.Sqrt(variance), Src: random} // of mean 1
+		factor := distuv.LogNormal{Mu: -variance / 2, Sigma: math.Sqrt(variance), Src: random} // its mean is 1
 		return mean * factor.Rand()
 	case Fixed:
 	}
--- a/internal/fleet/arrivals_test.go
+++ b/internal/fleet/arrivals_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Arrivals vary by the day and by sidecar, are planned as they are simulated, and can be replayed.
+// Arrivals follow the daily variation and the skew among sidecars. PlanArrivals returns the arrivals that a run
+// simulates, and a replay of them gives the same requests and utilisation.
 func TestArrivals(t *testing.T) {
 	scenario := steadyScenario(4, 0.4)
 	scenario.Sidecars, scenario.TrafficSkew, scenario.Daily = 4, 1, Wave{Period: time.Minute, Swing: 0.5}
@@ -16,17 +17,17 @@
 	}
 	result := mustRun(t, scenario)
 	if uint64(len(plan)) != result.Requests {
-		t.Errorf("%d are planned, %d arrived", len(plan), result.Requests)
+		t.Errorf("got %d planned arrivals, want %d as in the run", len(plan), result.Requests)
 	}
 	bySidecar := make([]int, 4)
 	for _, planned := range plan {
 		bySidecar[planned.Sidecar]++
 	}
 	if ratio := float64(bySidecar[0]) / float64(bySidecar[3]); math.Abs(ratio-4) > 0.6 {
-		t.Errorf("the first sidecar has %.2f of the fourth's requests, want 4", ratio)
+		t.Errorf("requests of the first sidecar / those of the fourth: got %.2f, want 4 within 0.6", ratio)
 	}
 	if ratio := float64(result.Windows[15].Requests) / float64(result.Windows[45].Requests); math.Abs(ratio-3) > 0.8 {
-		t.Errorf("the peak has %.2f of the trough's requests, want 3", ratio)
+		t.Errorf("requests at the peak / those at the trough: got %.2f, want 3 within 0.8", ratio)
 	}
 	scenario.OfferedLoad = 0
 	for _, planned := range plan {
@@ -34,7 +35,7 @@
 	}
 	replayed := mustRun(t, scenario)
 	if replayed.Requests != result.Requests || math.Abs(replayed.NodeUtilisation[0]-result.NodeUtilisation[0]) > 0.02 {
-		t.Errorf("replayed: %d requests of %d, utilisation %.3f and %.3f",
+		t.Errorf("replay: got %d requests, want %d; got utilisation %.3f, want %.3f within 0.02",
 			replayed.Requests, result.Requests, replayed.NodeUtilisation[0], result.NodeUtilisation[0])
 	}
 }
--- a/internal/fleet/connections.go
+++ b/internal/fleet/connections.go
@@ -6,16 +6,16 @@
 	"mothridge/policy"
 )
 
-// connectionPool is a sidecar's idle connections to a node's process.
+// connectionPool holds a sidecar's idle connections to a node's process.
 type connectionPool struct {
 	sim         *simulation
 	node        *node
-	incarnation int             // of the node's process
-	idleSince   []time.Duration // of each idle connection, the latest last
+	incarnation int             // number of the node's process
+	idleSince   []time.Duration // start of the idle time of each connection, the latest last
 	sweepTimer  timer
 }
 
-// poolTo returns the connections to a node's present process; nil if connections are not modelled.
+// poolTo returns the pool of connections to a node's current process; nil if connections are not modelled.
 func (sidecar *sidecar) poolTo(node *node) *connectionPool {
 	if sidecar.pools == nil {
 		return nil
@@ -45,7 +45,8 @@
 	}
 }
 
-// openConnection sends an attempt on a new connection; it fails if the node has as many as it accepts.
+// openConnection sends an attempt on a new connection. The attempt fails if the node already has as many connections
+// as it accepts.
 func (sidecar *sidecar) openConnection(attempt *attempt, pool *connectionPool) {
 	network, node := &sidecar.scenario.Network, attempt.node
 	delay := sidecar.networkDelay()
@@ -61,10 +62,10 @@
 	node.connections++
 	attempt.pool = pool
 	sidecar.scheduleEvent(delay, attempt, attemptArrives)
-	node.accept(new(job), network.HandshakeWork.Seconds()) // beside the request's own work
+	node.accept(new(job), network.HandshakeWork.Seconds()) // in addition to the request's own work
 }
 
-// takeIdle takes the connection that was used last; false if none is idle.
+// takeIdle takes the most recently used idle connection out of the pool. It reports false if no connection is idle.
 func (pool *connectionPool) takeIdle() bool {
 	last := len(pool.idleSince) - 1
 	if last < 0 {
@@ -74,7 +75,7 @@
 	return true
 }
 
-// putIdle takes back a connection that can be used again.
+// putIdle puts a connection that can be reused back into the pool.
 func (pool *connectionPool) putIdle() {
 	pool.idleSince = append(pool.idleSince, pool.sim.now)
 	timeout := pool.sim.scenario.Network.IdleTimeout
@@ -83,7 +84,7 @@
 	}
 }
 
-// handleEvent closes the connections that have been idle for too long.
+// handleEvent closes the connections whose idle timeout has expired.
 func (pool *connectionPool) handleEvent(eventKind) {
 	if pool.incarnation != pool.node.incarnation {
 		return
@@ -100,7 +101,7 @@
 	}
 }
 
-// releaseConnection gives the attempt's connection back after a response, and closes it otherwise.
+// releaseConnection puts the attempt's connection back into its pool after a response, and closes it otherwise.
 func (attempt *attempt) releaseConnection(result policy.AttemptResult) {
 	if !attempt.connectionOpen() {
 		return
@@ -112,8 +113,8 @@
 	}
 }
 
-// connectionOpen reports whether the attempt has a connection to the node's present process.
+// connectionOpen reports whether the attempt has a connection to the node's current process.
 func (attempt *attempt) connectionOpen() bool {
-	present := attempt.node.incarnation
-	return attempt.pool != nil && attempt.incarnation == present && attempt.pool.incarnation == present
+	current := attempt.node.incarnation
+	return attempt.pool != nil && attempt.incarnation == current && attempt.pool.incarnation == current
 }
--- a/internal/fleet/event_queue.go
+++ b/internal/fleet/event_queue.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// eventQueue is the event queue of a discrete-event simulation and its clock. Events are processed by time; those
-// at one instant in the order in which they were scheduled. Processed and cancelled events are used again, so that
-// memory is bounded by the events that are pending at once. The zero value is an empty queue at time 0.
+// eventQueue is the event queue and the clock of a discrete-event simulation. Events are processed in order of time,
+// and events at the same time in the order in which they were scheduled. Processed and cancelled events are reused, so
+// that memory is bounded by the number of events that are pending at once. The zero value is an empty queue at time 0.
 type eventQueue struct {
 	now       time.Duration // simulated time since the start of the run
-	lastOrder uint64        // of what was scheduled last
-	heap      []queuedEvent // a heap with heapArity children each
+	lastOrder uint64        // order number that was given out last
+	heap      []queuedEvent // a heap in which each entry has up to heapArity children
 	free      []*event
-	processed uint64 // events so far
+	processed uint64 // number of events processed so far
 }
 
-// heapArity is the number of children of an entry: a heap of four children is half as deep as a binary one.
+// heapArity is the number of children of a heap entry. With four children per entry the heap is half as deep as a
+// binary heap.
 const heapArity = 4
 
-// queuedEvent is an entry of the heap. It holds the sort keys itself, so that comparing follows no pointer.
+// queuedEvent is an entry of the heap. It contains the sort keys, so that a comparison follows no pointer.
 type queuedEvent struct {
 	at    time.Duration
 	order uint64
 	event *event
 }
 
-// event is what a handler is called with when its time has come.
+// event is a scheduled call of a handler.
 type event struct {
 	handler    eventHandler
 	kind       eventKind
-	generation uint32 // number of times it was used: a timer of an earlier use has no effect
-	index      int    // in the heap
+	generation uint32 // number of earlier uses; a timer of an earlier use has no effect
+	index      int    // position in the heap
 }
 
-// eventHandler handles the events that were scheduled for it. Frequent events go to methods, since a closure for
-// each would be allocated.
+// eventHandler handles the events that were scheduled for it. Frequent events are handled by methods, since a closure
+// for each event would have to be allocated.
 type eventHandler interface{ handleEvent(eventKind) }
 
 // eventKind distinguishes the events of one handler.
@@ -41,18 +42,18 @@
 // onlyEvent is the kind of handlers that have a single kind of event.
 const onlyEvent eventKind = 0
 
-// handlerFunc is a function as an eventHandler.
+// handlerFunc adapts a function to eventHandler.
 type handlerFunc func()
 
 func (f handlerFunc) handleEvent(eventKind) { f() }
 
-// timer refers to a scheduled event. The zero timer refers to none.
+// timer refers to a scheduled event. The zero timer refers to no event.
 type timer struct {
 	event      *event
 	generation uint32
 }
 
-// pending reports whether the event is still to be processed.
+// pending reports whether the event has been neither processed nor cancelled.
 func (t timer) pending() bool { return t.event != nil && t.event.generation == t.generation }
 
 // schedule calls a function after a delay; a negative delay counts as 0.
@@ -60,7 +61,7 @@
 	queue.scheduleEvent(delay, handlerFunc(do), onlyEvent)
 }
 
-// scheduleEvent passes an event to a handler after a delay; a negative delay counts as 0.
+// scheduleEvent calls a handler with an event kind after a delay; a negative delay counts as 0.
 func (queue *eventQueue) scheduleEvent(delay time.Duration, handler eventHandler, kind eventKind) timer {
 	scheduled := queue.newEvent()
 	scheduled.handler, scheduled.kind, scheduled.index = handler, kind, len(queue.heap)
@@ -80,15 +81,15 @@
 	return reused
 }
 
-// cancel removes an event that is still pending.
+// cancel removes an event if it is still pending.
 func (queue *eventQueue) cancel(t timer) {
 	if t.pending() {
 		queue.removeAt(t.event.index)
 	}
 }
 
-// reschedule sets a pending event's delay from now, as if it were scheduled anew. It reports false if the event is
-// no longer pending.
+// reschedule changes the delay of a pending event, counted from now, and orders the event as if it had just been
+// scheduled. It reports false if the event is no longer pending.
 func (queue *eventQueue) reschedule(t timer, delay time.Duration) bool {
 	if !t.pending() {
 		return false
@@ -101,7 +102,8 @@
 	return true
 }
 
-// processNext advances the clock to the next event and handles it. It reports false if there is none up to the end.
+// processNext advances the clock to the next event and handles the event. It reports false if no event is due up to
+// the end.
 func (queue *eventQueue) processNext(end time.Duration) bool {
 	if len(queue.heap) == 0 || queue.heap[0].at > end {
 		return false
@@ -115,7 +117,7 @@
 	return true
 }
 
-// removeAt removes an entry and keeps its event for another use.
+// removeAt removes an entry and keeps its event for reuse.
 func (queue *eventQueue) removeAt(i int) {
 	removed := queue.heap[i].event
 	n := len(queue.heap) - 1
--- a/internal/fleet/event_queue_test.go
+++ b/internal/fleet/event_queue_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// plainEvent is an event in a plain list, with which the event queue is compared.
-type plainEvent struct {
+// listedEvent is an event in an unsorted list, against which the event queue is checked.
+type listedEvent struct {
 	at      time.Duration
 	order   int
 	pending bool
 }
 
-// earliestEvent returns the index of the pending event that is next; -1 if there is none.
-func earliestEvent(list []plainEvent) int {
+// earliestEvent returns the index of the pending event that is due first; -1 if no event is pending.
+func earliestEvent(list []listedEvent) int {
 	earliest := -1
 	for i, event := range list {
 		if event.pending && (earliest < 0 || event.before(list[earliest])) {
@@ -25,12 +25,12 @@
 	return earliest
 }
 
-func (event plainEvent) before(other plainEvent) bool {
+func (event listedEvent) before(other listedEvent) bool {
 	return event.at < other.at || event.at == other.at && event.order < other.order
 }
 
-// changeEvents cancels and reschedules events of the queue and of the list alike.
-func changeEvents(t *testing.T, random *rand.Rand, queue *eventQueue, timers []timer, list []plainEvent) {
+// changeEvents cancels and reschedules random events, the same events in the queue and in the list.
+func changeEvents(t *testing.T, random *rand.Rand, queue *eventQueue, timers []timer, list []listedEvent) {
 	order := len(list)
 	for range 200 {
 		i := random.IntN(len(list))
@@ -40,7 +40,7 @@
 			continue
 		}
 		if queue.reschedule(timers[i], time.Duration(random.IntN(20))) != list[i].pending {
-			t.Fatal("a cancelled event was rescheduled, or a pending one was not")
+			t.Fatal("reschedule: got success for a cancelled event, or failure for a pending event")
 		}
 		if list[i].pending {
 			list[i].at, list[i].order = queue.heap[timers[i].event.index].at, order
@@ -49,16 +49,16 @@
 	}
 }
 
-// Events at one instant are processed in the order in which they were scheduled; one that was cancelled or rescheduled
-// is not processed at its old time.
-func TestOrderOfEvents(t *testing.T) {
+// Events at the same time are processed in the order in which they were scheduled. An event that was cancelled or
+// rescheduled is not processed at its old time.
+func TestEventOrder(t *testing.T) {
 	for seed := range uint64(50) {
 		var queue eventQueue
 		var got, want []int
 		random := randomStream(seed, "order", 0)
-		list, timers := make([]plainEvent, 300), make([]timer, 300)
+		list, timers := make([]listedEvent, 300), make([]timer, 300)
 		for i := range list {
-			list[i] = plainEvent{time.Duration(random.IntN(20)), i, true}
+			list[i] = listedEvent{time.Duration(random.IntN(20)), i, true}
 			processed := func() { got = append(got, i) }
 			timers[i] = queue.scheduleEvent(list[i].at, handlerFunc(processed), onlyEvent)
 		}
@@ -70,7 +70,7 @@
 		for queue.processNext(time.Minute) {
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Fatalf("seed %d: %v, want %v", seed, got, want)
+			t.Fatalf("seed %d: got order %v, want %v", seed, got, want)
 		}
 	}
 }
