--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -4,29 +4,29 @@
 	"mothridge/policy"
 )
 
-// attempt is one send of a submission to a node.
+// attempt is one transmission of a submission to a node.
 type attempt struct {
 	sidecar      *sidecar
 	submission   *submission
 	number       int
 	node         *node
-	incarnation  int // of the node's process that it is for
+	incarnation  int // number of the node's process that the attempt is sent to
 	job          job
-	accepted     bool                 // by its node
-	pool         *connectionPool      // to which its connection belongs; nil: connections are not modelled
-	result       policy.AttemptResult // that is on its way back
+	accepted     bool                 // the node has accepted the attempt
+	pool         *connectionPool      // pool of its connection; nil: connections are not modelled
+	result       policy.AttemptResult // result on its way back to the sidecar
 	ended        bool
 	timeoutTimer timer
 }
 
 // The events of an attempt.
 const (
-	attemptArrives   eventKind = iota // at its node
-	attemptTimesOut                   // for the balancer
-	attemptCancelled                  // by the balancer
-	attemptResponds                   // its result has come back
-	attemptWithdrawn                  // its node learns that no one waits
-	attemptReset                      // its connection is lost
+	attemptArrives   eventKind = iota // the attempt reaches its node
+	attemptTimesOut                   // the timeout that the balancer set expires
+	attemptCancelled                  // the balancer has cancelled the attempt
+	attemptResponds                   // the result reaches the sidecar
+	attemptWithdrawn                  // the node learns that no one waits for the attempt
+	attemptReset                      // the sidecar learns that the connection is lost
 )
 
 func (attempt *attempt) handleEvent(kind eventKind) {
@@ -44,11 +44,11 @@
 		sidecar.endAttempt(attempt, policy.ConnectionReset)
 	case attemptWithdrawn:
 		attempt.node.withdraw(&attempt.job)
-	default: // the kinds of other handlers
+	default: // event kinds of other handlers
 	}
 }
 
-// newAttempt adds an attempt to a submission.
+// newAttempt creates an attempt and adds it to its submission.
 func (submission *submission) newAttempt(node *node) *attempt {
 	created := &submission.firstAttempt
 	if len(submission.attempts) > 0 {
@@ -66,7 +66,8 @@
 	return created
 }
 
-// attemptArrived has the node take the attempt, or sends back why it does not.
+// attemptArrived offers the attempt to its node. If the node does not accept it, the reason is sent back as the
+// attempt's result; a lost request gets no result.
 func (sidecar *sidecar) attemptArrived(attempt *attempt) {
 	node := attempt.node
 	switch {
@@ -74,7 +75,7 @@
 		return
 	case node.down:
 		attempt.result = policy.ConnectionFailed
-	case attempt.incarnation != node.incarnation && attempt.pool != nil: // its connection ended with the process
+	case attempt.incarnation != node.incarnation && attempt.pool != nil: // connection of an earlier process
 		attempt.result = policy.ConnectionReset
 	default:
 		if sidecar.offerToNode(attempt) {
@@ -85,7 +86,7 @@
 	sidecar.scheduleEvent(sidecar.networkDelay(), attempt, attemptResponds)
 }
 
-// offerToNode reports whether the node accepts the attempt.
+// offerToNode offers the attempt to its node and reports whether the node accepts it.
 func (sidecar *sidecar) offerToNode(attempt *attempt) bool {
 	node, submission := attempt.node, attempt.submission
 	attempt.incarnation = node.incarnation
@@ -98,7 +99,7 @@
 	return attempt.accepted
 }
 
-// jobEnded implements jobOwner: the response, or the reset of a lost connection, is on its way back.
+// jobEnded implements jobOwner: it sends back the response, or the reset of a lost connection.
 func (attempt *attempt) jobEnded(ok bool) {
 	sidecar, node := attempt.sidecar, attempt.node
 	switch {
@@ -111,14 +112,14 @@
 	}
 }
 
-// endAttempt ends an attempt that has not ended yet, and completes its submission if it was served.
+// endAttempt ends an attempt that has not ended yet, and completes its submission if the attempt was served.
 func (sidecar *sidecar) endAttempt(attempt *attempt, result policy.AttemptResult) {
 	if attempt.ended {
 		return
 	}
 	submission := attempt.submission
 	if result == policy.Served && attempt.incarnation != attempt.node.incarnation {
-		// The process ended before the response came.
+		// The node's process ended before the response reached the sidecar.
 		result = policy.ConnectionReset
 	}
 	sidecar.closeAttempt(attempt, result)
@@ -129,7 +130,7 @@
 	if result == policy.Served && !wasCompleted {
 		sidecar.serve(submission)
 	}
-	sidecar.forgetIfDone(submission)
+	sidecar.removeIfDone(submission)
 	sidecar.balancer.AttemptEnded(sidecar.clockTime(), policy.AttemptOutcome{
 		ID:        submission.id,
 		Attempt:   attempt.number,
@@ -138,7 +139,7 @@
 	})
 }
 
-// resultTexts are for explanations.
+// resultTexts describes the results of attempts in explanations. Recorded digests include these texts.
 var resultTexts = map[policy.AttemptResult]string{
 	policy.Served:           "is answered",
 	policy.Rejected:         "is turned away",
@@ -157,7 +158,7 @@
 	sidecar.complete(submission)
 }
 
-// abandonAttempt ends an attempt without a response. Its node learns of it later.
+// abandonAttempt ends an attempt without a response. The node learns of this after a network delay.
 func (sidecar *sidecar) abandonAttempt(attempt *attempt, result policy.AttemptResult) {
 	if attempt.ended {
 		return
@@ -166,7 +167,7 @@
 	sidecar.endAttempt(attempt, result)
 }
 
-// discardAttempt ends an attempt together with its sidecar's process: no balancer learns of it.
+// discardAttempt ends an attempt together with its sidecar's process, without a call to a balancer.
 func (sidecar *sidecar) discardAttempt(attempt *attempt) {
 	if attempt.ended {
 		return
@@ -175,7 +176,7 @@
 	sidecar.withdrawFromNode(attempt)
 }
 
-// withdrawFromNode lets the node learn after a network delay that no one waits for the attempt.
+// withdrawFromNode notifies the node, after a network delay, that no one waits for the attempt.
 func (sidecar *sidecar) withdrawFromNode(attempt *attempt) {
 	if attempt.accepted {
 		sidecar.scheduleEvent(sidecar.networkDelay(), attempt, attemptWithdrawn)
--- a/internal/fleet/endpoint_list.go
+++ b/internal/fleet/endpoint_list.go
@@ -13,10 +13,10 @@
 	health policy.Health
 }
 
-// currentHealth returns what a right list says of a node now.
+// currentHealth returns a node's health in an up-to-date list.
 func (sim *simulation) currentHealth(node *node) policy.Health { return sim.healthAt(node, sim.now) }
 
-// healthAt returns what the list said of a node at a time.
+// healthAt returns the health that an up-to-date list gave for a node at the given time.
 func (sim *simulation) healthAt(node *node, at time.Duration) policy.Health {
 	health := policy.Ready
 	for _, change := range sim.healthChanges {
@@ -27,7 +27,8 @@
 	return health
 }
 
-// publishHealth changes a node's health in the list and sends the update to every sidecar, each with its own delay.
+// publishHealth changes a node's health in the list and sends the update to every sidecar, with a separate delay for
+// each.
 func (sim *simulation) publishHealth(node *node, health policy.Health) {
 	sim.healthChanges = append(sim.healthChanges, healthChange{sim.now, node, health})
 	for _, sidecar := range sim.sidecars {
@@ -35,7 +36,7 @@
 	}
 }
 
-// publishList sends a complete list to every sidecar.
+// publishList sends a complete list to every sidecar, with a separate delay for each.
 func (sim *simulation) publishList(healthOf func(*node) policy.Health) {
 	health := make([]policy.Health, len(sim.nodes))
 	for i, node := range sim.nodes {
@@ -46,18 +47,18 @@
 	}
 }
 
-// listDelay draws the delay of an update; in a list outage it counts from the outage's end.
+// listDelay draws the delay of an update. During a list outage the delay counts from the end of the outage.
 func (sim *simulation) listDelay() time.Duration {
 	outage := max(0, sim.listOutageUntil-sim.now)
 	return outage + time.Duration(sim.listRandom.Float64()*float64(sim.scenario.List.MaxDelay))
 }
 
-// cellOf returns the number of the node's cell, whose nodes share their idempotency keys.
+// cellOf returns the number of the node's cell. The nodes of a cell share their idempotency keys.
 func (sim *simulation) cellOf(node *node) int {
 	return node.number / max(1, sim.scenario.List.CellSize)
 }
 
-// processStart returns when the list says that a node's process started, on the balancer's clock; 0 means long ago.
+// processStart returns the start time of a node's process as listed, on the balancer's clock; 0 means long ago.
 func (sim *simulation) processStart(node *node) time.Duration {
 	if node.startedAt == 0 && !node.params.StartsCold {
 		return 0
@@ -65,7 +66,7 @@
 	return epoch + node.startedAt
 }
 
-// publishedHealth returns the health of all nodes by the present list.
+// publishedHealth returns the health of all nodes in the current list.
 func (sidecar *sidecar) publishedHealth() []policy.Health {
 	health := make([]policy.Health, len(sidecar.nodes))
 	for i, node := range sidecar.nodes {
@@ -74,7 +75,7 @@
 	return health
 }
 
-// applyHealth takes an update of one node.
+// applyHealth applies an update of one node. Without a subscription the update is ignored.
 func (sidecar *sidecar) applyHealth(node *node, health policy.Health) {
 	if sidecar.stopped || !sidecar.subscribed {
 		return
@@ -87,7 +88,7 @@
 	sidecar.balancer.EndpointsUpdated(sidecar.clockTime(), policy.DeltaUpdate, update)
 }
 
-// applyList takes a complete list.
+// applyList applies a complete list.
 func (sidecar *sidecar) applyList(health []policy.Health) {
 	if sidecar.stopped {
 		return
@@ -106,10 +107,10 @@
 	sidecar.balancer.EndpointsUpdated(sidecar.clockTime(), policy.FullUpdate, list)
 }
 
-// endpointOf returns a node as an endpoint for the balancer, without the membership module.
+// endpointOf returns a node as an endpoint for the balancer. It is used without the membership module.
 func (sidecar *sidecar) endpointOf(node *node, health policy.Health) policy.Endpoint {
 	id := policy.EndpointID(node.number + 1)
-	sidecar.noteHealth(id, health)
+	sidecar.recordDraining(id, health)
 	return policy.Endpoint{
 		ID:        id,
 		Cell:      sidecar.cellOf(node),
@@ -119,8 +120,8 @@
 	}
 }
 
-// noteHealth records since when the sidecar knows that an endpoint drains or is removed.
-func (sidecar *sidecar) noteHealth(id policy.EndpointID, health policy.Health) {
+// recordDraining records since when the sidecar knows that an endpoint is draining or removed.
+func (sidecar *sidecar) recordDraining(id policy.EndpointID, health policy.Health) {
 	since := &sidecar.endpoints[id-1].drainingSince
 	switch {
 	case health == policy.Ready:
--- a/internal/fleet/endpoint_list_test.go
+++ b/internal/fleet/endpoint_list_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The loss protection of the membership module keeps the nodes that an incomplete list leaves out.
+// The loss protection of the membership module keeps the nodes that an incomplete list omits.
 func TestIncompleteListAndMembership(t *testing.T) {
 	scenario := steadyScenario(10, 0.6)
 	scenario.Faults = []Fault{{Kind: IncompleteList, Start: 10 * time.Second, Duration: 20 * time.Second, NodeShare: 0.8}}
@@ -13,17 +13,18 @@
 	scenario.List.Membership = true
 	protected := mustRun(t, scenario)
 	if direct.ObjectiveShare() > 0.9 || protected.ObjectiveShare() < 0.99 {
-		t.Errorf("objective share %.3f without and %.3f with the membership module",
+		t.Errorf("objective share: got %.3f without membership, want at most 0.9; got %.3f with it, want 0.99",
 			direct.ObjectiveShare(), protected.ObjectiveShare())
 	}
 	scenario.Faults = []Fault{{Kind: Drain, Start: 10 * time.Second, Duration: 20 * time.Second}}
 	if result := mustRun(t, scenario); result.NodeServed[0] > result.NodeServed[1]*8/10 {
-		t.Errorf("a node that drains for a third of the time served %d, another one %d",
+		t.Errorf("node that drains for 1/3 of the time: got %d requests served, want at most 0.8 of a ready node's %d",
 			result.NodeServed[0], result.NodeServed[1])
 	}
 }
 
-// Where the list is watched, sidecars learn of a drain by the watch, and after an outage by a further watch request.
+// If the list has to be watched, sidecars learn of a drain through the watch, and after an outage through a new watch
+// request.
 func TestWatchedList(t *testing.T) {
 	scenario := steadyScenario(4, 0.4)
 	scenario.Duration, scenario.List = 40*time.Second, EndpointList{WatchRequired: true, MaxDelay: 500 * ms}
@@ -36,7 +37,7 @@
 	result := mustRun(t, scenario)
 	early, late, ready := result.NodeServed[0], result.NodeServed[1], result.NodeServed[2]
 	if early*4 > ready || late*3 > ready*2 || early == 0 || result.ObjectiveShare() < 0.95 {
-		t.Errorf("objective share %.3f; nodes that drain from 5.5 s and 20 to 25 s on served %d and %d, another one %d",
+		t.Errorf("objective share %.3f; served: %d when drained at 5.5 s, %d when drained at 20 to 25 s, %d by a ready node",
 			result.ObjectiveShare(), early, late, ready)
 	}
 }
--- a/internal/fleet/fault_injection.go
+++ b/internal/fleet/fault_injection.go
@@ -6,7 +6,7 @@
 	"mothridge/policy"
 )
 
-// injectFault begins a fault and schedules its end.
+// injectFault starts a fault and schedules its end.
 func (sim *simulation) injectFault(fault Fault) {
 	switch fault.Kind {
 	case ListOutage:
@@ -31,14 +31,15 @@
 	}
 }
 
-// scheduleEnd calls a function at the end of a fault that has one.
+// scheduleEnd schedules a function for the end of a fault. A fault without a duration has no end.
 func (sim *simulation) scheduleEnd(fault Fault, end func()) {
 	if fault.Duration > 0 {
 		sim.schedule(fault.Duration, end)
 	}
 }
 
-// affectedNodes returns the node of a fault, or draws its share of the nodes.
+// affectedNodes returns the node of a fault, or draws nodes if the fault has a NodeShare. The name of the random
+// stream determines the drawn nodes, so it must not change.
 func (sim *simulation) affectedNodes(fault Fault) []*node {
 	if fault.NodeShare <= 0 {
 		return []*node{sim.nodes[fault.Node]}
@@ -52,7 +53,7 @@
 	return affected
 }
 
-// beginListOutage holds back all updates; sidecars that watch the list lose the watch.
+// beginListOutage delays all updates until the end of the outage. Sidecars that watch the list lose the watch.
 func (sim *simulation) beginListOutage(fault Fault) {
 	sim.listOutageUntil = sim.now + fault.Duration
 	for _, sidecar := range sim.sidecars {
@@ -76,7 +77,7 @@
 	})
 }
 
-// losePower stops all sidecars and nodes and starts them together at the fault's end.
+// losePower stops all sidecars and nodes and starts them together at the end of the fault.
 func (sim *simulation) losePower(fault Fault) {
 	for _, sidecar := range sim.sidecars {
 		if !sidecar.stopped {
@@ -94,13 +95,13 @@
 		node.restart(true)
 	}
 	for _, sidecar := range sim.sidecars {
-		if sidecar.stopped { // else an overlapping power loss has ended before
+		if sidecar.stopped { // otherwise the end of an overlapping power loss has already restarted the sidecar
 			sidecar.restart()
 		}
 	}
 }
 
-// restartSidecars restarts all sidecars that run.
+// restartSidecars restarts all running sidecars.
 func (sim *simulation) restartSidecars() {
 	for _, sidecar := range sim.sidecars {
 		if !sidecar.stopped {
@@ -110,7 +111,7 @@
 	}
 }
 
-// injectNodeFault begins a fault of one node and schedules its end.
+// injectNodeFault starts a fault of one node and schedules its end.
 func (sim *simulation) injectNodeFault(node *node, fault Fault) {
 	set := func(begin, end func()) {
 		node.change(begin)
@@ -133,11 +134,11 @@
 		sim.scheduleEnd(fault, func() { sim.publishHealth(node, policy.Ready) })
 	case Restart:
 		sim.restartNode(node, fault)
-	default: // not a fault of one node
+	default: // not a fault of a single node
 	}
 }
 
-// alternateStealing switches a StealCPU fault off and on each half period until its end.
+// alternateStealing turns a StealCPU fault off and on again, every half period until the end of the fault.
 func (sim *simulation) alternateStealing(node *node, fault Fault) {
 	if fault.Period <= 0 {
 		return
@@ -159,7 +160,8 @@
 	sim.schedule(fault.Period/2, alternate)
 }
 
-// restartNode restarts a node's process at once, or takes it down for the fault's duration.
+// restartNode restarts a node's process at once if the fault has no duration. Otherwise the node is down for the
+// duration of the fault.
 func (sim *simulation) restartNode(node *node, fault Fault) {
 	start := func() {
 		node.restart(true)
--- a/internal/fleet/fault_injection_test.go
+++ b/internal/fleet/fault_injection_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// faultTest is a fault of all nodes from 5 to 15 s of a run of 20 s, and its effect compared with a run without faults.
+// faultTest injects a fault into all nodes from 5 to 15 s of a run of 20 s, and checks its effect against a run without
+// faults.
 type faultTest struct {
 	name  string
 	fault Fault
@@ -14,7 +15,7 @@
 
 var faultTests = []faultTest{
 	{"hang", Fault{Kind: Hang}, func(result, _ *Result) bool {
-		return result.ObjectiveShare() < 0.7 && servedAgain(result)
+		return result.ObjectiveShare() < 0.7 && recoversAfterFault(result)
 	}},
 	{"responses dropped", Fault{Kind: DropResponses}, func(result, _ *Result) bool {
 		return result.Windows[8].Served == 0 && result.NodeUtilisation[0] > 0.35
@@ -39,32 +40,34 @@
 		return result.Requests > faultless.Requests*14/10 && result.Requests < faultless.Requests*16/10
 	}},
 	{"power loss", Fault{Kind: PowerLoss}, func(result, _ *Result) bool {
-		return result.Lost > 1000 && servedAgain(result)
+		return result.Lost > 1000 && recoversAfterFault(result)
 	}},
 	{"sidecar restart", Fault{Kind: SidecarRestart}, func(result, _ *Result) bool {
 		return result.Lost > 0 && result.Lost < 50
 	}},
 }
 
-// servedAgain reports whether nothing is served in the fault, and requests are after it.
-func servedAgain(result *Result) bool {
+// recoversAfterFault reports whether no request is served during the fault and requests are served after it.
+func recoversAfterFault(result *Result) bool {
 	return result.Windows[8].Served == 0 && result.Windows[19].Served > 50
 }
 
+// Each kind of fault has the expected effect, compared with a run without faults.
 func TestFaults(t *testing.T) {
 	scenario := steadyScenario(4, 0.4)
 	scenario.Policy, scenario.Duration = RoundRobin, 20*time.Second
 	scenario.Clients.MaxSubmissions, scenario.Classes[0].Deadline = 2, 2*time.Second
 	faultless := mustRun(t, scenario)
 	if faultless.ObjectiveShare() != 1 || faultless.Rejected+faultless.Failed+faultless.Lost != 0 {
-		t.Errorf("without faults: %+v", faultless)
+		t.Errorf("without faults: got %+v, want every request served within its objective", faultless)
 	}
 	for _, test := range faultTests {
 		test.fault.Start, test.fault.Duration, test.fault.NodeShare = 5*time.Second, 10*time.Second, 1
 		scenario.Faults = []Fault{test.fault}
 		result := mustRun(t, scenario)
 		if !test.ok(result, faultless) {
-			t.Errorf("%s: %+v, objective share %.3f, mean %.1f ms (without fault: %.1f), windows %+v", test.name, result.Tally,
+			t.Errorf("%s: got %+v, objective share %.3f, mean %.1f ms (without fault: %.1f), window 8: %+v",
+				test.name, result.Tally,
 				result.ObjectiveShare(), result.Latency.Mean()/1e3, faultless.Latency.Mean()/1e3, result.Windows[8])
 		}
 	}
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -7,18 +7,18 @@
 	"mothridge/policy"
 )
 
-// The sidecar is its balancer's host: these methods implement policy.Host.
+// The methods of sidecar in this file implement policy.Host, the host of its balancer.
 
 const (
 	// probeTimeout is how long a probe waits for its response.
 	probeTimeout = 300 * time.Millisecond
-	// watchRequestWithin is how long a sidecar may go without a watch request.
+	// watchRequestWithin is the longest time that a sidecar may let pass without a watch request.
 	watchRequestWithin = 10 * time.Second
-	// watchTimeout is how long a watch request waits in a list outage.
+	// watchTimeout is how long a watch request waits for its response during a list outage.
 	watchTimeout = time.Second
 )
 
-// Send starts an attempt.
+// Send implements policy.Host: it starts an attempt.
 func (sidecar *sidecar) Send(id policy.RequestID, to policy.EndpointID, timeout, _ time.Duration) {
 	submission := sidecar.submissions[id]
 	if submission == nil {
@@ -30,7 +30,7 @@
 	sidecar.checkDrained(id, endpoint)
 	if sidecar.isExplained(submission) {
 		sidecar.explain(submission, "attempt %d goes to node %d%s",
-			attempt.number, endpoint.node.number, endpoint.node.condition())
+			attempt.number, endpoint.node.number, endpoint.node.stateText())
 	}
 	if timeout > 0 {
 		attempt.timeoutTimer = sidecar.scheduleEvent(timeout, attempt, attemptTimesOut)
@@ -38,11 +38,12 @@
 	sidecar.connect(attempt)
 }
 
-// Reject responds to a submission that retrying is harmless; its client may retry.
+// Reject implements policy.Host: the response to the submission says that a retry is safe, and the client may retry.
 func (sidecar *sidecar) Reject(id policy.RequestID, retryAfter time.Duration) {
 	submission := sidecar.submissions[id]
 	if submission == nil || submission.completed {
-		sidecar.reportViolation("rule 1: sidecar %d refuses request %d, which has its answer", sidecar.number, id)
+		sidecar.reportViolation("rule 1: sidecar %d rejects request %d, which already has its response",
+			sidecar.number, id)
 		return
 	}
 	if sidecar.isExplained(submission) {
@@ -60,11 +61,12 @@
 	}
 }
 
-// Fail responds to a submission without a promise about its effect.
+// Fail implements policy.Host: the response to the submission does not say whether the request took effect.
 func (sidecar *sidecar) Fail(id policy.RequestID) {
 	submission := sidecar.submissions[id]
 	if submission == nil || submission.completed {
-		sidecar.reportViolation("rule 1: sidecar %d fails request %d, which has its answer", sidecar.number, id)
+		sidecar.reportViolation("rule 1: sidecar %d fails request %d, which already has its response",
+			sidecar.number, id)
 		return
 	}
 	if sidecar.isExplained(submission) {
@@ -79,7 +81,7 @@
 	}
 }
 
-// Cancel cancels an attempt, after the balancer's present call.
+// Cancel implements policy.Host: it cancels an attempt after the balancer's current call has returned.
 func (sidecar *sidecar) Cancel(id policy.RequestID, number int) {
 	submission := sidecar.submissions[id]
 	if submission != nil && number < len(submission.attempts) {
@@ -87,18 +89,18 @@
 	}
 }
 
-// SetTimer sets the balancer's only timer.
+// SetTimer implements policy.Host: it sets the balancer's only timer.
 func (sidecar *sidecar) SetTimer(delay time.Duration) {
 	if !sidecar.reschedule(sidecar.balancerTimer, delay) {
 		sidecar.balancerTimer = sidecar.scheduleEvent(delay, sidecar, balancerTimerFires)
 	}
 }
 
-// Probe requests a load report, which does not wait in the node's queue.
+// Probe implements policy.Host: it requests a load report from a node. A probe does not wait in the node's queue.
 func (sidecar *sidecar) Probe(to policy.EndpointID) {
 	node := sidecar.endpoints[to-1].node
 	respond := func(delay time.Duration, ok bool, report policy.LoadReport) {
-		sidecar.whileRunning(delay, func() { sidecar.balancer.ProbeCompleted(sidecar.clockTime(), to, ok, report) })
+		sidecar.scheduleWhileRunning(delay, func() { sidecar.balancer.ProbeCompleted(sidecar.clockTime(), to, ok, report) })
 	}
 	sidecar.schedule(sidecar.networkDelay(), func() {
 		if node.unresponsive() {
@@ -109,28 +111,28 @@
 	})
 }
 
-// RequestWatch sends a watch request; it fails in a list outage.
+// RequestWatch implements policy.Host: it sends a watch request, which fails during a list outage.
 func (sidecar *sidecar) RequestWatch() {
 	if sidecar.now < sidecar.listOutageUntil {
-		sidecar.whileRunning(watchTimeout, func() {
+		sidecar.scheduleWhileRunning(watchTimeout, func() {
 			sidecar.balancer.EndpointsUpdated(sidecar.clockTime(), policy.FailedUpdate, nil)
 		})
 		return
 	}
-	sidecar.whileRunning(sidecar.listDelay(), func() {
+	sidecar.scheduleWhileRunning(sidecar.listDelay(), func() {
 		sidecar.subscribed = true
 		sidecar.applyList(sidecar.publishedHealth())
 	})
 }
 
-// unresponsive reports whether nothing comes back from the node.
+// unresponsive reports whether no response comes back from the node.
 func (node *node) unresponsive() bool {
 	unreachable := node.down || node.dropsRequests
 	return unreachable || node.hanging || node.dropsResponses
 }
 
-// condition describes a node's state for an explanation.
-func (node *node) condition() string {
+// stateText describes a node's state for an explanation. Recorded digests include these texts.
+func (node *node) stateText() string {
 	switch {
 	case node.down:
 		return ", which is down"
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -7,7 +7,7 @@
 	"mothridge/policy"
 )
 
-// membershipSource is the only source of the membership module, by its index.
+// membershipSource is the index of the membership module's only source.
 const membershipSource = 0
 
 // applyDelta passes an update of one node through the membership module.
@@ -30,12 +30,14 @@
 	}
 	changes, err := sidecar.membershipSet.ReplaceList(sidecar.clockTime(), membershipSource, "", list)
 	if err != nil {
-		sidecar.reportViolation("sidecar %d does not take the list: %v", sidecar.number, err)
+		sidecar.reportViolation("sidecar %d: the membership module returned an error for the list: %v",
+			sidecar.number, err)
 	}
 	sidecar.applyMembership(changes)
 }
 
-// tickMembership gives the membership module the time, and that its source responds unless there is a list outage.
+// tickMembership passes the current time to the membership module, and tells it that its source responds unless there
+// is a list outage.
 func (sidecar *sidecar) tickMembership() {
 	if sidecar.now >= sidecar.listOutageUntil {
 		sidecar.applyMembership(sidecar.membershipSet.SourceResponded(sidecar.clockTime(), membershipSource))
@@ -43,7 +45,7 @@
 	sidecar.applyMembership(sidecar.membershipSet.Tick(sidecar.clockTime()))
 }
 
-// instanceOf returns a node as a registry lists it. Its address is the node's number.
+// instanceOf returns a node as a registry lists it. The address of the instance is the node's number.
 func (sidecar *sidecar) instanceOf(node *node, health policy.Health) membership.Instance {
 	name := fmt.Sprint("node-", node.number)
 	instance := membership.Instance{
@@ -61,7 +63,7 @@
 	return instance
 }
 
-// healthOfState translates the membership module's states.
+// healthOfState maps the membership module's states to health values of the endpoint list.
 var healthOfState = [...]policy.Health{
 	membership.Removed:  policy.Removed,
 	membership.Draining: policy.Draining,
@@ -83,22 +85,22 @@
 func (sidecar *sidecar) changedEndpoint(change membership.Change) policy.Endpoint {
 	var number int
 	if _, err := fmt.Sscan(change.Addr, &number); err != nil {
-		panic(err) // instanceOf wrote it
+		panic(err) // unreachable: instanceOf wrote the address
 	}
 	node := sidecar.nodes[number]
 	cell := sidecar.cellOf(node)
-	if change.Cell == "" { // it shares its keys with no other: a number that no cell has
+	if change.Cell == "" { // the endpoint shares its keys with no other: use a number that no cell has
 		cell = -1 - len(sidecar.endpoints)
 	}
 	id, health := sidecar.endpointID(change.Key, node), healthOfState[change.State]
-	sidecar.noteHealth(id, health)
+	sidecar.recordDraining(id, health)
 	return policy.Endpoint{ID: id, Cell: cell, Weight: change.Weight, Health: health, StartedAt: change.StartedAt}
 }
 
-// endpointID returns the ID of a membership key, a new one for a new key.
+// endpointID returns the endpoint ID of a membership key. A new key gets a new ID.
 func (sidecar *sidecar) endpointID(key string, node *node) policy.EndpointID {
-	id, known := sidecar.endpointIDs[key]
-	if !known {
+	id, found := sidecar.endpointIDs[key]
+	if !found {
 		sidecar.endpoints = append(sidecar.endpoints, sidecarEndpoint{node: node})
 		id = policy.EndpointID(len(sidecar.endpoints))
 		sidecar.endpointIDs[key] = id
--- a/internal/fleet/node_jobs.go
+++ b/internal/fleet/node_jobs.go
@@ -2,13 +2,14 @@
 
 // job is a request's work at a node.
 type job struct {
-	finishAt float64  // attained service of the node at which it is done
-	order    uint64   // of its arrival; decides between equal finishAt
-	owner    jobOwner // nil: its end matters to no one
-	index    int      // in the heap; -1: it has left the node
+	finishAt float64  // attained service of the node at which the job is done
+	order    uint64   // order of arrival; decides between jobs with equal finishAt
+	owner    jobOwner // notified of the job's end; nil: no one is notified
+	index    int      // position in the heap; -1: the job has left the node
 }
 
-// jobOwner learns that its job has ended: ok if it was completed, false if it was lost with the node's process.
+// jobOwner is notified when its job has ended: ok is true if the job was completed, and false if it was lost with the
+// node's process.
 type jobOwner interface{ jobEnded(ok bool) }
 
 func (job *job) finish(ok bool) {
@@ -17,7 +18,7 @@
 	}
 }
 
-// jobEndedFunc is a function as a jobOwner.
+// jobEndedFunc adapts a function to jobOwner.
 type jobEndedFunc func(ok bool)
 
 func (f jobEndedFunc) jobEnded(ok bool) { f(ok) }
@@ -28,7 +29,7 @@
 // Len implements heap.Interface.
 func (jobs jobHeap) Len() int { return len(jobs) }
 
-// Less implements heap.Interface: the earlier completion first.
+// Less implements heap.Interface: the job with the earlier completion comes first.
 func (jobs jobHeap) Less(i, j int) bool {
 	a, b := jobs[i], jobs[j]
 	return a.finishAt < b.finishAt || a.finishAt == b.finishAt && a.order < b.order
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// meanResponse offers a node Poisson arrivals at a utilisation until so many jobs are done, and returns the mean
-// response time in seconds and the node's measured utilisation.
+// meanResponse offers a node Poisson arrivals at the given utilisation until the given number of jobs is done. It
+// returns the mean response time in seconds and the node's measured utilisation.
 func meanResponse(utilisation, meanWork float64, jobs int, work func(float64) float64) (mean, busy float64) {
 	var events eventQueue
 	server := &node{events: &events, params: NodeParams{Cores: 1, Speed: 1}}
@@ -28,8 +28,8 @@
 	return sum.Seconds() / float64(ended), server.busyCoreSeconds / events.now.Seconds()
 }
 
-// With processor sharing the mean response time is E[S]/(1-rho), whatever the distribution of the work (Kleinrock,
-// Queueing Systems II, 4.4).
+// With processor sharing the mean response time is E[S]/(1-rho) for any distribution of the work (Kleinrock, Queueing
+// Systems II, 4.4).
 func TestNodeIsAProcessorSharingQueue(t *testing.T) {
 	const meanWork, jobs = 0.010, 2_000_000
 	distributions := map[string]func(float64) float64{
@@ -41,16 +41,18 @@
 			mean, busy := meanResponse(utilisation, meanWork, jobs, work)
 			want := meanWork / (1 - utilisation)
 			if off := math.Abs(mean/want - 1); off > 0.01 {
-				t.Errorf("%s at %v: a mean of %.3f ms, want %.3f: %.1f%% off", name, utilisation, mean*1e3, want*1e3, off*100)
+				t.Errorf("%s at utilisation %v: got mean response time %.3f ms, want %.3f ms; off by %.1f%%",
+					name, utilisation, mean*1e3, want*1e3, off*100)
 			}
 			if math.Abs(busy-utilisation) > 0.01 {
-				t.Errorf("%s: utilisation %.3f, want %.3f", name, busy, utilisation)
+				t.Errorf("%s: got utilisation %.3f, want %.3f", name, busy, utilisation)
 			}
 		}
 	}
 }
 
-// An overloaded node collapses, stays so though the load is bearable again, and recovers after it was idle.
+// An overloaded node collapses, stays collapsed after its load has fallen below the limit again, and recovers after it
+// has been idle.
 func TestOverloadCollapse(t *testing.T) {
 	var events eventQueue
 	server := &node{events: &events, params: NodeParams{Cores: 1, Speed: 1, OverloadCollapse: OverloadCollapse{
@@ -59,7 +61,8 @@
 	for range 10 {
 		server.accept(new(job), 0.5)
 	}
-	// Ten times 0.5 s of work: overloaded from 0 on, collapsed after 1 s; the rest takes twice 4 s.
+	// Ten jobs with 0.5 s of work each: the node is overloaded from 0 on and collapses after 1 s; the remaining 4 s of
+	// work take twice as long.
 	for _, want := range []struct {
 		at        time.Duration
 		collapsed bool
@@ -68,14 +71,16 @@
 		}
 		events.now = want.at
 		if server.collapsed != want.collapsed {
-			t.Errorf("at %v: collapsed %v, want %v; it holds %d", want.at, server.collapsed, want.collapsed, len(server.jobs))
+			t.Errorf("at %v: got collapsed %v, want %v; jobs at the node: %d",
+				want.at, server.collapsed, want.collapsed, len(server.jobs))
 		}
 	}
 }
 
-// Thirty sidecars and one node that warms up: in the second that counts each sidecar's share of what it can do is less
-// than one request. They learn of its start by an update, or start themselves and get a list with it.
-func TestWarmUpAmongThirtySidecars(t *testing.T) {
+// Thirty sidecars that each send one request to a node that warms up can overload the node (rule 4): the node's
+// capacity in the second that rule 4 counts is less than one request for each sidecar. The sidecars learn of the
+// node's start through an update, or start together with the node and receive a list that contains it.
+func TestThirtySidecarsDoNotOverloadWarmingNode(t *testing.T) {
 	for name, fault := range map[string]Fault{
 		"the node starts":   {Kind: Restart, Start: 5 * time.Second, Duration: 500 * ms},
 		"all start at once": {Kind: PowerLoss, Start: 5 * time.Second, Duration: 500 * ms},
@@ -85,22 +90,22 @@
 			scenario.Faults = []Fault{fault}
 			result, err := Run(scenario)
 			if err != nil || len(result.Violations) > 0 {
-				t.Errorf("%s, seed %d: %v %q", name, seed, err, result.Violations)
+				t.Errorf("%s, seed %d: got error %v, violations %q; want none", name, seed, err, result.Violations)
 			} else if result.NodeServed[0] == 0 {
-				t.Errorf("%s, seed %d: the node was never used", name, seed)
+				t.Errorf("%s, seed %d: got 0 requests served by the node, want at least 1", name, seed)
 			}
 		}
 	}
 }
 
-// warmUpScenario offers far more than nodes that warm up can take.
+// warmUpScenario returns a scenario that offers far more load than nodes that warm up can process.
 func warmUpScenario(seed uint64) Scenario {
 	scenario := steadyScenario(10, 1.5)
 	scenario.Seed, scenario.Duration, scenario.Sidecars = seed, 20*time.Second, 30
 	scenario.Node = NodeParams{
 		Cores: 2, Speed: 1, InitialSpeedShare: 0.3, WarmUpTime: 8 * time.Second, WarmUpOverloadFactor: 2.5,
 	}
-	scenario.Classes[0].Work, scenario.Classes[0].Deadline = 50*ms, 2*time.Second // 40 a second of each node
+	scenario.Classes[0].Work, scenario.Classes[0].Deadline = 50*ms, 2*time.Second // 40 requests per second and node
 	scenario.Tenants = []Tenant{{Share: 1, Quota: 380}}
 	scenario.List.MaxDelay = 100 * ms
 	return scenario
--- a/internal/fleet/overload_collapse.go
+++ b/internal/fleet/overload_collapse.go
@@ -1,25 +1,25 @@
 package fleet
 
-// watchOverload sets or cancels the timer that takes the node into an overload collapse or out of it: after it has
-// been overloaded, or half idle, without a break for the configured time.
+// watchOverload sets or cancels the timer that starts or ends an overload collapse. The timer fires after the node has
+// been overloaded, or half idle, without interruption for the configured time.
 func (node *node) watchOverload() {
 	params := &node.params.OverloadCollapse
 	if !params.enabled() {
 		return
 	}
-	turns, after := float64(len(node.jobs)) > params.RequestsPerCore*float64(node.params.Cores), params.OnsetTime
+	holds, duration := float64(len(node.jobs)) > params.RequestsPerCore*float64(node.params.Cores), params.OnsetTime
 	if node.collapsed {
-		turns, after = 2*len(node.jobs) <= node.params.Cores, params.RecoveryTime
+		holds, duration = 2*len(node.jobs) <= node.params.Cores, params.RecoveryTime
 	}
 	switch {
-	case !turns:
+	case !holds:
 		node.events.cancel(node.collapseTimer)
 	case !node.collapseTimer.pending():
-		node.collapseTimer = node.events.scheduleEvent(after, node, nodeCollapseTurns)
+		node.collapseTimer = node.events.scheduleEvent(duration, node, nodeCollapseToggles)
 	}
 }
 
-// setCollapsed begins or ends an overload collapse.
+// setCollapsed starts or ends an overload collapse.
 func (node *node) setCollapsed(collapsed bool) {
 	node.change(func() {
 		node.collapsed = collapsed
@@ -27,15 +27,15 @@
 		node.events.cancel(node.collapseEndTimer)
 		if collapsed {
 			node.collapses++
-			node.limitCollapse()
+			node.scheduleCollapseEnd()
 		}
 	})
 }
 
-// limitCollapse schedules the latest end of a collapse.
-func (node *node) limitCollapse() {
+// scheduleCollapseEnd schedules the latest end of a collapse, if the duration of a collapse is bounded.
+func (node *node) scheduleCollapseEnd() {
 	if longest := node.params.OverloadCollapse.MaxDuration; longest > 0 {
-		node.collapseEndTimer = node.events.scheduleEvent(longest, node, nodeCollapseEnds)
+		node.collapseEndTimer = node.events.scheduleEvent(longest, node, nodeCollapseExpires)
 	}
 }
 
--- a/internal/fleet/recorder.go
+++ b/internal/fleet/recorder.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	maxViolations        = 20   // reported with their texts
-	maxExplanationLines  = 500  // of a request
-	maxSamplesPerOutcome = 5    // to explain
-	maxWindows           = 3600 // a longer run has longer windows
-
-	maxLatency             = time.Hour // that the histograms hold
-	maxWindowLatency       = time.Minute
-	latencyDigits          = 3 // significant decimal digits of a histogram
-	windowLatencyDigits    = 2
+	maxViolations        = 20   // violations reported with their texts
+	maxExplanationLines  = 500  // lines in the explanation of a request
+	maxSamplesPerOutcome = 5    // samples of each outcome in a result
+	maxWindows           = 3600 // longer runs have longer windows
+
+	maxLatency             = time.Hour   // largest latency in the histogram of a run
+	maxWindowLatency       = time.Minute // largest latency in the histogram of a window
+	latencyDigits          = 3           // significant decimal digits in the histogram of a run
+	windowLatencyDigits    = 2           // significant decimal digits in the histogram of a window
 	minWindowLatencyMicros = 10
-	quantileMedian         = 50
-	quantileTail           = 99
-	shortestWindow         = time.Second
+	medianPercentile       = 50
+	tailPercentile         = 99
+	minWindowLength        = time.Second
 )
 
-// recorder fills the parts of a result that depend on time.
+// recorder records the parts of a result that depend on time: counts of events, latencies and windows.
 type recorder struct {
 	*simulation
-	windowLatency *hdrhistogram.Histogram // of the present window, µs
-	lastBusy      []float64               // busyCoreSeconds of each node at the window's start
-	window        int
+	windowLatency     *hdrhistogram.Histogram // latencies in the current window, in µs
+	busyAtWindowStart []float64               // busyCoreSeconds of each node at the start of the current window
+	window            int                     // index of the current window
 }
 
 func newRecorder(sim *simulation) *recorder {
@@ -40,25 +40,25 @@
 	for _, tenant := range sim.scenario.Tenants {
 		result.Quotas = append(result.Quotas, tenant.Quota*duration.Seconds())
 	}
-	result.WindowLength = max(shortestWindow, duration/maxWindows)
+	result.WindowLength = max(minWindowLength, duration/maxWindows)
 	result.Windows = make([]Window, int((duration+result.WindowLength-1)/result.WindowLength))
 	created := &recorder{
-		simulation:    sim,
-		windowLatency: hdrhistogram.New(minWindowLatencyMicros, maxWindowLatency.Microseconds(), windowLatencyDigits),
-		lastBusy:      make([]float64, sim.scenario.Nodes),
+		simulation:        sim,
+		windowLatency:     hdrhistogram.New(minWindowLatencyMicros, maxWindowLatency.Microseconds(), windowLatencyDigits),
+		busyAtWindowStart: make([]float64, sim.scenario.Nodes),
 	}
 	sim.scheduleEvent(result.WindowLength, created, onlyEvent)
 	return created
 }
 
-// handleEvent is the end of a window.
+// handleEvent ends the current window.
 func (recorder *recorder) handleEvent(eventKind) {
 	if recorder.window >= len(recorder.result.Windows) {
 		return
 	}
 	window := &recorder.result.Windows[recorder.window]
-	window.P50 = time.Duration(recorder.windowLatency.ValueAtQuantile(quantileMedian)) * time.Microsecond
-	window.P99 = time.Duration(recorder.windowLatency.ValueAtQuantile(quantileTail)) * time.Microsecond
+	window.P50 = time.Duration(recorder.windowLatency.ValueAtQuantile(medianPercentile)) * time.Microsecond
+	window.P99 = time.Duration(recorder.windowLatency.ValueAtQuantile(tailPercentile)) * time.Microsecond
 	recorder.windowLatency.Reset()
 	if recorder.scenario.RecordUtilisation {
 		recorder.result.WindowUtilisation = append(recorder.result.WindowUtilisation, recorder.windowUtilisation())
@@ -72,20 +72,20 @@
 	utilisation := make([]float64, len(recorder.nodes))
 	for i, node := range recorder.nodes {
 		node.advance()
-		busy := node.busyCoreSeconds - recorder.lastBusy[i]
+		busy := node.busyCoreSeconds - recorder.busyAtWindowStart[i]
 		utilisation[i] = busy / recorder.result.WindowLength.Seconds() / float64(node.params.Cores)
-		recorder.lastBusy[i] = node.busyCoreSeconds
+		recorder.busyAtWindowStart[i] = node.busyCoreSeconds
 	}
 	return utilisation
 }
 
-// windowAt returns the window of a time; the last one takes what comes after the end.
+// windowAt returns the window of the given time. Times after the end belong to the last window.
 func (recorder *recorder) windowAt(at time.Duration) *Window {
 	last := len(recorder.result.Windows) - 1
 	return &recorder.result.Windows[min(int(at/recorder.result.WindowLength), last)]
 }
 
-// talliesOf returns the tallies in which a request counts.
+// talliesOf returns the tallies that count a request: of all requests, of its class and of its tenant.
 func (recorder *recorder) talliesOf(request *clientRequest) [3]*Tally {
 	result := &recorder.result
 	return [3]*Tally{&result.Tally, &result.Classes[request.class], &result.Tenants[request.tenant]}
@@ -136,25 +136,27 @@
 
 func (recorder *recorder) recordLatency(latency time.Duration) {
 	micros := latency.Microseconds()
-	// An error says that a value is out of the histogram's range, where a deadline above maxLatency would put it.
+	// RecordValue returns an error if the value is out of the histogram's range. Only a deadline above maxLatency can
+	// lead to such a value.
 	_ = recorder.result.Latency.RecordValue(micros)
 	_ = recorder.windowLatency.RecordValue(min(micros, recorder.windowLatency.HighestTrackableValue()))
 }
 
-// recordSample keeps the first few submissions of an outcome as samples to explain.
+// recordSample keeps the first maxSamplesPerOutcome submissions of an outcome as samples to explain. Recorded digests
+// include the outcomes.
 func (recorder *recorder) recordSample(submission *submission, outcome string, took time.Duration) {
-	known := 0
+	count := 0
 	for _, sample := range recorder.result.Samples {
 		if sample.Outcome == outcome {
-			known++
+			count++
 		}
 	}
-	if known < maxSamplesPerOutcome {
+	if count < maxSamplesPerOutcome {
 		recorder.result.Samples = append(recorder.result.Samples, Sample{submission.id, outcome, took})
 	}
 }
 
-// sortSamples groups the samples by outcome.
+// sortSamples sorts the samples by outcome.
 func (recorder *recorder) sortSamples() {
 	slices.SortStableFunc(recorder.result.Samples, func(a, b Sample) int { return cmp.Compare(a.Outcome, b.Outcome) })
 }
--- a/internal/fleet/result.go
+++ b/internal/fleet/result.go
@@ -10,65 +10,67 @@
 
 // Result is the result of a run.
 type Result struct {
-	// Tally of all requests.
+	// Tally counts all requests.
 	Tally
-	// Submissions of clients, and how they ended; lost are those whose sidecar's process ended.
+	// Submissions is the number of submissions of all clients; Served, Rejected, Failed and Lost count how they ended.
+	// A submission is lost if the process of its sidecar ends.
 	Submissions, Served, Rejected, Failed, Lost uint64
-	// Attempts that reached a node.
+	// Attempts is the number of attempts that reached a node.
 	Attempts uint64
-	// Handshakes of new connections.
+	// Handshakes is the number of handshakes of new connections.
 	Handshakes uint64
-	// OverloadCollapses of all nodes.
+	// OverloadCollapses is the number of overload collapses of all nodes.
 	OverloadCollapses uint64
-	// Events that were processed.
+	// Events is the number of simulation events that were processed.
 	Events uint64
-	// Latency of served requests from their first submission on, in µs.
+	// Latency is a histogram of the latency of served requests from their first submission on, in µs.
 	Latency *hdrhistogram.Histogram
 	// Classes and Tenants are the tallies by class and by tenant.
 	Classes, Tenants []Tally
-	// Quotas are the requests that each tenant's quota admits in the scenario's duration.
+	// Quotas are the numbers of requests that the tenants' quotas admit in the scenario's duration.
 	Quotas []float64
-	// Windows of WindowLength; what happens after the last one counts there.
+	// Windows each cover WindowLength. Events after the end of the last window count in the last window.
 	Windows []Window
 	// WindowLength is 1 s, or more in a run of more than maxWindows seconds.
 	WindowLength time.Duration
-	// NodeServed are the requests that each node completed.
+	// NodeServed is the number of jobs that each node completed, handshakes included.
 	NodeServed []uint64
-	// NodeUtilisation is the share of its cores' time that each node was busy.
+	// NodeUtilisation is the share of the time in which the cores of each node were busy.
 	NodeUtilisation []float64
-	// WindowUtilisation is the same by window and node, if Scenario.RecordUtilisation is set.
+	// WindowUtilisation is the utilisation by window and node. It is empty unless Scenario.RecordUtilisation is set.
 	WindowUtilisation [][]float64
-	// Violations of the rules, the first maxViolations of them.
+	// Violations describes the first maxViolations violations of the rules.
 	Violations []string
-	// Truncated is why the run was ended before its end; empty: it was not.
+	// Truncated is the reason why the run was ended early; empty: the run is complete.
 	Truncated string
-	// Samples of submissions to explain, by outcome.
+	// Samples are submissions that a user may want explained, in order of outcome.
 	Samples []Sample
-	// Explanation of Scenario.ExplainRequest.
+	// Explanation contains the events of Scenario.ExplainRequest.
 	Explanation []ExplanationLine
 }
 
-// Tally counts requests, each with all its submissions.
+// Tally counts requests. A request with several submissions counts once.
 type Tally struct {
-	// Requests that arrived.
+	// Requests is the number of requests that arrived.
 	Requests uint64
-	// MetObjective are those served within the latency objective from their first submission on.
+	// MetObjective is the number of requests served within the latency objective, from their first submission on.
 	MetObjective uint64
-	// Served are those served at any time.
+	// Served is the number of requests served at any time.
 	Served uint64
-	// SubmissionsMetObjective are the submissions served within the objective from their own start on.
+	// SubmissionsMetObjective is the number of submissions served within the objective, from their own start on.
 	SubmissionsMetObjective uint64
 }
 
-// Window counts what happened in a part of the run.
+// Window counts the events in a part of the run.
 type Window struct {
-	// Requests that arrived in it, and those of them that met their latency objective.
+	// Requests counts the requests that arrived in the window, MetObjective those of them that met their latency
+	// objective.
 	Requests, MetObjective uint64
-	// Submissions that ended in it.
+	// Served, Rejected and Failed count the submissions that ended in the window.
 	Served, Rejected, Failed uint64
-	// Attempts is not filled.
+	// Attempts is not recorded and always 0.
 	Attempts uint64
-	// P50 and P99 are quantiles of the latency of what was served in it.
+	// P50 and P99 are quantiles of the latency of the requests served in the window.
 	P50, P99 time.Duration
 }
 
@@ -93,12 +95,12 @@
 	return float64(tally.MetObjective) / float64(tally.Requests)
 }
 
-// worstSpan is the number of windows of which WorstWindowShare takes the share.
-const worstSpan = 10
+// worstShareWindows is the number of consecutive windows for which WorstWindowShare computes an ObjectiveShare.
+const worstShareWindows = 10
 
-// WorstWindowShare returns the least ObjectiveShare of ten windows in a row, or of all if there are fewer.
+// WorstWindowShare returns the lowest ObjectiveShare of ten consecutive windows, or of all windows if there are fewer.
 func (result *Result) WorstWindowShare() float64 {
-	worst, span := 1.0, min(worstSpan, len(result.Windows))
+	worst, span := 1.0, min(worstShareWindows, len(result.Windows))
 	for i := 0; i+span <= len(result.Windows); i++ {
 		var tally Tally
 		for _, window := range result.Windows[i : i+span] {
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// drainGrace is for how long after an update a draining endpoint may still get attempts.
+	// drainGrace is how long after the update a draining endpoint may still get attempts.
 	drainGrace = 2 * time.Second
-	// timeSlack is added to each time limit of a rule.
+	// timeSlack is the tolerance that is added to each time limit of a rule.
 	timeSlack = 50 * time.Millisecond
-	// workEstimateSpan is the time in which offered work fades to 0.
+	// workEstimateSpan is the time in which an estimate of offered work decays to 0.
 	workEstimateSpan = time.Second
-	// warmUpGrace is the time after its start in which a node does not go down.
+	// warmUpGrace is how long after its start a node does not go down under overload.
 	warmUpGrace = time.Second
 )
 
-// reportViolation records that a rule does not hold.
+// reportViolation records a violation of a rule; only the first maxViolations are recorded with their texts.
 func (sim *simulation) reportViolation(format string, args ...any) {
 	sim.violations++
 	if sim.violations <= maxViolations {
@@ -32,19 +32,19 @@
 	result := &sim.result
 	ended := result.Served + result.Rejected + result.Failed + result.Lost
 	if result.Truncated == "" && result.Submissions != ended {
-		sim.reportViolation("%d asked, but %d served, %d refused, %d failed and %d lost",
+		sim.reportViolation("%d submissions, but %d served, %d rejected, %d failed and %d lost",
 			result.Submissions, result.Served, result.Rejected, result.Failed, result.Lost)
 	}
 }
 
-// effect is where and when a request with an idempotency key ran: the nodes of the cell drop its repeats in the
-// deduplication window.
+// effect records where and when a request with an idempotency key ran. The nodes of the cell drop repeats of the
+// request in the deduplication window.
 type effect struct {
 	cell int
 	at   time.Duration
 }
 
-// recordEffect checks rule 2 when a node begins with a request: what is not idempotent takes effect only once.
+// recordEffect checks rule 2 when a node starts a request: a request that is not idempotent takes effect only once.
 func (sidecar *sidecar) recordEffect(submission *submission, node *node) {
 	class := &sidecar.scenario.Classes[submission.class]
 	times := 0
@@ -77,33 +77,33 @@
 	return len(submission.effects)
 }
 
-// checkDrained checks rule 3 when an attempt starts: endpoints that drain or are removed get none.
+// checkDrained checks rule 3 when an attempt starts: a draining or removed endpoint gets no attempts.
 func (sidecar *sidecar) checkDrained(id policy.RequestID, endpoint *sidecarEndpoint) {
 	if since := endpoint.drainingSince; since > 0 && sidecar.now > since+drainGrace+timeSlack {
-		sidecar.reportViolation("rule 3: sidecar %d sends request %d to node %d, %v after it heard that it drains",
+		sidecar.reportViolation("rule 3: sidecar %d sends request %d to node %d, %v after it learned of the drain",
 			sidecar.number, id, endpoint.node.number, sidecar.now-since)
 	}
 }
 
-// workEstimate is the work offered to a node in the last second, decayed linearly.
+// workEstimate is the work offered to a node in the last second, with linear decay.
 type workEstimate struct {
 	work float64
 	at   time.Duration
 }
 
-// add adds work and returns the estimate.
+// add adds work at the given time and returns the new estimate.
 func (estimate *workEstimate) add(now time.Duration, work float64) float64 {
-	passed := (now - estimate.at).Seconds() / workEstimateSpan.Seconds()
-	estimate.work = estimate.work*max(0, 1-passed) + work
+	elapsed := (now - estimate.at).Seconds() / workEstimateSpan.Seconds()
+	estimate.work = estimate.work*max(0, 1-elapsed) + work
 	estimate.at = now
 	return estimate.work
 }
 
-// checkWarmUpOverload checks rule 4 when an attempt reaches a node: while it warms up, a node that is offered too much
-// work goes down.
+// checkWarmUpOverload checks rule 4 when an attempt reaches a node: a node that is offered too much work while it warms
+// up goes down.
 func (sim *simulation) checkWarmUpOverload(node *node, work float64) {
 	offered := sim.offeredWork[node.number].add(sim.now, work)
-	if !node.mayGoDown() {
+	if !node.failsUnderOverload() {
 		return
 	}
 	params, share := &node.params, node.warmUpShare()
@@ -111,12 +111,13 @@
 		return
 	}
 	node.change(func() { node.down = true })
-	sim.reportViolation("rule 4: node %d fell over, cold and offered %.2f of %.2f",
+	sim.reportViolation("rule 4: node %d went down while warming up, at an offered load of %.2f and a capacity of %.2f",
 		node.number, offered, share*params.Speed*float64(params.Cores))
 }
 
-// mayGoDown reports whether overload would take the node down: it warms up, and began to do so a while ago.
-func (node *node) mayGoDown() bool {
+// failsUnderOverload reports whether overload would take the node down: the node is warming up and
+// started more than warmUpGrace ago.
+func (node *node) failsUnderOverload() bool {
 	if node.down || node.hanging || node.params.WarmUpOverloadFactor <= 0 {
 		return false
 	}
--- a/internal/fleet/rules_test.go
+++ b/internal/fleet/rules_test.go
@@ -8,6 +8,8 @@
 	"mothridge/policy"
 )
 
+// Random scenarios with faults violate no rule. The scenarios are a meaningful test only with enough
+// submissions, lost submissions, overload collapses and handshakes in total.
 func TestRandomScenariosViolateNoRule(t *testing.T) {
 	var submissions, lost, collapses, handshakes uint64
 	for seed := range uint64(200) {
@@ -16,7 +18,7 @@
 			t.Fatalf("RandomScenario(%d): %v", seed, err)
 		}
 		if len(result.Violations) > 0 || result.Truncated != "" {
-			t.Errorf("RandomScenario(%d): %s %s\nplay it with: go run ./cmd/fleetsim farm --first %d --seeds 1 --shrink",
+			t.Errorf("seed %d: truncated %s, violations %s\nrun: go run ./cmd/fleetsim farm --first %d --seeds 1 --shrink",
 				seed, result.Truncated, strings.Join(result.Violations, "; "), seed)
 		}
 		submissions += result.Submissions
@@ -25,28 +27,29 @@
 		handshakes += result.Handshakes
 	}
 	if submissions < 100_000 || lost < 100 || collapses < 10 || handshakes < 1000 {
-		t.Errorf("%d submissions, %d lost with their sidecar, %d overload collapses, %d handshakes in all: too few to show much",
+		t.Errorf("got %d submissions, %d lost, %d collapses, %d handshakes; want at least 100000, 100, 10 and 1000",
 			submissions, lost, collapses, handshakes)
 	}
 }
 
-// violations are what a sidecar with one submission, of class 1, has to do for a violation to be reported.
-var violations = map[string]func(*sidecar, *submission){
-	"rule 1: request 1 of sidecar 0 has a second answer": func(sidecar *sidecar, submission *submission) {
+// violationTriggers maps the text of each violation to a function that causes the violation. The function gets a
+// sidecar with one submission, of class 1.
+var violationTriggers = map[string]func(*sidecar, *submission){
+	"rule 1: request 1 of sidecar 0 has a second response": func(sidecar *sidecar, submission *submission) {
 		sidecar.complete(submission)
 		sidecar.complete(submission)
 	},
-	"rule 1: sidecar 0 refuses request 1": func(sidecar *sidecar, submission *submission) {
+	"rule 1: sidecar 0 rejects request 1": func(sidecar *sidecar, submission *submission) {
 		sidecar.Fail(submission.id)
 		sidecar.Reject(submission.id, 0)
 	},
-	"rule 1: request 2 of sidecar 0 has no answer before its deadline": missDeadline,
+	"rule 1: request 2 of sidecar 0 has no response before its deadline": missDeadline,
 	"rule 2: request 1": func(sidecar *sidecar, submission *submission) {
 		sidecar.recordEffect(submission, sidecar.nodes[0])
 		sidecar.recordEffect(submission, sidecar.nodes[0])
 	},
 	"rule 2: request 1 of sidecar 0 may run a second time": func(sidecar *sidecar, submission *submission) {
-		submission.class = 0 // idempotent by key; each node is a cell of its own
+		submission.class = 0 // idempotent by key; each node is its own cell
 		sidecar.recordEffect(submission, sidecar.nodes[0])
 		sidecar.recordEffect(submission, sidecar.nodes[1])
 	},
@@ -54,7 +57,7 @@
 		sidecar.endpoints[0].drainingSince, sidecar.now = time.Second, 4*time.Second
 		sidecar.Send(submission.id, 1, 0, 0)
 	},
-	"rule 4: node 0 fell over": func(sidecar *sidecar, _ *submission) {
+	"rule 4: node 0 went down while warming up": func(sidecar *sidecar, _ *submission) {
 		sidecar.nodes[0].startedAt, sidecar.now = time.Second, 3*time.Second
 		for range 1000 {
 			sidecar.checkWarmUpOverload(sidecar.nodes[0], 0.02)
@@ -62,7 +65,7 @@
 	},
 }
 
-// missDeadline has a second submission wait without any timer that would end it.
+// missDeadline starts a second submission and cancels every timer that would end the submission.
 func missDeadline(sidecar *sidecar, _ *submission) {
 	sidecar.nodes[0].hanging, sidecar.nodes[1].hanging = true, true
 	waiting := sidecar.newSubmission(&clientRequest{class: 1, deadline: time.Second}, 1)
@@ -74,8 +77,9 @@
 	}
 }
 
+// Each violation of a rule is reported when it is caused on purpose.
 func TestViolationsAreReported(t *testing.T) {
-	for text, violate := range violations {
+	for text, violate := range violationTriggers {
 		scenario := RandomScenario(1)
 		scenario.Nodes, scenario.Sidecars = 2, 1
 		scenario.Classes[0].DedupScope = DedupScope(policy.ScopeCell)
@@ -86,12 +90,12 @@
 		submission.id, sidecar.submissions[1] = sidecar.lastID, submission
 		violate(sidecar, submission)
 		if !strings.Contains(strings.Join(sidecar.result.Violations, "\n"), text) {
-			t.Errorf("%q is not reported: %v", text, sidecar.result.Violations)
+			t.Errorf("violation %q is not reported; got %v", text, sidecar.result.Violations)
 		}
 	}
 }
 
-// unsafeRetrier takes a connection reset for proof that nothing ran.
+// unsafeRetrier is a balancer that wrongly treats a connection reset as proof that the request did not run.
 type unsafeRetrier struct{ balancer }
 
 func (retrier *unsafeRetrier) AttemptEnded(now time.Duration, outcome policy.AttemptOutcome) {
@@ -101,8 +105,8 @@
 	retrier.balancer.AttemptEnded(now, outcome)
 }
 
-// A node that restarts between a request's last byte and its response may have run it: a policy that takes this for
-// 'not started' is found out.
+// A node that restarts between a request's last byte and its response may have run the request. A policy that treats
+// such a request as not started violates rule 2, and the violation is reported.
 func TestRetryAfterResetOfStartedRequestIsReported(t *testing.T) {
 	scenario := steadyScenario(4, 0.7)
 	scenario.Classes[0].Idempotency, scenario.Classes[0].Work = Idempotency(policy.NotIdempotent), 200*ms
@@ -113,7 +117,7 @@
 		scenario.Faults = append(scenario.Faults, restart)
 	}
 	if result := mustRun(t, scenario); result.Failed < 20 {
-		t.Errorf("%d requests failed: the restarts hit too few", result.Failed)
+		t.Errorf("got %d failed requests, want at least 20: the restarts affect too few requests", result.Failed)
 	}
 	sim := mustStart(t, scenario)
 	sim.sidecars[0].balancer = &unsafeRetrier{balancer: sim.sidecars[0].balancer}
@@ -123,12 +127,13 @@
 	sim.startArrivals()
 	sim.processEvents()
 	if !strings.Contains(strings.Join(sim.result.Violations, "\n"), "rule 2") {
-		t.Errorf("a retry of what may have run is not reported: %v", sim.result.Violations)
+		t.Errorf("retry of a request that may have run is not reported; got violations %v, want rule 2",
+			sim.result.Violations)
 	}
 }
 
-// A response that is on its way when its node restarts is lost: the request may have run, and fails.
-func TestResponseIsLostWithItsNode(t *testing.T) {
+// A response in transit is lost when its node restarts. The request may have run, so its submission fails.
+func TestResponseIsLostWhenItsNodeRestarts(t *testing.T) {
 	scenario := steadyScenario(1, 0.5)
 	scenario.Classes[0].Idempotency, scenario.Network.Delay = Idempotency(policy.NotIdempotent), 50*ms
 	sim := mustStart(t, scenario)
@@ -139,6 +144,7 @@
 	for sim.openRequests > 0 && sim.processNext(time.Minute) {
 	}
 	if sim.result.Served != 0 || sim.result.Failed != 1 {
-		t.Errorf("%d served and %d failed of one whose node restarted", sim.result.Served, sim.result.Failed)
+		t.Errorf("after the restart of the node: got %d served and %d failed, want 0 and 1",
+			sim.result.Served, sim.result.Failed)
 	}
 }
--- a/internal/fleet/sidecar.go
+++ b/internal/fleet/sidecar.go
@@ -11,11 +11,11 @@
 	"mothridge/quota"
 )
 
-// sidecar is a balancer with the host that carries out its decisions, and its clients.
+// sidecar is a simulated sidecar: a balancer, the host that executes the balancer's decisions, and the clients.
 type sidecar struct {
 	*simulation
 	number        int
-	incarnation   int // number of its process
+	incarnation   int // number of the sidecar's process
 	stopped       bool
 	arrivalRandom *rand.Rand
 
@@ -25,22 +25,22 @@
 	submissions   map[policy.RequestID]*submission
 	pools         []*connectionPool // by node; nil: connections are not modelled
 
-	subscribed    bool            // updates of the endpoint list are pushed, or its watch is open
-	membershipSet *membership.Set // nil: updates go straight to the balancer
+	subscribed    bool            // list updates are pushed, or the watch of the list is open
+	membershipSet *membership.Set // nil: updates go directly to the balancer
 	endpointIDs   map[string]policy.EndpointID
-	endpoints     []sidecarEndpoint // by ID, from 1
+	endpoints     []sidecarEndpoint // by endpoint ID, which counts from 1
 }
 
-// sidecarEndpoint is what a sidecar knows of an endpoint ID that it has given to its balancer.
+// sidecarEndpoint is the state of an endpoint whose ID the sidecar has passed to its balancer.
 type sidecarEndpoint struct {
 	node          *node
-	drainingSince time.Duration // by the updates that have come; 0: ready
+	drainingSince time.Duration // by the updates that the sidecar has received; 0: ready
 }
 
-// membershipTickInterval is how often the membership module gets the time.
+// membershipTickInterval is the interval at which the membership module gets the current time.
 const membershipTickInterval = time.Second
 
-// start starts a process, which knows the endpoint list if that is pushed, and nothing else.
+// start starts a process with empty state. The process gets the endpoint list at once if updates are pushed.
 func (sidecar *sidecar) start() error {
 	sidecar.reset()
 	config := sidecar.scenario.balancerConfig()
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// reset clears what a process holds.
+// reset clears the state of the earlier process.
 func (sidecar *sidecar) reset() {
 	sidecar.submissions = make(map[policy.RequestID]*submission)
 	sidecar.endpointIDs = make(map[string]policy.EndpointID)
@@ -73,7 +73,7 @@
 	}
 }
 
-// startList prepares for the endpoint list: by the membership module, or with an endpoint ID for each node.
+// startList prepares for list updates: it creates the membership module, or without it an endpoint ID for each node.
 func (sidecar *sidecar) startList() error {
 	if !sidecar.scenario.List.Membership {
 		for _, node := range sidecar.nodes {
@@ -86,7 +86,7 @@
 	if err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
-	if sidecar.incarnation == 0 { // restarts leave the ticks as they are
+	if sidecar.incarnation == 0 { // the ticks continue across restarts
 		sidecar.scheduleEvent(membershipTickInterval, sidecar, membershipTick)
 	}
 	return nil
@@ -125,7 +125,7 @@
 	return config
 }
 
-// stop ends the process: the submissions that it held are lost.
+// stop ends the process. Its open submissions are lost.
 func (sidecar *sidecar) stop() {
 	ids := make([]policy.RequestID, 0, len(sidecar.submissions))
 	for id := range sidecar.submissions {
@@ -149,7 +149,7 @@
 	sidecar.cancel(sidecar.balancerTimer)
 }
 
-// restart starts the next process.
+// restart starts the sidecar's next process.
 func (sidecar *sidecar) restart() {
 	sidecar.stopped = false
 	sidecar.incarnation++
@@ -161,8 +161,8 @@
 // clockTime returns the time on the decision module's clock.
 func (sidecar *sidecar) clockTime() time.Duration { return epoch + sidecar.now }
 
-// whileRunning schedules a function that is skipped if the present process has ended by then.
-func (sidecar *sidecar) whileRunning(delay time.Duration, do func()) {
+// scheduleWhileRunning schedules a function that is skipped if the current process has ended by then.
+func (sidecar *sidecar) scheduleWhileRunning(delay time.Duration, do func()) {
 	incarnation := sidecar.incarnation
 	sidecar.schedule(delay, func() {
 		if sidecar.incarnation == incarnation && !sidecar.stopped {
@@ -188,6 +188,6 @@
 			sidecar.tickMembership()
 		}
 		sidecar.scheduleEvent(membershipTickInterval, sidecar, membershipTick)
-	default: // the kinds of other handlers
+	default: // event kinds of other handlers
 	}
 }
--- a/internal/fleet/simulation.go
+++ b/internal/fleet/simulation.go
@@ -8,17 +8,17 @@
 	"mothridge/policy"
 )
 
-// epoch is the time at which a run begins on the decision module's clock, where 0 means long ago.
+// epoch is the start of a run on the decision module's clock, on which 0 means long ago.
 const epoch = time.Hour
 
-// noEnd is the end of a run that goes on until no event is left.
+// noEnd is the end time for processing events until no event is left.
 const noEnd time.Duration = 1 << 62
 
 // simulation is the state of a run.
 type simulation struct {
 	eventQueue
 	scenario    *Scenario
-	arrivalRate float64 // new requests a second, without daily variation and bursts
+	arrivalRate float64 // new requests per second, without daily variation and bursts
 	nodes       []*node
 	sidecars    []*sidecar
 
@@ -30,24 +30,24 @@
 	offeredWork     []workEstimate // by node
 	healthChanges   []healthChange // in order of time
 	listOutageUntil time.Duration
-	rateFactors     []float64 // on each tenant's arrival rate
+	rateFactors     []float64 // current factor on each tenant's arrival rate
 
-	lastID       policy.RequestID // of a submission
-	explainedID  policy.RequestID // first submission of the request to explain
-	openRequests int              // that clients wait for
+	lastID       policy.RequestID // ID of the latest submission
+	explainedID  policy.RequestID // first submission of the request to explain; 0: none
+	openRequests int              // submissions that are not complete, scheduled retries included
 	result       Result
 	violations   int
 	recorder     *recorder
-	plan         *[]PlannedArrival // if set, arrivals are recorded there and not simulated
+	plan         *[]PlannedArrival // if not nil, arrivals are recorded here and not simulated
 }
 
-// Run simulates a scenario. The error says what is wrong with the scenario; violations of the rules are in the result.
+// Run simulates a scenario. It returns an error if the scenario is invalid; violations of the rules are in the result.
 func Run(scenario Scenario) (*Result, error) {
 	sim, err := simulate(scenario)
 	if err != nil || scenario.ExplainRequest == 0 || sim.explainedID == scenario.ExplainRequest {
 		return &sim.result, err
 	}
-	scenario.ExplainRequest = sim.explainedID // it was a client retry: explain the request from its first submission on
+	scenario.ExplainRequest = sim.explainedID // it is a client retry: explain the request from its first submission on
 	sim, err = simulate(scenario)
 	return &sim.result, err
 }
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// processEvents runs the simulation until the last request is complete.
+// processEvents runs the simulation until the last request is complete. It truncates the run after MaxEvents.
 func (sim *simulation) processEvents() {
 	for {
 		switch {
@@ -126,7 +126,7 @@
 	return time.Duration(sim.networkRandom.ExpFloat64() * float64(sim.scenario.Network.Delay))
 }
 
-// finishResult completes the result after the last event.
+// finishResult computes the totals of the result after the last event.
 func (sim *simulation) finishResult() {
 	result := &sim.result
 	for _, node := range sim.nodes {
@@ -141,8 +141,8 @@
 	sim.recorder.sortSamples()
 }
 
-// isExplained reports whether a submission's events are explained. It is called before explain, since formatting
-// costs more than the event itself.
+// isExplained reports whether a submission's events are explained. Callers check it before they call explain, since
+// formatting the arguments costs more than the event itself.
 func (sim *simulation) isExplained(submission *submission) bool {
 	if sim.explainedID == 0 || submission == nil {
 		return false
@@ -150,7 +150,7 @@
 	return submission.firstID == sim.explainedID || submission.id == sim.explainedID
 }
 
-// explain adds a line to the explanation.
+// explain adds a line to the explanation. Recorded digests include the texts of the lines.
 func (sim *simulation) explain(submission *submission, format string, args ...any) {
 	sim.explainedID = submission.firstID
 	if len(sim.result.Explanation) >= maxExplanationLines {
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-var longRun = flag.Bool("long", false, "also process 10^8 events")
+var longRun = flag.Bool("long", false, "process 10^8 events in the memory test")
 
-// The same scenario gives the same result, whatever runs beside it.
+// A scenario gives the same result in concurrent runs, and another seed gives another result.
 func TestSameSeedSameResult(t *testing.T) {
 	run := func(seed uint64) *Result {
 		result, err := Run(RandomScenario(seed))
@@ -29,7 +29,7 @@
 		first := <-results
 		for range 3 {
 			if result := <-results; !reflect.DeepEqual(result, first) {
-				t.Errorf("seed %d: %+v and %+v", seed, result, first)
+				t.Errorf("seed %d: got different results of two runs: %+v and %+v", seed, result, first)
 			}
 		}
 	}
@@ -38,16 +38,17 @@
 	}
 }
 
+// A run that would not end is truncated after MaxEvents, and the result says so.
 func TestEndlessRunIsTruncated(t *testing.T) {
 	scenario := RandomScenario(3)
 	scenario.Duration, scenario.MaxEvents, scenario.Faults = 1000*time.Hour, 5000, nil
 	result, err := Run(scenario)
 	if err != nil || result.Events != 5000 || !strings.Contains(result.Truncated, "after 5000 events") {
-		t.Errorf("%+v, %v", result, err)
+		t.Errorf("got result %+v, error %v; want the run truncated after 5000 events", result, err)
 	}
 }
 
-// heapAfter returns the bytes on the heap after so many events of a run.
+// heapAfter returns the size of the heap in bytes after the given number of events of a run.
 func heapAfter(t *testing.T, events uint64) uint64 {
 	scenario := RandomScenario(5)
 	scenario.Duration, scenario.MaxEvents, scenario.Faults = 10000*time.Hour, events, nil
@@ -62,20 +63,22 @@
 	return memory.HeapAlloc
 }
 
-// Memory depends on what is in progress and not on what has been: with -long after 10^8 events.
-func TestMemoryDoesNotGrow(t *testing.T) {
+// Memory depends on the pending events and open requests, not on the number of events processed so far. With -long
+// the run has 10^8 events.
+func TestMemoryIsBoundedByPendingWork(t *testing.T) {
 	events := uint64(2_000_000)
 	if *longRun {
 		events = 100_000_000
 	}
 	early, late := heapAfter(t, events/10), heapAfter(t, events)
 	if late > early+early/4+1<<20 {
-		t.Errorf("%d KiB after %d events, %d KiB after %d", early>>10, events/10, late>>10, events)
+		t.Errorf("heap: got %d KiB after %d events, %d KiB after %d; want at most 1/4 + 1 MiB more",
+			early>>10, events/10, late>>10, events)
 	}
-	t.Logf("%d KiB after %d events, %d KiB after %d", early>>10, events/10, late>>10, events)
+	t.Logf("heap: %d KiB after %d events, %d KiB after %d", early>>10, events/10, late>>10, events)
 }
 
-// A request is explained from its first submission on, also by the number of a client retry.
+// The explanation of a request begins with its first submission, also if the number of a client retry is given.
 func TestExplanation(t *testing.T) {
 	scenario := steadyScenario(2, 0.8)
 	scenario.Duration, scenario.Clients = 10*time.Second, Clients{MaxSubmissions: 3, RetryBackoff: 20 * ms}
@@ -83,21 +86,23 @@
 	scenario.Policy, scenario.Faults = RoundRobin, []Fault{{Kind: Hang, Duration: 3 * time.Second, NodeShare: 1}}
 	result := mustRun(t, scenario)
 	if len(result.Samples) == 0 {
-		t.Fatal("no sample is worth explaining")
+		t.Fatal("got no sample to explain, want at least one")
 	}
 	scenario.ExplainRequest = result.Samples[0].ID
 	explanation := mustRun(t, scenario).Explanation
 	text := fmt.Sprint(explanation)
 	number := fmt.Sprintf("request %d", scenario.ExplainRequest)
 	if len(explanation) < 4 || !strings.Contains(explanation[0].Text, "try 1") {
-		t.Errorf("request %d is explained by %v", scenario.ExplainRequest, explanation)
+		t.Errorf("request %d: got explanation %v, want at least 4 lines from the first try on",
+			scenario.ExplainRequest, explanation)
 	}
 	if !strings.Contains(text, "which hangs") || !strings.Contains(text, number) {
-		t.Errorf("request %d is explained by %v", scenario.ExplainRequest, explanation)
+		t.Errorf("request %d: got explanation %v, want the node that hangs and the request's number",
+			scenario.ExplainRequest, explanation)
 	}
 }
 
-// BenchmarkRun runs fleets of several sizes; events/s are of one core.
+// BenchmarkRun runs fleets of several sizes. It reports the events per second of one core.
 func BenchmarkRun(b *testing.B) {
 	for _, size := range []struct {
 		sidecars, nodes int
--- a/internal/fleet/submission.go
+++ b/internal/fleet/submission.go
@@ -7,31 +7,31 @@
 	"mothridge/quota"
 )
 
-// clientRequest is a client's request with all its submissions.
+// clientRequest is a client's request, which all its submissions share.
 type clientRequest struct {
-	firstID       policy.RequestID // of the first submission
+	firstID       policy.RequestID // ID of the first submission
 	class         int              // index into Scenario.Classes
 	tenant        int              // index into Scenario.Tenants
-	work          float64          // seconds of a core of speed 1
+	work          float64          // seconds on a core of speed 1
 	arrivedAt     time.Duration
 	deadline      time.Duration // when the client gives up
-	unsafeEffects int           // how often a request that is not idempotent may have run
+	unsafeEffects int           // number of times that a request that is not idempotent may have run
 }
 
-// submission is one sending of a request to its sidecar: the first, or a client retry.
+// submission is one transmission of a request to its sidecar: the first one, or a client retry.
 type submission struct {
 	*clientRequest
 	sidecar       *sidecar
 	id            policy.RequestID
-	number        int // from 1
+	number        int // counts from 1
 	submittedAt   time.Duration
-	completed     bool // it has its response, or is lost
+	completed     bool // the submission has its response, or is lost
 	deadlineTimer timer
-	receipt       *quota.Receipt // of what it took of its quota; nil: nothing
-	effects       []effect       // where and when it ran, if it has a key: counted for each submission
+	receipt       *quota.Receipt // of the quota charge; nil: no charge
+	effects       []effect       // effects of a request with an idempotency key, counted separately for each submission
 	attempts      []*attempt
 
-	// Nearly every submission has one attempt, which is allocated with it.
+	// Nearly every submission has one attempt, which is allocated together with the submission.
 	firstAttempt   attempt
 	attemptStorage [1]*attempt
 }
@@ -42,7 +42,7 @@
 	return created
 }
 
-// beginRequest begins a request with its first submission. Work of 0 is drawn.
+// beginRequest starts a request with its first submission. If work is 0, the work is drawn from the class.
 func (sidecar *sidecar) beginRequest(request *clientRequest, work time.Duration) {
 	class := &sidecar.scenario.Classes[request.class]
 	request.arrivedAt, request.deadline = sidecar.now, sidecar.now+class.Deadline
@@ -59,7 +59,7 @@
 	sidecar.submit(sidecar.newSubmission(request, 1))
 }
 
-// submit passes a submission to the quotas and the balancer.
+// submit passes a submission to the quotas and, if they admit it, to the balancer.
 func (sidecar *sidecar) submit(submission *submission) {
 	sidecar.lastID++
 	submission.id, submission.submittedAt = sidecar.lastID, sidecar.now
@@ -90,30 +90,31 @@
 	})
 }
 
-// handleEvent is the end of the time in which a submission must have its response (rule 1).
+// handleEvent reports a violation of rule 1: the submission has no response at the end of its time.
 func (submission *submission) handleEvent(eventKind) {
 	sidecar := submission.sidecar
-	sidecar.reportViolation("rule 1: request %d of sidecar %d has no answer before its deadline",
+	sidecar.reportViolation("rule 1: request %d of sidecar %d has no response before its deadline",
 		submission.id, sidecar.number)
 	sidecar.result.Failed++
 	sidecar.complete(submission)
 	sidecar.balancer.ClientDisconnected(sidecar.clockTime(), submission.id)
 }
 
-// complete gives a submission its one response.
+// complete marks a submission as completed. A second call for it is a violation of rule 1.
 func (sidecar *sidecar) complete(submission *submission) {
 	if submission.completed {
-		sidecar.reportViolation("rule 1: request %d of sidecar %d has a second answer", submission.id, sidecar.number)
+		sidecar.reportViolation("rule 1: request %d of sidecar %d has a second response",
+			submission.id, sidecar.number)
 		return
 	}
 	submission.completed = true
 	sidecar.openRequests--
 	sidecar.cancel(submission.deadlineTimer)
-	sidecar.forgetIfDone(submission)
+	sidecar.removeIfDone(submission)
 }
 
-// forgetIfDone releases a submission that is complete and has no attempt in flight.
-func (sidecar *sidecar) forgetIfDone(submission *submission) {
+// removeIfDone removes a submission that is complete and has no attempt in flight.
+func (sidecar *sidecar) removeIfDone(submission *submission) {
 	if !submission.completed {
 		return
 	}
@@ -125,7 +126,7 @@
 	delete(sidecar.submissions, submission.id)
 }
 
-// loseSubmission ends a submission whose sidecar's process has ended.
+// loseSubmission ends a submission whose sidecar's process has ended. The client retries an idempotent request.
 func (sidecar *sidecar) loseSubmission(submission *submission) {
 	sidecar.result.Lost++
 	sidecar.complete(submission)
