--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -17,10 +17,11 @@
 	"mothridge/internal/lab"
 )
 
-// laboratory is the folder of the scenario files.
-const laboratory = "../../lab"
+// scenarioFolder is the folder of the scenario files.
+const scenarioFolder = "../../lab"
 
-// addValue adds all exported fields of a value in their order, so that renaming a field leaves the digest as it is.
+// addValue adds all exported fields of a value in their order but not their names, so that renaming a field does not
+// change the digest.
 func addValue(digest golden.Digest, value reflect.Value) {
 	if histogram, ok := value.Interface().(*hdrhistogram.Histogram); ok {
 		for i, count := range histogram.Export().Counts {
@@ -51,7 +52,7 @@
 	case reflect.Bool:
 		digest.Text('b', fmt.Sprint(value.Bool()))
 	default:
-		panic(fmt.Sprintf("a %v is not digested", value.Type()))
+		panic(fmt.Sprintf("values of type %v cannot be digested", value.Type()))
 	}
 }
 
@@ -63,8 +64,8 @@
 	return digest
 }
 
-// recordRun runs a scenario, and again with its last sample explained, and returns a line with
-// the main counters and a digest of both complete results.
+// recordRun runs a scenario, and runs it again with its last sample explained. It returns a line with the main counters
+// and a digest of both complete results.
 func recordRun(t *testing.T, name string, scenario fleet.Scenario) string {
 	t.Helper()
 	scenario.RecordUtilisation = true
@@ -83,9 +84,9 @@
 		result.Events, len(explained.Explanation), digestOf(*result, *explained))
 }
 
-func load(t *testing.T, file string, settings ...string) fleet.Scenario {
+func loadScenario(t *testing.T, file string, settings ...string) fleet.Scenario {
 	t.Helper()
-	scenario, err := lab.LoadScenario(filepath.Join(laboratory, file), settings...)
+	scenario, err := lab.LoadScenario(filepath.Join(scenarioFolder, file), settings...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +94,8 @@
 	return scenario
 }
 
-// goldenSettings replace settings of the site's scenario: SETTING=VALUE, parted by semicolons.
+// goldenSettings replace settings of the site's scenario. Each entry contains SETTING=VALUE pairs, separated by
+// semicolons.
 var goldenSettings = []string{
 	"policy=random", "policy=random;retries=naive", "policy=round-robin", "policy=two-choices;retries=budget", "policy=peak-ewma",
 	"policy=peak-ewma;retries=naive", "policy=bulkhead", "policy=bulkhead;retries=budget;load=1.2", "load=1.3", "probes=true;load=0.9",
@@ -111,27 +113,28 @@
 	`daily={period="5s",swing=0.4};skew=1.1`, `node.choke={above=1.5,after="300ms",times=3.0,rest="500ms",longest="4s"};load=1.0`, "most_events=20000",
 }
 
+// The scenario files give exactly the recorded results, so that a change of the simulation cannot go unnoticed.
 func TestScenarioFilesGiveTheRecordedResults(t *testing.T) {
 	var lines strings.Builder
-	files, err := filepath.Glob(laboratory + "/validity/*.toml")
+	files, err := filepath.Glob(scenarioFolder + "/validity/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%q, %v", files, err)
+		t.Fatalf("scenario files: got %q, error %v", files, err)
 	}
 	for _, path := range files {
 		file := "validity/" + filepath.Base(path)
-		lines.WriteString(recordRun(t, file, load(t, file)))
+		lines.WriteString(recordRun(t, file, loadScenario(t, file)))
 	}
 	for _, settings := range []string{"policy=random;retries=naive", "policy=two-choices;retries=budget", "policy=mothridge"} {
-		lines.WriteString(recordRun(t, settings, load(t, "study/storm-base.toml", strings.Split(settings, ";")...)))
+		lines.WriteString(recordRun(t, settings, loadScenario(t, "study/storm-base.toml", strings.Split(settings, ";")...)))
 	}
 	for _, settings := range goldenSettings {
 		list := append([]string{`duration="10s"`}, strings.Split(settings, ";")...)
-		lines.WriteString(recordRun(t, settings, load(t, "site.toml", list...)))
+		lines.WriteString(recordRun(t, settings, loadScenario(t, "site.toml", list...)))
 	}
 	golden.Check(t, "scenarios", lines.String())
 }
 
-// The files that the scenarios are written as are digested with the results: their keys stay.
+// The digests include the scenario files that are written, so that a changed key of a scenario file is found, too.
 func TestSmallScenariosGiveTheRecordedResults(t *testing.T) {
 	var lines strings.Builder
 	for seed := range uint64(150) {
@@ -150,8 +153,8 @@
 	golden.Check(t, "small", lines.String())
 }
 
-// recordSingle drives one node by drawn requests and faults, and digests what it answers and when.
-func recordSingle(seed uint64) golden.Digest {
+// recordSingleNode sends random requests and faults to one node, and returns a digest of its results and their times.
+func recordSingleNode(seed uint64) golden.Digest {
 	digest, rng := golden.NewDigest(), rand.New(rand.NewPCG(seed, 3))
 	node := fleet.NewSingleNode(fleet.NodeParams{
 		Cores: 2, Speed: 1.5, MaxRequests: 12, InitialSpeedShare: 0.3, WarmUpTime: 2 * time.Second, WarmUpOverloadFactor: 2, StartsCold: seed%2 == 0,
@@ -163,8 +166,8 @@
 		now += time.Duration(rng.ExpFloat64() * 15 * float64(time.Millisecond))
 		next, due := node.Advance(now)
 		digest.Text('a', fmt.Sprint(next, due))
-		taken := node.Submit(time.Duration(rng.ExpFloat64()*40*float64(time.Millisecond)), func(ok bool) { digest.Text('d', fmt.Sprint(i, ok)) })
-		digest.Text('t', fmt.Sprint(taken))
+		accepted := node.Submit(time.Duration(rng.ExpFloat64()*40*float64(time.Millisecond)), func(ok bool) { digest.Text('d', fmt.Sprint(i, ok)) })
+		digest.Text('t', fmt.Sprint(accepted))
 		switch fault := faults[rng.IntN(3)]; rng.IntN(60) {
 		case 0:
 			node.BeginFault(fault)
@@ -175,19 +178,20 @@
 	return digest
 }
 
+// A single node and the trials of the discovery service give exactly the recorded results.
 func TestTrialsGiveTheRecordedResults(t *testing.T) {
 	var lines strings.Builder
 	for seed := range uint64(6) {
-		fmt.Fprintf(&lines, "single %d: %v\n", seed, recordSingle(seed))
+		fmt.Fprintf(&lines, "single %d: %v\n", seed, recordSingleNode(seed))
 	}
-	for _, rejectAfter := range []time.Duration{0, 2 * time.Second} {
+	for _, maxWait := range []time.Duration{0, 2 * time.Second} {
 		for _, rule := range []fleet.DiscoveryRule{fleet.FixedTimeout, fleet.HedgedCalls} {
-			for _, held := range []bool{false, true} {
+			for _, hasList := range []bool{false, true} {
 				trial := fleet.DiscoveryTrial{
-					Sidecars: 300, ServiceTime: 66 * time.Millisecond, MaxWait: rejectAfter, HasList: held, Rule: rule,
+					Sidecars: 300, ServiceTime: 66 * time.Millisecond, MaxWait: maxWait, HasList: hasList, Rule: rule,
 					StartSpread: 200 * time.Millisecond, Seed: 1, MaxCalls: 3000,
 				}
-				fmt.Fprintf(&lines, "rejected after %v, %s, %v: %v\n", rejectAfter, rule, held, digestOf(trial.Run()))
+				fmt.Fprintf(&lines, "rejected after %v, %s, %v: %v\n", maxWait, rule, hasList, digestOf(trial.Run()))
 			}
 		}
 	}
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleet/helpers_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// steadyScenario is one class of idempotent requests to nodes of one core, and nothing else.
+// steadyScenario returns a scenario with one class of idempotent requests and nodes of one core, without faults.
 func steadyScenario(nodes int, load float64) Scenario {
 	return Scenario{
 		Seed:        1,
@@ -22,17 +22,18 @@
 	}
 }
 
-// mustRun runs a scenario that must violate no rule.
+// mustRun runs a scenario. It ends the test after an error, a violation of a rule or a truncated run.
 func mustRun(t *testing.T, scenario Scenario) *Result {
 	t.Helper()
 	result, err := Run(scenario)
 	if err != nil || len(result.Violations) > 0 || result.Truncated != "" {
-		t.Fatalf("seed %d: %v %q %s", scenario.Seed, err, result.Violations, result.Truncated)
+		t.Fatalf("seed %d: got error %v, violations %q, truncated %s; want none",
+			scenario.Seed, err, result.Violations, result.Truncated)
 	}
 	return result
 }
 
-// mustStart returns a simulation before its first arrival.
+// mustStart returns a simulation in its state before the first arrival.
 func mustStart(t *testing.T, scenario Scenario) *simulation {
 	t.Helper()
 	sim, err := newSimulation(&scenario)
@@ -42,7 +43,7 @@
 	return sim
 }
 
-// objectiveShare is that of all requests that arrived in some windows.
+// objectiveShare returns the share of the requests arrived in the windows that met their latency objective.
 func objectiveShare(windows []Window) float64 {
 	var tally Tally
 	for _, window := range windows {
