--- a/interop/eureka.go
+++ b/interop/eureka.go
@@ -16,133 +16,144 @@
 	"mothridge/internal/peers"
 )
 
-func fargoJSON(ctx context.Context, w *world, t *tally) error { return registered(ctx, w, t, true) }
+func runFargoJSON(ctx context.Context, env *environment, t *tally) error {
+	return runRegistryClient(ctx, env, t, true)
+}
 
-func fargoXML(ctx context.Context, w *world, t *tally) error { return registered(ctx, w, t, false) }
+func runFargoXML(ctx context.Context, env *environment, t *tally) error {
+	return runRegistryClient(ctx, env, t, false)
+}
 
-// drainWithin is how long after the news of a drain a node may still be sent something.
-const drainWithin = 2 * time.Second
+// maxDrainDelay is how long after the sidecar has read that a node is out of service it may
+// still send requests to the node.
+const maxDrainDelay = 2 * time.Second
 
-// registered lets a node come and go by a registry client of other people while
-// the sidecar, which follows the registry, is under load.
-func registered(ctx context.Context, w *world, t *tally, asJSON bool) error {
+// runRegistryClient registers, drains and deregisters a node with another author's
+// registry client while the sidecar, which reads the registry, is under load.
+func runRegistryClient(ctx context.Context, env *environment, t *tally, asJSON bool) error {
 	logging.SetLevel(logging.ERROR, "fargo")
-	e := fargo.NewConn(w.registry.URL())
-	e.UseJson = asJSON
-	e.Timeout = 5 * time.Second
-	node := w.nodes[2]
+	conn := fargo.NewConn(env.registry.URL())
+	conn.UseJson = asJSON
+	conn.Timeout = 5 * time.Second
+	node := env.nodes[2]
 	if !asJSON {
-		node = w.nodes[3]
+		node = env.nodes[3]
 	}
 	host, port, _ := net.SplitHostPort(node.Addr())
-	number, _ := strconv.Atoi(port)
+	portNumber, _ := strconv.Atoi(port)
 	instance := &fargo.Instance{
 		InstanceId: node.Name, HostName: host, App: "RECORDS", IPAddr: host, VipAddress: "records", SecureVipAddress: "records-safe",
-		Status: fargo.UP, Port: number, PortEnabled: true, DataCenterInfo: fargo.DataCenterInfo{Name: fargo.MyOwn}, CountryId: 1,
+		Status: fargo.UP, Port: portNumber, PortEnabled: true, DataCenterInfo: fargo.DataCenterInfo{Name: fargo.MyOwn}, CountryId: 1,
 		LeaseInfo: fargo.LeaseInfo{RenewalIntervalInSecs: 30, DurationInSecs: 90}, UniqueID: func(i fargo.Instance) string { return i.InstanceId },
 	}
-	load, over := context.WithCancel(ctx)
+	loadCtx, stopLoad := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	wg.Go(func() { together(4, 1, func(int, int) { ask(load, w, t) }) })
-	defer func() { over(); wg.Wait() }()
+	wg.Go(func() { runWorkers(4, 1, func(int, int) { sendUntilDone(loadCtx, env, t) }) })
+	defer func() { stopLoad(); wg.Wait() }()
 
 	steps := []struct {
 		name string
-		do   func() error
+		run  func() error
 	}{
-		{"register", func() error { return e.RegisterInstance(instance) }},
-		{"be sent something", func() error {
-			return wait(ctx, func() bool { return len(w.ledger.AttemptTimes(node.Name)) > 0 })
+		{"register", func() error { return conn.RegisterInstance(instance) }},
+		{"receive a request", func() error {
+			return waitUntil(ctx, func() bool { return len(env.ledger.AttemptTimes(node.Name)) > 0 })
 		}},
-		{"heartbeat", func() error { return e.HeartBeatInstance(instance) }},
-		{"list the apps", func() error {
-			apps, err := e.GetApps()
-			return firstOf(err, must(err != nil || apps["RECORDS"] != nil, "no RECORDS among %v", apps))
+		{"heartbeat", func() error { return conn.HeartBeatInstance(instance) }},
+		{"list all applications", func() error {
+			apps, err := conn.GetApps()
+			return firstError(err, errorUnless(err != nil || apps["RECORDS"] != nil, "got applications %v, want RECORDS among them", apps))
 		}},
-		{"list the app", func() error { return listed(&e, instance, fargo.UP) }},
+		{"list the application", func() error { return checkListed(&conn, instance, fargo.UP) }},
 		{"list by VIP", func() error {
-			all, err := e.GetInstancesByVIPAddress("records", false)
-			safe, err2 := e.GetInstancesByVIPAddress("records-safe", true)
-			return firstOf(err, err2, must(len(all) == 1 && len(safe) == 1, "%d and %d by their VIPs", len(all), len(safe)))
+			instances, err := conn.GetInstancesByVIPAddress("records", false)
+			secure, err2 := conn.GetInstancesByVIPAddress("records-safe", true)
+			return firstError(err, err2, errorUnless(len(instances) == 1 && len(secure) == 1,
+				"got %d instances by VIP and %d by secure VIP, want 1 each", len(instances), len(secure)))
 		}},
 		{"set metadata", func() error {
-			if err := e.AddMetadataString(instance, "zone", "a"); err != nil {
+			if err := conn.AddMetadataString(instance, "zone", "a"); err != nil {
 				return err
 			}
-			got, err := e.GetInstance("RECORDS", node.Name)
+			got, err := conn.GetInstance("RECORDS", node.Name)
 			if err != nil {
 				return err
 			}
 			zone, err := got.Metadata.GetString("zone")
-			return firstOf(err, must(zone == "a", "zone is %q", zone))
+			return firstError(err, errorUnless(zone == "a", "got zone %q, want a", zone))
 		}},
 		{"go out of service", func() error {
-			if err := e.UpdateInstanceStatus(instance, fargo.OUTOFSERVICE); err != nil {
+			if err := conn.UpdateInstanceStatus(instance, fargo.OUTOFSERVICE); err != nil {
 				return err
 			}
-			told := time.Now()
-			if err := listed(&e, instance, fargo.OUTOFSERVICE); err != nil {
+			drainedAt := time.Now()
+			if err := checkListed(&conn, instance, fargo.OUTOFSERVICE); err != nil {
 				return err
 			}
-			time.Sleep(drainWithin + time.Second) // a poll, 2 s, and a while in which nothing may come
+			// The sidecar's next poll, the 2 s in which requests are allowed, and a period in which they are not.
+			time.Sleep(maxDrainDelay + time.Second)
 			late := 0
-			for _, at := range w.ledger.AttemptTimes(node.Name) {
-				if at.Sub(told) > drainWithin+200*time.Millisecond { // it polls every 100 ms or so
+			for _, at := range env.ledger.AttemptTimes(node.Name) {
+				if at.Sub(drainedAt) > maxDrainDelay+200*time.Millisecond { // the sidecar polls about every 100 ms
 					late++
 				}
 			}
-			return must(late == 0, "%d requests reached it over 2 s after the sidecar heard", late)
+			return errorUnless(late == 0, "the node received %d requests more than 2 s after the sidecar read its status", late)
 		}},
-		{"come back", func() error {
-			before := len(w.ledger.AttemptTimes(node.Name))
-			return firstOf(e.UpdateInstanceStatus(instance, fargo.UP), wait(ctx, func() bool { return len(w.ledger.AttemptTimes(node.Name)) > before }))
+		{"return to service", func() error {
+			before := len(env.ledger.AttemptTimes(node.Name))
+			return firstError(conn.UpdateInstanceStatus(instance, fargo.UP),
+				waitUntil(ctx, func() bool { return len(env.ledger.AttemptTimes(node.Name)) > before }))
 		}},
-		{"outlive the registry's silence", func() error {
-			w.registry.SetFault(peers.NoResponse)
+		{"survive a registry that does not respond", func() error {
+			env.registry.SetFault(peers.NoResponse)
 			time.Sleep(500 * time.Millisecond)
-			w.registry.SetFault(peers.NoFault)
+			env.registry.SetFault(peers.NoFault)
 			return nil
 		}},
-		{"be evicted and told to register anew", func() error {
-			w.registry.SetLeaseDuration(time.Nanosecond)
-			err := e.HeartBeatInstance(instance)
-			w.registry.SetLeaseDuration(0)
-			return firstOf(must(err != nil, "its heartbeat was taken"), e.RegisterInstance(instance))
+		{"be evicted and register again", func() error {
+			env.registry.SetLeaseDuration(time.Nanosecond)
+			err := conn.HeartBeatInstance(instance)
+			env.registry.SetLeaseDuration(0)
+			return firstError(errorUnless(err != nil, "the registry accepted a heartbeat after the lease expired, want an error"),
+				conn.RegisterInstance(instance))
 		}},
-		{"deregister", func() error { return e.DeregisterInstance(instance) }},
-		{"be gone", func() error {
-			_, err := e.GetInstance("RECORDS", node.Name)
-			return must(err != nil, "it is still there")
+		{"deregister", func() error { return conn.DeregisterInstance(instance) }},
+		{"be absent from the registry", func() error {
+			_, err := conn.GetInstance("RECORDS", node.Name)
+			return errorUnless(err != nil, "the registry still has the instance")
 		}},
 	}
-	for _, s := range steps {
-		if err := s.do(); err != nil {
-			return fmt.Errorf("%s: %w", s.name, err)
+	for _, step := range steps {
+		if err := step.run(); err != nil {
+			return fmt.Errorf("%s: %w", step.name, err)
 		}
 	}
-	return t.want(served, "served", 1000)
+	return t.requireAtLeast(served, "served", 1000)
 }
 
-// listed sees that the app has the instance alone, in that status.
-func listed(e *fargo.EurekaConnection, i *fargo.Instance, status fargo.StatusType) error {
-	app, err := e.GetApp("RECORDS")
+// checkListed returns an error unless the instance is the application's only one and has the status.
+func checkListed(conn *fargo.EurekaConnection, instance *fargo.Instance, status fargo.StatusType) error {
+	app, err := conn.GetApp("RECORDS")
 	if err != nil {
 		return err
 	}
-	if len(app.Instances) != 1 || app.Instances[0].HostName != i.HostName || app.Instances[0].Port != i.Port || app.Instances[0].Status != status {
-		return fmt.Errorf("RECORDS holds %+v", app.Instances)
+	if len(app.Instances) != 1 || app.Instances[0].HostName != instance.HostName || app.Instances[0].Port != instance.Port ||
+		app.Instances[0].Status != status {
+		return fmt.Errorf("RECORDS has unexpected instances: %+v", app.Instances)
 	}
 	return nil
 }
 
-// ask asks over HTTP until the context ends.
-func ask(ctx context.Context, w *world, t *tally) {
+// sendUntilDone sends HTTP requests one after another until the context ends. It waits
+// for the response to the last one.
+func sendUntilDone(ctx context.Context, env *environment, t *tally) {
 	client := &http.Client{Transport: new(http.Transport)}
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		t.add(asked)
-		id := w.id()
-		req, err := http.NewRequest("POST", "http://"+w.http+"/api", nil) // goes on to its end, whatever the context
+		t.add(sent)
+		id := env.newRequestID()
+		req, err := http.NewRequest("POST", "http://"+env.httpAddr+"/api", nil) // without ctx: the request completes even if ctx ends
 		if err != nil {
 			t.add(lost)
 			return
@@ -161,15 +172,15 @@
 			t.add(lost)
 			continue
 		}
-		t.add(outcome(resp.StatusCode, resp.Header.Get("Retry-After"), string(body), id))
+		t.add(httpOutcome(resp.StatusCode, resp.Header.Get("Retry-After"), string(body), id))
 	}
 }
 
-// wait waits until something holds.
-func wait(ctx context.Context, is func() bool) error {
-	for end := time.Now().Add(10 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+// waitUntil polls a condition until it is true. It returns an error after 10 s or when ctx ends.
+func waitUntil(ctx context.Context, condition func() bool) error {
+	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) || ctx.Err() != nil {
-			return fmt.Errorf("waited in vain")
+			return fmt.Errorf("the condition was not met within 10 s or before the context ended")
 		}
 	}
 	return nil
--- a/interop/main.go
+++ b/interop/main.go
@@ -1,11 +1,11 @@
-// Interop puts clients and libraries that others wrote against the real program,
-// started as a process of its own among the project's stand-ins, and counts what
-// came of each request. It is a module of its own, so that the program depends on
-// none of them.
+// Interop tests clients and libraries of other authors against the real sidecar,
+// which runs as a separate process with the project's stand-ins as its nodes and
+// registry. It counts the outcome of each request. Interop is a separate module so
+// that the sidecar depends on none of these clients.
 //
 //	cd interop && go run .
 //
-// It ends with 1 where a count or a rule is not what it should be.
+// The exit code is 1 if a count or a check is wrong.
 package main
 
 import (
@@ -18,20 +18,20 @@
 	"time"
 )
 
-// scenario is one client or library.
+// scenario is the test of one client or library.
 type scenario struct {
 	name string
-	run  func(ctx context.Context, w *world, t *tally) error
+	run  func(ctx context.Context, env *environment, t *tally) error
 }
 
-var scenarios = []scenario{
-	{"net/http", netHTTP},
-	{"fasthttp", fastHTTP},
-	{"net/rpc with ugorji/go/codec, errors as texts", ugorji},
-	{"vmihailenco/msgpack, errors as maps", vmihailencoMaps},
-	{"vmihailenco/msgpack, errors as texts", vmihailencoTexts},
-	{"hudl/fargo, JSON", fargoJSON},
-	{"hudl/fargo, XML", fargoXML},
+var clientScenarios = []scenario{
+	{"net/http", runNetHTTP},
+	{"fasthttp", runFastHTTP},
+	{"net/rpc with ugorji/go/codec, errors as texts", runUgorji},
+	{"vmihailenco/msgpack, errors as maps", runVmihailencoMaps},
+	{"vmihailenco/msgpack, errors as texts", runVmihailencoTexts},
+	{"hudl/fargo, JSON", runFargoJSON},
+	{"hudl/fargo, XML", runFargoXML},
 }
 
 func main() {
@@ -50,40 +50,41 @@
 	}
 }
 
-// run plays every scenario against one sidecar and prints a table.
+// run runs all scenarios against one sidecar and prints a table of their counts.
 func run(ctx context.Context) (passed, failed int, err error) {
-	w, err := startWorld(ctx)
+	env, err := startEnvironment(ctx)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer w.close()
+	defer env.close()
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "client\tasked\tserved\trefused\tfailed\trejected\tabandoned\tlost\tseconds")
-	var wrong []string
-	for _, s := range scenarios {
+	fmt.Fprintln(table, "client\tsent\tserved\trefused\tfailed\trejected\tabandoned\tlost\tseconds")
+	var failures []string
+	for _, s := range clientScenarios {
 		t := new(tally)
-		began := time.Now()
-		err := s.run(ctx, w, t)
+		startedAt := time.Now()
+		err := s.run(ctx, env, t)
 		if err == nil {
 			err = t.check()
 		}
 		if err == nil {
-			err = w.doubled()
+			err = env.checkExecutedOnce()
 		}
-		c := t.counts()
+		totals := t.counts()
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\n",
-			s.name, c[asked], c[served], c[refused], c[failedOnce], c[rejected], c[abandoned], c[lost], time.Since(began).Seconds())
+			s.name, totals[sent], totals[served], totals[refused], totals[requestFailed], totals[rejected], totals[abandoned], totals[lost],
+			time.Since(startedAt).Seconds())
 		if passed++; err != nil {
 			passed--
 			failed++
-			wrong = append(wrong, fmt.Sprintf("%s: %v", s.name, err))
+			failures = append(failures, fmt.Sprintf("%s: %v", s.name, err))
 		}
 	}
 	table.Flush()
-	for _, line := range wrong {
+	for _, line := range failures {
 		fmt.Println(line)
 	}
-	if err := w.stop(); err != nil {
+	if err := env.stop(); err != nil {
 		return passed, failed, err
 	}
 	return passed, failed, nil
--- a/interop/overhttp.go
+++ b/interop/overhttp.go
@@ -12,41 +12,42 @@
 	"github.com/valyala/fasthttp"
 )
 
-// classes take turns.
+// classes are the request classes of the sidecar's configuration, with the requests that
+// clients send. The workers alternate between them.
 var classes = []struct{ name, method, body string }{{"read", "GET", ""}, {"entry", "POST", `{"kg":21}`}}
 
 const (
-	workers = 8
-	each    = 500
+	workers           = 8
+	requestsPerWorker = 500
 )
 
-// outcome is what an HTTP answer means.
-func outcome(status int, retryAfter, body, id string) ending {
+// httpOutcome returns the outcome that an HTTP response to the request with this id stands for.
+func httpOutcome(status int, retryAfter, body, id string) outcome {
 	switch {
 	case status == 200 && body == "for "+id:
 		return served
 	case (status == 429 || status == 503) && retryAfter != "":
 		return refused
 	case status == 502 || status == 504:
-		return failedOnce
+		return requestFailed
 	case status >= 400 && status < 500 && body != "":
 		return rejected
 	}
 	return lost
 }
 
-// netHTTP asks by the standard library's client: served ones, too many at once,
-// abandoned ones and wrong ones.
-func netHTTP(ctx context.Context, w *world, t *tally) error {
+// runNetHTTP uses the standard library's client. It sends requests that are served, too
+// many slow requests at once, requests that it abandons and requests without a required header.
+func runNetHTTP(ctx context.Context, env *environment, t *tally) error {
 	transport := &http.Transport{MaxIdleConnsPerHost: 200}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
-	ask := func(ctx context.Context, id string, class int, change func(http.Header)) {
-		t.add(asked)
+	send := func(ctx context.Context, id string, class int, changeHeader func(http.Header)) {
+		t.add(sent)
 		c := classes[class]
-		req, err := http.NewRequestWithContext(ctx, c.method, "http://"+w.http+"/api", strings.NewReader(c.body))
+		req, err := http.NewRequestWithContext(ctx, c.method, "http://"+env.httpAddr+"/api", strings.NewReader(c.body))
 		if c.body == "" {
-			req, err = http.NewRequestWithContext(ctx, c.method, "http://"+w.http+"/api", nil)
+			req, err = http.NewRequestWithContext(ctx, c.method, "http://"+env.httpAddr+"/api", nil)
 		}
 		if err != nil {
 			t.add(lost)
@@ -55,15 +56,15 @@
 		req.Header.Set("Request-Id", id)
 		req.Header.Set("Request-Class", c.name)
 		req.Header.Set("Request-Timeout", "1.5")
-		if change != nil {
-			change(req.Header)
+		if changeHeader != nil {
+			changeHeader(req.Header)
 		}
 		resp, err := client.Do(req)
 		if err != nil {
 			if ctx.Err() != nil {
 				t.add(abandoned)
 			} else {
-				t.lose(err)
+				t.addLost(err)
 			}
 			return
 		}
@@ -73,54 +74,58 @@
 			t.add(lost)
 			return
 		}
-		t.add(outcome(resp.StatusCode, resp.Header.Get("Retry-After"), string(body), id))
+		t.add(httpOutcome(resp.StatusCode, resp.Header.Get("Retry-After"), string(body), id))
 	}
-	together(workers, each, func(_, i int) { ask(ctx, w.id(), i%2, nil) })
-	together(200, 1, func(int, int) { ask(ctx, slow+w.id(), 0, nil) })
-	together(workers, 10, func(int, int) {
-		left, leave := context.WithTimeout(ctx, 50*time.Millisecond)
-		defer leave()
-		ask(left, slow+w.id(), 1, nil)
+	runWorkers(workers, requestsPerWorker, func(_, i int) { send(ctx, env.newRequestID(), i%2, nil) })
+	runWorkers(200, 1, func(int, int) { send(ctx, slowPrefix+env.newRequestID(), 0, nil) })
+	runWorkers(workers, 10, func(int, int) {
+		requestCtx, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
+		defer cancel()
+		send(requestCtx, slowPrefix+env.newRequestID(), 1, nil)
 	})
 	for _, name := range []string{"Request-Id", "Request-Class", "Request-Timeout"} {
-		ask(ctx, w.id(), 0, func(h http.Header) { h.Del(name) })
+		send(ctx, env.newRequestID(), 0, func(h http.Header) { h.Del(name) })
 	}
-	return firstOf(t.want(served, "served", workers*each), t.want(refused, "refused", 1), t.want(abandoned, "abandoned", workers*10), t.want(rejected, "rejected", 3))
+	return firstError(
+		t.requireAtLeast(served, "served", workers*requestsPerWorker),
+		t.requireAtLeast(refused, "refused", 1),
+		t.requireAtLeast(abandoned, "abandoned", workers*10),
+		t.requireAtLeast(rejected, "rejected", 3))
 }
 
-// fastHTTP asks by a client that is not the standard library's.
-func fastHTTP(_ context.Context, w *world, t *tally) error {
-	// It tries again where a kept connection was closed before a byte came back, as
-	// the protocol asks of clients: the sidecar closes what is idle.
+// runFastHTTP uses an HTTP client that is not based on the standard library's.
+func runFastHTTP(_ context.Context, env *environment, t *tally) error {
+	// The client retries a request if its reused connection was closed before the first
+	// byte of the response, as HTTP expects of clients: the sidecar closes idle connections.
 	client := &fasthttp.Client{MaxConnsPerHost: 300}
 	defer client.CloseIdleConnections()
-	ask := func(id string, class int) {
-		t.add(asked)
+	send := func(id string, class int) {
+		t.add(sent)
 		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseRequest(req)
 		defer fasthttp.ReleaseResponse(resp)
 		c := classes[class]
-		req.SetRequestURI("http://" + w.http + "/api")
+		req.SetRequestURI("http://" + env.httpAddr + "/api")
 		req.Header.SetMethod(c.method)
 		req.Header.Set("Request-Id", id)
 		req.Header.Set("Request-Class", c.name)
 		req.Header.Set("Request-Timeout", "1.5")
 		req.SetBodyString(c.body)
 		if err := client.Do(req, resp); err != nil {
-			t.lose(err)
+			t.addLost(err)
 			return
 		}
-		t.add(outcome(resp.StatusCode(), string(resp.Header.Peek("Retry-After")), string(resp.Body()), id))
+		t.add(httpOutcome(resp.StatusCode(), string(resp.Header.Peek("Retry-After")), string(resp.Body()), id))
 	}
-	together(workers, each, func(_, i int) { ask(w.id(), i%2) })
-	together(200, 1, func(int, int) { ask(slow+w.id(), 0) })
-	return firstOf(t.want(served, "served", workers*each), t.want(refused, "refused", 1))
+	runWorkers(workers, requestsPerWorker, func(_, i int) { send(env.newRequestID(), i%2) })
+	runWorkers(200, 1, func(int, int) { send(slowPrefix+env.newRequestID(), 0) })
+	return firstError(t.requireAtLeast(served, "served", workers*requestsPerWorker), t.requireAtLeast(refused, "refused", 1))
 }
 
-// together calls f n times by each of so many workers.
-func together(workers, n int, f func(worker, i int)) {
+// runWorkers calls f n times in each of workerCount goroutines and waits for all of them.
+func runWorkers(workerCount, n int, f func(worker, i int)) {
 	var wg sync.WaitGroup
-	for worker := range workers {
+	for worker := range workerCount {
 		wg.Go(func() {
 			for i := range n {
 				f(worker, i)
@@ -130,7 +135,7 @@
 	wg.Wait()
 }
 
-func firstOf(errs ...error) error {
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -139,9 +144,9 @@
 	return nil
 }
 
-// must makes an error of what is not so.
-func must(is bool, format string, args ...any) error {
-	if is {
+// errorUnless returns an error with the formatted text if ok is false.
+func errorUnless(ok bool, format string, args ...any) error {
+	if ok {
 		return nil
 	}
 	return fmt.Errorf(format, args...)
--- a/interop/overrpc.go
+++ b/interop/overrpc.go
@@ -15,29 +15,29 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// params are a call's.
-func params(id string, class int) map[string]any {
-	p := map[string]any{"id": id, "class": classes[class].name, "left_ms": 1500}
+// callParams returns the parameters of a call of the method "call". The class is an index into classes.
+func callParams(id string, class int) map[string]any {
+	params := map[string]any{"id": id, "class": classes[class].name, "left_ms": 1500}
 	if body := classes[class].body; body != "" {
-		p["body"] = []byte(body)
+		params["body"] = []byte(body)
 	}
-	return p
+	return params
 }
 
-// result is a good answer.
+// result is the result of a successful call.
 type result struct {
 	Body []byte `codec:"body" msgpack:"body"`
 }
 
-// ofText is what an error as a text means.
-func ofText(s string) ending {
-	kind, _, _ := strings.Cut(s, ":")
+// rpcErrorOutcome returns the outcome that the text of a MessagePack-RPC error stands for.
+func rpcErrorOutcome(text string) outcome {
+	kind, _, _ := strings.Cut(text, ":")
 	kind, pause, _ := strings.Cut(kind, " ")
 	switch {
 	case kind == "refused" && strings.HasPrefix(pause, "pause_ms="):
 		return refused
 	case kind == "failed" || kind == "timeout":
-		return failedOnce
+		return requestFailed
 	case kind == "rejected":
 		return rejected
 	case kind == "cancelled":
@@ -46,79 +46,84 @@
 	return lost
 }
 
-// ugorji asks by the standard library's RPC client over a codec that reads no
-// error but a text: interleaved, refused, rejected, and abandoned by closing.
-func ugorji(ctx context.Context, w *world, t *tally) error {
+// runUgorji uses the standard library's RPC client over a codec that can decode an error
+// only if it is a text. Its calls are interleaved on a connection; some are refused, one is
+// rejected, and some are abandoned by closing their connection.
+func runUgorji(ctx context.Context, env *environment, t *tally) error {
 	dial := func() (*rpc.Client, error) {
-		nc, err := new(net.Dialer).DialContext(ctx, "tcp", w.texts)
+		conn, err := new(net.Dialer).DialContext(ctx, "tcp", env.textErrorsAddr)
 		if err != nil {
 			return nil, err
 		}
-		h := new(codec.MsgpackHandle)
-		h.WriteExt = true // bytes as bytes, not as texts
-		return rpc.NewClientWithCodec(codec.MsgpackSpecRpc.ClientCodec(nc, h)), nil
+		handle := new(codec.MsgpackHandle)
+		handle.WriteExt = true // encodes bytes as bin, not as str
+		return rpc.NewClientWithCodec(codec.MsgpackSpecRpc.ClientCodec(conn, handle)), nil
 	}
 	client, err := dial()
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	ended := func(err error, r *result, id string) ending {
-		var told rpc.ServerError
+	outcomeOf := func(err error, r *result, id string) outcome {
+		var serverError rpc.ServerError
 		switch {
 		case err == nil && string(r.Body) == "for "+id:
 			return served
-		case errors.As(err, &told):
-			return ofText(string(told))
+		case errors.As(err, &serverError):
+			return rpcErrorOutcome(string(serverError))
 		}
 		return lost
 	}
-	ask := func(id string, class int) {
-		t.add(asked)
+	call := func(id string, class int) {
+		t.add(sent)
 		var r result
-		t.add(ended(client.Call("call", params(id, class), &r), &r, id))
+		t.add(outcomeOf(client.Call("call", callParams(id, class), &r), &r, id))
 	}
 	var ready bool
 	if err := client.Call("ready", codec.MsgpackSpecRpcMultiArgs{}, &ready); err != nil || !ready {
-		return fmt.Errorf("ready: %v, %w", ready, err)
+		return fmt.Errorf("ready returned %v, want true: %w", ready, err)
 	}
-	together(workers, each, func(_, i int) { ask(w.id(), i%2) })
-	together(200, 1, func(int, int) { ask(slow+w.id(), 0) })
-	t.add(asked)
+	runWorkers(workers, requestsPerWorker, func(_, i int) { call(env.newRequestID(), i%2) })
+	runWorkers(200, 1, func(int, int) { call(slowPrefix+env.newRequestID(), 0) })
+	t.add(sent)
 	var r result
-	t.add(ended(client.Call("call", map[string]any{"id": "x", "class": "none", "left_ms": 100}, &r), &r, "x"))
-	ask(w.id(), 0) // the connection has outlived refusals and a rejection
-	leaving, err := dial()
+	t.add(outcomeOf(client.Call("call", map[string]any{"id": "x", "class": "none", "left_ms": 100}, &r), &r, "x"))
+	call(env.newRequestID(), 0) // the connection must still work after refused and rejected calls
+	abandoningClient, err := dial()
 	if err != nil {
 		return err
 	}
 	var calls []*rpc.Call
 	for range 20 {
-		t.add(asked)
-		calls = append(calls, leaving.Go("call", params(slow+w.id(), 1), new(result), nil))
+		t.add(sent)
+		calls = append(calls, abandoningClient.Go("call", callParams(slowPrefix+env.newRequestID(), 1), new(result), nil))
 	}
 	time.Sleep(30 * time.Millisecond)
-	leaving.Close()
+	abandoningClient.Close()
 	for _, c := range calls {
-		var told rpc.ServerError
-		if <-c.Done; c.Error == nil || errors.As(c.Error, &told) {
-			t.add(lost) // answered after 30 ms, though its node takes ten times that
+		var serverError rpc.ServerError
+		if <-c.Done; c.Error == nil || errors.As(c.Error, &serverError) {
+			t.add(lost) // the sidecar responded within 30 ms, although the node takes ten times as long
 		} else {
 			t.add(abandoned)
 		}
 	}
-	return firstOf(t.want(served, "served", workers*each+1), t.want(refused, "refused", 1), t.want(rejected, "rejected", 1), t.want(abandoned, "abandoned", 20))
+	return firstError(
+		t.requireAtLeast(served, "served", workers*requestsPerWorker+1),
+		t.requireAtLeast(refused, "refused", 1),
+		t.requireAtLeast(rejected, "rejected", 1),
+		t.requireAtLeast(abandoned, "abandoned", 20))
 }
 
-func vmihailencoMaps(ctx context.Context, w *world, t *tally) error {
-	return vmihailenco(ctx, w.maps, w, t)
+func runVmihailencoMaps(ctx context.Context, env *environment, t *tally) error {
+	return runVmihailenco(ctx, env.mapErrorsAddr, env, t)
 }
 
-func vmihailencoTexts(ctx context.Context, w *world, t *tally) error {
-	return vmihailenco(ctx, w.texts, w, t)
+func runVmihailencoTexts(ctx context.Context, env *environment, t *tally) error {
+	return runVmihailenco(ctx, env.textErrorsAddr, env, t)
 }
 
-// response is one, as the codec reads it: an error is any object.
+// response is a MessagePack-RPC response as the codec decodes it. Error may be of any type.
 type response struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Kind     int
@@ -127,43 +132,45 @@
 	Result   *result
 }
 
-// rpcClient is a client over a codec alone; its loop is the specification's.
+// rpcClient is a MessagePack-RPC client over a codec that has no client of its own. It
+// matches responses to calls as the MessagePack-RPC specification defines. It is safe for
+// concurrent use; one goroutine has to run readResponses.
 type rpcClient struct {
-	nc  net.Conn
-	mu  sync.Mutex
-	enc *msgpack.Encoder
-	out *bufio.Writer
+	conn    net.Conn
+	mu      sync.Mutex // guards the fields below
+	encoder *msgpack.Encoder
+	writer  *bufio.Writer
 
-	last uint32
-	open map[uint32]chan *response
+	lastID  uint32
+	pending map[uint32]chan *response // by message id; nil after the connection has ended
 }
 
 func (c *rpcClient) send(message ...any) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.enc.Encode(message); err != nil {
+	if err := c.encoder.Encode(message); err != nil {
 		return err
 	}
-	return c.out.Flush()
+	return c.writer.Flush()
 }
 
-// read hands answers to those who wait for them, until the connection ends.
-func (c *rpcClient) read() {
-	d := msgpack.NewDecoder(bufio.NewReader(c.nc))
+// readResponses passes each response to the call that waits for it, until the connection ends.
+func (c *rpcClient) readResponses() {
+	decoder := msgpack.NewDecoder(bufio.NewReader(c.conn))
 	for {
 		r := new(response)
-		err := d.Decode(r)
+		err := decoder.Decode(r)
 		c.mu.Lock()
 		if err != nil {
-			for _, done := range c.open {
+			for _, done := range c.pending {
 				close(done)
 			}
-			c.open = nil
+			c.pending = nil
 			c.mu.Unlock()
 			return
 		}
-		done := c.open[r.ID]
-		delete(c.open, r.ID)
+		done := c.pending[r.ID]
+		delete(c.pending, r.ID)
 		c.mu.Unlock()
 		if done != nil {
 			done <- r
@@ -171,79 +178,84 @@
 	}
 }
 
-// begin sends a call; its answer comes on the channel, which closes where none can.
+// begin sends a call and returns its message id and a channel that receives its response.
+// The channel is closed if the connection ends before the response.
 func (c *rpcClient) begin(params any) (uint32, <-chan *response, error) {
 	done := make(chan *response, 1)
 	c.mu.Lock()
-	if c.open == nil {
+	if c.pending == nil {
 		c.mu.Unlock()
 		return 0, nil, net.ErrClosed
 	}
-	c.last++
-	id := c.last
-	c.open[id] = done
+	c.lastID++
+	id := c.lastID
+	c.pending[id] = done
 	c.mu.Unlock()
 	return id, done, c.send(0, id, "call", []any{params})
 }
 
-// vmihailenco asks by another author's codec: interleaved, refused, rejected and
-// cancelled.
-func vmihailenco(ctx context.Context, addr string, w *world, t *tally) error {
-	nc, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
+// runVmihailenco uses a codec of another author than runUgorji. Its calls are interleaved
+// on a connection; some are refused, one is rejected, and some are cancelled.
+func runVmihailenco(ctx context.Context, addr string, env *environment, t *tally) error {
+	conn, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	out := bufio.NewWriter(nc)
-	c := &rpcClient{nc: nc, enc: msgpack.NewEncoder(out), out: out, open: make(map[uint32]chan *response)}
-	go c.read()
-	end := func(r *response, id string) ending {
+	defer conn.Close()
+	writer := bufio.NewWriter(conn)
+	client := &rpcClient{conn: conn, encoder: msgpack.NewEncoder(writer), writer: writer, pending: make(map[uint32]chan *response)}
+	go client.readResponses()
+	outcomeOf := func(r *response, id string) outcome {
 		if r == nil {
 			return lost
 		}
-		switch e := r.Error.(type) {
+		switch rpcError := r.Error.(type) {
 		case nil:
 			if r.Result != nil && string(r.Result.Body) == "for "+id {
 				return served
 			}
 		case string:
-			return ofText(e)
+			return rpcErrorOutcome(rpcError)
 		case map[string]any:
-			s := fmt.Sprint(e["kind"])
-			if e["pause_ms"] != nil {
-				s += fmt.Sprint(" pause_ms=", e["pause_ms"])
+			text := fmt.Sprint(rpcError["kind"])
+			if rpcError["pause_ms"] != nil {
+				text += fmt.Sprint(" pause_ms=", rpcError["pause_ms"])
 			}
-			return ofText(s)
+			return rpcErrorOutcome(text)
 		}
 		return lost
 	}
-	ask := func(id string, p map[string]any) {
-		t.add(asked)
-		_, done, err := c.begin(p)
+	callWith := func(id string, params map[string]any) {
+		t.add(sent)
+		_, done, err := client.begin(params)
 		if err != nil {
 			t.add(lost)
 			return
 		}
-		t.add(end(<-done, id))
-	}
-	call := func(id string, class int) { ask(id, params(id, class)) }
-	together(workers, each, func(_, i int) { call(w.id(), i%2) })
-	together(200, 1, func(int, int) { call(slow+w.id(), 0) })
-	ask("x", map[string]any{"id": "x", "class": "none", "left_ms": 100})
-	together(20, 1, func(int, int) {
-		t.add(asked)
-		id := slow + w.id()
-		msgid, done, err := c.begin(params(id, 1))
+		t.add(outcomeOf(<-done, id))
+	}
+	call := func(id string, class int) { callWith(id, callParams(id, class)) }
+	runWorkers(workers, requestsPerWorker, func(_, i int) { call(env.newRequestID(), i%2) })
+	runWorkers(200, 1, func(int, int) { call(slowPrefix+env.newRequestID(), 0) })
+	callWith("x", map[string]any{"id": "x", "class": "none", "left_ms": 100})
+	runWorkers(20, 1, func(int, int) {
+		t.add(sent)
+		id := slowPrefix + env.newRequestID()
+		messageID, done, err := client.begin(callParams(id, 1))
 		if err == nil {
 			time.Sleep(30 * time.Millisecond)
-			err = c.send(2, "cancel", []any{msgid})
+			err = client.send(2, "cancel", []any{messageID})
 		}
 		if err != nil {
 			t.add(lost)
 			return
 		}
-		t.add(end(<-done, id))
+		t.add(outcomeOf(<-done, id))
 	})
-	call(w.id(), 0)
-	return firstOf(t.want(served, "served", workers*each+1), t.want(refused, "refused", 1), t.want(rejected, "rejected", 1), t.want(abandoned, "abandoned", 20))
+	call(env.newRequestID(), 0)
+	return firstError(
+		t.requireAtLeast(served, "served", workers*requestsPerWorker+1),
+		t.requireAtLeast(refused, "refused", 1),
+		t.requireAtLeast(rejected, "rejected", 1),
+		t.requireAtLeast(abandoned, "abandoned", 20))
 }
--- a/interop/tally.go
+++ b/interop/tally.go
@@ -5,65 +5,65 @@
 	"sync/atomic"
 )
 
-// ending is what became of a request, as its client saw it.
-type ending int
+// outcome is how a request ended, as its client saw it.
+type outcome int
 
 const (
-	asked      ending = iota
-	served            // with the answer that was made for it
-	refused           // and told when to come back
-	failedOnce        // with no promise about its effect
-	rejected          // as wrong
-	abandoned         // by the client itself
-	lost              // no answer
-	endings
+	sent          outcome = iota // not an outcome itself: the number of requests that were sent
+	served                       // the response has the body that was made for this request
+	refused                      // the client may retry after the pause that the response gives
+	requestFailed                // the request may or may not have been executed
+	rejected                     // the request was invalid
+	abandoned                    // the client gave up or cancelled the request
+	lost                         // no response, or one that matches no other outcome
+	outcomeCount
 )
 
 // tally counts the requests of a scenario. It is safe for concurrent use.
 type tally struct {
-	n    [endings]atomic.Int64
-	last atomic.Pointer[error] // of a request that was lost
+	count     [outcomeCount]atomic.Int64
+	lastError atomic.Pointer[error] // of the last lost request whose error was passed to addLost
 }
 
-// lose counts a lost request and keeps why.
-func (t *tally) lose(err error) {
-	t.last.Store(&err)
+// addLost counts a lost request and keeps its error.
+func (t *tally) addLost(err error) {
+	t.lastError.Store(&err)
 	t.add(lost)
 }
 
-func (t *tally) add(e ending) { t.n[e].Add(1) }
+func (t *tally) add(o outcome) { t.count[o].Add(1) }
 
-func (t *tally) counts() (c [endings]int64) {
-	for i := range t.n {
-		c[i] = t.n[i].Load()
+func (t *tally) counts() (totals [outcomeCount]int64) {
+	for i := range t.count {
+		totals[i] = t.count[i].Load()
 	}
-	return c
+	return totals
 }
 
-// check sees that each request that was asked ended once, and none was lost.
+// check returns an error unless every request that was sent has exactly one outcome and none is lost.
 func (t *tally) check() error {
-	c := t.counts()
+	totals := t.counts()
 	sum := int64(0)
-	for _, n := range c[served:] {
+	for _, n := range totals[served:] {
 		sum += n
 	}
 	switch {
-	case c[asked] == 0:
-		return fmt.Errorf("nothing was asked")
-	case sum != c[asked]:
-		return fmt.Errorf("%d asked and %d ended", c[asked], sum)
-	case c[lost] > 0 && t.last.Load() != nil:
-		return fmt.Errorf("%d lost, the last by: %w", c[lost], *t.last.Load())
-	case c[lost] > 0:
-		return fmt.Errorf("%d lost", c[lost])
+	case totals[sent] == 0:
+		return fmt.Errorf("no request was sent")
+	case sum != totals[sent]:
+		return fmt.Errorf("%d requests were sent, but %d outcomes were counted", totals[sent], sum)
+	case totals[lost] > 0 && t.lastError.Load() != nil:
+		return fmt.Errorf("%d requests were lost, the last with error: %w", totals[lost], *t.lastError.Load())
+	case totals[lost] > 0:
+		return fmt.Errorf("%d requests were lost", totals[lost])
 	}
 	return nil
 }
 
-// want sees that an ending came as often as it should, at least.
-func (t *tally) want(e ending, name string, least int64) error {
-	if n := t.n[e].Load(); n < least {
-		return fmt.Errorf("%d %s, at least %d are meant", n, name, least)
+// requireAtLeast returns an error if an outcome was counted less often than least.
+func (t *tally) requireAtLeast(o outcome, name string, least int64) error {
+	if count := t.count[o].Load(); count < least {
+		return fmt.Errorf("got %d requests %s, want at least %d", count, name, least)
 	}
 	return nil
 }
--- a/interop/world.go
+++ b/interop/world.go
@@ -18,23 +18,24 @@
 	"mothridge/internal/peers"
 )
 
-// world is the real sidecar, as a process, among stand-ins.
-type world struct {
-	http     string // where clients connect by HTTP/1.1
-	maps     string // by MessagePack-RPC with errors as maps
-	texts    string // and as texts
-	registry *peers.Eureka
-	nodes    []*peers.Upstream
-	ledger   *peers.Ledger
+// environment is the real sidecar as a process, with stand-ins for its nodes and its registry.
+type environment struct {
+	httpAddr       string // the sidecar's HTTP/1.1 listener
+	mapErrorsAddr  string // its MessagePack-RPC listener that writes errors as maps
+	textErrorsAddr string // its MessagePack-RPC listener that writes errors as texts
+	registry       *peers.Eureka
+	nodes          []*peers.Upstream
+	ledger         *peers.Ledger
 
 	dir     string
-	process *exec.Cmd
-	log     bytes.Buffer
-	next    atomic.Int64
+	sidecar *exec.Cmd
+	log     bytes.Buffer // the sidecar's standard error
+	lastID  atomic.Int64
 }
 
-// operators is the sidecar's whole configuration.
-const operators = `[sidecar]
+// sidecarConfig is the format of the sidecar's whole configuration. Its arguments are
+// the addresses of the three listeners and of the two listed nodes, and the registry's URL.
+const sidecarConfig = `[sidecar]
 name = "interop"
 listen = "%s"
 
@@ -80,59 +81,60 @@
 site = "zone"
 `
 
-// slow is the prefix of ids of requests that a node takes its time for.
-const slow = "slow-"
+// slowPrefix begins the ids of requests to which a node responds after 300 ms instead of 2 ms.
+const slowPrefix = "slow-"
 
-func startWorld(ctx context.Context) (w *world, err error) {
-	w = &world{ledger: peers.NewLedger(true)}
+func startEnvironment(ctx context.Context) (env *environment, err error) {
+	env = &environment{ledger: peers.NewLedger(true)}
 	defer func() {
 		if err != nil {
-			w.close()
+			env.close()
 		}
 	}()
-	if w.dir, err = os.MkdirTemp("", "interop"); err != nil {
+	if env.dir, err = os.MkdirTemp("", "interop"); err != nil {
 		return nil, err
 	}
-	if w.registry, err = peers.StartEureka(""); err != nil {
+	if env.registry, err = peers.StartEureka(""); err != nil {
 		return nil, err
 	}
-	script := func(c peers.Call) peers.Response {
-		a := peers.Response{Delay: 2 * time.Millisecond, Body: []byte("for " + c.ID)}
-		if strings.HasPrefix(c.ID, slow) {
-			a.Delay = 300 * time.Millisecond
+	script := func(call peers.Call) peers.Response {
+		reply := peers.Response{Delay: 2 * time.Millisecond, Body: []byte("for " + call.ID)}
+		if strings.HasPrefix(call.ID, slowPrefix) {
+			reply.Delay = 300 * time.Millisecond
 		}
-		return a
+		return reply
 	}
-	for i := range 4 { // two are listed for good, two are for registrations
-		n, err := peers.StartUpstream(peers.HTTP, fmt.Sprintf("node-%d", i+1), w.ledger, script)
+	for i := range 4 { // the static list has two of them; two are for registrations
+		node, err := peers.StartUpstream(peers.HTTP, fmt.Sprintf("node-%d", i+1), env.ledger, script)
 		if err != nil {
 			return nil, err
 		}
-		w.nodes = append(w.nodes, n)
+		env.nodes = append(env.nodes, node)
 	}
 	addrs, err := freeAddrs(3)
 	if err != nil {
 		return nil, err
 	}
-	w.http, w.maps, w.texts = addrs[0], addrs[1], addrs[2]
-	file := filepath.Join(w.dir, "mothridge.toml")
-	text := fmt.Sprintf(operators, w.http, w.maps, w.texts, w.nodes[0].Addr(), w.nodes[1].Addr(), w.registry.URL())
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+	env.httpAddr, env.mapErrorsAddr, env.textErrorsAddr = addrs[0], addrs[1], addrs[2]
+	configPath := filepath.Join(env.dir, "mothridge.toml")
+	config := fmt.Sprintf(sidecarConfig, env.httpAddr, env.mapErrorsAddr, env.textErrorsAddr,
+		env.nodes[0].Addr(), env.nodes[1].Addr(), env.registry.URL())
+	if err := os.WriteFile(configPath, []byte(config), 0o600); err != nil {
 		return nil, err
 	}
-	program := filepath.Join(w.dir, "mothridge")
-	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/sidecar")
+	programPath := filepath.Join(env.dir, "mothridge")
+	build := exec.CommandContext(ctx, "go", "build", "-o", programPath, "./cmd/sidecar")
 	build.Dir = ".."
 	if out, err := build.CombinedOutput(); err != nil {
-		return nil, fmt.Errorf("build the program: %w: %s", err, out)
+		return nil, fmt.Errorf("build the sidecar: %w: %s", err, out)
 	}
-	w.process = exec.CommandContext(ctx, program, "run", "--operator", file)
-	w.process.Env = append(os.Environ(), "ROUTER_CONFIG=")
-	w.process.Stderr = &w.log
-	return w, w.start(ctx)
+	env.sidecar = exec.CommandContext(ctx, programPath, "run", "--operator", configPath)
+	env.sidecar.Env = append(os.Environ(), "ROUTER_CONFIG=")
+	env.sidecar.Stderr = &env.log
+	return env, env.start(ctx)
 }
 
-// freeAddrs finds loopback addresses that nobody listens at.
+// freeAddrs returns n loopback addresses on which nothing listens.
 func freeAddrs(n int) ([]string, error) {
 	addrs := make([]string, n)
 	for i := range addrs {
@@ -146,14 +148,14 @@
 	return addrs, nil
 }
 
-// start starts the sidecar and waits until it is ready.
-func (w *world) start(ctx context.Context) error {
-	if err := w.process.Start(); err != nil {
+// start starts the sidecar and waits until it is ready, at most 15 s.
+func (env *environment) start(ctx context.Context) error {
+	if err := env.sidecar.Start(); err != nil {
 		return err
 	}
 	client := &http.Client{Timeout: time.Second}
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
-		resp, err := client.Get("http://" + w.http + "/health/ready")
+		resp, err := client.Get("http://" + env.httpAddr + "/health/ready")
 		if err != nil {
 			continue
 		}
@@ -162,41 +164,41 @@
 			return nil
 		}
 	}
-	return errors.New("the sidecar does not get ready")
+	return errors.New("the sidecar did not become ready within 15 s")
 }
 
-// stop ends the sidecar as a planned restart does.
-func (w *world) stop() error {
-	w.process.Process.Signal(syscall.SIGTERM)
-	err := w.process.Wait()
-	w.process = nil
+// stop terminates the sidecar with SIGTERM, as a planned restart does, and waits for its exit.
+func (env *environment) stop() error {
+	env.sidecar.Process.Signal(syscall.SIGTERM)
+	err := env.sidecar.Wait()
+	env.sidecar = nil
 	if err != nil {
-		return fmt.Errorf("the sidecar ended with %w:\n%s", err, w.log.String())
+		return fmt.Errorf("the sidecar exited with %w:\n%s", err, env.log.String())
 	}
 	return nil
 }
 
-func (w *world) close() {
-	if w.process != nil && w.process.Process != nil {
-		w.process.Process.Kill()
-		w.process.Wait()
+func (env *environment) close() {
+	if env.sidecar != nil && env.sidecar.Process != nil {
+		env.sidecar.Process.Kill()
+		env.sidecar.Wait()
 	}
-	for _, n := range w.nodes {
-		n.Close()
+	for _, node := range env.nodes {
+		node.Close()
 	}
-	if w.registry != nil {
-		w.registry.Close()
+	if env.registry != nil {
+		env.registry.Close()
 	}
-	os.RemoveAll(w.dir)
+	os.RemoveAll(env.dir)
 }
 
-// id makes a request's id that no other has.
-func (w *world) id() string { return fmt.Sprint("i", w.next.Add(1)) }
+// newRequestID returns a request id that is unique in this run.
+func (env *environment) newRequestID() string { return fmt.Sprint("i", env.lastID.Add(1)) }
 
-// doubled names the effects that ran twice.
-func (w *world) doubled() error {
-	if ids := w.ledger.ExecutedTwice(func(string) bool { return true }); len(ids) > 0 {
-		return fmt.Errorf("effects ran twice: %v", ids)
+// checkExecutedOnce returns an error if nodes executed a request more than once.
+func (env *environment) checkExecutedOnce() error {
+	if ids := env.ledger.ExecutedTwice(func(string) bool { return true }); len(ids) > 0 {
+		return fmt.Errorf("requests were executed more than once: %v", ids)
 	}
 	return nil
 }
