--- a/compare/rules_test.go
+++ b/compare/rules_test.go
@@ -1,6 +1,6 @@
-// Package compare times one rule of a plug-in, tagging the readings of one
-// apiary, in the project's own language and in what it might have used in its
-// place. It is a module of its own: the program depends on none of them.
+// Package compare measures the time of one plug-in rule in the project's plug-in language and in the
+// alternatives to that language. The rule tags the weight readings of apiaries whose names begin with
+// "ridge-". Package compare is a separate module so that the program depends on none of the alternatives.
 package compare
 
 import (
@@ -21,145 +21,149 @@
 	"mothridge/internal/hook"
 )
 
-const class, apiary = "weight-reading", "ridge-07"
+// The class and the apiary of a request that the rule tags.
+const taggedClass, taggedApiary = "weight-reading", "ridge-07"
 
-// rule says whether a request is tagged.
+// rule reports whether a request is tagged.
 type rule func(class, apiary string) bool
 
-// rules are one rule in each language.
-var rules = []struct {
-	name string
-	make func(testing.TB) rule
+// implementations are the same rule in each language. WebAssembly-stops is the module with checks
+// for cancellation compiled in.
+var implementations = []struct {
+	name    string
+	newRule func(testing.TB) rule
 }{
-	{"Go", inGo}, {"Hook", inHook}, {"Starlark", inStarlark}, {"CEL", inCEL},
-	{"WebAssembly", func(t testing.TB) rule { return inWebAssembly(t, false) }},
-	{"WebAssembly-stops", func(t testing.TB) rule { return inWebAssembly(t, true) }},
+	{"Go", newGoRule}, {"Hook", newHookRule}, {"Starlark", newStarlarkRule}, {"CEL", newCELRule},
+	{"WebAssembly", func(tb testing.TB) rule { return newWebAssemblyRule(tb, false) }},
+	{"WebAssembly-stops", func(tb testing.TB) rule { return newWebAssemblyRule(tb, true) }},
 }
 
-// Each is the same rule.
-func TestSameRule(t *testing.T) {
-	for _, x := range rules {
-		r := x.make(t)
-		if !r(class, apiary) || r(class, "flat-1") || r("harvest-entry", apiary) {
-			t.Errorf("%s: the rule is not the same", x.name)
+// The measured times are comparable only if all implementations decide the same: they tag a request
+// that has both the class and an apiary with the prefix, and no request that has only one of them.
+func TestImplementationsAgree(t *testing.T) {
+	for _, implementation := range implementations {
+		isTagged := implementation.newRule(t)
+		if !isTagged(taggedClass, taggedApiary) || isTagged(taggedClass, "flat-1") || isTagged("harvest-entry", taggedApiary) {
+			t.Errorf("%s: does not tag exactly the requests with both the class and an apiary with the prefix", implementation.name)
 		}
 	}
 }
 
 func BenchmarkRule(b *testing.B) {
-	for _, x := range rules {
-		b.Run(x.name, func(b *testing.B) {
-			r := x.make(b)
+	for _, implementation := range implementations {
+		b.Run(implementation.name, func(b *testing.B) {
+			isTagged := implementation.newRule(b)
 			b.ReportAllocs()
 			for b.Loop() {
-				if !r(class, apiary) {
-					b.Fatal("not tagged")
+				if !isTagged(taggedClass, taggedApiary) {
+					b.Fatal("the request was not tagged, want it tagged")
 				}
 			}
 		})
 	}
 }
 
-func inGo(b testing.TB) rule {
+func newGoRule(tb testing.TB) rule {
 	return func(class, apiary string) bool {
 		return class == "weight-reading" && strings.HasPrefix(apiary, "ridge-")
 	}
 }
 
-type heads map[string]string
+type headerMap map[string]string
 
-func (h heads) Header(name string) string { return h[name] }
+// Header implements the interface of hook.Event's headers.
+func (h headerMap) Header(name string) string { return h[name] }
 
-func inHook(b testing.TB) rule {
-	p, err := hook.Compile("rule.hook", `on request {
+func newHookRule(tb testing.TB) rule {
+	program, err := hook.Compile("rule.hook", `on request {
 	if event.class == "weight-reading" and has_prefix(header("Apiary"), "ridge-") { tag("ridge") }
 }`)
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
-	var m hook.Machine
-	e := &hook.Event{Kind: "request", Now: time.Unix(0, 0)}
-	h := heads{}
-	e.Headers = h
+	var machine hook.Machine
+	event := &hook.Event{Kind: "request", Now: time.Unix(0, 0)}
+	headers := headerMap{}
+	event.Headers = headers
 	return func(class, apiary string) bool {
-		e.Text[hook.RequestClass], h["Apiary"] = class, apiary
-		r, err := m.Run(p, e, nil, hook.Limits{Fuel: hook.DefaultFuel, Memory: hook.DefaultMemory})
-		return err == nil && len(r.Effects) == 1
+		event.Text[hook.RequestClass], headers["Apiary"] = class, apiary
+		result, err := machine.Run(program, event, nil, hook.Limits{Fuel: hook.DefaultFuel, Memory: hook.DefaultMemory})
+		return err == nil && len(result.Effects) == 1
 	}
 }
 
-func inStarlark(b testing.TB) rule {
+func newStarlarkRule(tb testing.TB) rule {
 	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{}, &starlark.Thread{}, "rule.star", `
 def rule(klass, apiary):
     return klass == "weight-reading" and apiary.startswith("ridge-")
 `, nil)
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
-	rule := globals["rule"]
+	function := globals["rule"]
 	return func(class, apiary string) bool {
 		thread := &starlark.Thread{}
 		thread.SetMaxExecutionSteps(10_000)
-		v, err := starlark.Call(thread, rule, starlark.Tuple{starlark.String(class), starlark.String(apiary)}, nil)
-		return err == nil && v == starlark.True
+		tagged, err := starlark.Call(thread, function, starlark.Tuple{starlark.String(class), starlark.String(apiary)}, nil)
+		return err == nil && tagged == starlark.True
 	}
 }
 
-func inCEL(b testing.TB) rule {
+func newCELRule(tb testing.TB) rule {
 	env, err := cel.NewEnv(cel.Variable("klass", cel.StringType), cel.Variable("apiary", cel.StringType))
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
 	ast, issues := env.Compile(`klass == "weight-reading" && apiary.startsWith("ridge-")`)
 	if issues.Err() != nil {
-		b.Fatal(issues.Err())
+		tb.Fatal(issues.Err())
 	}
-	p, err := env.Program(ast, cel.CostLimit(10_000))
+	program, err := env.Program(ast, cel.CostLimit(10_000))
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
 	return func(class, apiary string) bool {
-		v, _, err := p.Eval(map[string]any{"klass": class, "apiary": apiary})
-		return err == nil && v.Value() == true
+		tagged, _, err := program.Eval(map[string]any{"klass": class, "apiary": apiary})
+		return err == nil && tagged.Value() == true
 	}
 }
 
-// inWebAssembly has the rule compiled by the Go toolchain, for the runtime's
-// compiler. With stops each function's entry looks whether its time is over, which
-// is how that runtime ends an endless loop.
-func inWebAssembly(b testing.TB, stops bool) rule {
-	path := filepath.Join(b.TempDir(), "rule.wasm")
+// newWebAssemblyRule compiles ./guest to WebAssembly with the Go toolchain and loads the module into
+// wazero, which compiles it to machine code. With stopOnCancel each function's entry checks whether
+// the context has ended, which is how wazero stops an endless loop.
+func newWebAssemblyRule(tb testing.TB, stopOnCancel bool) rule {
+	path := filepath.Join(tb.TempDir(), "rule.wasm")
 	build := exec.Command("go", "build", "-buildmode=c-shared", "-o", path, "./guest")
 	build.Env = append(os.Environ(), "GOOS=wasip1", "GOARCH=wasm")
 	if out, err := build.CombinedOutput(); err != nil {
-		b.Fatalf("%v\n%s", err, out)
+		tb.Fatalf("build the guest: %v\n%s", err, out)
 	}
 	code, err := os.ReadFile(path)
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := wazero.NewRuntimeWithConfig(ctx, wazero.NewRuntimeConfig().WithCloseOnContextDone(stops))
-	b.Cleanup(func() {
-		r.Close(ctx)
+	runtime := wazero.NewRuntimeWithConfig(ctx, wazero.NewRuntimeConfig().WithCloseOnContextDone(stopOnCancel))
+	tb.Cleanup(func() {
+		runtime.Close(ctx)
 		cancel()
 	})
-	wasi_snapshot_preview1.MustInstantiate(ctx, r)
-	began := time.Now()
-	mod, err := r.InstantiateWithConfig(ctx, code, wazero.NewModuleConfig().WithStartFunctions("_initialize"))
+	wasi_snapshot_preview1.MustInstantiate(ctx, runtime)
+	startedAt := time.Now()
+	module, err := runtime.InstantiateWithConfig(ctx, code, wazero.NewModuleConfig().WithStartFunctions("_initialize"))
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
-	at, err := mod.ExportedFunction("buffer").Call(ctx)
+	bufferAddress, err := module.ExportedFunction("buffer").Call(ctx)
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
-	rule, memory := mod.ExportedFunction("rule"), mod.Memory()
-	b.Logf("loaded in %v, %d KiB", time.Since(began), memory.Size()/1024)
+	function, memory := module.ExportedFunction("rule"), module.Memory()
+	tb.Logf("loaded in %v, %d KiB", time.Since(startedAt), memory.Size()/1024)
 	return func(class, apiary string) bool {
-		memory.WriteString(uint32(at[0]), class)
-		memory.WriteString(uint32(at[0])+uint32(len(class)), apiary)
-		v, err := rule.Call(ctx, uint64(len(class)), uint64(len(apiary)))
-		return err == nil && v[0] == 1
+		memory.WriteString(uint32(bufferAddress[0]), class)
+		memory.WriteString(uint32(bufferAddress[0])+uint32(len(class)), apiary)
+		tagged, err := function.Call(ctx, uint64(len(class)), uint64(len(apiary)))
+		return err == nil && tagged[0] == 1
 	}
 }
