--- a/internal/archtest/wallclock_test.go
+++ b/internal/archtest/wallclock_test.go
@@ -10,23 +10,26 @@
 	"testing"
 )
 
-// wallClock are the places of the sidecar that may read the wall clock, and why: all
-// deadlines, windows, waits and graces are spans of monotonic time.
-var wallClock = map[string]string{
-	"internal/core/clock.go":               "starts are told in Unix time: policy.StartedAt weighs it",
-	"internal/registry/merge/merge.go":     "a frame for starts, monotonic from then on; the members command shows times",
-	"internal/registry/eureka/register.go": "the registry's lastDirtyTimestamp",
-	"internal/hook/builtins_event.go":      "the language of plug-ins has a time of day",
-	"internal/hook/value.go":               "the same",
-	"internal/peers/eureka_leases.go":      "a stand-in",
-	"internal/peers/eureka_fields.go":      "a stand-in",
-	"internal/peers/client_http.go":        "a deadline that is past",
-	"internal/try/faults.go":               "a stand-in's starts",
+// wallClockReaders are the files of the sidecar that may read the wall clock, with the reason.
+// All other code must use monotonic time: a wall clock that is adjusted would change deadlines,
+// windows, waits and grace periods.
+var wallClockReaders = map[string]string{
+	"internal/core/clock.go":               "endpoint starts are reported in Unix time, which policy.StartedAt compares with this clock",
+	"internal/registry/merge/merge.go":     "endpoint starts are reported in Unix time, which New reads once; monotonic from then on; the members command shows times",
+	"internal/registry/eureka/register.go": "the registry requires lastDirtyTimestamp in Unix time",
+	"internal/hook/builtins_event.go":      "plug-in programs can read the time of day",
+	"internal/hook/value.go":               "formats times of plug-in programs",
+	"internal/peers/eureka_leases.go":      "a stand-in registry",
+	"internal/peers/eureka_fields.go":      "a stand-in registry",
+	"internal/peers/client_http.go":        "an I/O deadline in the past, which ends reads and writes",
+	"internal/try/faults.go":               "reports the start times of stand-ins",
 }
 
-// unixCalls are what turns a time into the wall clock's figures, or back.
-var unixCalls = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true}
+// unixConversions are the names of functions and methods that convert between a time and Unix time.
+var unixConversions = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true}
 
+// A deadline or period that is computed from wall-clock time is wrong after the machine's clock is
+// adjusted. This test reports each use of Unix time in a file that wallClockReaders doesn't list.
 func TestWallClockIsReadInFewPlaces(t *testing.T) {
 	root := filepath.Join("..", "..")
 	for _, dir := range []string{"cmd/sidecar", "internal", "membership", "policy", "quota", "resolver"} {
@@ -36,12 +39,12 @@
 			}
 			name, _ := filepath.Rel(root, path)
 			name = filepath.ToSlash(name)
-			for _, laboratory := range []string{"internal/lab/", "internal/load/", "internal/fleet/", "internal/peers/peertest/", "internal/soak/"} {
-				if strings.HasPrefix(name, laboratory) {
+			for _, excluded := range []string{"internal/lab/", "internal/load/", "internal/fleet/", "internal/peers/peertest/", "internal/soak/"} {
+				if strings.HasPrefix(name, excluded) {
 					return nil
 				}
 			}
-			if _, ok := wallClock[name]; ok {
+			if _, ok := wallClockReaders[name]; ok {
 				return nil
 			}
 			file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
@@ -53,8 +56,8 @@
 				if !ok {
 					return true
 				}
-				if s, ok := call.Fun.(*ast.SelectorExpr); ok && unixCalls[s.Sel.Name] {
-					t.Errorf("%s reads the wall clock: %s", name, s.Sel.Name)
+				if selector, ok := call.Fun.(*ast.SelectorExpr); ok && unixConversions[selector.Sel.Name] {
+					t.Errorf("%s uses wall-clock time: it calls %s, which only the files in wallClockReaders may", name, selector.Sel.Name)
 				}
 				return true
 			})
