--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden compares what a test has worked out with what was recorded before.
+// Package golden compares the results of a test with recorded ones.
 package golden
 
 import (
@@ -15,43 +15,45 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "record the golden files anew")
+var update = flag.Bool("update", false, "record the golden files again from the current results")
 
-// Digest sums up a sequence of typed records. The zero value is of no use: NewDigest.
-type Digest struct{ sum hash.Hash64 }
+// Digest is a hash of a sequence of records, each of which has a kind. The zero value is invalid; use
+// NewDigest. Copies of a Digest share their state.
+type Digest struct{ hasher hash.Hash64 }
 
 // NewDigest returns an empty Digest.
 func NewDigest() Digest { return Digest{fnv.New64a()} }
 
-// Numbers adds a record of a kind.
+// Numbers adds a record: its kind, followed by each number as 8 bytes, little-endian.
 func (d Digest) Numbers(kind byte, numbers ...int64) {
 	var buffer [8]byte
-	d.sum.Write([]byte{kind}) // a hash returns no error
+	d.hasher.Write([]byte{kind}) // Write of a hash never returns an error
 	for _, n := range numbers {
 		binary.LittleEndian.PutUint64(buffer[:], uint64(n))
-		d.sum.Write(buffer[:])
+		d.hasher.Write(buffer[:])
 	}
 }
 
-// Float adds a number to the bit.
+// Float adds a record with all bits of a floating-point number.
 func (d Digest) Float(kind byte, f float64) { d.Numbers(kind, int64(math.Float64bits(f))) }
 
-// Text adds a text and its length.
+// Text adds a record with the length of a text in bytes, followed by the text.
 func (d Digest) Text(kind byte, text string) {
 	d.Numbers(kind, int64(len(text)))
-	d.sum.Write([]byte(text))
+	d.hasher.Write([]byte(text))
 }
 
-// String returns the digest in 16 hexadecimal digits.
-func (d Digest) String() string { return fmt.Sprintf("%016x", d.sum.Sum64()) }
+// String returns the digest of the records so far as 16 hexadecimal digits.
+func (d Digest) String() string { return fmt.Sprintf("%016x", d.hasher.Sum64()) }
 
-// Check compares a text line by line with testdata/NAME.golden of the package under
-// test, or records it there if the test runs with -update. Figures are recorded on amd64;
-// other compilers may fuse multiplication and addition, so that the test is passed over there.
+// Check compares a text line by line with testdata/NAME.golden of the package under test and
+// reports each line that differs. With the flag -update it records the text there first. The
+// results are recorded on amd64. Compilers for other architectures may fuse multiplication and
+// addition, which changes results, so there Check skips the test.
 func Check(t *testing.T, name, got string) {
 	t.Helper()
 	if runtime.GOARCH != "amd64" {
-		t.Skip("recorded on amd64")
+		t.Skip("the golden files are recorded on amd64")
 	}
 	path := filepath.Join("testdata", name+".golden")
 	if *update {
@@ -63,17 +65,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, lines := strings.Split(string(recorded), "\n"), strings.Split(got, "\n")
-	for i := range max(len(want), len(lines)) {
-		w, g := "(nothing)", "(nothing)"
-		if i < len(want) {
-			w = want[i]
+	wantLines, gotLines := strings.Split(string(recorded), "\n"), strings.Split(got, "\n")
+	for i := range max(len(wantLines), len(gotLines)) {
+		wantLine, gotLine := "(nothing)", "(nothing)"
+		if i < len(wantLines) {
+			wantLine = wantLines[i]
 		}
-		if i < len(lines) {
-			g = lines[i]
+		if i < len(gotLines) {
+			gotLine = gotLines[i]
 		}
-		if w != g {
-			t.Errorf("%s:%d: got %s, recorded is %s", path, i+1, g, w)
+		if wantLine != gotLine {
+			t.Errorf("%s:%d: got %s, want %s", path, i+1, gotLine, wantLine)
 		}
 	}
 }
