--- a/interop/world.go
+++ b/interop/world.go
@@ -148,7 +148,7 @@
 	return addrs, nil
 }
 
-// start starts the sidecar and waits until it is ready, at most 15 s.
+// start starts the sidecar and waits until it is ready. It returns an error after 15 s or when ctx ends.
 func (env *environment) start(ctx context.Context) error {
 	if err := env.sidecar.Start(); err != nil {
 		return err
@@ -164,7 +164,7 @@
 			return nil
 		}
 	}
-	return errors.New("the sidecar did not become ready within 15 s")
+	return errors.New("the sidecar did not become ready within 15 s or before the context ended")
 }
 
 // stop terminates the sidecar with SIGTERM, as a planned restart does, and waits for its exit.
