--- a/cmd/fleetsim/experiments.go
+++ b/cmd/fleetsim/experiments.go
@@ -17,32 +17,33 @@
 
 type runCommand struct {
 	File    string `arg:"" help:"Experiment file." type:"path"`
-	Out     string `help:"Results file; FILE.results by default. What it holds is not played again." type:"path"`
-	Workers int    `help:"Runs side by side; one for each core by default."`
-	Quiet   bool   `help:"No progress."`
+	Out     string `help:"Results file; FILE.results by default. Runs that it already contains are not repeated." type:"path"`
+	Workers int    `help:"Number of concurrent runs; one for each core by default."`
+	Quiet   bool   `help:"Do not print progress."`
 }
 
-func resultsOf(file, out string) string {
+// resultsPath returns the path of an experiment's results file: out if set, otherwise FILE.results.
+func resultsPath(file, out string) string {
 	return cmp.Or(out, strings.TrimSuffix(file, ".toml")+".results")
 }
 
-// Run plays an experiment and prints the table.
+// Run runs an experiment and prints the table of its results.
 func (c *runCommand) Run(ctx context.Context, o output) error {
 	e, err := lab.LoadExperiment(c.File)
 	if err != nil {
 		return err
 	}
-	ro := lab.RunOptions{Out: resultsOf(c.File, c.Out), Workers: cmp.Or(c.Workers, runtime.GOMAXPROCS(0)), Notice: func(s string) { fmt.Fprintln(o.log, s) }}
+	options := lab.RunOptions{ResultsPath: resultsPath(c.File, c.Out), Workers: cmp.Or(c.Workers, runtime.GOMAXPROCS(0)), Notice: func(s string) { fmt.Fprintln(o.log, s) }}
 	if !c.Quiet {
-		ro.Progress = progress(o.log)
+		options.Progress = progressLine(o.log)
 	}
-	fmt.Fprintf(o.log, "%s: %d cells, %d to %d seeds each, results in %s\n", e.Name, len(e.Cells), e.Seeds.Least, e.Seeds.Most, ro.Out)
-	r, err := lab.Run(ctx, e, ro)
+	fmt.Fprintf(o.log, "%s: %d cells, %d to %d seeds for each, results in %s\n", e.Name, len(e.Cells), e.Seeds.Min, e.Seeds.Max, options.ResultsPath)
+	r, err := lab.Run(ctx, e, options)
 	if !c.Quiet {
 		fmt.Fprintln(o.log)
 	}
 	if errors.Is(err, context.Canceled) {
-		return fmt.Errorf("interrupted after %d runs; the same command goes on from there", len(r.Rows))
+		return fmt.Errorf("interrupted after %d runs; run the same command again to continue", len(r.Rows))
 	}
 	if err != nil {
 		return err
@@ -50,33 +51,33 @@
 	return lab.Summarize(e, r).WriteTable(o.out)
 }
 
-// progress rewrites one line, at most five times a second.
-func progress(w io.Writer) func(lab.Progress) {
+// progressLine returns a function that rewrites one terminal line with the progress, at most five times a second.
+func progressLine(w io.Writer) func(lab.Progress) {
 	var last time.Time
 	return func(p lab.Progress) {
 		if time.Since(last) < 200*time.Millisecond && p.Done < p.Planned {
 			return
 		}
 		last = time.Now()
-		fmt.Fprintf(w, "\r\x1b[Kround %d: %d of %d runs, %v gone, about %v left; %d of %d cells settled", p.Round, p.Done, p.Planned,
-			p.Gone.Round(time.Second), p.Left.Round(time.Second), p.Settled, p.Cells)
-		if p.Broken > 0 {
-			fmt.Fprintf(w, "; %d runs with a broken rule or cut", p.Broken)
+		fmt.Fprintf(w, "\r\x1b[Kround %d: %d of %d runs, %v elapsed, about %v remaining; %d of %d cells finished", p.Round, p.Done, p.Planned,
+			p.Elapsed.Round(time.Second), p.Remaining.Round(time.Second), p.Finished, p.Cells)
+		if p.RunsWithFindings > 0 {
+			fmt.Fprintf(w, "; %d runs that violated a rule or were truncated", p.RunsWithFindings)
 		}
 	}
 }
 
 type compareCommand struct {
 	A          string   `arg:"" help:"Results: FILE or FILE:factor=level,factor=level."`
-	B          string   `arg:"" help:"The other side, of the same or another file."`
-	Measure    []string `default:"good,worst10,p50,p99,refused,failed,broken" help:"What to compare."`
-	Confidence float64  `default:"0.95" help:"Of the intervals."`
+	B          string   `arg:"" help:"The side to compare with A, from the same file or another one."`
+	Measure    []string `default:"good,worst10,p50,p99,refused,failed,broken" help:"Measures to compare."`
+	Confidence float64  `default:"0.95" help:"Confidence level of the intervals, between 0 and 1."`
 }
 
-// Run compares two sides.
+// Run compares the results of two sides and prints the differences.
 func (c *compareCommand) Run(o output) error {
 	if !(c.Confidence > 0 && c.Confidence < 1) {
-		return fmt.Errorf("--confidence %v: a share is meant, such as 0.95", c.Confidence)
+		return fmt.Errorf("--confidence must be between 0 and 1, got %v", c.Confidence)
 	}
 	a, err := lab.ParseSide(c.A)
 	if err != nil {
@@ -86,42 +87,42 @@
 	if err != nil {
 		return err
 	}
-	ds, err := lab.Compare(a, b, c.Measure, c.Confidence)
+	differences, err := lab.Compare(a, b, c.Measure, c.Confidence)
 	if err != nil {
 		return err
 	}
-	return lab.WriteDifferences(o.out, ds)
+	return lab.WriteDifferences(o.out, differences)
 }
 
 type reportCommand struct {
 	File     string `arg:"" help:"Experiment file." type:"path"`
 	Results  string `help:"Results file; FILE.results by default." type:"path"`
-	HTML     string `help:"Write a page there." type:"path"`
-	CSV      string `help:"Write all runs there." type:"path"`
-	SVG      string `help:"Write a picture of the means of --measure there." type:"path"`
-	Measure  string `default:"good" help:"Of --svg."`
-	Pictures int    `default:"12" help:"Combinations of levels to draw a run of, each played again."`
+	HTML     string `help:"Path of an HTML page to write." type:"path"`
+	CSV      string `help:"Path of a CSV file to write, with all runs." type:"path"`
+	SVG      string `help:"Path of an SVG plot to write, with the means of --measure." type:"path"`
+	Measure  string `default:"good" help:"Measure of the --svg plot."`
+	Pictures int    `default:"12" help:"Maximum number of combinations of levels in the HTML page for which one run is repeated and plotted."`
 }
 
-// Run shows results.
+// Run prints the table of an experiment's results and writes the requested files.
 func (c *reportCommand) Run(o output) error {
 	e, err := lab.LoadExperiment(c.File)
 	if err != nil {
 		return err
 	}
-	path := resultsOf(c.File, c.Results)
+	path := resultsPath(c.File, c.Results)
 	r, err := lab.LoadResults(path)
 	if err != nil {
 		return err
 	}
 	if r.Hash != e.Hash {
-		return fmt.Errorf("%s holds results of another experiment, or of this one before it was changed", path)
+		return fmt.Errorf("%s contains results of another experiment, or of this experiment before it was changed", path)
 	}
 	s := lab.Summarize(e, r)
 	if err := s.WriteTable(o.out); err != nil {
 		return err
 	}
-	write := func(path string, do func(io.Writer) error) error {
+	writeFile := func(path string, write func(io.Writer) error) error {
 		if path == "" {
 			return nil
 		}
@@ -129,26 +130,26 @@
 		if err != nil {
 			return err
 		}
-		return errors.Join(do(f), f.Close())
+		return errors.Join(write(f), f.Close())
 	}
-	picture := func(w io.Writer) error {
-		text, err := s.Means(c.Measure, true)
+	writePlot := func(w io.Writer) error {
+		plot, err := s.MeansSVG(c.Measure, true)
 		if err == nil {
-			_, err = io.WriteString(w, string(text)+"\n")
+			_, err = io.WriteString(w, string(plot)+"\n")
 		}
 		return err
 	}
-	return errors.Join(write(c.CSV, s.WriteCSV), write(c.SVG, picture), write(c.HTML, func(w io.Writer) error {
+	return errors.Join(writeFile(c.CSV, s.WriteCSV), writeFile(c.SVG, writePlot), writeFile(c.HTML, func(w io.Writer) error {
 		return s.WriteHTML(w, c.Pictures, func(s string) { fmt.Fprintln(o.log, s) })
 	}))
 }
 
 type cellCommand struct {
 	File  string   `arg:"" help:"Experiment file." type:"path"`
-	Level []string `arg:"" optional:"" help:"Its levels, in the order of the factors; none lists them."`
+	Level []string `arg:"" optional:"" help:"The cell's levels, in the order of the factors; without levels, all cells are listed."`
 }
 
-// Run prints a cell's scenario.
+// Run prints the scenario of the cell with the given levels, or the levels of all cells.
 func (c *cellCommand) Run(o output) error {
 	e, err := lab.LoadExperiment(c.File)
 	if err != nil {
@@ -162,7 +163,7 @@
 		}
 	}
 	if len(c.Level) > 0 {
-		return fmt.Errorf("there is no cell %q", c.Level)
+		return fmt.Errorf("no cell has the levels %q", c.Level)
 	}
 	return nil
 }
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -8,31 +8,31 @@
 	"text/tabwriter"
 )
 
-// Side is one of the two that are compared: rows of a results file, by level of
-// some factors.
+// Side is one of the two sides of a comparison: the rows of a results file that have given levels of some factors.
 type Side struct {
-	Path   string
-	Levels map[string]string // by factor
+	Path   string            // path of the results file
+	Levels map[string]string // level by factor; other factors are not restricted
 }
 
-// ParseSide reads FILE or FILE:factor=level,factor=level.
+// ParseSide parses a side of the form FILE or FILE:factor=level,factor=level.
 func ParseSide(text string) (Side, error) {
-	path, levels, some := strings.Cut(text, ":")
+	path, levels, hasLevels := strings.Cut(text, ":")
 	s := Side{Path: path, Levels: make(map[string]string)}
-	if !some {
+	if !hasLevels {
 		return s, nil
 	}
 	for _, part := range strings.Split(levels, ",") {
 		factor, level, ok := strings.Cut(part, "=")
 		if !ok {
-			return s, fmt.Errorf("%q: %q is no factor=level", text, part)
+			return s, fmt.Errorf("%q: must have the form factor=level, got %q", text, part)
 		}
 		s.Levels[factor] = level
 	}
 	return s, nil
 }
 
-// rows gives a side's rows by the levels of its other factors, and then by seed.
+// rows reads a side's results file and returns the values of the side's rows by cell and seed. A cell is named by the
+// levels of the factors that the side does not fix. The cells are also returned in the order of their first rows.
 func (s Side) rows() (*Results, map[string]map[uint64][]float64, []string, error) {
 	r, err := LoadResults(s.Path)
 	if err != nil {
@@ -41,96 +41,97 @@
 	for factor, level := range s.Levels {
 		i := slices.Index(r.Factors, factor)
 		if i < 0 {
-			return nil, nil, nil, fmt.Errorf("%s: there is no factor %q; there are %q", s.Path, factor, r.Factors)
+			return nil, nil, nil, fmt.Errorf("%s: unknown factor %q, want one of %q", s.Path, factor, r.Factors)
 		}
-		if !slices.ContainsFunc(r.Rows, func(x Row) bool { return x.Levels[i] == level }) {
+		if !slices.ContainsFunc(r.Rows, func(row Row) bool { return row.Levels[i] == level }) {
 			return nil, nil, nil, fmt.Errorf("%s: factor %q has no level %q", s.Path, factor, level)
 		}
 	}
-	by := make(map[string]map[uint64][]float64)
-	var order []string
+	valuesByCell := make(map[string]map[uint64][]float64)
+	var cells []string
 rows:
 	for _, row := range r.Rows {
-		var rest []string
+		var otherLevels []string
 		for i, level := range row.Levels {
 			want, fixed := s.Levels[r.Factors[i]]
 			if !fixed {
-				rest = append(rest, r.Factors[i]+"="+level)
+				otherLevels = append(otherLevels, r.Factors[i]+"="+level)
 			} else if want != level {
 				continue rows
 			}
 		}
-		key := strings.Join(rest, ", ")
-		if by[key] == nil {
-			by[key] = make(map[uint64][]float64)
-			order = append(order, key)
+		cell := strings.Join(otherLevels, ", ")
+		if valuesByCell[cell] == nil {
+			valuesByCell[cell] = make(map[uint64][]float64)
+			cells = append(cells, cell)
 		}
-		by[key][row.Seed] = row.Values
+		valuesByCell[cell][row.Seed] = row.Values
 	}
-	return r, by, order, nil
+	return r, valuesByCell, cells, nil
 }
 
-// Difference is what B has more than A of a measure, over the seeds that both have.
+// Difference is the difference B - A of a measure in one cell, over the seeds that both sides have.
 type Difference struct {
-	Cell    string // the levels that both sides have
+	Cell    string // the levels that both sides share
 	Measure string
 	A, B    float64 // means
-	By      Interval
+	Delta   Interval
 }
 
-// Compare pairs two sides' runs by cell and seed, so that what a seed brings to
-// both falls out of the difference. Measures are those to compare.
+// Compare pairs the runs of two sides by cell and seed, so that the part of a value that depends only on the seed
+// cancels out. It returns the differences of the given measures, with intervals at the given confidence level.
+// It returns an error if a measure is unknown or if the sides share no cell and seed.
 func Compare(a, b Side, measures []string, confidence float64) ([]Difference, error) {
-	ra, rowsA, order, err := a.rows()
+	resultsA, rowsA, cells, err := a.rows()
 	if err != nil {
 		return nil, err
 	}
-	rb, rowsB, _, err := b.rows()
+	resultsB, rowsB, _, err := b.rows()
 	if err != nil {
 		return nil, err
 	}
-	var out []Difference
-	for _, cell := range order {
-		for _, m := range measures {
-			ia, ib := slices.Index(ra.Measures, m), slices.Index(rb.Measures, m)
-			if ia < 0 || ib < 0 {
-				return nil, fmt.Errorf("measure %q is not known; there are %q", m, ra.Measures)
+	var differences []Difference
+	for _, cell := range cells {
+		for _, measure := range measures {
+			indexA, indexB := slices.Index(resultsA.Measures, measure), slices.Index(resultsB.Measures, measure)
+			if indexA < 0 || indexB < 0 {
+				return nil, fmt.Errorf("unknown measure %q, want one of %q", measure, resultsA.Measures)
 			}
-			d := Difference{Cell: cell, Measure: m}
-			var by []float64
-			for seed, values := range rowsA[cell] {
-				if other := rowsB[cell][seed]; other != nil {
-					d.A, d.B = d.A+values[ia], d.B+other[ib]
-					by = append(by, other[ib]-values[ia])
+			d := Difference{Cell: cell, Measure: measure}
+			var deltas []float64
+			for seed, valuesA := range rowsA[cell] {
+				if valuesB := rowsB[cell][seed]; valuesB != nil {
+					d.A, d.B = d.A+valuesA[indexA], d.B+valuesB[indexB]
+					deltas = append(deltas, valuesB[indexB]-valuesA[indexA])
 				}
 			}
-			if len(by) == 0 {
+			if len(deltas) == 0 {
 				continue
 			}
-			slices.Sort(by) // sums of floats must not depend on a map's order
-			d.A, d.B, d.By = d.A/float64(len(by)), d.B/float64(len(by)), Estimate(by, confidence)
-			out = append(out, d)
+			slices.Sort(deltas) // the sum of floats must not depend on the map's iteration order
+			d.A, d.B, d.Delta = d.A/float64(len(deltas)), d.B/float64(len(deltas)), Estimate(deltas, confidence)
+			differences = append(differences, d)
 		}
 	}
-	if len(out) == 0 {
+	if len(differences) == 0 {
 		return nil, fmt.Errorf("%s and %s have no cell and seed in common", a.Path, b.Path)
 	}
-	return out, nil
+	return differences, nil
 }
 
-// WriteDifferences writes a table that says where a difference shows.
-func WriteDifferences(out io.Writer, ds []Difference) error {
+// WriteDifferences writes a table of differences. It states for each whether its confidence interval excludes 0.
+func WriteDifferences(out io.Writer, differences []Difference) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "measure\tA\tB\tB - A\tpairs\t\tcell")
-	for _, d := range ds {
-		word := "no difference shows"
-		if d.By.Shows() {
-			word = "B is more"
-			if d.By.Mean < 0 {
-				word = "B is less"
+	for _, d := range differences {
+		verdict := "no significant difference"
+		if d.Delta.ExcludesZero() {
+			verdict = "B is greater"
+			if d.Delta.Mean < 0 {
+				verdict = "B is smaller"
 			}
 		}
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%v\t%d\t%s\t%s\n", d.Measure, d.A, d.B, d.By, d.By.N, word, d.Cell)
+		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%v\t%d\t%s\t%s\n", d.Measure, d.A, d.B, d.Delta, d.Delta.N, verdict, d.Cell)
 	}
 	return w.Flush()
 }
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -12,38 +12,38 @@
 	"mothridge/internal/fleet"
 )
 
-// Experiment is what to vary, and how surely its outcome is to be known.
+// Experiment specifies which settings to vary, and how precisely to measure the result.
 type Experiment struct {
 	Name    string   `toml:"name"`
 	Why     string   `toml:"why"`
-	Base    string   `toml:"base"` // a scenario file, by a path from the experiment's
-	Set     tree     `toml:"set"`  // put over it, by path
+	Base    string   `toml:"base"` // path of a scenario file, relative to the experiment file
+	Set     tree     `toml:"set"`  // settings that override the base's, by path
 	Factors []Factor `toml:"factor"`
 	Seeds   Seeds    `toml:"seeds"`
 	Stop    Stop     `toml:"stop"`
-	Show    []string `toml:"show"` // measures that the report shows; none: good, p50, p99, refused, failed
+	Show    []string `toml:"show"` // measures in the report; default: good, p50, p99, refused, failed
 
-	Cells []Cell `toml:"-"` // all combinations of levels, the last factor's changing fastest
-	Hash  string `toml:"-"` // of all that its results follow from
+	Cells []Cell `toml:"-"` // all combinations of levels; the last factor's level changes fastest
+	Hash  string `toml:"-"` // of everything that determines the results
 }
 
-// Factor is a setting, or several together, with the values to try.
+// Factor is a setting, or several settings that change together, with the values to try.
 type Factor struct {
 	Name   string `toml:"name"`
-	Path   string `toml:"path"` // of the setting; none: each level is a table of paths
+	Path   string `toml:"path"` // of the setting; if empty, each level is a table with a value for each path
 	Levels []any  `toml:"levels"`
 	Labels []string
 }
 
-// Seeds are those that each cell is played from.
+// Seeds specifies the seeds of each cell's runs: consecutive numbers from First.
 type Seeds struct {
 	First uint64 `toml:"first"`
-	Least int    `toml:"least"`
-	Most  int    `toml:"most"`
+	Min   int    `toml:"least"`
+	Max   int    `toml:"most"`
 }
 
-// Stop is when a cell has been played often enough: when the confidence
-// interval of a measure's mean reaches no further than Within to either side.
+// Stop specifies when a cell has enough runs: when the confidence interval of the measure's mean extends at most Within
+// to either side.
 type Stop struct {
 	Measure    string  `toml:"measure"`
 	Within     float64 `toml:"within"`
@@ -52,25 +52,25 @@
 
 // Cell is one combination of levels.
 type Cell struct {
-	Levels   []string // labels, by factor
+	Levels   []string // label of the level of each factor
 	Scenario fleet.Scenario
 }
 
-// Label names a cell by its levels.
+// Label returns the cell's name, which lists its levels.
 func (c *Cell) Label() string { return strings.Join(c.Levels, ", ") }
 
-// mostCells bounds an experiment.
-const mostCells = 10_000
+// maxCells is the maximum number of cells in an experiment.
+const maxCells = 10_000
 
-// LoadExperiment reads an experiment file and works out its cells. The error
-// names the file, and the factor and level where it lies in one.
+// LoadExperiment reads an experiment file and builds its cells. An error names the file, and the factor and level if it
+// lies in one.
 func LoadExperiment(path string) (*Experiment, error) {
-	t, err := readTree(path)
+	document, err := readTree(path)
 	if err != nil {
 		return nil, err
 	}
-	e := &Experiment{Seeds: Seeds{First: 1, Least: 5, Most: 30}, Stop: Stop{Measure: "good", Within: 0.005, Confidence: 0.95}}
-	if err := decode(t, e); err != nil {
+	e := &Experiment{Seeds: Seeds{First: 1, Min: 5, Max: 30}, Stop: Stop{Measure: "good", Within: 0.005, Confidence: 0.95}}
+	if err := decode(document, e); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if err := e.check(); err != nil {
@@ -82,35 +82,37 @@
 		return nil, fmt.Errorf("%s: base: %w", path, err)
 	}
 	for _, p := range slices.Sorted(maps.Keys(e.Set)) {
-		if err := set(base, p, e.Set[p]); err != nil {
+		if err := setValue(base, p, e.Set[p]); err != nil {
 			return nil, fmt.Errorf("%s: set %w", path, err)
 		}
 	}
-	if err := e.cross(path, basePath, base); err != nil {
+	if err := e.buildCells(path, basePath, base); err != nil {
 		return nil, err
 	}
 	h := fnv.New64a()
 	fmt.Fprint(h, e.Seeds.First, Measures)
-	for _, c := range e.Cells {
-		fmt.Fprint(h, c.Levels, encode(reflect.ValueOf(c.Scenario)))
+	for _, cell := range e.Cells {
+		fmt.Fprint(h, cell.Levels, encode(reflect.ValueOf(cell.Scenario)))
 	}
 	e.Hash = fmt.Sprintf("%016x", h.Sum64())
 	return e, nil
 }
 
+// check validates the experiment and sets the default of Show.
 func (e *Experiment) check() error {
 	switch {
 	case e.Name == "" || e.Base == "":
-		return fmt.Errorf("name %q and base %q: both are needed", e.Name, e.Base)
+		return fmt.Errorf("name and base are required, got name %q and base %q", e.Name, e.Base)
 	case len(e.Factors) == 0:
-		return fmt.Errorf("no [[factor]]: at least one is needed")
-	case e.Seeds.Least < 2 || e.Seeds.Most < e.Seeds.Least:
-		return fmt.Errorf("seeds: least %d and most %d: at least 2, and no more at least than at most, are needed", e.Seeds.Least, e.Seeds.Most)
+		return fmt.Errorf("at least one [[factor]] is required")
+	case e.Seeds.Min < 2 || e.Seeds.Max < e.Seeds.Min:
+		return fmt.Errorf("seeds: least must be at least 2 and not above most, got least %d and most %d", e.Seeds.Min, e.Seeds.Max)
 	case !(e.Stop.Within >= 0) || !(e.Stop.Confidence > 0 && e.Stop.Confidence < 1):
-		return fmt.Errorf("stop: within %v at a confidence of %v: 0 or more, and a share, are needed", e.Stop.Within, e.Stop.Confidence)
+		return fmt.Errorf("stop: within must be at least 0 and confidence between 0 and 1, got within %v and confidence %v",
+			e.Stop.Within, e.Stop.Confidence)
 	}
-	for _, m := range append([]string{e.Stop.Measure}, e.Show...) {
-		if _, err := MeasureNumber(m); err != nil {
+	for _, measure := range append([]string{e.Stop.Measure}, e.Show...) {
+		if _, err := MeasureIndex(measure); err != nil {
 			return err
 		}
 	}
@@ -125,20 +127,20 @@
 	return nil
 }
 
-// check also finds the levels' labels.
+// check validates the factor and sets its default name and the labels of its levels.
 func (f *Factor) check() error {
 	if f.Name == "" {
 		f.Name = f.Path
 	}
 	if f.Name == "" || len(f.Levels) == 0 {
-		return fmt.Errorf("a name or a path, and levels, are needed")
+		return fmt.Errorf("a name or a path, and at least one level, are required")
 	}
-	for i, l := range f.Levels {
-		table, isTable := l.(tree)
-		label := fmt.Sprint(l)
+	for i, level := range f.Levels {
+		table, isTable := level.(tree)
+		label := fmt.Sprint(level)
 		switch {
 		case f.Path == "" && !isTable:
-			return fmt.Errorf("level %d: %v: without a path each level is a table of paths", i, l)
+			return fmt.Errorf("level %d: must be a table of paths if the factor has no path, got %v", i, level)
 		case isTable && f.Path == "":
 			if text, ok := table["label"].(string); ok {
 				label = text
@@ -148,49 +150,50 @@
 				break
 			}
 			var parts []string
-			for _, p := range slices.Sorted(maps.Keys(table)) {
-				parts = append(parts, fmt.Sprintf("%s=%v", p, table[p]))
+			for _, setting := range slices.Sorted(maps.Keys(table)) {
+				parts = append(parts, fmt.Sprintf("%s=%v", setting, table[setting]))
 			}
 			label = strings.Join(parts, " ")
 		}
 		if slices.Contains(f.Labels, label) {
-			return fmt.Errorf("level %q is there twice", label)
+			return fmt.Errorf("duplicate level %q", label)
 		}
 		f.Labels = append(f.Labels, label)
 	}
 	return nil
 }
 
-// cross makes a cell of each combination of levels.
-func (e *Experiment) cross(path, basePath string, base tree) error {
-	number := 1
+// buildCells adds a cell for each combination of levels. The path of the experiment's file appears in errors. The path
+// of the base file does too, and the files that the base names are relative to its folder.
+func (e *Experiment) buildCells(path, basePath string, base tree) error {
+	count := 1
 	for _, f := range e.Factors {
-		if number *= len(f.Levels); number > mostCells {
-			return fmt.Errorf("%s: more than %d combinations of levels", path, mostCells)
+		if count *= len(f.Levels); count > maxCells {
+			return fmt.Errorf("%s: must have at most %d combinations of levels", path, maxCells)
 		}
 	}
-	for n := range number {
-		t, c, rest := copyTree(base), Cell{Levels: make([]string, len(e.Factors))}, n
+	for n := range count {
+		document, cell, remainder := copyTree(base), Cell{Levels: make([]string, len(e.Factors))}, n
 		for i := len(e.Factors) - 1; i >= 0; i-- {
 			f := &e.Factors[i]
-			at := rest % len(f.Levels)
-			rest /= len(f.Levels)
-			c.Levels[i] = f.Labels[at]
-			values := tree{f.Path: f.Levels[at]}
+			level := remainder % len(f.Levels)
+			remainder /= len(f.Levels)
+			cell.Levels[i] = f.Labels[level]
+			values := tree{f.Path: f.Levels[level]}
 			if f.Path == "" {
-				values = f.Levels[at].(tree)
+				values = f.Levels[level].(tree)
 			}
-			for _, p := range slices.Sorted(maps.Keys(values)) {
-				if err := set(t, p, values[p]); err != nil {
-					return fmt.Errorf("%s: factor %q, level %q: %w", path, f.Name, f.Labels[at], err)
+			for _, setting := range slices.Sorted(maps.Keys(values)) {
+				if err := setValue(document, setting, values[setting]); err != nil {
+					return fmt.Errorf("%s: factor %q, level %q: %w", path, f.Name, f.Labels[level], err)
 				}
 			}
 		}
 		var err error
-		if c.Scenario, err = scenario(basePath, t); err != nil {
-			return fmt.Errorf("%s: the cell %s: %w", path, c.Label(), err)
+		if cell.Scenario, err = decodeScenario(basePath, document); err != nil {
+			return fmt.Errorf("%s: cell %s: %w", path, cell.Label(), err)
 		}
-		e.Cells = append(e.Cells, c)
+		e.Cells = append(e.Cells, cell)
 	}
 	return nil
 }
--- a/internal/lab/file.go
+++ b/internal/lab/file.go
@@ -1,6 +1,6 @@
-// Package lab plays experiments with the model of a fleet: files that say what
-// to vary, runs that stop when they know enough, results that survive a crash,
-// comparisons and reports. Nothing of it is part of the sidecar.
+// Package lab runs experiments with the model of a fleet: it reads files that specify which settings to vary, repeats
+// runs until the results are precise enough, stores results so that they survive a crash, compares them and writes
+// reports. The sidecar links none of this package.
 package lab
 
 import (
@@ -23,10 +23,10 @@
 	"mothridge/internal/fleet"
 )
 
-// tree is a TOML document as it was read.
+// tree is a decoded TOML document or table.
 type tree = map[string]any
 
-// readTree reads a file; the error names file and line.
+// readTree reads a TOML file. A syntax error names the file, the line and the column.
 func readTree(path string) (tree, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -34,77 +34,77 @@
 	}
 	t := make(tree)
 	if err := toml.Unmarshal(b, &t); err != nil {
-		var at *toml.DecodeError
-		if errors.As(err, &at) {
-			line, column := at.Position()
-			return nil, fmt.Errorf("%s:%d:%d: %w\n%s", path, line, column, err, at.String())
+		var decodeErr *toml.DecodeError
+		if errors.As(err, &decodeErr) {
+			line, column := decodeErr.Position()
+			return nil, fmt.Errorf("%s:%d:%d: %w\n%s", path, line, column, err, decodeErr.String())
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return t, nil
 }
 
-// decode fills what a document says into a struct of toml tags. Every key must
-// be known, and every value of the kind that is needed.
-func decode(t any, into any) error {
-	d, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{
-		TagName: "toml", ErrorUnused: true, Result: into, MatchName: func(key, field string) bool { return key == field },
-		DecodeHook: mapstructure.ComposeDecodeHookFunc(exact, mapstructure.StringToTimeDurationHookFunc(), mapstructure.TextUnmarshallerHookFunc()),
+// decode stores a document's values in a struct with toml tags (result). It returns an error if a key is unknown or a value has
+// the wrong type.
+func decode(t any, result any) error {
+	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{
+		TagName: "toml", ErrorUnused: true, Result: result, MatchName: func(key, field string) bool { return key == field },
+		DecodeHook: mapstructure.ComposeDecodeHookFunc(rejectInexact, mapstructure.StringToTimeDurationHookFunc(), mapstructure.TextUnmarshallerHookFunc()),
 	})
 	if err != nil {
 		return err
 	}
-	return d.Decode(t)
+	return decoder.Decode(t)
 }
 
-// exact refuses what would be read as something else than was meant: a bare
-// number for a time, a fraction for a count.
-func exact(from, to reflect.Type, v any) (any, error) {
+// rejectInexact is a decode hook that rejects values which would otherwise be converted to an unintended value: a number
+// without a unit for a duration, and a fraction for a count.
+func rejectInexact(from, to reflect.Type, v any) (any, error) {
 	switch {
 	case to == reflect.TypeFor[time.Duration]() && from.Kind() != reflect.String:
-		return nil, fmt.Errorf("%v is no time: one such as \"30s\" or \"5ms\" is meant", v)
+		return nil, fmt.Errorf("must be a duration such as \"30s\" or \"5ms\", got %v", v)
 	case from.Kind() == reflect.Float64 && (to.Kind() == reflect.Int || to.Kind() == reflect.Uint64):
-		return nil, fmt.Errorf("%v is no count: a whole number is meant", v)
+		return nil, fmt.Errorf("must be a whole number, got %v", v)
 	}
 	return v, nil
 }
 
-// LoadScenario reads a scenario file, and the recorded requests that it names.
-// Each of over is PATH=VALUE, a TOML value put over what the file has.
-func LoadScenario(path string, over ...string) (fleet.Scenario, error) {
+// LoadScenario reads a scenario file, and the file of recorded requests that it names. Each override has the form
+// PATH=VALUE and replaces the file's value at that path with a TOML value.
+func LoadScenario(path string, overrides ...string) (fleet.Scenario, error) {
 	t, err := readTree(path)
 	if err != nil {
 		return fleet.Scenario{}, err
 	}
-	for _, o := range over {
-		at, value, ok := strings.Cut(o, "=")
+	for _, override := range overrides {
+		setting, value, ok := strings.Cut(override, "=")
 		if !ok {
-			return fleet.Scenario{}, fmt.Errorf("%q: PATH=VALUE is meant", o)
+			return fleet.Scenario{}, fmt.Errorf("override must have the form PATH=VALUE, got %q", override)
 		}
-		var v struct{ V any }
-		if toml.Unmarshal([]byte("V = "+value), &v) != nil {
-			v.V = value // a bare word, as a shell leaves it
+		var parsed struct{ V any }
+		if toml.Unmarshal([]byte("V = "+value), &parsed) != nil {
+			parsed.V = value // a string without quotes, because the shell removed them
 		}
-		if err := set(t, at, v.V); err != nil {
+		if err := setValue(t, setting, parsed.V); err != nil {
 			return fleet.Scenario{}, err
 		}
 	}
-	return scenario(path, t)
+	return decodeScenario(path, t)
 }
 
-// scenario makes a document a scenario that can be played. Path is for what it
-// names, and for errors.
-func scenario(path string, t tree) (s fleet.Scenario, err error) {
-	record, recorded := t["replay"].(string)
-	if recorded {
+// decodeScenario converts a document to a scenario and validates the scenario. The path of the document's file appears
+// in errors, and the path of recorded requests in the document is relative to the file's folder.
+func decodeScenario(path string, t tree) (s fleet.Scenario, err error) {
+	recordPath, isRecorded := t["replay"].(string)
+	if isRecorded {
 		t = copyTree(t)
 		delete(t, "replay")
 	}
 	if err := decode(t, &s); err != nil {
 		return s, fmt.Errorf("%s: %w", path, err)
 	}
-	if recorded {
-		if s.RecordedArrivals, err = loadRecord(filepath.Join(filepath.Dir(path), record), &s); err != nil {
+	if isRecorded {
+		if s.RecordedArrivals, err = loadRecordedArrivals(filepath.Join(filepath.Dir(path), recordPath), &s); err != nil {
 			return s, err
 		}
 	}
@@ -114,46 +114,46 @@
 	return s, nil
 }
 
-// loadRecord reads recorded requests: a CSV of seconds, class, tenant and work
-// in ms (or nothing: drawn). Classes and tenants go by name or number.
-func loadRecord(path string, s *fleet.Scenario) ([]fleet.Arrival, error) {
+// loadRecordedArrivals reads recorded requests from a CSV file with the columns arrival time in seconds, class, tenant
+// and work in ms (if empty, the work is drawn at random). Classes and tenants are given by name or by index from 0.
+func loadRecordedArrivals(path string, s *fleet.Scenario) ([]fleet.Arrival, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	in := csv.NewReader(f)
-	in.FieldsPerRecord, in.Comment, in.ReuseRecord = 4, '#', true
-	number := func(what, field string, names []string) (int, error) {
+	reader := csv.NewReader(f)
+	reader.FieldsPerRecord, reader.Comment, reader.ReuseRecord = 4, '#', true
+	parseIndex := func(column, field string, names []string) (int, error) {
 		if i := slices.Index(names, field); i >= 0 && field != "" {
 			return i, nil
 		}
 		i, err := strconv.Atoi(field)
 		if err != nil || i < 0 || i >= max(1, len(names)) {
-			return 0, fmt.Errorf("%s %q: one of %q, or its number from 0, is meant", what, field, names)
+			return 0, fmt.Errorf("%s must be one of %q or an index from 0, got %q", column, names, field)
 		}
 		return i, nil
 	}
 	var classes, tenants []string
-	for _, c := range s.Classes {
-		classes = append(classes, c.Name)
+	for _, class := range s.Classes {
+		classes = append(classes, class.Name)
 	}
-	for _, t := range s.Tenants {
-		tenants = append(tenants, t.Name)
+	for _, tenant := range s.Tenants {
+		tenants = append(tenants, tenant.Name)
 	}
-	var out []fleet.Arrival
+	var arrivals []fleet.Arrival
 	for {
-		row, err := in.Read()
+		row, err := reader.Read()
 		if err == io.EOF {
-			return out, nil
+			return arrivals, nil
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		line, _ := in.FieldPos(0)
+		line, _ := reader.FieldPos(0)
 		at, err1 := strconv.ParseFloat(row[0], 64)
-		class, err2 := number("class", row[1], classes)
-		tenant, err3 := number("tenant", row[2], tenants)
+		class, err2 := parseIndex("class", row[1], classes)
+		tenant, err3 := parseIndex("tenant", row[2], tenants)
 		work, err4 := 0.0, error(nil)
 		if row[3] != "" {
 			work, err4 = strconv.ParseFloat(row[3], 64)
@@ -161,16 +161,18 @@
 		if err := errors.Join(err1, err2, err3, err4); err != nil {
 			return nil, fmt.Errorf("%s:%d: %w", path, line, err)
 		}
-		out = append(out, fleet.Arrival{At: time.Duration(at * 1e9), Class: class, Tenant: tenant, Work: time.Duration(work * 1e6)})
+		arrivals = append(arrivals, fleet.Arrival{
+			At: time.Duration(at * 1e9), Class: class, Tenant: tenant, Work: time.Duration(work * 1e6),
+		})
 	}
 }
 
-// WriteScenario writes a scenario as a file that LoadScenario reads.
+// WriteScenario writes a scenario as TOML that LoadScenario reads.
 func WriteScenario(w io.Writer, s fleet.Scenario) error {
 	return toml.NewEncoder(w).Encode(encode(reflect.ValueOf(s)))
 }
 
-// encode is what decode reads back.
+// encode converts a value of a scenario to a TOML value that decode converts back.
 func encode(v reflect.Value) any {
 	switch x := v.Interface().(type) {
 	case time.Duration:
@@ -178,7 +180,7 @@
 	case encoding.TextMarshaler:
 		b, err := x.MarshalText()
 		if err != nil {
-			panic(err) // of a scenario that was checked
+			panic(err) // impossible, because the scenario was checked
 		}
 		return string(b)
 	}
@@ -195,7 +197,7 @@
 	return v.Interface()
 }
 
-// encodeStruct encodes the fields by their toml tags.
+// encodeStruct converts a struct to a table with a key for each field's toml tag.
 func encodeStruct(v reflect.Value) tree {
 	t := make(tree)
 	for i := range v.NumField() {
@@ -207,39 +209,41 @@
 	return t
 }
 
-// copyTree copies a document, so that one cell's changes are not another's.
+// copyTree returns a deep copy of a document, so that a change to one cell does not affect other cells.
 func copyTree(t tree) tree {
 	return copyValue(t).(tree)
 }
 
+// copyValue returns a deep copy of a TOML value.
 func copyValue(v any) any {
 	switch x := v.(type) {
 	case tree:
-		out := make(tree, len(x))
-		for k, v := range x {
-			out[k] = copyValue(v)
+		copied := make(tree, len(x))
+		for key, element := range x {
+			copied[key] = copyValue(element)
 		}
-		return out
+		return copied
 	case []any:
-		out := make([]any, len(x))
-		for i, v := range x {
-			out[i] = copyValue(v)
+		copied := make([]any, len(x))
+		for i, element := range x {
+			copied[i] = copyValue(element)
 		}
-		return out
+		return copied
 	}
 	return v
 }
 
-// set puts a value at a path such as node.cores or class.0.work.
-func set(t tree, path string, v any) error {
+// setValue stores a value at a path such as node.cores or class.0.work. It returns an error if a scenario has no such
+// setting.
+func setValue(t tree, path string, v any) error {
 	steps := strings.Split(path, ".")
-	if err := known(reflect.TypeFor[fleet.Scenario](), steps); err != nil {
+	if err := checkPath(reflect.TypeFor[fleet.Scenario](), steps); err != nil {
 		return fmt.Errorf("%q: %w", path, err)
 	}
-	var at any = t
+	var current any = t
 	for i, step := range steps {
 		last := i == len(steps)-1
-		switch x := at.(type) {
+		switch x := current.(type) {
 		case tree:
 			if last {
 				x[step] = copyValue(v)
@@ -248,45 +252,45 @@
 			if x[step] == nil {
 				x[step] = make(tree)
 			}
-			at = x[step]
+			current = x[step]
 		case []any:
-			n, err := strconv.Atoi(step)
-			if err != nil || n < 0 || n >= len(x) {
-				return fmt.Errorf("%q: %q is none of the %d there are: a number from 0 is meant", path, step, len(x))
+			index, err := strconv.Atoi(step)
+			if err != nil || index < 0 || index >= len(x) {
+				return fmt.Errorf("%q: must have an index from 0 and below %d, got %q", path, len(x), step)
 			}
 			if last {
-				x[n] = copyValue(v)
+				x[index] = copyValue(v)
 				return nil
 			}
-			at = x[n]
+			current = x[index]
 		default:
-			return fmt.Errorf("%q: there is nothing below %q", path, strings.Join(steps[:i], "."))
+			return fmt.Errorf("%q: no setting exists below %q", path, strings.Join(steps[:i], "."))
 		}
 	}
 	return nil
 }
 
-// known says whether a path names a setting of a scenario.
-func known(t reflect.Type, steps []string) error {
+// checkPath returns an error unless the steps of a path lead to a setting below the given type.
+func checkPath(t reflect.Type, steps []string) error {
 	for i, step := range steps {
 		switch t.Kind() {
 		case reflect.Slice:
 			t = t.Elem()
 		case reflect.Struct:
-			field, names := fieldByTag(t, step)
-			if field == nil {
+			fieldType, names := fieldByTag(t, step)
+			if fieldType == nil {
 				path := strings.Join(steps[:i+1], ".")
-				return fmt.Errorf("a scenario has no setting %q; there are %s", path, strings.Join(names, ", "))
+				return fmt.Errorf("unknown scenario setting %q, want one of %s", path, strings.Join(names, ", "))
 			}
-			t = field
+			t = fieldType
 		default:
-			return fmt.Errorf("there is nothing below %q", strings.Join(steps[:i], "."))
+			return fmt.Errorf("no setting exists below %q", strings.Join(steps[:i], "."))
 		}
 	}
 	return nil
 }
 
-// fieldByTag returns the type of the field with a toml tag; else nil and the names of all tags.
+// fieldByTag returns the type of the field with a toml tag. If there is none, it returns nil and all tags of the struct.
 func fieldByTag(t reflect.Type, wanted string) (reflect.Type, []string) {
 	var names []string
 	for i := range t.NumField() {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -15,7 +15,7 @@
 	"mothridge/internal/fleet"
 )
 
-const base = `
+const baseScenario = `
 duration = "2s"
 nodes = 3
 sidecars = 2
@@ -35,7 +35,7 @@
 effect = "safe"
 `
 
-const experiment = `
+const testExperiment = `
 name = "two by two"
 base = "base.toml"
 [set]
@@ -54,8 +54,8 @@
 within = 0.5
 `
 
-// files writes files into a folder of the test's own, and gives the path of the first.
-func files(t *testing.T, contents ...string) string {
+// writeFiles writes files, given as pairs of name and content, to a temporary folder and returns the path of the first.
+func writeFiles(t *testing.T, contents ...string) string {
 	t.Helper()
 	dir := t.TempDir()
 	for i := 0; i < len(contents); i += 2 {
@@ -66,13 +66,14 @@
 	return filepath.Join(dir, contents[0])
 }
 
-func load(t *testing.T, text string) (*Experiment, error) {
+// loadExperiment writes an experiment file next to baseScenario and loads it.
+func loadExperiment(t *testing.T, text string) (*Experiment, error) {
 	t.Helper()
-	return LoadExperiment(files(t, "x.toml", text, "base.toml", base))
+	return LoadExperiment(writeFiles(t, "x.toml", text, "base.toml", baseScenario))
 }
 
-// Every file of the laboratory loads.
-func TestOwnFiles(t *testing.T) {
+// Guards against scenario and experiment files under lab/ that no longer load.
+func TestRepositoryFilesLoad(t *testing.T) {
 	found := 0
 	err := filepath.WalkDir("../../lab", func(path string, d os.DirEntry, err error) error {
 		if err != nil || filepath.Ext(path) != ".toml" {
@@ -94,11 +95,11 @@
 		return nil
 	})
 	if err != nil || found < 10 {
-		t.Errorf("%d files, %v", found, err)
+		t.Errorf("got %d files and error %v, want at least 10 files and none", found, err)
 	}
 }
 
-// A scenario is the same after it was written and read.
+// Guards against settings that are lost or changed when a scenario is written and read again.
 func TestScenarioRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		s := fleet.RandomScenario(seed)
@@ -107,189 +108,199 @@
 		if err := WriteScenario(&b, s); err != nil {
 			t.Fatal(err)
 		}
-		got, err := LoadScenario(files(t, "s.toml", b.String()))
+		got, err := LoadScenario(writeFiles(t, "s.toml", b.String()))
 		if err != nil || !reflect.DeepEqual(got, s) {
-			t.Fatalf("seed %d: %v\n%+v\n%+v\n%s", seed, err, got, s, &b)
+			t.Fatalf("seed %d: got error %v and scenario\n%+v\nwant\n%+v\nfile:\n%s", seed, err, got, s, &b)
 		}
 	}
 }
 
-// Files that are wrong, each with what the error must name.
-func TestWrongFiles(t *testing.T) {
-	for _, x := range []struct{ from, to, want string }{
-		{`path = "policy"`, `path = "polcy"`, `factor "polcy", level "mothridge": "polcy": a scenario has no setting "polcy"; there are`},
-		{`nodes = 2}`, `"node.coers" = 2}`, `a scenario has no setting "node.coers"; there are choke, cold_from`},
-		{`nodes = 2}`, `"class.7.share" = 2}`, `"7" is none of the 1 there are`},
-		{`nodes = 2}`, `"nodes.x" = 2}`, `there is nothing below "nodes"`},
-		{`nodes = 2}`, `nodes = 2.5}`, `2.5 is no count`},
-		{`nodes = 2}`, `"node.choke.after" = 30}`, `30 is no time: one such as "30s"`},
-		{`nodes = 2}`, `nodes = 0}`, `the cell mothridge, small: `},
-		{`"random"]`, `"mothridge"]`, `level "mothridge" is there twice`},
-		{`measure = "p50"`, `measure = "p51"`, `measure "p51" is not known`},
-		{`least = 3`, `least = 1`, `least 1`},
+// Guards against invalid files that load, and errors that do not name the cause.
+func TestInvalidFiles(t *testing.T) {
+	for _, test := range []struct{ from, to, want string }{
+		{`path = "policy"`, `path = "polcy"`, `factor "polcy", level "mothridge": "polcy": unknown scenario setting "polcy", want one of`},
+		{`nodes = 2}`, `"node.coers" = 2}`, `unknown scenario setting "node.coers", want one of choke, cold_from`},
+		{`nodes = 2}`, `"class.7.share" = 2}`, `must have an index from 0 and below 1, got "7"`},
+		{`nodes = 2}`, `"nodes.x" = 2}`, `no setting exists below "nodes"`},
+		{`nodes = 2}`, `nodes = 2.5}`, `must be a whole number, got 2.5`},
+		{`nodes = 2}`, `"node.choke.after" = 30}`, `must be a duration such as "30s" or "5ms", got 30`},
+		{`nodes = 2}`, `nodes = 0}`, `cell mothridge, small: `},
+		{`"random"]`, `"mothridge"]`, `duplicate level "mothridge"`},
+		{`measure = "p50"`, `measure = "p51"`, `unknown measure "p51"`},
+		{`least = 3`, `least = 1`, `got least 1`},
 		{`name = "two by two"`, `nam = "x"`, `nam`},
 		{`name = "size"`, `nmae = "size"`, `nmae`},
 		{`base = "base.toml"`, `base = "none.toml"`, `none.toml`},
 		{`[seeds]`, `[seeds`, `x.toml:`},
 		{`"list.lag" = "1s"`, `"list.lga" = "1s"`, `set "list.lga"`},
 	} {
-		if _, err := load(t, strings.Replace(experiment, x.from, x.to, 1)); err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%s: %v, want %q", x.to, err, x.want)
+		if _, err := loadExperiment(t, strings.Replace(testExperiment, test.from, test.to, 1)); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: got error %v, want one that contains %q", test.to, err, test.want)
 		}
 	}
-	_, err := LoadScenario(files(t, "s.toml", "replay = \"r.csv\"\n"+strings.Replace(base, "load = 0.5", "", 1), "r.csv", "0.1,read,0,\n0.2,wrong,0,5\n"))
-	if err == nil || !strings.Contains(err.Error(), `r.csv:2: class "wrong": one of ["read"]`) {
-		t.Errorf("a recorded class that is not there: %v", err)
+	_, err := LoadScenario(writeFiles(t, "s.toml", "replay = \"r.csv\"\n"+strings.Replace(baseScenario, "load = 0.5", "", 1), "r.csv", "0.1,read,0,\n0.2,wrong,0,5\n"))
+	if err == nil || !strings.Contains(err.Error(), `r.csv:2: class must be one of ["read"] or an index from 0, got "wrong"`) {
+		t.Errorf("unknown class in recorded requests: got error %v, want one that names line, class and known classes", err)
 	}
 }
 
-func TestRecordedRequests(t *testing.T) {
-	s, err := LoadScenario(files(t, "s.toml", "replay = \"r.csv\"\n"+strings.Replace(base, "load = 0.5", "", 1), "r.csv", "# seconds,class,tenant,ms\n0.1,read,0,\n0.2,0,0,5.5\n"))
+// Guards against recorded requests that are read with a wrong time, class, tenant or work.
+func TestRecordedArrivals(t *testing.T) {
+	s, err := LoadScenario(writeFiles(t, "s.toml", "replay = \"r.csv\"\n"+strings.Replace(baseScenario, "load = 0.5", "", 1), "r.csv", "# seconds,class,tenant,ms\n0.1,read,0,\n0.2,0,0,5.5\n"))
 	want := []fleet.Arrival{{At: 100 * time.Millisecond}, {At: 200 * time.Millisecond, Work: 5500 * time.Microsecond}}
 	if err != nil || !reflect.DeepEqual(s.RecordedArrivals, want) {
-		t.Errorf("%v, %v", s.RecordedArrivals, err)
+		t.Errorf("got %v and error %v, want %v", s.RecordedArrivals, err, want)
 	}
 }
 
-// Results are the same to the byte on one worker and on four, and after an
-// interruption at any point, with the last line cut or not.
-func TestResultsAreTheSame(t *testing.T) {
-	e, err := load(t, experiment)
+// Guards against results files that depend on the number of workers or on an interruption at any point, with or without
+// a truncated last line: the files must be identical to the byte. Also guards against writing to a file that was changed
+// or that belongs to another experiment.
+func TestResultsAreReproducible(t *testing.T) {
+	e, err := loadExperiment(t, testExperiment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
 	notices := 0
-	play := func(name string, workers int) []byte {
-		out := filepath.Join(dir, name)
-		if _, err := Run(context.Background(), e, RunOptions{Out: out, Workers: workers, Notice: func(string) { notices++ }}); err != nil {
+	runToFile := func(name string, workers int) []byte {
+		path := filepath.Join(dir, name)
+		if _, err := Run(context.Background(), e, RunOptions{ResultsPath: path, Workers: workers, Notice: func(string) { notices++ }}); err != nil {
 			t.Fatal(err)
 		}
-		b, err := os.ReadFile(out)
+		b, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return b
 	}
-	whole := play("one", 1)
-	if four := play("four", 4); !bytes.Equal(whole, four) {
-		t.Errorf("one worker:\n%s\nfour:\n%s", whole, four)
+	want := runToFile("one", 1)
+	if got := runToFile("four", 4); !bytes.Equal(want, got) {
+		t.Errorf("results with one worker:\n%s\nwith four workers:\n%s\nwant them equal", want, got)
 	}
-	rows := bytes.Count(whole, []byte("\n")) - 1
+	rows := bytes.Count(want, []byte("\n")) - 1
 	if rows < 12 || rows > 28 {
-		t.Errorf("%d rows of 4 cells from 3 to 7 seeds", rows)
+		t.Errorf("4 cells with 3 to 7 seeds: got %d rows, want 12 to 28", rows)
 	}
-	for _, cut := range []int{0, 5, bytes.IndexByte(whole, '\n') + 1, len(whole) / 2, len(whole) - 1} {
+	for _, length := range []int{0, 5, bytes.IndexByte(want, '\n') + 1, len(want) / 2, len(want) - 1} {
 		name := "cut"
-		if err := os.WriteFile(filepath.Join(dir, name), whole[:cut], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, name), want[:length], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got := play(name, 3); !bytes.Equal(got, whole) {
-			t.Errorf("cut after %d bytes, it goes on to\n%s\nwant\n%s", cut, got, whole)
+		if got := runToFile(name, 3); !bytes.Equal(got, want) {
+			t.Errorf("continued after %d bytes: got\n%s\nwant\n%s", length, got, want)
 		}
-		if want := cut > 0 && whole[cut-1] != '\n'; (notices == 1) != want {
-			t.Errorf("cut after %d bytes: %d notices", cut, notices)
+		if wantNotice := length > 0 && want[length-1] != '\n'; (notices == 1) != wantNotice {
+			t.Errorf("continued after %d bytes: got %d notices, want one notice: %v", length, notices, wantNotice)
 		}
 		notices = 0
 	}
-	changed := bytes.Clone(whole)
+	changed := bytes.Clone(want)
 	changed[len(changed)/2] ^= 1
 	if err := os.WriteFile(filepath.Join(dir, "changed"), changed, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Run(context.Background(), e, RunOptions{Out: filepath.Join(dir, "changed"), Workers: 1}); err == nil || !strings.Contains(err.Error(), "the file was changed") {
-		t.Errorf("a changed file: %v", err)
+	if _, err := Run(context.Background(), e, RunOptions{ResultsPath: filepath.Join(dir, "changed"), Workers: 1}); err == nil || !strings.Contains(err.Error(), "the file was changed") {
+		t.Errorf("changed results file: got error %v, want \"the file was changed\"", err)
 	}
-	other, err := load(t, strings.Replace(experiment, "nodes = 4", "nodes = 5", 1))
+	other, err := loadExperiment(t, strings.Replace(testExperiment, "nodes = 4", "nodes = 5", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Run(context.Background(), other, RunOptions{Out: filepath.Join(dir, "one"), Workers: 1}); err == nil || !strings.Contains(err.Error(), "another experiment") {
-		t.Errorf("another experiment's file: %v", err)
+	if _, err := Run(context.Background(), other, RunOptions{ResultsPath: filepath.Join(dir, "one"), Workers: 1}); err == nil || !strings.Contains(err.Error(), "another experiment") {
+		t.Errorf("results file of another experiment: got error %v, want one that contains \"another experiment\"", err)
 	}
 }
 
-// An interrupted run keeps what it played, and two do not write one file.
+// Guards against an interrupted run that loses rows, and against two runs that write the same file.
 func TestInterruption(t *testing.T) {
-	e, err := load(t, experiment)
+	e, err := loadExperiment(t, testExperiment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := filepath.Join(t.TempDir(), "r")
+	path := filepath.Join(t.TempDir(), "r")
 	ctx, cancel := context.WithCancel(context.Background())
-	var second error
-	done := 0 // when it was interrupted: more than 4 where one of the first took longest, as rows go by their order
-	_, err = Run(ctx, e, RunOptions{Out: out, Workers: 2, Progress: func(p Progress) {
-		if second == nil && p.Done >= 4 {
+	var secondErr error
+	// The number of rows at the interruption. It is above 4 if one of the first runs took longest, because rows are
+	// written in order.
+	done := 0
+	_, err = Run(ctx, e, RunOptions{ResultsPath: path, Workers: 2, Progress: func(p Progress) {
+		if secondErr == nil && p.Done >= 4 {
 			done = p.Done
-			_, second = openStore(out, e)
+			_, secondErr = openStore(path, e)
 			cancel()
 		}
 	}})
-	r, lerr := LoadResults(out)
-	if !errors.Is(err, context.Canceled) || lerr != nil || len(r.Rows) < done || len(r.Rows) > done+4 {
-		t.Errorf("%v, %v, %+v", err, lerr, r)
+	r, loadErr := LoadResults(path)
+	if !errors.Is(err, context.Canceled) || loadErr != nil || len(r.Rows) < done || len(r.Rows) > done+4 {
+		t.Errorf("got run error %v, load error %v and results %+v; want context.Canceled, none and %d to %d rows",
+			err, loadErr, r, done, done+4)
 	}
-	if second == nil || !strings.Contains(second.Error(), "another run is writing it") {
-		t.Errorf("a second writer: %v", second)
+	if secondErr == nil || !strings.Contains(secondErr.Error(), "another run is writing this file") {
+		t.Errorf("second writer: got error %v, want \"another run is writing this file\"", secondErr)
 	}
 }
 
+// Guards against wrong means and confidence intervals, including those of too few or equal values.
 func TestEstimate(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		values []float64
 		want   Interval
 	}{
 		{nil, Interval{0, math.Inf(1), 0}},
 		{[]float64{3}, Interval{3, math.Inf(1), 1}},
-		{[]float64{2, 2, 2}, Interval{2, 0, 3}},                       // of no width, and not of none
-		{[]float64{1, 2, 3, 4, 5}, Interval{3, 1.963243161477456, 5}}, // t of 4 degrees at 0.975 is 2.776445
-		{[]float64{0.1, 0.1, 0.1, 0.1}, Interval{0.1, 0, 4}},          // also where the sum is rounded
-		{[]float64{10, 12}, Interval{11, 12.706204736432095, 2}},      // t of 1 degree: 12.7062
+		{[]float64{2, 2, 2}, Interval{2, 0, 3}},                       // equal values: the interval has no width, and it exists
+		{[]float64{1, 2, 3, 4, 5}, Interval{3, 1.963243161477456, 5}}, // Student's t for 4 degrees of freedom at 0.975 is 2.776445
+		{[]float64{0.1, 0.1, 0.1, 0.1}, Interval{0.1, 0, 4}},          // equal values whose sum is rounded
+		{[]float64{10, 12}, Interval{11, 12.706204736432095, 2}},      // Student's t for 1 degree of freedom is 12.7062
 	} {
-		if got := Estimate(x.values, 0.95); math.Abs(got.Mean-x.want.Mean) > 1e-9 || got.N != x.want.N || !(math.Abs(got.Half-x.want.Half) < 1e-6 || got.Half == x.want.Half) {
-			t.Errorf("%v: %+v, want %+v", x.values, got, x.want)
+		if got := Estimate(test.values, 0.95); math.Abs(got.Mean-test.want.Mean) > 1e-9 || got.N != test.want.N || !(math.Abs(got.HalfWidth-test.want.HalfWidth) < 1e-6 || got.HalfWidth == test.want.HalfWidth) {
+			t.Errorf("%v: got %+v, want %+v", test.values, got, test.want)
 		}
 	}
 }
 
-// A difference that is there shows, one that is not does not; pairs go by seed.
+// Guards against a comparison that pairs runs of different seeds, misses a significant difference or reports an
+// insignificant one.
 func TestCompare(t *testing.T) {
 	write := func(name string, rows ...Row) string {
 		var b bytes.Buffer
-		l, err := line(header{"x", "1", []string{"policy"}, []string{"good", "p50"}})
-		b.Write(l)
-		for _, r := range rows {
-			l, e := line(r)
-			err = errors.Join(err, e)
-			b.Write(l)
+		headerLine, err := encodeLine(header{"x", "1", []string{"policy"}, []string{"good", "p50"}})
+		b.Write(headerLine)
+		for _, row := range rows {
+			rowLine, rowErr := encodeLine(row)
+			err = errors.Join(err, rowErr)
+			b.Write(rowLine)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		return files(t, name, b.String())
+		return writeFiles(t, name, b.String())
 	}
 	path := write("r",
 		Row{[]string{"a"}, 1, []float64{0.5, 10}}, Row{[]string{"a"}, 2, []float64{0.9, 20}}, Row{[]string{"a"}, 3, []float64{0.7, 30}},
 		Row{[]string{"b"}, 3, []float64{0.8, 28}}, Row{[]string{"b"}, 1, []float64{0.61, 13}}, Row{[]string{"b"}, 2, []float64{0.99, 20}}, Row{[]string{"b"}, 9, []float64{0, 0}})
 	a, b := Side{path, map[string]string{"policy": "a"}}, Side{path, map[string]string{"policy": "b"}}
-	ds, err := Compare(a, b, []string{"good", "p50"}, 0.95)
-	if err != nil || len(ds) != 2 || ds[0].By.N != 3 || math.Abs(ds[0].By.Mean-0.1) > 1e-9 || !ds[0].By.Shows() || ds[1].By.Shows() {
-		t.Errorf("%+v, %v", ds, err)
+	differences, err := Compare(a, b, []string{"good", "p50"}, 0.95)
+	if err != nil || len(differences) != 2 || differences[0].Delta.N != 3 || math.Abs(differences[0].Delta.Mean-0.1) > 1e-9 || !differences[0].Delta.ExcludesZero() || differences[1].Delta.ExcludesZero() {
+		t.Errorf("got %+v and error %v, want differences of 3 pairs: 0.1, significant, for good, and an insignificant one for p50",
+			differences, err)
 	}
 	var out strings.Builder
-	if err := WriteDifferences(&out, ds); err != nil || !strings.Contains(out.String(), "B is more") || !strings.Contains(out.String(), "no difference shows") {
-		t.Errorf("%s, %v", &out, err)
+	if err := WriteDifferences(&out, differences); err != nil || !strings.Contains(out.String(), "B is greater") || !strings.Contains(out.String(), "no significant difference") {
+		t.Errorf("got table\n%s\nand error %v, want the verdicts \"B is greater\" and \"no significant difference\"",
+			&out, err)
 	}
 	if _, err := Compare(a, Side{path, map[string]string{"policy": "c"}}, []string{"good"}, 0.95); err == nil || !strings.Contains(err.Error(), `no level "c"`) {
 		t.Error(err)
 	}
-	if _, err := Compare(Side{path, map[string]string{"size": "1"}}, b, []string{"good"}, 0.95); err == nil || !strings.Contains(err.Error(), `no factor "size"`) {
+	if _, err := Compare(Side{path, map[string]string{"size": "1"}}, b, []string{"good"}, 0.95); err == nil || !strings.Contains(err.Error(), `unknown factor "size"`) {
 		t.Error(err)
 	}
 }
 
-// What breaks a bound is found again in something much smaller.
+// Guards against Shrink returning a scenario that no longer shows the fault or that could be much smaller, and against
+// invalid descriptions of faults that are accepted.
 func TestShrink(t *testing.T) {
 	s := fleet.RandomScenario(4)
 	s.Nodes, s.Sidecars, s.OfferedLoad, s.Duration, s.Daily = 8, 4, 0.5, 20*time.Second, fleet.Wave{}
@@ -303,66 +314,69 @@
 		t.Fatal(err)
 	}
 	if r, err := fleet.Run(small); err != nil || !fault(r) {
-		t.Errorf("the smaller one does not show the fault: %v", err)
+		t.Errorf("smaller scenario: got error %v, want none and a result that shows the fault", err)
 	}
 	if small.Nodes > 1 || small.Sidecars > 1 || small.Duration > 3*time.Second || len(small.Classes) > 2 || len(small.Faults) > 1 || small.Faults[0].Kind != fleet.Hang {
-		t.Errorf("left is %+v", small)
+		t.Errorf("got %+v, want at most 1 node, 1 sidecar, 3s, 2 classes and 1 fault, which is a hang", small)
 	}
 	if _, err := Shrink(s, func(*fleet.Result) bool { return false }, 10, nil); err == nil {
-		t.Error("a fault that is not there is found")
+		t.Error("scenario without the fault: got no error, want one")
 	}
-	for _, bad := range []string{"rules", "good=1", "goods<1", "good<x"} {
-		if _, err := ParseFault(bad); err == nil {
-			t.Errorf("%q is a fault", bad)
+	for _, text := range []string{"rules", "good=1", "goods<1", "good<x"} {
+		if _, err := ParseFault(text); err == nil {
+			t.Errorf("ParseFault(%q): got no error, want one", text)
 		}
 	}
 }
 
-// The report holds every cell and needs nothing from elsewhere.
+// Guards against reports that lack cells, rows or plots, and against an HTML page that loads other resources.
 func TestReport(t *testing.T) {
-	e, err := load(t, experiment)
+	e, err := loadExperiment(t, testExperiment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(context.Background(), e, RunOptions{Out: filepath.Join(t.TempDir(), "r"), Workers: 2})
+	r, err := Run(context.Background(), e, RunOptions{ResultsPath: filepath.Join(t.TempDir(), "r"), Workers: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := Summarize(e, r)
-	var table, rows, page strings.Builder
-	if err := errors.Join(s.WriteTable(&table), s.WriteCSV(&rows), s.WriteHTML(&page, 1, nil)); err != nil {
+	var table, csvText, page strings.Builder
+	if err := errors.Join(s.WriteTable(&table), s.WriteCSV(&csvText), s.WriteHTML(&page, 1, nil)); err != nil {
 		t.Fatal(err)
 	}
 	if n := strings.Count(table.String(), "\n"); n != 5 {
-		t.Errorf("the table has %d lines:\n%s", n, &table)
+		t.Errorf("table: got %d lines, want 5:\n%s", n, &table)
 	}
-	if n := strings.Count(rows.String(), "\n"); n != len(r.Rows)+1 {
-		t.Errorf("the CSV has %d lines of %d rows", n, len(r.Rows))
+	if n := strings.Count(csvText.String(), "\n"); n != len(r.Rows)+1 {
+		t.Errorf("CSV: got %d lines, want one more than the %d rows", n, len(r.Rows))
 	}
-	// Five measures; of one group two lines, a bar chart and two heat maps; one group has no pictures.
+	// Plots of five measures and, for the first of two groups, two line plots, a bar chart and two heat maps.
 	if n := strings.Count(page.String(), "<svg"); n != 10 || !strings.Contains(page.String(), "1 more combinations") {
-		t.Errorf("%d pictures", n)
+		t.Errorf("page: got %d plots, want 10 and a note about 1 more combination", n)
 	}
-	for _, from := range []string{"src=\"http", "href=\"http", "@import", "<script"} {
-		if strings.Contains(page.String(), from) {
-			t.Errorf("the page has %s", from)
+	for _, reference := range []string{"src=\"http", "href=\"http", "@import", "<script"} {
+		if strings.Contains(page.String(), reference) {
+			t.Errorf("page: got %s, want no reference to other resources", reference)
 		}
 	}
 }
 
+// Guards against a reader that panics on invalid input, reports a valid length outside the input, or reads the valid part
+// alone with another result.
 func FuzzRead(f *testing.F) {
-	l, _ := line(header{"x", "1", []string{"policy"}, []string{"good"}})
-	row, _ := line(Row{[]string{"a"}, 1, []float64{1}})
-	f.Add(append(l, row...))
-	f.Add(append(l, row[:20]...))
+	headerLine, _ := encodeLine(header{"x", "1", []string{"policy"}, []string{"good"}})
+	rowLine, _ := encodeLine(Row{[]string{"a"}, 1, []float64{1}})
+	f.Add(append(headerLine, rowLine...))
+	f.Add(append(headerLine, rowLine[:20]...))
 	f.Add([]byte("00000000 {}\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r, whole, err := read("f", bytes.NewReader(b))
-		if whole < 0 || whole > int64(len(b)) {
-			t.Fatalf("%d of %d bytes are whole", whole, len(b))
+		r, validLength, err := readResults("f", bytes.NewReader(b))
+		if validLength < 0 || validLength > int64(len(b)) {
+			t.Fatalf("got a valid length of %d bytes, want 0 to %d", validLength, len(b))
 		}
-		if again, n, err2 := read("f", bytes.NewReader(b[:whole])); err == nil && (err2 != nil || n != whole || !reflect.DeepEqual(again, r)) {
-			t.Errorf("what is whole reads otherwise: %v", err2)
+		if again, n, err2 := readResults("f", bytes.NewReader(b[:validLength])); err == nil && (err2 != nil || n != validLength || !reflect.DeepEqual(again, r)) {
+			t.Errorf("reading only the valid part: got error %v, %d bytes and %+v; want none, %d bytes and %+v",
+				err2, n, again, validLength, r)
 		}
 	})
 }
--- a/internal/lab/plots.go
+++ b/internal/lab/plots.go
@@ -17,39 +17,41 @@
 	"mothridge/internal/fleet"
 )
 
-// series is a line of a plot. Lines and points go by their number in color and
-// dashes; the page has the legend, which would lie over them here.
+// series holds the points of one line of a plot. The index of a series determines its color and dashes. The HTML page
+// shows the legend, because inside the plot the legend would cover the lines.
 type series = plotter.XYs
 
-// key is a line of the legend.
-type key struct {
+// legendEntry is one entry of the legend in the HTML page.
+type legendEntry struct {
 	Name  string
 	Color template.CSS
 }
 
-func legend(names []string) []key {
-	keys := make([]key, len(names))
-	for i, n := range names {
+// legend returns an entry for each name, with the color of the series at the same index.
+func legend(names []string) []legendEntry {
+	entries := make([]legendEntry, len(names))
+	for i, name := range names {
 		r, g, b, _ := plotutil.Color(i).RGBA()
-		keys[i] = key{n, template.CSS(fmt.Sprintf("#%02x%02x%02x", r>>8, g>>8, b>>8))}
+		entries[i] = legendEntry{name, template.CSS(fmt.Sprintf("#%02x%02x%02x", r>>8, g>>8, b>>8))}
 	}
-	return keys
+	return entries
 }
 
-// svg draws a plot as a picture that stands in a page.
+// svg draws a plot as an SVG element for an HTML page.
 func svg(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
-	c := vgsvg.New(width, height)
-	p.Draw(draw.New(c))
+	canvas := vgsvg.New(width, height)
+	p.Draw(draw.New(canvas))
 	var b bytes.Buffer
-	if _, err := c.WriteTo(&b); err != nil {
+	if _, err := canvas.WriteTo(&b); err != nil {
 		return "", err
 	}
-	// The XML declaration and document type before it have no place inside a page.
+	// An HTML page must not contain the XML declaration and the document type that precede the svg element.
 	_, body, _ := bytes.Cut(b.Bytes(), []byte("<svg"))
-	return template.HTML("<svg" + string(body)), nil //nolint:gosec // drawn here, all texts escaped by the library
+	return template.HTML("<svg" + string(body)), nil //nolint:gosec // generated above; the plot library escapes all texts
 }
 
-func titled(title, x, y string) *plot.Plot {
+// newPlot returns an empty plot with a title, labels for its axes and a grid.
+func newPlot(title, x, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Title.TextStyle.Font.Size, p.Title.Padding = 11, 6
@@ -57,23 +59,23 @@
 	return p
 }
 
-// lines draws series over each other.
-func lines(p *plot.Plot, all []series) error {
-	for i, s := range all {
+// addLines adds a line for each series to a plot. It skips empty series.
+func addLines(p *plot.Plot, lines []series) error {
+	for i, s := range lines {
 		if len(s) == 0 {
 			continue
 		}
-		l, err := plotter.NewLine(s)
+		line, err := plotter.NewLine(s)
 		if err != nil {
 			return err
 		}
-		l.Color, l.Width, l.Dashes = plotutil.Color(i), vg.Points(1.4), plotutil.Dashes(i/7)
-		p.Add(l)
+		line.Color, line.Width, line.Dashes = plotutil.Color(i), vg.Points(1.4), plotutil.Dashes(i/7)
+		p.Add(line)
 	}
 	return nil
 }
 
-// goodput is the share of good requests over time.
+// goodput returns the share of requests that met their latency objective, over time in s.
 func goodput(r *fleet.Result) (s series) {
 	for i, w := range r.Windows {
 		if w.Requests > 0 {
@@ -83,8 +85,9 @@
 	return s
 }
 
-// quantiles are response times by how many of the requests took longer.
-func quantiles(r *fleet.Result) (s series) {
+// latencyQuantiles returns the quantiles of the latency in ms. The x axis is logarithmic towards quantile 1: x = 1 is
+// quantile 0.9, x = 2 is 0.99, up to x = 4.
+func latencyQuantiles(r *fleet.Result) (s series) {
 	if r.Latency.TotalCount() == 0 {
 		return s
 	}
@@ -95,134 +98,139 @@
 	return s
 }
 
-// drawGoodput draws one picture of several runs.
-func drawGoodput(title string, all []series) (template.HTML, error) {
-	p := titled(title, "time, s", "good requests, share")
+// drawGoodput draws the goodput of several runs in one plot.
+func drawGoodput(title string, lines []series) (template.HTML, error) {
+	p := newPlot(title, "time, s", "requests that met their objective, share")
 	p.Y.Min, p.Y.Max = 0, 1.02
-	if err := lines(p, all); err != nil {
+	if err := addLines(p, lines); err != nil {
 		return "", err
 	}
 	return svg(p, 15*vg.Centimeter, 8*vg.Centimeter)
 }
 
-func drawQuantiles(title string, all []series) (template.HTML, error) {
-	p := titled(title, "quantile", "response, ms")
+// drawQuantiles draws the quantiles of the latency of several runs in one plot.
+func drawQuantiles(title string, lines []series) (template.HTML, error) {
+	p := newPlot(title, "quantile", "latency, ms")
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.X.Tick.Marker = plot.ConstantTicks([]plot.Tick{{Value: 0, Label: "0"}, {Value: 1, Label: "0.9"}, {Value: 2, Label: "0.99"}, {Value: 3, Label: "0.999"}, {Value: 4, Label: "0.9999"}})
-	if err := lines(p, all); err != nil {
+	if err := addLines(p, lines); err != nil {
 		return "", err
 	}
 	return svg(p, 15*vg.Centimeter, 8*vg.Centimeter)
 }
 
-// heat is how busy each node was in each window, as a picture's cells.
-type heat struct{ r *fleet.Result }
+// utilisationGrid is the utilisation of each node (row) in each window (column), as the cells of a heat map.
+type utilisationGrid struct{ result *fleet.Result }
 
-func (h heat) Dims() (c, r int)   { return len(h.r.WindowUtilisation), len(h.r.NodeUtilisation) }
-func (h heat) Z(c, r int) float64 { return h.r.WindowUtilisation[c][r] }
-func (h heat) X(c int) float64    { return (float64(c) + 0.5) * h.r.WindowLength.Seconds() }
-func (h heat) Y(r int) float64    { return float64(r) }
+func (g utilisationGrid) Dims() (columns, rows int) {
+	return len(g.result.WindowUtilisation), len(g.result.NodeUtilisation)
+}
+func (g utilisationGrid) Z(column, row int) float64 { return g.result.WindowUtilisation[column][row] }
+func (g utilisationGrid) X(column int) float64 {
+	return (float64(column) + 0.5) * g.result.WindowLength.Seconds()
+}
+func (g utilisationGrid) Y(row int) float64 { return float64(row) }
 
-// drawHeat draws how busy the nodes were over time; nothing where there are too
-// few windows or nodes to draw.
-func drawHeat(title string, r *fleet.Result) (template.HTML, error) {
+// drawHeatMap draws the utilisation of the nodes over time. It returns an empty string if there are fewer than two
+// windows or nodes, which a heat map cannot show.
+func drawHeatMap(title string, r *fleet.Result) (template.HTML, error) {
 	if len(r.WindowUtilisation) < 2 || len(r.NodeUtilisation) < 2 {
 		return "", nil
 	}
 	colors := moreland.SmoothBlueRed()
 	colors.SetMin(0)
 	colors.SetMax(1)
-	m := plotter.NewHeatMap(heat{r}, colors.Palette(64))
-	m.Min, m.Max = 0, 1
-	m.Rasterized = len(r.WindowUtilisation)*len(r.NodeUtilisation) > 5000 // else a picture of a node for each second would be megabytes
-	p := titled(title, "time, s", "node")
-	p.Add(m)
+	heatMap := plotter.NewHeatMap(utilisationGrid{r}, colors.Palette(64))
+	heatMap.Min, heatMap.Max = 0, 1
+	// Drawn as vectors, a plot with a cell for each node and second would take megabytes.
+	heatMap.Rasterized = len(r.WindowUtilisation)*len(r.NodeUtilisation) > 5000
+	p := newPlot(title, "time, s", "node")
+	p.Add(heatMap)
 	return svg(p, 15*vg.Centimeter, 6*vg.Centimeter)
 }
 
-// drawLoad draws how busy each node was over the whole run, of several runs
-// side by side.
-func drawLoad(title string, results []*fleet.Result) (template.HTML, error) {
-	p := titled(title, "node", "busy, share")
+// drawUtilisation draws the utilisation of each node over the whole run, for several runs side by side.
+func drawUtilisation(title string, results []*fleet.Result) (template.HTML, error) {
+	p := newPlot(title, "node", "utilisation, share")
 	p.Y.Min, p.Y.Max = 0, 1.02
 	width := vg.Points(min(8, 300/float64(len(results)*max(1, len(results[0].NodeUtilisation)))))
-	if len(results[0].NodeUtilisation) > 60 { // bars would be hairs
-		var all []series
+	if len(results[0].NodeUtilisation) > 60 { // lines, because bars would be too thin to see
+		var lines []series
 		for _, r := range results {
 			var s series
-			for n, b := range r.NodeUtilisation {
-				s = append(s, plotter.XY{X: float64(n), Y: b})
+			for node, utilisation := range r.NodeUtilisation {
+				s = append(s, plotter.XY{X: float64(node), Y: utilisation})
 			}
-			all = append(all, s)
+			lines = append(lines, s)
 		}
-		if err := lines(p, all); err != nil {
+		if err := addLines(p, lines); err != nil {
 			return "", err
 		}
 		return svg(p, 15*vg.Centimeter, 6*vg.Centimeter)
 	}
 	for i, r := range results {
-		b, err := plotter.NewBarChart(plotter.Values(r.NodeUtilisation), width)
+		bars, err := plotter.NewBarChart(plotter.Values(r.NodeUtilisation), width)
 		if err != nil {
 			return "", err
 		}
-		b.Color, b.LineStyle.Width = plotutil.Color(i), 0
-		b.Offset = width * vg.Length(float64(i)-float64(len(results)-1)/2)
-		p.Add(b)
+		bars.Color, bars.LineStyle.Width = plotutil.Color(i), 0
+		bars.Offset = width * vg.Length(float64(i)-float64(len(results)-1)/2)
+		p.Add(bars)
 	}
 	return svg(p, 15*vg.Centimeter, 6*vg.Centimeter)
 }
 
-// whiskers are means with their intervals.
-type whiskers struct {
+// pointsWithErrors holds means with their confidence intervals.
+type pointsWithErrors struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// drawMeans draws a measure of all cells: a group for each combination of the
-// other factors, a point with its interval for each level of the first. A picture
-// that stands alone has the legend beside them.
-func drawMeans(measure string, groups, names []string, alone bool, at func(group, name int) Interval) (template.HTML, error) {
-	p := titled(measure+", mean and confidence interval", "", measure)
-	for n := range names {
-		var w whiskers
+// drawMeans draws the means of a measure for all cells. The x axis has a group for each combination of levels of all
+// factors but the first. A group has a point with its confidence interval for each level of the first factor. A
+// standalone plot includes a legend, because it is not part of the HTML page.
+func drawMeans(measure string, groups, levels []string, standalone bool, mean func(groupIndex, levelIndex int) Interval) (template.HTML, error) {
+	p := newPlot(measure+", mean and confidence interval", "", measure)
+	for l := range levels {
+		var means pointsWithErrors
 		for g := range groups {
-			i := at(g, n)
-			if i.N == 0 {
+			interval := mean(g, l)
+			if interval.N == 0 {
 				continue
 			}
-			half := i.Half
-			if math.IsInf(half, 1) {
-				half = 0
+			halfWidth := interval.HalfWidth
+			if math.IsInf(halfWidth, 1) {
+				halfWidth = 0
 			}
-			w.XYs = append(w.XYs, plotter.XY{X: float64(g) + 0.6*(float64(n)+0.5)/float64(len(names)) - 0.3, Y: i.Mean})
-			w.YErrors = append(w.YErrors, struct{ Low, High float64 }{half, half})
+			means.XYs = append(means.XYs, plotter.XY{X: float64(g) + 0.6*(float64(l)+0.5)/float64(len(levels)) - 0.3, Y: interval.Mean})
+			means.YErrors = append(means.YErrors, struct{ Low, High float64 }{halfWidth, halfWidth})
 		}
-		if len(w.XYs) == 0 {
+		if len(means.XYs) == 0 {
 			continue
 		}
-		points, err := plotter.NewScatter(w.XYs)
+		points, err := plotter.NewScatter(means.XYs)
 		if err != nil {
 			return "", err
 		}
-		points.GlyphStyle = draw.GlyphStyle{Color: plotutil.Color(n), Radius: vg.Points(3), Shape: plotutil.Shape(n)}
-		bars, err := plotter.NewYErrorBars(w)
+		points.GlyphStyle = draw.GlyphStyle{Color: plotutil.Color(l), Radius: vg.Points(3), Shape: plotutil.Shape(l)}
+		errorBars, err := plotter.NewYErrorBars(means)
 		if err != nil {
 			return "", err
 		}
-		bars.Color = plotutil.Color(n)
-		p.Add(points, bars)
-		if alone {
-			p.Legend.Add(names[n], points)
+		errorBars.Color = plotutil.Color(l)
+		p.Add(points, errorBars)
+		if standalone {
+			p.Legend.Add(levels[l], points)
 		}
 	}
 	ticks := make([]plot.Tick, len(groups))
-	for i, g := range groups {
-		ticks[i] = plot.Tick{Value: float64(i), Label: g}
+	for i, label := range groups {
+		ticks[i] = plot.Tick{Value: float64(i), Label: label}
 	}
 	p.X.Tick.Marker = plot.ConstantTicks(ticks)
 	p.X.Min, p.X.Max = -0.5, float64(len(groups))-0.5
-	if alone {
-		p.X.Max += 0.4 * float64(len(groups)) // room for it
+	if standalone {
+		p.X.Max += 0.4 * float64(len(groups)) // leaves space for the legend
 		p.Legend.Top = true
 	}
 	if len(fmt.Sprint(groups)) > 60 {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -15,80 +15,81 @@
 )
 
 //go:embed report.html
-var page string
+var reportTemplate string
 
-// Summary is what the results say of each cell.
+// Summary holds the results of an experiment, summarized for each cell.
 type Summary struct {
 	*Results
 	Experiment *Experiment
 	Cells      []CellSummary
 }
 
-// CellSummary holds an interval for each measure.
+// CellSummary holds the number of runs of a cell, one for each seed, and the interval of each measure.
 type CellSummary struct {
 	Levels   []string
 	Seeds    int
 	Measures []Interval
 }
 
-// Summarize takes a cell's rows together.
+// Summarize estimates all measures of each cell from the cell's rows.
 func Summarize(e *Experiment, r *Results) *Summary {
 	s := &Summary{Results: r, Experiment: e}
-	for _, c := range e.Cells {
+	for _, cell := range e.Cells {
 		values := make([][]float64, len(r.Measures))
 		for _, row := range r.Rows {
-			if slices.Equal(row.Levels, c.Levels) {
+			if slices.Equal(row.Levels, cell.Levels) {
 				for i, v := range row.Values {
 					values[i] = append(values[i], v)
 				}
 			}
 		}
-		x := CellSummary{Levels: c.Levels, Seeds: len(values[0])}
+		summary := CellSummary{Levels: cell.Levels, Seeds: len(values[0])}
 		for _, v := range values {
-			x.Measures = append(x.Measures, Estimate(v, e.Stop.Confidence))
+			summary.Measures = append(summary.Measures, Estimate(v, e.Stop.Confidence))
 		}
-		s.Cells = append(s.Cells, x)
+		s.Cells = append(s.Cells, summary)
 	}
 	return s
 }
 
-// columns are the measures to show, and always those that tell of broken runs.
-func (s *Summary) columns() (names []string, at []int) {
-	for _, m := range append(slices.Clone(s.Experiment.Show), "broken", "cut") {
-		if i := slices.Index(s.Measures, m); i >= 0 && !slices.Contains(names, m) {
-			names, at = append(names, m), append(at, i)
+// columns returns the names and indexes of the measures to show. They always include the measures of violated rules and
+// truncated runs.
+func (s *Summary) columns() (names []string, indexes []int) {
+	for _, measure := range append(slices.Clone(s.Experiment.Show), "broken", "cut") {
+		if i := slices.Index(s.Measures, measure); i >= 0 && !slices.Contains(names, measure) {
+			names, indexes = append(names, measure), append(indexes, i)
 		}
 	}
-	return names, at
+	return names, indexes
 }
 
-// WriteTable writes a row for each cell.
+// WriteTable writes a text table with a row for each cell.
 func (s *Summary) WriteTable(out io.Writer) error {
-	names, at := s.columns()
+	names, indexes := s.columns()
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, strings.Join(s.Factors, "\t")+"\tseeds\t"+strings.Join(names, "\t"))
-	for _, c := range s.Cells {
-		fmt.Fprintf(w, "%s\t%d", strings.Join(c.Levels, "\t"), c.Seeds)
-		for _, i := range at {
-			fmt.Fprintf(w, "\t%v", c.Measures[i])
+	for _, cell := range s.Cells {
+		fmt.Fprintf(w, "%s\t%d", strings.Join(cell.Levels, "\t"), cell.Seeds)
+		for _, i := range indexes {
+			fmt.Fprintf(w, "\t%v", cell.Measures[i])
 		}
 		fmt.Fprintln(w)
 	}
 	return w.Flush()
 }
 
-// WriteCSV writes all rows with all measures.
+// WriteCSV writes the rows of all runs, with all measures, as CSV.
 func (s *Summary) WriteCSV(out io.Writer) error {
 	w := csv.NewWriter(out)
 	if err := w.Write(slices.Concat(s.Factors, []string{"seed"}, s.Measures)); err != nil {
 		return err
 	}
-	for _, r := range s.Rows {
-		row := append(slices.Clone(r.Levels), strconv.FormatUint(r.Seed, 10))
-		for _, v := range r.Values {
-			row = append(row, strconv.FormatFloat(v, 'g', -1, 64))
+	for _, row := range s.Rows {
+		record := append(slices.Clone(row.Levels), strconv.FormatUint(row.Seed, 10))
+		for _, v := range row.Values {
+			record = append(record, strconv.FormatFloat(v, 'g', -1, 64))
 		}
-		if err := w.Write(row); err != nil {
+		if err := w.Write(record); err != nil {
 			return err
 		}
 	}
@@ -96,133 +97,137 @@
 	return w.Error()
 }
 
-// group is one combination of the levels of all factors but the first.
+// group holds the cells that share one combination of levels of all factors but the first.
 type group struct {
 	Label    string
-	cells    []int // by level of the first factor
+	cells    []int // indexes of the cells, by level of the first factor
 	Pictures []template.HTML
 }
 
-// label names the levels of all factors but the first.
-func (s *Summary) label(levels []string) string {
+// groupLabel returns the name of a cell's group: the levels of all factors but the first.
+func (s *Summary) groupLabel(levels []string) string {
 	var parts []string
-	for i, l := range levels[1:] {
-		parts = append(parts, s.Factors[i+1]+" "+l)
+	for i, level := range levels[1:] {
+		parts = append(parts, s.Factors[i+1]+" "+level)
 	}
 	return strings.Join(parts, ", ")
 }
 
+// groups returns the groups of cells, in the order of the experiment's cells.
 func (s *Summary) groups() []group {
-	var out []group
-	for i, c := range s.Cells {
-		label := s.label(c.Levels)
-		at := slices.IndexFunc(out, func(g group) bool { return g.Label == label })
-		if at < 0 {
-			at = len(out)
-			out = append(out, group{Label: label})
+	var groups []group
+	for i, cell := range s.Cells {
+		label := s.groupLabel(cell.Levels)
+		index := slices.IndexFunc(groups, func(g group) bool { return g.Label == label })
+		if index < 0 {
+			index = len(groups)
+			groups = append(groups, group{Label: label})
 		}
-		out[at].cells = append(out[at].cells, i)
+		groups[index].cells = append(groups[index].cells, i)
 	}
-	return out
+	return groups
 }
 
-// WriteHTML writes one page that needs nothing else: the table, the measures'
-// means, and, of the first most groups of cells, pictures of one run each, which
-// is played again from the first seed.
-func (s *Summary) WriteHTML(out io.Writer, most int, told func(string)) error {
-	names, at := s.columns()
+// WriteHTML writes a self-contained HTML page: the table, plots of the measures' means and, for the first maxGroups
+// groups of cells, plots of one run of each cell, which is repeated with the first seed. Before each group it calls
+// notify, if that is not nil, with a message.
+func (s *Summary) WriteHTML(out io.Writer, maxGroups int, notify func(string)) error {
+	names, indexes := s.columns()
 	groups := s.groups()
-	first := s.Experiment.Factors[0]
+	firstFactor := s.Experiment.Factors[0]
 	var means []template.HTML
-	for _, m := range names {
-		if m == "broken" || m == "cut" {
+	for _, measure := range names {
+		if measure == "broken" || measure == "cut" {
 			continue
 		}
-		picture, err := s.Means(m, false)
+		plot, err := s.MeansSVG(measure, false)
 		if err != nil {
 			return err
 		}
-		means = append(means, picture)
+		means = append(means, plot)
 	}
 	for i := range groups {
-		if i >= most {
+		if i >= maxGroups {
 			break
 		}
-		if told != nil {
-			told(fmt.Sprintf("drawing %d of %d: %s", i+1, min(most, len(groups)), groups[i].Label))
+		if notify != nil {
+			notify(fmt.Sprintf("drawing plots of group %d of %d: %s", i+1, min(maxGroups, len(groups)), groups[i].Label))
 		}
 		var err error
-		if groups[i].Pictures, err = s.pictures(&groups[i]); err != nil {
-			return fmt.Errorf("pictures of %s: %w", groups[i].Label, err)
+		if groups[i].Pictures, err = s.drawRuns(&groups[i]); err != nil {
+			return fmt.Errorf("plots of %s: %w", groups[i].Label, err)
 		}
 	}
-	t, err := template.New("report").Parse(page)
+	t, err := template.New("report").Parse(reportTemplate)
 	if err != nil {
 		return err
 	}
 	return t.Execute(out, map[string]any{
-		"Experiment": s.Experiment, "Factors": s.Factors, "Columns": names, "At": at, "Cells": s.Cells, "Means": means, "Legend": legend(first.Labels), "First": first.Name,
-		"Groups": groups[:min(most, len(groups))], "Omitted": len(groups) - min(most, len(groups)), "Runs": len(s.Rows),
+		"Experiment": s.Experiment, "Factors": s.Factors, "Columns": names, "At": indexes, "Cells": s.Cells, "Means": means,
+		"Legend": legend(firstFactor.Labels), "First": firstFactor.Name,
+		"Groups": groups[:min(maxGroups, len(groups))], "Omitted": len(groups) - min(maxGroups, len(groups)), "Runs": len(s.Rows),
 	})
 }
 
-// Means draws a measure's means of all cells, as SVG.
-func (s *Summary) Means(measure string, alone bool) (template.HTML, error) {
-	number := slices.Index(s.Measures, measure)
-	if number < 0 {
-		return "", fmt.Errorf("measure %q is not known; there are %q", measure, s.Measures)
+// MeansSVG returns an SVG plot of a measure's means in all cells. A standalone plot includes a legend.
+func (s *Summary) MeansSVG(measure string, standalone bool) (template.HTML, error) {
+	measureIndex := slices.Index(s.Measures, measure)
+	if measureIndex < 0 {
+		return "", fmt.Errorf("unknown measure %q, want one of %q", measure, s.Measures)
 	}
 	groups := s.groups()
 	labels := make([]string, len(groups))
 	for i, g := range groups {
 		labels[i] = g.Label
-		if len(groups) > 4 { // there is little room
+		if len(groups) > 4 { // short labels, because many groups leave little space
 			labels[i] = strings.Join(s.Cells[g.cells[0]].Levels[1:], ", ")
 		}
 	}
-	picture, err := drawMeans(measure, labels, s.Experiment.Factors[0].Labels, alone, func(g, n int) Interval { return s.Cells[groups[g].cells[n]].Measures[number] })
+	plot, err := drawMeans(measure, labels, s.Experiment.Factors[0].Labels, standalone, func(groupIndex, levelIndex int) Interval {
+		return s.Cells[groups[groupIndex].cells[levelIndex]].Measures[measureIndex]
+	})
 	if err != nil {
-		return "", fmt.Errorf("a picture of %s: %w", measure, err)
+		return "", fmt.Errorf("plot of %s: %w", measure, err)
 	}
-	return picture, nil
+	return plot, nil
 }
 
-// pictures plays a run of each cell of a group and draws them beside each other.
-func (s *Summary) pictures(g *group) ([]template.HTML, error) {
-	var good, slow []series
+// drawRuns runs each cell of a group once, with the first seed, and returns plots that compare the runs.
+func (s *Summary) drawRuns(g *group) ([]template.HTML, error) {
+	var goodputs, latencies []series
 	var names []string
 	var results []*fleet.Result
 	for _, i := range g.cells {
-		c := s.Experiment.Cells[i]
-		c.Scenario.Seed, c.Scenario.RecordUtilisation = s.Experiment.Seeds.First, true
-		r, err := fleet.Run(c.Scenario)
+		cell := s.Experiment.Cells[i]
+		cell.Scenario.Seed, cell.Scenario.RecordUtilisation = s.Experiment.Seeds.First, true
+		r, err := fleet.Run(cell.Scenario)
 		if err != nil {
 			return nil, err
 		}
-		name := c.Levels[0]
-		good, slow = append(good, goodput(r)), append(slow, quantiles(r))
+		name := cell.Levels[0]
+		goodputs, latencies = append(goodputs, goodput(r)), append(latencies, latencyQuantiles(r))
 		names, results = append(names, name), append(results, r)
 	}
-	var out []template.HTML
-	add := func(h template.HTML, err error) error {
-		if h != "" {
-			out = append(out, h)
+	var plots []template.HTML
+	add := func(plot template.HTML, err error) error {
+		if plot != "" {
+			plots = append(plots, plot)
 		}
 		return err
 	}
-	if err := add(drawGoodput("Good requests over time", good)); err != nil {
+	if err := add(drawGoodput("Requests that met their latency objective, over time", goodputs)); err != nil {
 		return nil, err
 	}
-	if err := add(drawQuantiles("Response times", slow)); err != nil {
+	if err := add(drawQuantiles("Latency quantiles", latencies)); err != nil {
 		return nil, err
 	}
-	if err := add(drawLoad("Load of each node", results)); err != nil {
+	if err := add(drawUtilisation("Utilisation of each node", results)); err != nil {
 		return nil, err
 	}
 	for i, r := range results {
-		if err := add(drawHeat("Nodes over time, blue idle to red busy: "+names[i], r)); err != nil {
+		if err := add(drawHeatMap("Utilisation of the nodes over time, from blue (idle) to red (busy): "+names[i], r)); err != nil {
 			return nil, err
 		}
 	}
-	return out, nil
+	return plots, nil
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -10,148 +10,152 @@
 	"mothridge/internal/fleet"
 )
 
-// Progress is how far a run of an experiment has come.
+// Progress reports how much of an experiment has been run.
 type Progress struct {
-	Round         int
-	Done, Planned int // runs of this round; what further rounds take depends on what they show
-	Settled       int // cells that need no more
-	Cells         int
-	Gone, Left    time.Duration // of this round, by the runs so far
-	Broken        int           // runs that broke a rule or were cut
+	Round              int
+	Done, Planned      int // runs of this round; their results decide the number of further runs
+	Finished           int // cells that need no more runs
+	Cells              int
+	Elapsed, Remaining time.Duration // of this round; Remaining is estimated from the runs so far
+	RunsWithFindings   int           // runs that violated a rule or were truncated
 }
 
-// RunOptions say how to run an experiment.
+// RunOptions specify how to run an experiment.
 type RunOptions struct {
-	Out      string // the results file
-	Workers  int
-	Progress func(Progress) // may be nil; called one at a time
-	Notice   func(string)   // may be nil
+	ResultsPath string         // path of the results file
+	Workers     int            // number of concurrent runs
+	Progress    func(Progress) // called after each run, never concurrently; may be nil
+	Notice      func(string)   // called with a message about a truncated results file; may be nil
 }
 
-// job is a run of a cell from a seed.
+// job is one run of a cell, with a seed.
 type job struct {
-	cell int
+	cell int // index in Experiment.Cells
 	seed uint64
 }
 
-// Run plays an experiment until every cell is known well enough or was played
-// from all its seeds. What the results file has already is not played again;
-// rows are added in an order that the experiment alone decides, so that the
-// file is the same to the byte whatever ran beside or was interrupted. It stops
-// early where ctx ends; what was played by then is kept.
+// Run runs an experiment until every cell has a precise enough result or has used all its seeds. Runs that the results
+// file already contains are not repeated. Rows are written in an order that depends only on the experiment, so that the
+// file is identical to the byte regardless of concurrency and interruptions. If ctx ends, Run returns early and the
+// results file keeps the rows written until then.
 func Run(ctx context.Context, e *Experiment, o RunOptions) (*Results, error) {
-	s, err := openStore(o.Out, e)
+	s, err := openStore(o.ResultsPath, e)
 	if err != nil {
 		return nil, err
 	}
-	if s.cut && o.Notice != nil {
-		o.Notice(o.Out + ": its last line was cut; that run is played again")
+	if s.truncated && o.Notice != nil {
+		o.Notice(o.ResultsPath + ": the last line was truncated; its run is repeated")
 	}
-	p := &player{Experiment: e, RunOptions: o, store: s, results: s.had}
-	err = p.play(ctx)
-	if e := s.close(); err == nil {
-		err = e
+	r := &runner{Experiment: e, RunOptions: o, store: s, results: s.existing}
+	err = r.run(ctx)
+	if closeErr := s.close(); err == nil {
+		err = closeErr
 	}
-	return p.results, err
+	return r.results, err
 }
 
-// player is a run of an experiment under way.
-type player struct {
+// runner runs one experiment.
+type runner struct {
 	*Experiment
 	RunOptions
-	store   *store
-	results *Results
-	broken  int
+	store            *store
+	results          *Results
+	runsWithFindings int
 }
 
-func (p *player) play(ctx context.Context) error {
-	had := len(p.results.Rows) // rows that a run before this one left, to be gone through first
-	taken := 0
-	values := make([][]float64, len(p.Cells)) // of the measure that decides when to stop
-	number, err := MeasureNumber(p.Stop.Measure)
+// run runs rounds of jobs until all cells are finished. Rows of an earlier, interrupted run must match the jobs of this
+// one; they take the place of the jobs' runs.
+func (r *runner) run(ctx context.Context) error {
+	existing := len(r.results.Rows) // rows of an earlier, interrupted run, which are used before any new run
+	used := 0
+	values := make([][]float64, len(r.Cells)) // by cell, of the measure that decides when to stop
+	stopIndex, err := MeasureIndex(r.Stop.Measure)
 	if err != nil {
 		return err
 	}
-	brokenAt, _ := MeasureNumber("broken")
-	cutAt, _ := MeasureNumber("cut")
+	brokenIndex, _ := MeasureIndex("broken")
+	cutIndex, _ := MeasureIndex("cut")
 	for round := 1; ; round++ {
-		jobs := p.plan(values)
+		jobs := r.planRound(values)
 		if len(jobs) == 0 {
 			return nil
 		}
-		took := func(j job, r Row) {
-			values[j.cell] = append(values[j.cell], r.Values[number])
-			if r.Values[brokenAt]+r.Values[cutAt] > 0 {
-				p.broken++
+		countRow := func(j job, row Row) {
+			values[j.cell] = append(values[j.cell], row.Values[stopIndex])
+			if row.Values[brokenIndex]+row.Values[cutIndex] > 0 {
+				r.runsWithFindings++
 			}
 		}
-		for len(jobs) > 0 && taken < had {
-			r := p.results.Rows[taken]
-			if !slices.Equal(r.Levels, p.Cells[jobs[0].cell].Levels) || r.Seed != jobs[0].seed {
-				return fmt.Errorf("%s: row %d is %v from seed %d where %v from %d is due: seeds or stop were changed; name another file with --out",
-					p.Out, taken+1, r.Levels, r.Seed, p.Cells[jobs[0].cell].Levels, jobs[0].seed)
+		for len(jobs) > 0 && used < existing {
+			row := r.results.Rows[used]
+			if !slices.Equal(row.Levels, r.Cells[jobs[0].cell].Levels) || row.Seed != jobs[0].seed {
+				return fmt.Errorf("%s: row %d has levels %v and seed %d, want %v and %d: seeds or stop were changed; use another file with --out",
+					r.ResultsPath, used+1, row.Levels, row.Seed, r.Cells[jobs[0].cell].Levels, jobs[0].seed)
 			}
-			took(jobs[0], r)
-			jobs, taken = jobs[1:], taken+1
+			countRow(jobs[0], row)
+			jobs, used = jobs[1:], used+1
 		}
-		if err := p.round(ctx, round, jobs, values, took); err != nil {
+		if err := r.runRound(ctx, round, jobs, values, countRow); err != nil {
 			return err
 		}
 	}
 }
 
-// plan is what the next round plays: of each cell that is not settled the least
-// number of seeds at first, and two more at a time.
-func (p *player) plan(values [][]float64) []job {
+// planRound returns the jobs of the next round, none if all cells are finished. The first round runs each cell with the
+// minimum number of seeds. Later rounds run each unfinished cell with two more seeds.
+func (r *runner) planRound(values [][]float64) []job {
 	var jobs []job
 	for i, v := range values {
 		more := 2
 		switch {
 		case len(v) == 0:
-			more = p.Seeds.Least
-		case p.settled(v):
+			more = r.Seeds.Min
+		case r.isFinished(v):
 			continue
 		}
-		for k := range min(more, p.Seeds.Most-len(v)) {
-			jobs = append(jobs, job{i, p.Seeds.First + uint64(len(v)+k)})
+		for n := range min(more, r.Seeds.Max-len(v)) {
+			jobs = append(jobs, job{i, r.Seeds.First + uint64(len(v)+n)})
 		}
 	}
 	return jobs
 }
 
-func (p *player) settled(v []float64) bool {
-	return len(v) >= p.Seeds.Most || len(v) >= p.Seeds.Least && Estimate(v, p.Stop.Confidence).Half <= p.Stop.Within
+// isFinished reports whether a cell with the given values of the stop measure needs no more runs.
+func (r *runner) isFinished(v []float64) bool {
+	return len(v) >= r.Seeds.Max || len(v) >= r.Seeds.Min && Estimate(v, r.Stop.Confidence).HalfWidth <= r.Stop.Within
 }
 
-// played is what a worker gives back.
-type played struct {
-	number int
-	row    Row
-	err    error
+// jobResult is a worker's result for the job at an index of the round.
+type jobResult struct {
+	index int
+	row   Row
+	err   error
 }
 
-// round plays jobs on all workers and adds their rows in order.
-func (p *player) round(ctx context.Context, round int, jobs []job, values [][]float64, took func(job, Row)) error {
-	queue, results := make(chan int), make(chan played)
-	inner, stop := context.WithCancel(ctx)
+// runRound runs jobs on concurrent workers. It writes the rows in the order of the jobs and passes each to countRow. It
+// stops at the first error or when ctx ends.
+func (r *runner) runRound(ctx context.Context, round int, jobs []job, values [][]float64, countRow func(job, Row)) error {
+	queue, results := make(chan int), make(chan jobResult)
+	workerCtx, stop := context.WithCancel(ctx)
 	var workers sync.WaitGroup
-	for range min(max(1, p.Workers), max(1, len(jobs))) {
+	for range min(max(1, r.Workers), max(1, len(jobs))) {
 		workers.Go(func() {
 			for n := range queue {
-				row, err := p.one(jobs[n])
-				results <- played{n, row, err}
+				row, err := r.runJob(jobs[n])
+				results <- jobResult{n, row, err}
 			}
 		})
 	}
 	go func() {
 		defer close(queue)
 		for n := range jobs {
-			if inner.Err() != nil { // a select would go on half of the time
+			// select picks a random case if both are ready. Without this check it would start further jobs half of the time.
+			if workerCtx.Err() != nil {
 				return
 			}
 			select {
 			case queue <- n:
-			case <-inner.Done():
+			case <-workerCtx.Done():
 				return
 			}
 		}
@@ -160,61 +164,63 @@
 		workers.Wait()
 		close(results)
 	}()
-	began, waiting, next := time.Now(), make(map[int]Row), 0
-	var failed error
-	for r := range results {
-		if r.err != nil && failed == nil {
-			failed = r.err
+	startedAt, waiting, next := time.Now(), make(map[int]Row), 0
+	var firstErr error
+	for result := range results {
+		if result.err != nil && firstErr == nil {
+			firstErr = result.err
 			stop()
 		}
-		waiting[r.number] = r.row
-		for failed == nil {
+		waiting[result.index] = result.row
+		for firstErr == nil {
 			row, ok := waiting[next]
 			if !ok {
 				break
 			}
 			delete(waiting, next)
-			if failed = p.store.write(row); failed != nil {
+			if firstErr = r.store.write(row); firstErr != nil {
 				stop()
 				break
 			}
-			p.results.Rows = append(p.results.Rows, row)
-			took(jobs[next], row)
+			r.results.Rows = append(r.results.Rows, row)
+			countRow(jobs[next], row)
 			next++
 		}
-		p.report(round, next, len(jobs), values, time.Since(began))
+		r.reportProgress(round, next, len(jobs), values, time.Since(startedAt))
 	}
 	stop()
-	if failed != nil {
-		return failed
+	if firstErr != nil {
+		return firstErr
 	}
 	return ctx.Err()
 }
 
-func (p *player) one(j job) (Row, error) {
-	c := &p.Cells[j.cell]
-	s := c.Scenario
+// runJob simulates a job's cell with its seed and returns the row of measures.
+func (r *runner) runJob(j job) (Row, error) {
+	cell := &r.Cells[j.cell]
+	s := cell.Scenario
 	s.Seed = j.seed
-	r, err := fleet.Run(s)
+	result, err := fleet.Run(s)
 	if err != nil {
-		return Row{}, fmt.Errorf("%s from seed %d: %w", c.Label(), j.seed, err)
+		return Row{}, fmt.Errorf("%s with seed %d: %w", cell.Label(), j.seed, err)
 	}
-	return Row{c.Levels, j.seed, Measure(r)}, nil
+	return Row{cell.Levels, j.seed, Measure(result)}, nil
 }
 
-func (p *player) report(round, done, planned int, values [][]float64, gone time.Duration) {
-	if p.Progress == nil {
+// reportProgress calls RunOptions.Progress if it is set.
+func (r *runner) reportProgress(round, done, planned int, values [][]float64, elapsed time.Duration) {
+	if r.Progress == nil {
 		return
 	}
-	settled := 0
+	finished := 0
 	for _, v := range values {
-		if p.settled(v) {
-			settled++
+		if r.isFinished(v) {
+			finished++
 		}
 	}
-	left := time.Duration(0)
+	remaining := time.Duration(0)
 	if done > 0 {
-		left = gone * time.Duration(planned-done) / time.Duration(done)
+		remaining = elapsed * time.Duration(planned-done) / time.Duration(done)
 	}
-	p.Progress(Progress{round, done, planned, settled, len(p.Cells), gone, left, p.broken})
+	r.Progress(Progress{round, done, planned, finished, len(r.Cells), elapsed, remaining, r.runsWithFindings})
 }
--- a/internal/lab/settings_test.go
+++ b/internal/lab/settings_test.go
@@ -10,7 +10,7 @@
 	"mothridge/internal/golden"
 )
 
-// settingPaths returns the paths of all settings below a type, as scenario and experiment files name them.
+// settingPaths returns the paths of all settings below a type, as scenario and experiment files contain them.
 func settingPaths(t reflect.Type, prefix string) []string {
 	for t.Kind() == reflect.Slice {
 		t, prefix = t.Elem(), prefix+"0."
@@ -30,13 +30,13 @@
 	return paths
 }
 
-// Scenario and experiment files name the settings by the tags of fleet.Scenario's fields: these stay.
+// Guards against a changed toml tag in fleet.Scenario, which would make existing scenario and experiment files invalid.
 func TestSettingsKeepTheirNames(t *testing.T) {
 	paths := settingPaths(reflect.TypeFor[fleet.Scenario](), "")
 	slices.Sort(paths)
 	for _, path := range paths {
-		if err := known(reflect.TypeFor[fleet.Scenario](), strings.Split(path, ".")); err != nil {
-			t.Errorf("%s: %v", path, err)
+		if err := checkPath(reflect.TypeFor[fleet.Scenario](), strings.Split(path, ".")); err != nil {
+			t.Errorf("path %s: got error %v, want none", path, err)
 		}
 	}
 	golden.Check(t, "settings", strings.Join(paths, "\n")+"\n")
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -20,24 +20,22 @@
 	Measures   []string `json:"measures"`
 }
 
-// Row is what one run gave.
+// Row holds the values of all measures of one run.
 type Row struct {
 	Levels []string  `json:"levels"`
 	Seed   uint64    `json:"seed"`
 	Values []float64 `json:"values"`
 }
 
-// Results are all rows of a results file, in the order in which they were
-// played, which the experiment alone decides.
+// Results holds all rows of a results file, in an order that depends only on the experiment.
 type Results struct {
 	header
 	Rows []Row
 }
 
-// A line of a results file is the CRC-32 of its JSON in hexadecimal, a space,
-// and the JSON: a line that was cut or changed is noticed.
-
-func line(v any) ([]byte, error) {
+// encodeLine returns a line of a results file: the CRC-32 of its JSON in hexadecimal, a space, and the JSON. The checksum
+// reveals a line that was truncated or changed.
+func encodeLine(v any) ([]byte, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return nil, err
@@ -45,85 +43,86 @@
 	return fmt.Appendf(nil, "%08x %s\n", crc32.ChecksumIEEE(b), b), nil
 }
 
-func parse(b []byte, v any) error {
-	var sum uint32
+// decodeLine decodes a line that encodeLine encoded, without its line feed. It returns an error if the checksum is
+// missing or differs.
+func decodeLine(b []byte, v any) error {
+	var checksum uint32
 	if len(b) < 10 || b[8] != ' ' {
 		return errors.New("no checksum")
 	}
-	if _, err := fmt.Sscanf(string(b[:8]), "%08x", &sum); err != nil {
+	if _, err := fmt.Sscanf(string(b[:8]), "%08x", &checksum); err != nil {
 		return errors.New("no checksum")
 	}
-	if crc32.ChecksumIEEE(b[9:]) != sum {
-		return errors.New("the checksum does not fit")
+	if crc32.ChecksumIEEE(b[9:]) != checksum {
+		return errors.New("checksum mismatch")
 	}
 	return json.Unmarshal(b[9:], v)
 }
 
-// errCut is a last line that was not written whole.
-var errCut = errors.New("the last line is cut")
+// errTruncated reports a last line that was not written completely.
+var errTruncated = errors.New("the last line is truncated")
 
-// read reads results. Whole is how many bytes are good; where only the last line
-// is not, the error is errCut.
-func read(name string, in io.Reader) (r *Results, whole int64, err error) {
+// readResults reads results. It also returns the length in bytes of the valid lines at the start. If only the last line
+// is invalid, the error is errTruncated. The name of the file appears in errors.
+func readResults(name string, in io.Reader) (r *Results, validLength int64, err error) {
 	r = new(Results)
-	buf := bufio.NewReaderSize(in, 1<<16)
-	for n := 1; ; n++ {
-		text, end := buf.ReadBytes('\n')
-		if len(text) == 0 && end == io.EOF {
-			return r, whole, nil
+	reader := bufio.NewReaderSize(in, 1<<16)
+	for lineNumber := 1; ; lineNumber++ {
+		text, readErr := reader.ReadBytes('\n')
+		if len(text) == 0 && readErr == io.EOF {
+			return r, validLength, nil
 		}
-		if end != nil && end != io.EOF {
-			return r, whole, end
+		if readErr != nil && readErr != io.EOF {
+			return r, validLength, readErr
 		}
-		var bad error
-		if n == 1 {
-			bad = parse(bytes.TrimSuffix(text, []byte("\n")), &r.header)
+		var lineErr error
+		if lineNumber == 1 {
+			lineErr = decodeLine(bytes.TrimSuffix(text, []byte("\n")), &r.header)
 		} else {
 			var row Row
-			if bad = parse(bytes.TrimSuffix(text, []byte("\n")), &row); bad == nil && len(row.Values) != len(r.Measures) {
-				bad = fmt.Errorf("%d values of %d measures", len(row.Values), len(r.Measures))
+			if lineErr = decodeLine(bytes.TrimSuffix(text, []byte("\n")), &row); lineErr == nil && len(row.Values) != len(r.Measures) {
+				lineErr = fmt.Errorf("got %d values for %d measures", len(row.Values), len(r.Measures))
 			}
-			if bad == nil && end == nil {
+			if lineErr == nil && readErr == nil {
 				r.Rows = append(r.Rows, row)
 			}
 		}
-		_, more := buf.Peek(1)
+		_, peekErr := reader.Peek(1)
 		switch {
-		case end == io.EOF, bad != nil && more == io.EOF:
-			return r, whole, errCut
-		case bad != nil:
-			return r, whole, fmt.Errorf("%s:%d: %w: the file was changed; move it away to begin anew", name, n, bad)
+		case readErr == io.EOF, lineErr != nil && peekErr == io.EOF:
+			return r, validLength, errTruncated
+		case lineErr != nil:
+			return r, validLength, fmt.Errorf("%s:%d: %w: the file was changed; move it away to start again", name, lineNumber, lineErr)
 		}
-		whole += int64(len(text))
+		validLength += int64(len(text))
 	}
 }
 
-// LoadResults reads a results file, also one that is being written.
+// LoadResults reads a results file. It ignores a truncated last line, because a run may be writing the file.
 func LoadResults(path string) (*Results, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	r, _, err := read(path, f)
-	if err != nil && !errors.Is(err, errCut) {
+	r, _, err := readResults(path, f)
+	if err != nil && !errors.Is(err, errTruncated) {
 		return nil, err
 	}
 	if r.Experiment == "" {
-		return nil, fmt.Errorf("%s: no results are in it", path)
+		return nil, fmt.Errorf("%s: contains no results", path)
 	}
 	return r, nil
 }
 
-// store is a results file that rows are added to.
+// store appends rows to a results file.
 type store struct {
-	file *os.File
-	had  *Results
-	cut  bool // a line that was not whole has been taken off
+	file      *os.File
+	existing  *Results // the contents when the file was opened, or only the header of a new file
+	truncated bool     // an incomplete last line was removed
 }
 
-// openStore opens or begins the results of an experiment. One process at a time
-// may hold it.
+// openStore opens or creates the results file of an experiment and locks it: only one process at a time may write it.
 func openStore(path string, e *Experiment) (*store, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
@@ -137,44 +136,48 @@
 	return s, nil
 }
 
+// open locks the file, reads its rows, removes a truncated last line and checks that the file belongs to the experiment.
+// It writes the header to a new file.
 func (s *store) open(path string, e *Experiment) error {
 	if err := syscall.Flock(int(s.file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return fmt.Errorf("%s: another run is writing it: %w", path, err)
+		return fmt.Errorf("%s: another run is writing this file: %w", path, err)
 	}
-	r, whole, err := read(path, s.file)
-	if err != nil && !errors.Is(err, errCut) {
+	r, validLength, err := readResults(path, s.file)
+	if err != nil && !errors.Is(err, errTruncated) {
 		return err
 	}
-	if s.cut = err != nil; s.cut {
-		if err := s.file.Truncate(whole); err != nil {
+	if s.truncated = err != nil; s.truncated {
+		if err := s.file.Truncate(validLength); err != nil {
 			return err
 		}
 	}
-	if _, err := s.file.Seek(whole, io.SeekStart); err != nil {
+	if _, err := s.file.Seek(validLength, io.SeekStart); err != nil {
 		return err
 	}
-	s.had = r
-	if whole > 0 && r.Hash != e.Hash {
-		return fmt.Errorf("%s: holds results of another experiment, or of this one before it was changed (%q, %s; now %q, %s): name another file with --out", path, r.Experiment, r.Hash, e.Name, e.Hash)
+	s.existing = r
+	if validLength > 0 && r.Hash != e.Hash {
+		return fmt.Errorf("%s: contains results of another experiment, or of this one before it was changed (%q, %s; now %q, %s): use another file with --out",
+			path, r.Experiment, r.Hash, e.Name, e.Hash)
 	}
-	if whole > 0 {
+	if validLength > 0 {
 		return nil
 	}
 	h := header{Experiment: e.Name, Hash: e.Hash, Measures: Measures}
 	for _, f := range e.Factors {
 		h.Factors = append(h.Factors, f.Name)
 	}
-	s.had = &Results{header: h}
+	s.existing = &Results{header: h}
 	return s.write(h)
 }
 
+// write appends a line.
 func (s *store) write(v any) error {
-	b, err := line(v)
+	b, err := encodeLine(v)
 	if err == nil {
 		_, err = s.file.Write(b)
 	}
 	return err
 }
 
-// close makes sure that all is on the disk.
+// close syncs the file to the disk and closes it.
 func (s *store) close() error { return errors.Join(s.file.Sync(), s.file.Close()) }
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// responseGrace is how long after its timeout a client still reads a response, to report it.
+	// responseGrace is how long after its timeout a client still reads a response, so that it can report a late one.
 	responseGrace = time.Second
-	// maxLateness after its timeout a response may come without being reported.
+	// maxLateness is how long after its timeout a response may arrive without being reported as unexpected.
 	maxLateness = 50 * time.Millisecond
-	// maxBackoffShift bounds the doubling of a client's own backoff.
+	// maxBackoffShift limits how often a client's own backoff doubles.
 	maxBackoffShift = 16
 )
 
-// submission is one sending of a request by its client: the first, or a client retry.
+// submission is a request as its client sends it once: the first time, or as a client retry.
 type submission struct {
 	arrival fleet.PlannedArrival
 	call    peers.Call
 	result  peers.Result
 
-	plannedAt time.Time // of the request
-	startedAt time.Time // of this submission
-	endedAt   time.Time
+	plannedAt time.Time // when the scenario plans the request
+	startedAt time.Time // when this submission started; plannedAt for the first submission
+	endedAt   time.Time // when its response arrived, or the client gave up
 }
 
-// runClient is one client: its submissions until it has a response or gives up.
+// runClient runs one client: it submits its request until it has a final response, gives up, or ctx ends.
 func (g *generator) runClient(ctx context.Context, number int, arrival fleet.PlannedArrival, plannedAt time.Time) {
 	g.countStart(arrival, plannedAt)
 	defer g.countEnd()
@@ -52,7 +52,7 @@
 		}
 		s.endedAt = time.Now()
 		g.record(&s)
-		pause, retry := g.retry(s.result, class, attempt)
+		pause, retry := g.retryDecision(s.result, class, attempt)
 		retriesInTime := retry && !time.Now().Add(pause).After(plannedAt.Add(class.Deadline))
 		if !retriesInTime || !sleep(ctx, pause) {
 			return
@@ -60,8 +60,8 @@
 	}
 }
 
-// timeout is what is left of the class's deadline, or the drawn share after which this
-// client gives up.
+// timeout returns the time left until the class's deadline. If the scenario's clients give up after a share of
+// the deadline (TimeoutShares), the share is drawn for each submission and the shorter of the two times applies.
 func (g *generator) timeout(class *fleet.Class, s *submission) time.Duration {
 	remaining := s.plannedAt.Add(class.Deadline).Sub(s.startedAt)
 	if shares := g.Scenario.Clients.TimeoutShares; len(shares) == 2 {
@@ -71,7 +71,7 @@
 	return remaining
 }
 
-// newCall makes a submission's call. The work is in the body, which the node reads.
+// newCall returns a submission's call. Its body states the request's work, which the node reads.
 func (g *generator) newCall(number, attempt int, arrival fleet.PlannedArrival, timeout time.Duration) peers.Call {
 	call := peers.Call{
 		ID:          fmt.Sprintf("%d-%d-%d", g.Scenario.Seed, number, attempt),
@@ -91,6 +91,7 @@
 	return call
 }
 
+// className returns a class's name, or a name made from its index if it has none.
 func className(s *fleet.Scenario, i int) string {
 	if name := s.Classes[i].Name; name != "" {
 		return name
@@ -98,6 +99,7 @@
 	return fmt.Sprintf("class-%d", i)
 }
 
+// tenantName returns a tenant's name, or a name made from its index if it has none.
 func tenantName(s *fleet.Scenario, i int) string {
 	if i < len(s.Tenants) && s.Tenants[i].Name != "" {
 		return s.Tenants[i].Name
@@ -105,8 +107,8 @@
 	return fmt.Sprintf("tenant-%d", i)
 }
 
-// retry says whether a client retries, and after which pause.
-func (g *generator) retry(got peers.Result, class *fleet.Class, attempt int) (time.Duration, bool) {
+// retryDecision returns whether a client retries after a result, and the pause before that retry.
+func (g *generator) retryDecision(result peers.Result, class *fleet.Class, attempt int) (time.Duration, bool) {
 	clients := &g.Scenario.Clients
 	backoff := func() time.Duration {
 		doubled := clients.RetryBackoff << min(attempt-1, maxBackoffShift)
@@ -115,31 +117,33 @@
 	if attempt >= clients.MaxSubmissions {
 		return 0, false
 	}
-	if got.Outcome == peers.Rejected {
+	if result.Outcome == peers.Rejected {
 		if clients.RetryAfterShare >= 1 || g.draw() < clients.RetryAfterShare {
-			return got.RetryAfter, true
+			return result.RetryAfter, true
 		}
 		return backoff(), true
 	}
 	idempotent := policy.Idempotency(class.Idempotency) == policy.Idempotent
-	retriesOutcome := clients.RetriesFailures || got.Outcome == peers.Lost
-	if got.Outcome != peers.Served && idempotent && retriesOutcome {
+	retriesOutcome := clients.RetriesFailures || result.Outcome == peers.Lost
+	if result.Outcome != peers.Served && idempotent && retriesOutcome {
 		return backoff(), true
 	}
 	return 0, false
 }
 
-// tallies are the counts that a request belongs to. g.mu is held.
+// tallies returns the tallies that count a request: all requests, its class and its tenant.
+// The caller holds g.mu.
 func (g *generator) tallies(arrival fleet.PlannedArrival) []*fleet.Tally {
 	return []*fleet.Tally{&g.result.Tally, &g.result.Classes[arrival.Class], &g.result.Tenants[arrival.Tenant]}
 }
 
-// window is the one in which a time since the start lies, or the nearest one.
+// window returns the window that contains a time since the start, or the nearest window. The caller holds g.mu.
 func (g *generator) window(sinceStart time.Duration) *fleet.Window {
 	windows := g.result.Windows
 	return &windows[max(0, min(int(sinceStart/time.Second), len(windows)-1))]
 }
 
+// countStart counts a request in the window of its planned time.
 func (g *generator) countStart(arrival fleet.PlannedArrival, plannedAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -158,7 +162,7 @@
 	g.inFlight--
 }
 
-// record counts a submission as the model does.
+// record counts a submission in the same way as the model does.
 func (g *generator) record(s *submission) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -182,10 +186,12 @@
 	}
 	lateness := s.endedAt.Sub(s.startedAt) - s.call.Timeout
 	if lateness > maxLateness && s.result.Outcome != peers.Lost {
-		r.addUnexpected("%s: answered %v after its deadline", s.call.ID, lateness)
+		r.addUnexpected("%s: response arrived %v after the deadline", s.call.ID, lateness)
 	}
 }
 
+// recordServed counts a served submission against its class's latency objective. The latency of the request runs
+// from its planned time; the time of the submission runs from the submission's own start. The caller holds g.mu.
 func (g *generator) recordServed(s *submission) {
 	objective := g.Scenario.Classes[s.arrival.Class].LatencyObjective
 	latency := s.endedAt.Sub(s.plannedAt)
@@ -203,7 +209,7 @@
 	}
 }
 
-// recordMicroseconds ignores a time above maxLatency, which no request can take.
+// recordMicroseconds ignores a duration above maxLatency, because no request can take that long.
 func recordMicroseconds(histogram *hdrhistogram.Histogram, d time.Duration) {
 	_ = histogram.RecordValue(d.Microseconds())
 }
--- a/internal/load/faults.go
+++ b/internal/load/faults.go
@@ -9,21 +9,21 @@
 	"mothridge/policy"
 )
 
-// checkPlayable returns an error that names what of a scenario sockets cannot play.
-func checkPlayable(s *fleet.Scenario) error {
+// checkSupported returns an error that names the first part of a scenario that cannot run over sockets.
+func checkSupported(s *fleet.Scenario) error {
 	if err := s.Check(); err != nil {
 		return err
 	}
 	if s.Policy != "" && s.Policy != fleet.Mothridge {
-		return fmt.Errorf("policy %q is a reference: no sidecar has it", s.Policy)
+		return fmt.Errorf("policy %q is a reference policy of the model, which sidecars do not implement", s.Policy)
 	}
 	if s.List.Membership || s.Network.HandshakeWork > 0 || s.List.CellSize != 0 {
-		return fmt.Errorf("list.membership, list.cell and network.handshake are the model's alone")
+		return fmt.Errorf("list.membership, list.cell and network.handshake are supported only in the model")
 	}
 	for i, class := range s.Classes {
 		byKey := policy.Idempotency(class.Idempotency) == policy.IdempotentByKey
 		if byKey && class.DedupScope != fleet.DedupScope(policy.ScopeAll) {
-			return fmt.Errorf("class %d: the stand-in nodes remember keys in common: scope all is meant", i)
+			return fmt.Errorf("class %d: scope must be all, because the stand-in nodes share their idempotency keys", i)
 		}
 	}
 	for i, fault := range s.Faults {
@@ -34,32 +34,34 @@
 	return nil
 }
 
+// checkFault returns an error if fault number i cannot be injected over sockets.
 func checkFault(i int, fault fleet.Fault) error {
 	switch fault.Kind {
 	case fleet.Hang, fleet.Drain, fleet.Restart, fleet.TrafficBurst:
 	case fleet.StealCPU:
 		if fault.Period > 0 {
-			return fmt.Errorf("trouble %d: steal with every is the model's alone", i)
+			return fmt.Errorf("trouble %d: steal with every is supported only in the model", i)
 		}
 	default:
-		return fmt.Errorf("trouble %d: %s is the model's alone", i, fault.Kind)
+		return fmt.Errorf("trouble %d: %s is supported only in the model", i, fault.Kind)
 	}
 	restartTakesTime := fault.Kind == fleet.Restart && fault.Duration > 0
 	if fault.NodeShare > 0 || restartTakesTime {
-		return fmt.Errorf("trouble %d: over sockets one node is meant, and a restart that takes no time", i)
+		return fmt.Errorf("trouble %d: over sockets a fault must affect exactly one node, and a restart must take no time", i)
 	}
 	return nil
 }
 
-// playFault begins a fault at its time and ends it. It blocks until then, or until ctx ends.
-func (w *world) playFault(ctx context.Context, fault fleet.Fault) {
-	inPlan := fault.Kind == fleet.TrafficBurst
-	if inPlan || !sleep(ctx, fault.Start) {
+// injectFault waits for a fault's start time, begins the fault and, if the fault has a duration, ends it afterwards.
+// It blocks meanwhile and returns early if ctx ends. A traffic burst is skipped: the planned arrivals contain it.
+func (e *environment) injectFault(ctx context.Context, fault fleet.Fault) {
+	isPlanned := fault.Kind == fleet.TrafficBurst
+	if isPlanned || !sleep(ctx, fault.Start) {
 		return
 	}
 	announce := func(health string, startedAtMS int64) {
-		if sleep(ctx, w.scenario.List.MaxDelay/2) { // the mean delay of the model
-			w.setEndpoint(fault.Node, health, startedAtMS)
+		if sleep(ctx, e.scenario.List.MaxDelay/2) { // the mean of the model's discovery delay
+			e.setEndpoint(fault.Node, health, startedAtMS)
 		}
 	}
 	switch fault.Kind {
@@ -70,11 +72,11 @@
 		}
 	case fleet.Restart:
 		startedAtMS := time.Now().UnixMilli()
-		w.nodes[fault.Node].BeginFault(fault)
-		w.rigs[0].Nodes[fault.Node].ResetConnections()
+		e.nodes[fault.Node].BeginFault(fault)
+		e.rigs[0].Nodes[fault.Node].ResetConnections()
 		announce("up", startedAtMS)
 	default:
-		end := w.nodes[fault.Node].BeginFault(fault)
+		end := e.nodes[fault.Node].BeginFault(fault)
 		if fault.Duration > 0 && sleep(ctx, fault.Duration) {
 			end()
 		}
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -14,16 +14,15 @@
 )
 
 const (
-	// startDelay is from when a generator is made to its first request.
+	// startDelay is the time between the creation of a generator and the start of its scenario.
 	startDelay = 10 * time.Millisecond
-	// maxLatency bounds what is measured.
+	// maxLatency is the longest latency that the histograms record.
 	maxLatency = time.Hour
 )
 
-// Run sends a scenario's requests at the times that it has for them, whatever becomes of
-// earlier ones (an open loop), and measures each from its planned time, so that a sidecar
-// that stalls is charged for all that it delayed. It blocks until the last request has its
-// response, or ctx ends.
+// Run sends a scenario's requests at their planned times, whether or not earlier requests have completed (an open
+// loop). It measures each latency from the planned time, so that the latency includes the whole delay that a stalled
+// sidecar causes. Run blocks until the last request has completed, or ctx ends.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	plan, err := o.plan()
 	if err != nil {
@@ -52,10 +51,10 @@
 	return g.result, ctx.Err()
 }
 
-// plan checks the options and returns the scenario's requests.
+// plan checks the options and returns the scenario's planned requests.
 func (o *Options) plan() ([]fleet.PlannedArrival, error) {
 	for _, target := range o.Targets {
-		if err := Loopback(target); err != nil {
+		if err := CheckLoopback(target); err != nil {
 			return nil, err
 		}
 	}
@@ -64,14 +63,15 @@
 	case err != nil:
 		return nil, err
 	case len(o.Targets) == 0:
-		return nil, fmt.Errorf("no target: a sidecar's address is needed")
+		return nil, fmt.Errorf("targets: at least one sidecar address is required")
 	case len(plan) > o.MaxRequests:
-		return nil, fmt.Errorf("the scenario has %d requests, over the bound of %d: shorten it or raise the bound", len(plan), o.MaxRequests)
+		return nil, fmt.Errorf("the scenario has %d requests, but at most %d are allowed: shorten the scenario or raise the limit",
+			len(plan), o.MaxRequests)
 	}
 	return plan, nil
 }
 
-// sleep waits; false where ctx ends before.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -86,18 +86,18 @@
 	}
 }
 
-// generator is a load in progress. Each client runs on a goroutine of its own.
+// generator sends the requests of one scenario. Each client runs on its own goroutine.
 type generator struct {
 	Options
 	startAt time.Time
-	clients []peers.Client // by target
-	total   int            // requests
+	clients []peers.Client // one for each target
+	total   int            // planned requests
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	random   *rand.Rand
 	result   *Result
-	started  int
-	inFlight int
+	started  int // requests
+	inFlight int // requests
 }
 
 func newGenerator(o Options, total int) *generator {
@@ -120,6 +120,7 @@
 	}
 }
 
+// draw returns a random number in [0, 1), from a generator seeded with the scenario's seed.
 func (g *generator) draw() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/load/node.go
+++ b/internal/load/node.go
@@ -1,6 +1,6 @@
-// Package load plays a scenario of the model on real sockets: its nodes as the scripts of
-// stand-ins, its clients as an open-loop load, and real sidecars between them, so that the
-// model can be compared with the program. All is on loopback and bounded in count and time.
+// Package load runs a scenario of the fleet model on real sockets, so that the model can be compared with the program:
+// stand-ins respond as the model's nodes do, an open-loop generator sends the clients' requests, and real sidecars run
+// between them. All sockets are on loopback, and the number of requests and the duration are bounded.
 package load
 
 import (
@@ -13,36 +13,37 @@
 	"mothridge/internal/peers"
 )
 
-// Node is a node of the model in real time. It is safe for concurrent use.
+// Node runs one node of the model in real time. It is safe for concurrent use.
 type Node struct {
 	mu        sync.Mutex
 	startedAt time.Time
-	node      *fleet.SingleNode // under mu
-	timer     *time.Timer       // of the model's next event
+	node      *fleet.SingleNode // guarded by mu
+	timer     *time.Timer       // fires at the model's next event
 	closed    chan struct{}
-	meanWork  time.Duration // of a request that states none
+	meanWork  time.Duration // the work of a request whose body states none
 }
 
-// NewNode makes a Node; Close ends its timer.
+// NewNode returns a running Node. The caller must call Close, which stops its timer.
 func NewNode(p fleet.NodeParams, meanWork time.Duration) *Node {
 	n := &Node{startedAt: time.Now(), node: fleet.NewSingleNode(p), closed: make(chan struct{}), meanWork: meanWork}
 	n.timer = time.AfterFunc(time.Hour, n.tick)
 	return n
 }
 
-// Close ends it; requests in flight are reset.
+// Close stops the node and resets the requests in flight.
 func (n *Node) Close() {
 	n.timer.Stop()
 	close(n.closed)
 }
 
+// tick runs the model's events that are due. The timer calls it on its own goroutine.
 func (n *Node) tick() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.advance()
 }
 
-// advance brings the model up to now and sets the timer to its next event. mu is held.
+// advance runs the model up to the present time and sets the timer to its next event. The caller holds mu.
 func (n *Node) advance() {
 	now := time.Since(n.startedAt)
 	if next, due := n.node.Advance(now); due {
@@ -50,7 +51,7 @@
 	}
 }
 
-// BeginFault begins a fault; the function that it returns ends it.
+// BeginFault begins a fault. The function that it returns ends the fault.
 func (n *Node) BeginFault(fault fleet.Fault) (end func()) {
 	apply := func(change func(fleet.Fault)) {
 		n.mu.Lock()
@@ -63,12 +64,12 @@
 	return func() { apply(n.node.EndFault) }
 }
 
-// workField is what a request's body begins with: its work in µs.
+// workField precedes a request's work, in µs, in the request's body.
 const workField = "work_us="
 
-// Script responds to a request after the time that the model takes for it beside all
-// others in flight.
-func (n *Node) Script(c peers.Call) peers.Response {
+// Respond is a stand-in's script. It responds to a request after the time that the model takes to execute the request
+// concurrently with all others in flight.
+func (n *Node) Respond(c peers.Call) peers.Response {
 	work := n.meanWork
 	if text, ok := strings.CutPrefix(string(c.Body), workField); ok {
 		if us, err := strconv.ParseInt(text, 10, 64); err == nil {
--- a/internal/load/progress.go
+++ b/internal/load/progress.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// reportProgress calls Options.Progress every second until the function that it returns
-// is called, which waits for the last call.
+// reportProgress calls Options.Progress every second on its own goroutine. The returned stop function ends the reports
+// and waits until the last call has returned.
 func (g *generator) reportProgress(ctx context.Context) (stop func()) {
 	if g.Progress == nil {
 		return func() {}
@@ -25,6 +25,7 @@
 	}
 }
 
+// progress returns the present progress.
 func (g *generator) progress() Progress {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/load/settings.go
+++ b/internal/load/settings.go
@@ -2,45 +2,46 @@
 
 import "mothridge/internal/rig"
 
-// idempotencyWords are the platform's words, by fleet.Idempotency.
-var idempotencyWords = []string{"free", "guarded", "single_shot"}
+// platformIdempotencyNames are the names in the platform's settings, indexed by fleet.Idempotency.
+var platformIdempotencyNames = []string{"free", "guarded", "single_shot"}
 
-// millisecondsPerSecond converts what the platform's settings give in ms.
+// millisecondsPerSecond converts seconds to the ms of the platform's settings.
 const millisecondsPerSecond = 1e3
 
-// nodeIdleMilliseconds is how long a stand-in keeps an idle connection.
+// nodeIdleMilliseconds is how long, in ms, a stand-in keeps an idle connection open.
 const nodeIdleMilliseconds = 30000
 
-// settings are the platform's, by its keys, as the scenario has them.
-func (w *world) settings() map[string]any {
+// settings returns the platform's settings, under the platform's keys, with the scenario's values.
+func (e *environment) settings() map[string]any {
 	return map[string]any{
-		"balancers":     w.scenario.Sidecars,
-		"classes":       w.classSettings(),
-		"orgs":          w.tenantSettings(),
+		"balancers":     e.scenario.Sidecars,
+		"classes":       e.classSettings(),
+		"orgs":          e.tenantSettings(),
 		"client_habits": map[string]any{"marks_retry": true},
 		"caps": map[string]any{
 			"may_cancel":         true,
-			"probes":             w.scenario.LoadReports,
-			"most_tries":         w.scenario.MaxAttempts,
+			"probes":             e.scenario.LoadReports,
+			"most_tries":         e.scenario.MaxAttempts,
 			"dial_timeout_ms":    rig.ConnectIn.Milliseconds(),
 			"conn_idle_ms":       nodeIdleMilliseconds,
-			"max_retry_after_ms": w.scenario.Clients.MaxRetryAfter.Milliseconds(),
+			"max_retry_after_ms": e.scenario.Clients.MaxRetryAfter.Milliseconds(),
 		},
 		"rules": map[string]any{
-			"cold_from":              w.scenario.Node.InitialSpeedShare,
-			"cold_ms":                w.scenario.Node.WarmUpTime.Milliseconds(),
-			"fall_multiple":          w.scenario.Node.WarmUpOverloadFactor,
+			"cold_from":              e.scenario.Node.InitialSpeedShare,
+			"cold_ms":                e.scenario.Node.WarmUpTime.Milliseconds(),
+			"fall_multiple":          e.scenario.Node.WarmUpOverloadFactor,
 			"stop_sending_within_ms": rig.DrainWithin.Milliseconds(),
 		},
 	}
 }
 
-func (w *world) classSettings() []any {
+// classSettings returns the settings of the scenario's classes.
+func (e *environment) classSettings() []any {
 	var classes []any
-	for i, class := range w.scenario.Classes {
+	for i, class := range e.scenario.Classes {
 		classes = append(classes, map[string]any{
-			"name":          className(w.scenario, i),
-			"semantics":     idempotencyWords[class.Idempotency],
+			"name":          className(e.scenario, i),
+			"semantics":     platformIdempotencyNames[class.Idempotency],
 			"dedup_scope":   "all",
 			"window_ms":     class.DedupWindow.Seconds() * millisecondsPerSecond,
 			"aim_ms":        class.LatencyObjective.Seconds() * millisecondsPerSecond,
@@ -51,14 +52,15 @@
 	return classes
 }
 
-func (w *world) tenantSettings() []any {
-	if len(w.scenario.Tenants) == 0 {
-		return []any{map[string]any{"name": tenantName(w.scenario, 0), "share": 1}}
+// tenantSettings returns the settings of the scenario's tenants, or of one tenant if the scenario has none.
+func (e *environment) tenantSettings() []any {
+	if len(e.scenario.Tenants) == 0 {
+		return []any{map[string]any{"name": tenantName(e.scenario, 0), "share": 1}}
 	}
 	var tenants []any
-	for i, tenant := range w.scenario.Tenants {
+	for i, tenant := range e.scenario.Tenants {
 		tenants = append(tenants, map[string]any{
-			"name": tenantName(w.scenario, i), "share": tenant.Share, "quota_per_s": tenant.Quota,
+			"name": tenantName(e.scenario, i), "share": tenant.Share, "quota_per_s": tenant.Quota,
 		})
 	}
 	return tenants
--- a/internal/load/world.go
+++ b/internal/load/world.go
@@ -10,27 +10,27 @@
 	"mothridge/internal/rig"
 )
 
-// Play plays a scenario on sockets: its nodes, real sidecars and its clients, all in this
-// process. Faults that sockets cannot play, and what only the model has (connections' cost,
-// delays, the membership package), are an error that names them, so that nothing is
-// compared that was not played. It blocks until the scenario has ended, or ctx has.
-func Play(ctx context.Context, s fleet.Scenario, protocol peers.Protocol, maxRequests int, progress func(Progress)) (*Result, error) {
-	if err := checkPlayable(&s); err != nil {
+// RunOnSockets runs a scenario on sockets: its nodes, real sidecars and its clients, all in this process. If the
+// scenario contains a fault that cannot be injected over sockets, or a feature that only the model has (the cost of
+// connections, delays, the membership package), RunOnSockets returns an error that names this part, so that the model
+// is never compared with a run that left it out. It blocks until the scenario ends, or ctx ends.
+func RunOnSockets(ctx context.Context, s fleet.Scenario, protocol peers.Protocol, maxRequests int, progress func(Progress)) (*Result, error) {
+	if err := checkSupported(&s); err != nil {
 		return nil, err
 	}
-	w := &world{scenario: &s}
-	defer w.close()
-	if err := w.start(protocol); err != nil {
+	e := &environment{scenario: &s}
+	defer e.close()
+	if err := e.start(protocol); err != nil {
 		return nil, err
 	}
 	o := Options{Scenario: s, Protocol: protocol, MaxRequests: maxRequests, Progress: progress}
-	for _, r := range w.rigs {
+	for _, r := range e.rigs {
 		o.Targets = append(o.Targets, r.Addr)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	var faults sync.WaitGroup
 	for _, fault := range s.Faults {
-		faults.Go(func() { w.playFault(ctx, fault) })
+		faults.Go(func() { e.injectFault(ctx, fault) })
 	}
 	r, err := Run(ctx, o)
 	cancel()
@@ -38,29 +38,30 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, twice := range w.rigs[0].Ledger.ExecutedTwice(func(string) bool { return true }) {
-		r.Violations = append(r.Violations, "rule 2: "+twice)
+	for _, request := range e.rigs[0].Ledger.ExecutedTwice(func(string) bool { return true }) {
+		r.Violations = append(r.Violations, "rule 2: "+request)
 	}
 	return r, nil
 }
 
-// sidecarSockets is the bound on each sidecar's descriptors.
+// sidecarSockets limits the file descriptors of each sidecar.
 const sidecarSockets = 4096
 
-// world is the nodes and the sidecars of a scenario.
-type world struct {
+// environment holds the nodes and the sidecars of a scenario.
+type environment struct {
 	scenario *fleet.Scenario
 	nodes    []*Node
-	rigs     []*rig.Rig // a sidecar each; the first one has the nodes and the discovery of all
+	rigs     []*rig.Rig // one for each sidecar; the first one holds the stand-in nodes and the discovery that all share
 }
 
-func (w *world) start(protocol peers.Protocol) error {
-	s := w.scenario
+// start starts the nodes and the sidecars.
+func (e *environment) start(protocol peers.Protocol) error {
+	s := e.scenario
 	for i := range s.Nodes {
-		w.nodes = append(w.nodes, NewNode(s.NodeParamsAt(i), s.Classes[0].Work))
+		e.nodes = append(e.nodes, NewNode(s.NodeParamsAt(i), s.Classes[0].Work))
 	}
 	o := rig.Options{
-		Front: protocol, Nodes: protocol, Number: s.Nodes, Slots: s.Slots, Settings: w.settings(), Sockets: sidecarSockets,
+		Front: protocol, Nodes: protocol, Number: s.Nodes, Slots: s.Slots, Settings: e.settings(), Sockets: sidecarSockets,
 	}
 	for i := range s.Sidecars {
 		o.Seed = fmt.Sprint(s.Seed + uint64(i))
@@ -68,33 +69,34 @@
 		if err != nil {
 			return err
 		}
-		w.rigs = append(w.rigs, r)
+		e.rigs = append(e.rigs, r)
 		if i > 0 {
 			continue
 		}
 		o.Beside = r
 		for n := range r.Nodes {
-			r.Nodes[n].SetScript(w.nodes[n].Script)
-			w.setEndpoint(n, "up", 0)
+			r.Nodes[n].SetScript(e.nodes[n].Respond)
+			e.setEndpoint(n, "up", 0)
 		}
 	}
 	return nil
 }
 
-func (w *world) close() {
-	for _, node := range w.nodes {
-		node.Close() // first: the sidecars' shutdown waits for their responses
+// close stops the nodes and the sidecars, and the rig with the shared nodes last.
+func (e *environment) close() {
+	for _, node := range e.nodes {
+		node.Close() // nodes first, because a sidecar's shutdown waits for their responses
 	}
-	for i := len(w.rigs) - 1; i >= 0; i-- {
-		_ = w.rigs[i].Close() // the result is there
+	for i := len(e.rigs) - 1; i >= 0; i-- {
+		_ = e.rigs[i].Close() // the result is complete, so an error here changes nothing
 	}
 }
 
-// setEndpoint changes the discovery's entry of a node.
-func (w *world) setEndpoint(i int, health string, startedAtMS int64) {
-	node := w.rigs[0].Nodes[i]
-	w.rigs[0].Discovery.Set(peers.Endpoint{
+// setEndpoint sets a node's entry in the discovery.
+func (e *environment) setEndpoint(i int, health string, startedAtMS int64) {
+	node := e.rigs[0].Nodes[i]
+	e.rigs[0].Discovery.Set(peers.Endpoint{
 		Name: node.Name, Addr: node.Addr(), Zone: "a", MachineType: "m", Cell: i,
-		Health: health, Weight: w.scenario.NodeCapacity(i), StartedAtMs: startedAtMS,
+		Health: health, Weight: e.scenario.NodeCapacity(i), StartedAtMs: startedAtMS,
 	})
 }
