--- a/internal/hook/check.go
+++ b/internal/hook/check.go
@@ -44,7 +44,8 @@
 	}
 	if len(c.program.hooks) == 0 && len(c.diagnostics) == 0 {
 		at := lexer.Position{Line: 1, Column: 1}
-		c.report(at, "the program has no hook: \"on request { ... }\", outcome or member is meant")
+		c.report(at,
+			"the program has no hook; declare \"on request { ... }\", \"on outcome { ... }\" or \"on member { ... }\"")
 	}
 	c.checkFeatureUses()
 	if len(c.diagnostics) > 0 {
@@ -65,7 +66,7 @@
 // expression in the diagnostic. It returns the expression.
 func (c *checker) expectType(e *expression, want *valueType, what string) *expression {
 	if !e.isInvalid() && !e.valueType.isSame(want) {
-		c.report(e.position, "%s is %s; %s is meant", what, e.valueType, want)
+		c.report(e.position, "%s must be %[3]s, got %[2]s", what, e.valueType, want)
 	}
 	return e
 }
--- a/internal/hook/check_calls.go
+++ b/internal/hook/check_calls.go
@@ -37,7 +37,7 @@
 	}
 	index, ok := builtinIndex(node.Name)
 	if !ok {
-		c.report(node.Pos, "there is no function %q", node.Name)
+		c.report(node.Pos, "unknown function %q", node.Name)
 		return invalidExpression(node.Pos)
 	}
 	if !valid {
@@ -55,7 +55,7 @@
 	e.valueType = callee.result
 	c.function.uses[feature{name: node.Name, isCall: true}] = node.Pos
 	if valid && !areSameTypes(types, callee.parameters) {
-		c.report(node.Pos, "%s takes %v; these are %v", node.Name, callee.parameters, types)
+		c.report(node.Pos, "%s takes %v, got %v", node.Name, callee.parameters, types)
 	}
 	return e
 }
@@ -71,7 +71,7 @@
 	e.index = index
 	e.valueType = callee.signature.resultFor(types)
 	if e.valueType == nil {
-		c.report(node.Pos, "%s takes %s; these are %v", node.Name, callee.signature.description(), types)
+		c.report(node.Pos, "%s takes %s, got %v", node.Name, callee.signature.description(), types)
 		return invalidExpression(node.Pos)
 	}
 	if callee.hooks != 0 {
@@ -87,7 +87,7 @@
 // constant, because a run must not read files.
 func (c *checker) resolveZone(operand *expression) {
 	if operand.kind != expressionConstant {
-		c.report(operand.position, "a time zone's name is meant that is known beforehand, such as \"Australia/Brisbane\"")
+		c.report(operand.position, "the name of the time zone must be a constant, such as \"Australia/Brisbane\"")
 		return
 	}
 	name := operand.constant.text
@@ -95,7 +95,7 @@
 	if !known {
 		location, err := time.LoadLocation(name)
 		if err != nil || name == "" || name == "Local" {
-			c.report(operand.position, "there is no time zone %q: one such as \"Australia/Brisbane\" or \"UTC\" is meant", name)
+			c.report(operand.position, "unknown time zone %q; use a name such as \"Australia/Brisbane\" or \"UTC\"", name)
 			return
 		}
 		index = len(c.program.zones)
@@ -110,7 +110,7 @@
 func (c *checker) stateCall(node *callNode) *expression {
 	index, ok := c.stateArgument(node)
 	if !ok {
-		c.report(node.Pos, "%s takes a state first, as \"state NAME: counter\" declares one", node.Name)
+		c.report(node.Pos, "the first argument of %s must be a state; \"state NAME: counter\" declares one", node.Name)
 		return invalidExpression(node.Pos)
 	}
 	state := &c.program.states[index]
@@ -133,7 +133,8 @@
 	}
 	parameters := stateParameters(node.Name, state)
 	if len(e.operands) != len(parameters) {
-		c.report(node.Pos, "%s of %s takes %d more, %v", node.Name, state.Name, len(parameters), parameters)
+		c.report(node.Pos, "%s of %s takes %d argument(s) after the state: %v",
+			node.Name, state.Name, len(parameters), parameters)
 		return invalidExpression(node.Pos)
 	}
 	for i, operand := range e.operands {
--- a/internal/hook/check_declarations.go
+++ b/internal/hook/check_declarations.go
@@ -45,7 +45,7 @@
 	c.scopes = nil
 	e := c.expression(node.Value)
 	if e.kind != expressionConstant && !e.isInvalid() {
-		c.report(node.Value.Pos, "a constant is a plain value that is known beforehand")
+		c.report(node.Value.Pos, "the value of a constant must be a plain literal or another constant")
 	}
 	c.constants[node.Name] = e
 }
@@ -57,12 +57,12 @@
 		state.MaxEntries, _ = strconv.Atoi(*node.Most) // an overflow yields the maximum int, which is out of bounds
 		state.MaxAge, _ = parseDuration(*node.Age)
 		if !isWithinBounds(state) {
-			c.report(at, "a map of %s entries for %s: 1 to %d entries, and an age of up to 30d, are meant",
+			c.report(at, "a map of %s entries for %s is out of bounds: a map must have 1 to %d entries and an age of up to 30d",
 				*node.Most, *node.Age, MaxEntries)
 		}
 	}
 	if len(c.program.states) == MaxStates {
-		c.report(at, "more than %d states", MaxStates)
+		c.report(at, "a program may have at most %d states", MaxStates)
 	}
 	c.stateIndexes[state.Name] = len(c.program.states)
 	c.program.states = append(c.program.states, state)
@@ -90,10 +90,10 @@
 
 func (c *checker) declareHook(at lexer.Position, node *hookNode) {
 	if _, known := eventFields[node.Name]; !known {
-		c.report(at, "there is no hook %q: request, outcome or member is meant", node.Name)
+		c.report(at, "unknown hook %q; must be request, outcome or member", node.Name)
 	}
 	if _, exists := c.program.hooks[node.Name]; exists {
-		c.report(at, "there are two hooks %q", node.Name)
+		c.report(at, "hook %q is declared twice", node.Name)
 	}
 	c.program.hooks[node.Name] = len(c.program.functions)
 	c.program.functions = append(c.program.functions, &function{
@@ -116,7 +116,7 @@
 	if t := namedTypes[node.Name]; t != nil {
 		return t
 	}
-	c.report(node.Pos, "there is no type %q: bool, int, float, text, duration, time, list[...] or map[...] is meant",
+	c.report(node.Pos, "unknown type %q; must be bool, int, float, text, duration, time, list[...] or map[...]",
 		node.Name)
 	return typeInt
 }
@@ -132,7 +132,7 @@
 	}
 	f.body = c.block(body.block)
 	if f.result != typeNone && !alwaysReturns(f.body) {
-		c.report(body.block.EndPos, "%s may end without a value: a return of %s is needed on every way", f.name, f.result)
+		c.report(body.block.EndPos, "%s must return %s on every path", f.name, f.result)
 	}
 }
 
--- a/internal/hook/check_expressions.go
+++ b/internal/hook/check_expressions.go
@@ -46,7 +46,7 @@
 		return invalidExpression(node.Pos)
 	}
 	if !isComparable(node.Op, left.valueType, right.valueType) {
-		c.report(node.Pos, "%s %s %s: two values of one type that can be compared are meant",
+		c.report(node.Pos, "%s %s %s is not defined; the operand types must match and support this operator",
 			left.valueType, node.Op, right.valueType)
 		return invalidExpression(node.Pos)
 	}
@@ -138,7 +138,7 @@
 	}
 	result := arithmeticResults[operation{left.valueType, operator, right.valueType}]
 	if result == nil {
-		c.report(at, "%s %s %s has no meaning%s", left.valueType, operator, right.valueType,
+		c.report(at, "%s %s %s is not defined%s", left.valueType, operator, right.valueType,
 			conversionHint(left.valueType, right.valueType))
 		return invalidExpression(at)
 	}
@@ -157,7 +157,7 @@
 	intAndFloat := left == typeInt && right == typeFloat
 	floatAndInt := left == typeFloat && right == typeInt
 	if intAndFloat || floatAndInt {
-		return "; float(...) makes a float of an int"
+		return "; float(...) converts an int to a float"
 	}
 	return ""
 }
@@ -172,7 +172,7 @@
 		return operand
 	}
 	if !operand.valueType.isSigned() {
-		c.report(node.Pos, "-%s has no meaning", operand.valueType)
+		c.report(node.Pos, "-%s is not defined", operand.valueType)
 		return invalidExpression(node.Pos)
 	}
 	e := &expression{valueType: operand.valueType, position: node.Pos}
--- a/internal/hook/check_features.go
+++ b/internal/hook/check_features.go
@@ -45,7 +45,7 @@
 		c.collectFeatures(index, uses, make(map[int]bool))
 		for used, at := range uses {
 			if !used.hooks.has(f.hook) {
-				c.report(at, "%s is of no use in \"on %s\"", used.name, f.hook)
+				c.report(at, "%s is not available in \"on %s\"", used.name, f.hook)
 			}
 		}
 	}
--- a/internal/hook/check_primary.go
+++ b/internal/hook/check_primary.go
@@ -36,9 +36,9 @@
 	case kindList:
 		c.expectType(index, typeInt, "a list index")
 	case kindMap:
-		c.expectType(index, typeText, "a map's key")
+		c.expectType(index, typeText, "a map key")
 	default:
-		c.report(node.Pos, "%s has no places: a list or a map is meant", container.valueType)
+		c.report(node.Pos, "%s cannot be indexed; only lists and maps can be indexed", container.valueType)
 		return invalidExpression(node.Pos)
 	}
 	return &expression{
@@ -71,7 +71,8 @@
 		}
 	}
 	if e == nil {
-		c.report(node.Pos, "an event has no %q here; there are %s", node.Field, strings.Join(c.fieldNames(), ", "))
+		c.report(node.Pos, "the event has no field %q here; its fields are %s",
+			node.Field, strings.Join(c.fieldNames(), ", "))
 		return invalidExpression(node.Pos)
 	}
 	c.function.uses[feature{name: eventName + "." + node.Field, hooks: hooks}] = node.Pos
@@ -115,7 +116,7 @@
 	}
 	t, constant, err := literal(node)
 	if err != nil {
-		c.report(node.Pos, "this cannot be held: %v", err)
+		c.report(node.Pos, "invalid literal: %v", err)
 		return invalidExpression(node.Pos)
 	}
 	return &expression{kind: expressionConstant, valueType: t, constant: constant, position: node.Pos}
@@ -159,11 +160,12 @@
 	_, isState := c.stateIndexes[node.Name]
 	switch {
 	case isState:
-		c.report(node.Pos, "%q is a state: value(%s), or value(%s, key) of a map, is meant", node.Name, node.Name, node.Name)
+		c.report(node.Pos, "%q is a state; read it with value(%s), or with value(%s, key) for a map",
+			node.Name, node.Name, node.Name)
 	case keywords[node.Name]:
-		c.report(node.Pos, "%q is a word of the language and no value", node.Name)
+		c.report(node.Pos, "%q is a keyword, not a value", node.Name)
 	default:
-		c.report(node.Pos, "there is no %q here", node.Name)
+		c.report(node.Pos, "unknown variable or constant %q", node.Name)
 	}
 	return invalidExpression(node.Pos)
 }
@@ -180,7 +182,7 @@
 		if i == 0 {
 			element = entry.valueType
 		} else if element != nil {
-			c.expectType(entry, element, "a list's entry")
+			c.expectType(entry, element, "a list entry")
 		}
 		e.operands = append(e.operands, entry)
 	}
@@ -188,7 +190,7 @@
 	case nil:
 		return invalidExpression(node.Pos)
 	case typeNone:
-		c.report(node.Pos, "this has no value")
+		c.report(node.Pos, "this expression has no value")
 		return invalidExpression(node.Pos)
 	default:
 		e.valueType = listOf(element)
--- a/internal/hook/check_statements.go
+++ b/internal/hook/check_statements.go
@@ -12,7 +12,7 @@
 		}
 		body = append(body, s)
 		if s.endsBlock() && i < len(node.Stmts)-1 {
-			c.report(node.Stmts[i+1].Pos, "this is never reached")
+			c.report(node.Stmts[i+1].Pos, "unreachable statement")
 			break
 		}
 	}
@@ -54,7 +54,7 @@
 	}
 	t := initial.valueType
 	if t == typeNone {
-		c.report(initial.position, "this has no value")
+		c.report(initial.position, "this expression has no value")
 	}
 	if initial.isInvalid() {
 		t = typeInt
@@ -123,7 +123,7 @@
 	case list.valueType.kind == kindList:
 		element = list.valueType.element
 	default:
-		c.report(list.position, "this is %s; a list, or FROM..TO, is meant", list.valueType)
+		c.report(list.position, "a for loop needs a list or FROM..TO, got %s", list.valueType)
 	}
 	s.kind = statementForEach
 	s.value = list
@@ -137,11 +137,11 @@
 	switch returned := node.Return.Value; {
 	case returned != nil && result == typeNone:
 		c.expression(returned)
-		c.report(returned.Pos, "%s gives no value", c.function.name)
+		c.report(returned.Pos, "%s does not return a value", c.function.name)
 	case returned != nil:
 		s.value = c.expectType(c.expression(returned), result, "the value")
 	case result != typeNone:
-		c.report(node.Pos, "%s gives %s: a value is needed", c.function.name, result)
+		c.report(node.Pos, "%s must return a value of type %s", c.function.name, result)
 	}
 	return s
 }
@@ -149,7 +149,7 @@
 // jumpStatement checks a "break" or "continue" statement.
 func (c *checker) jumpStatement(node *stmtNode) *statement {
 	if c.loopDepth == 0 {
-		c.report(node.Pos, "there is no loop around this")
+		c.report(node.Pos, "break and continue are only allowed in a loop")
 	}
 	kind := statementBreak
 	if node.Continue {
@@ -161,7 +161,7 @@
 func (c *checker) callStatement(node *stmtNode) *statement {
 	e := c.postfix(node.Simple.Left)
 	if !e.isCall() && !e.isInvalid() {
-		c.report(node.Pos, "this does nothing: a call or an assignment is meant")
+		c.report(node.Pos, "this statement has no effect; use a call or an assignment")
 	}
 	return &statement{kind: statementExpression, value: e, position: node.Pos}
 }
@@ -177,9 +177,9 @@
 	case name == "":
 		c.report(node.Pos, "the left side of an assignment must be a variable or an entry of a list or map")
 	case !found:
-		c.report(node.Pos, "there is no variable %q here: \"var %s = ...\" declares one", name, name)
+		c.report(node.Pos, "unknown variable %q; declare it with \"var %s = ...\"", name, name)
 	case target.readOnly:
-		c.report(node.Pos, "%q does not change: it was declared by let or for, and not by var", name)
+		c.report(node.Pos, "%q is read-only: it is declared by let or for, not by var", name)
 	default:
 		c.expectType(assigned, target.valueType, "the value")
 		return &statement{kind: statementAssign, slot: target.slot, value: assigned, position: node.Pos}
--- a/internal/hook/parser.go
+++ b/internal/hook/parser.go
@@ -26,7 +26,7 @@
 // parse returns the syntax tree of a source. An error is an *Error for the first mistake in the source.
 func parse(file, source string) (*fileNode, error) {
 	if len(source) > MaxSourceBytes {
-		text := fmt.Sprintf("%d bytes: a program has %d at the most", len(source), MaxSourceBytes)
+		text := fmt.Sprintf("the program has %d bytes; at most %d are allowed", len(source), MaxSourceBytes)
 		return nil, &Error{File: file, Text: text}
 	}
 	if err := checkNesting(file, source); err != nil {
--- a/internal/hook/scanner.go
+++ b/internal/hook/scanner.go
@@ -92,7 +92,7 @@
 		}
 		depth.add(token, token.Type == sign)
 		if depth.isTooDeep() {
-			return newError(file, source, token.Pos, "nested more than %d deep", maxNesting)
+			return newError(file, source, token.Pos, "nesting is deeper than %d levels", maxNesting)
 		}
 	}
 }
--- a/internal/hook/scope.go
+++ b/internal/hook/scope.go
@@ -24,7 +24,7 @@
 	c.checkNameFree(at, name)
 	innermost := c.scopes[len(c.scopes)-1]
 	if _, exists := innermost[name]; exists {
-		c.report(at, "%q is declared already", name)
+		c.report(at, "%q is already declared", name)
 	}
 	slot := c.reserveSlots(1)
 	innermost[name] = variable{slot: slot, valueType: t, readOnly: readOnly}
@@ -53,11 +53,11 @@
 func (c *checker) checkNameFree(at lexer.Position, name string) {
 	switch {
 	case keywords[name]:
-		c.report(at, "%q is a word of the language and no name", name)
+		c.report(at, "%q is a keyword and cannot be used as a name", name)
 	case isPredeclared(name):
-		c.report(at, "%q is the language's own", name)
+		c.report(at, "%q is already defined by the language", name)
 	case c.isDeclared(name):
-		c.report(at, "%q is declared already", name)
+		c.report(at, "%q is already declared", name)
 	}
 }
 
--- a/internal/hook/signature.go
+++ b/internal/hook/signature.go
@@ -74,8 +74,8 @@
 	signatureMinMax = generic(2, "(two values of one type: int, float, text, duration or time)", inferMinMax)
 	signaturePush   = genericProcedure(2, "(a list, a value of the type of its entries)", inferPush)
 	signatureKeys   = generic(1, "(a map)", inferKeys)
-	signatureGet    = generic(3, "(a map, a text, a value of the map's type for where there is none)", inferGet)
-	signatureDelete = genericProcedure(2, "(a map, a text)", inferDelete)
+	signatureGet    = generic(3, "(a map, a text key, a default value of the type of the map's values)", inferGet)
+	signatureDelete = genericProcedure(2, "(a map, a text key)", inferDelete)
 )
 
 func inferLen(arguments []*valueType) *valueType {
