--- a/cmd/soaktest/main.go
+++ b/cmd/soaktest/main.go
@@ -25,7 +25,7 @@
 	verbose := flag.Bool("v", false, "print the troubles as they come")
 	flag.Parse()
 	if err := run(*program, *dir, *seed, *seeds, *verbose, soak.Config{
-		Sidecars: *sidecars, Nodes: *nodes, Workers: *workers, Pause: *pause, Length: *length, Sockets: 256,
+		Sidecars: *sidecars, Nodes: *nodes, ClientsPerSidecar: *workers, MeanPause: *pause, Duration: *length, SocketLimit: 256,
 	}); err != nil {
 		fmt.Fprintln(os.Stderr, "soaktest:", err)
 		os.Exit(1)
@@ -47,13 +47,13 @@
 	for i := range seeds {
 		cfg.Seed, cfg.Dir = seed+uint64(i), filepath.Join(dir, fmt.Sprint("seed-", seed+uint64(i)))
 		if verbose {
-			cfg.Log = os.Stdout
+			cfg.FaultLog = os.Stdout
 		}
 		result, err := soak.Run(cfg)
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", cfg.Seed, err)
 		}
-		fmt.Printf("seed %d: %d requests, answers %v, troubles %v, %d violations\n", cfg.Seed, result.Requests, result.Answers, result.Troubles, len(result.Violations))
+		fmt.Printf("seed %d: %d requests, answers %v, troubles %v, %d violations\n", cfg.Seed, result.Requests, result.StatusCounts, result.FaultCounts, len(result.Violations))
 		for _, v := range result.Violations {
 			fmt.Println(" ", v)
 		}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -14,84 +14,84 @@
 
 // class is a class of requests.
 type class struct {
-	name     string
-	effect   string // in the settings' words
-	deadline time.Duration
-	window   time.Duration
+	name        string
+	idempotency string // in the settings' words
+	deadline    time.Duration
+	dedupWindow time.Duration
 }
 
 const (
-	safe   = "free"
-	keyed  = "guarded"
-	unsafe = "single_shot"
+	idempotent      = "free"
+	idempotentByKey = "guarded"
+	notIdempotent   = "single_shot"
 )
 
 var classes = []class{
-	{"read", safe, time.Second, 0},
-	{"weight-reading", keyed, 2500 * time.Millisecond, 300 * time.Millisecond},
-	{"harvest-entry", unsafe, 2 * time.Second, 0},
+	{"read", idempotent, time.Second, 0},
+	{"weight-reading", idempotentByKey, 2500 * time.Millisecond, 300 * time.Millisecond},
+	{"harvest-entry", notIdempotent, 2 * time.Second, 0},
 }
 
-// manner is how a client behaves with one request.
-type manner int
+// clientBehaviour is how a client behaves with one request.
+type clientBehaviour int
 
 const (
-	plain   manner = iota
-	leaves         // closes its connection before the answer
-	dribble        // writes in pieces, whole within the time that bad clients have
-	stops          // stops in the middle and stays
+	sendsWhole      clientBehaviour = iota
+	leavesEarly                     // closes its connection before the answer
+	sendsInPieces                   // writes in pieces, whole within the time that bad clients have
+	stopsMidRequest                 // stops in the middle and stays
 )
 
-// worker is one connection's worth of a client: one request at a time.
-type worker struct {
-	s    *sidecar
-	rng  *rand.Rand
-	conn net.Conn
-	in   *bufio.Reader
-	n    int
-	name string
+// client is one connection's worth of a client: one request at a time.
+type client struct {
+	sidecar      *sidecar
+	rng          *rand.Rand
+	conn         net.Conn
+	reader       *bufio.Reader
+	requestCount int
+	name         string
 }
 
 // run sends requests until the world ends.
-func (k *worker) run(w *world) {
-	defer k.drop()
-	for !w.over() {
-		w.sleep(time.Duration(k.rng.ExpFloat64() * float64(w.cfg.Pause)))
+func (k *client) run(w *environment) {
+	defer k.closeConn()
+	for !w.isOver() {
+		w.sleep(time.Duration(k.rng.ExpFloat64() * float64(w.cfg.MeanPause)))
 		if k.rng.IntN(20) == 0 { // rests until the sidecar ends the connection, or about so
 			w.sleep(1800*time.Millisecond + time.Duration(k.rng.IntN(400))*time.Millisecond)
 		}
-		if w.over() {
+		if w.isOver() {
 			return
 		}
-		k.one(w)
+		k.sendRequest(w)
 	}
 }
 
-func (k *worker) drop() {
+func (k *client) closeConn() {
 	if k.conn != nil {
 		k.conn.Close()
 		k.conn = nil
 	}
 }
 
-// one sends one request and notes what becomes of it.
-func (k *worker) one(w *world) {
-	fresh, kept := k.s.takes()
+// sendRequest sends sendRequest request and notes what becomes of it.
+func (k *client) sendRequest(w *environment) {
+	fresh, kept := k.sidecar.acceptsRequests()
 	if k.conn == nil && !fresh || !kept {
-		k.drop()
+		k.closeConn()
 		w.sleep(20 * time.Millisecond)
 		return
 	}
-	k.n++
-	id, c := fmt.Sprintf("%s-%d", k.name, k.n), classes[k.rng.IntN(len(classes))]
-	how := plain
+	k.requestCount++
+	id, c := fmt.Sprintf("%s-%d", k.name, k.requestCount), classes[k.rng.IntN(len(classes))]
+	how := sendsWhole
 	switch draw := k.rng.IntN(100); {
 	case draw < 6:
-		how = leaves
+		how = leavesEarly
 	case draw < 10:
-		how = dribble
+		how = sendsInPieces
 	case draw < 12:
-		how = stops
+		how = stopsMidRequest
 	}
 	wasKept := k.conn != nil
 	if !wasKept && !k.dial() {
@@ -99,72 +99,72 @@
 	}
 	from := time.Now()
 	until := from.Add(c.deadline)
-	w.judge.begins(id, c, until)
+	w.checker.recordRequest(id, c, until)
 	err := k.exchange(w, id, c, how, from, until)
-	if errors.Is(err, errCrossed) && wasKept { // it was not read: once more, on a new connection
-		if fresh, _ := k.s.takes(); !fresh || !k.dial() {
+	if errors.Is(err, errNoResponse) && wasKept { // it was not read: once more, on a new connection
+		if fresh, _ := k.sidecar.acceptsRequests(); !fresh || !k.dial() {
 			return
 		}
-		err = k.exchange(w, id, c, plain, from, until)
+		err = k.exchange(w, id, c, sendsWhole, from, until)
 	}
 	if err != nil {
-		w.judge.lost(id, err, k.s.excuses(from))
+		w.checker.recordNoResponse(id, err, k.sidecar.excusedSince(from))
 	}
 }
 
-func (k *worker) dial() bool {
-	k.drop()
-	conn, err := net.DialTimeout("tcp", k.s.addr, time.Second)
+func (k *client) dial() bool {
+	k.closeConn()
+	conn, err := net.DialTimeout("tcp", k.sidecar.addr, time.Second)
 	if err != nil {
 		return false
 	}
-	k.conn, k.in = conn, bufio.NewReader(conn)
+	k.conn, k.reader = conn, bufio.NewReader(conn)
 	return true
 }
 
-// errCrossed says that a connection ended without a byte of an answer.
-var errCrossed = errors.New("closed without an answer")
+// errNoResponse says that a connection ended without a byte of an answer.
+var errNoResponse = errors.New("closed without an answer")
 
-func (k *worker) exchange(w *world, id string, c class, how manner, from, until time.Time) error {
+func (k *client) exchange(w *environment, id string, c class, how clientBehaviour, from, until time.Time) error {
 	text := requestText(id, c, time.Until(until))
-	if how == stops {
-		return k.stop(w, id, text)
+	if how == stopsMidRequest {
+		return k.sendPart(w, id, text)
 	}
 	err := k.write(text, how, func() {
 		until = time.Now().Add(c.deadline)
-		w.judge.sent(id, until)
+		w.checker.recordLastByte(id, until)
 	})
 	if err != nil {
-		k.drop()
-		return errCrossed
+		k.closeConn()
+		return errNoResponse
 	}
-	if how == leaves {
+	if how == leavesEarly {
 		w.sleep(time.Duration(k.rng.Int64N(int64(200 * time.Millisecond))))
-		w.judge.leaves(id)
-		k.drop()
+		w.checker.recordClientLeft(id)
+		k.closeConn()
 		return nil
 	}
-	k.conn.SetReadDeadline(until.Add(answerSlack + heldUp + 3*time.Second))
-	if _, err := k.in.Peek(1); err != nil {
-		k.drop()
+	k.conn.SetReadDeadline(until.Add(responseSlack + stallSlack + 3*time.Second))
+	if _, err := k.reader.Peek(1); err != nil {
+		k.closeConn()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return fmt.Errorf("no answer %v after its time", time.Since(until))
 		}
-		return fmt.Errorf("%w: %w", errCrossed, err)
+		return fmt.Errorf("%w: %w", errNoResponse, err)
 	}
-	resp, err := http.ReadResponse(k.in, nil)
+	resp, err := http.ReadResponse(k.reader, nil)
 	if err != nil {
-		k.drop()
+		k.closeConn()
 		return err
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		k.drop()
+		k.closeConn()
 		return err
 	}
-	w.judge.answered(id, resp.StatusCode, string(body), time.Since(until), k.s.excuses(from))
+	w.checker.recordResponse(id, resp.StatusCode, string(body), time.Since(until), k.sidecar.excusedSince(from))
 	if resp.Close {
-		k.drop()
+		k.closeConn()
 	}
 	return nil
 }
@@ -172,10 +172,10 @@
 // requestText is a whole request.
 func requestText(id string, c class, left time.Duration) []byte {
 	method, key, body := "POST", "", "{}"
-	switch c.effect {
-	case safe:
+	switch c.idempotency {
+	case idempotent:
 		method, body = "GET", ""
-	case keyed:
+	case idempotentByKey:
 		key = "Idempotency-Key: " + id + "\r\n"
 	}
 	return fmt.Appendf(nil, "%s /api HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nTenant: north\r\nRequest-Timeout: %.3f\r\n%sContent-Length: %d\r\n\r\n%s",
@@ -184,8 +184,8 @@
 
 // write writes a request in one piece or in some. last is called before the last one,
 // from which on the request's time counts.
-func (k *worker) write(text []byte, how manner, last func()) error {
-	if how != dribble {
+func (k *client) write(text []byte, how clientBehaviour, last func()) error {
+	if how != sendsInPieces {
 		_, err := k.conn.Write(text)
 		return err
 	}
@@ -204,15 +204,15 @@
 	return nil
 }
 
-// stop writes a part of a request and waits for the error or the close that is owed.
-func (k *worker) stop(w *world, id string, text []byte) error {
+// sendPart writes a part of a request and waits for the error or the close that is owed.
+func (k *client) sendPart(w *environment, id string, text []byte) error {
 	begun := time.Now()
 	k.conn.Write(text[:1+k.rng.IntN(len(text)-1)])
-	k.conn.SetReadDeadline(begun.Add(2 * owedIn))
-	io.Copy(io.Discard, k.in)
-	k.drop()
-	if took := time.Since(begun); took > owedIn+w.judge.lag.slack() && !k.s.excuses(begun) {
-		w.judge.breaks(Owed, "%s: its connection ended %v after its first byte", id, took)
+	k.conn.SetReadDeadline(begun.Add(2 * partialRequestTimeout))
+	io.Copy(io.Discard, k.reader)
+	k.closeConn()
+	if took := time.Since(begun); took > partialRequestTimeout+w.checker.lag.slack() && !k.sidecar.excusedSince(begun) {
+		w.checker.addViolation(Owed, "%s: its connection ended %v after its first byte", id, took)
 	}
 	return nil
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -26,162 +26,162 @@
 )
 
 // Slacks. The operators' page grants 0.1 s for clients that leave, 0.15 s for deadlines,
-// 0.15 s for a process that is held up, and 0.5 s for answers; scheduling is for a busy
+// 0.15 s for a process that is held up, and 0.5 s for answers; schedulingSlack is for a busy
 // machine, where a stand-in may note late what it saw.
 const (
-	leftSlack     = 100 * time.Millisecond
-	deadlineSlack = 150 * time.Millisecond
-	heldUp        = 150 * time.Millisecond
-	answerSlack   = 500 * time.Millisecond
-	scheduling    = 150 * time.Millisecond
-	drainGrace    = 2 * time.Second
-	owedIn        = 3 * time.Second
+	leftSlack             = 100 * time.Millisecond
+	deadlineSlack         = 150 * time.Millisecond
+	stallSlack            = 150 * time.Millisecond
+	responseSlack         = 500 * time.Millisecond
+	schedulingSlack       = 150 * time.Millisecond
+	drainGrace            = 2 * time.Second
+	partialRequestTimeout = 3 * time.Second
 )
 
 // Violation is one broken rule.
 type Violation struct {
-	Rule Rule
-	At   time.Duration // since the soak's begin
-	What string
+	Rule   Rule
+	At     time.Duration // since the soak's begin
+	Detail string
 }
 
 func (v Violation) String() string {
-	return fmt.Sprintf("%8.3f %s: %s", v.At.Seconds(), v.Rule, v.What)
+	return fmt.Sprintf("%8.3f %s: %s", v.At.Seconds(), v.Rule, v.Detail)
 }
 
-// call is what is known of one request.
-type call struct {
-	id      string
-	class   class
-	until   time.Time // its client's deadline
-	left    time.Time // its client has left; zero: it has not
-	excused bool      // its sidecar was killed or stopped meanwhile
-	runs    []run
-	answer  int
+// requestRecord is what is known of one request.
+type requestRecord struct {
+	id           string
+	class        class
+	deadline     time.Time // its client's deadline
+	clientLeftAt time.Time // its client has left; zero: it has not
+	excused      bool      // its sidecar was killed or stopped meanwhile
+	attempts     []attempt
+	status       int
 }
 
-// run is one time that a request reached a node whole.
-type run struct {
-	at   time.Time
-	ran  bool // the effect ran
-	node string
+// attempt is one time that a request reached a node whole.
+type attempt struct {
+	at       time.Time
+	executed bool // the effect ran
+	node     string
 }
 
-// judge notes what clients and nodes see, and holds it against the rules.
-type judge struct {
-	begin time.Time
-	lag   lagMeter
+// checker notes what clients and nodes see, and holds it against the rules.
+type checker struct {
+	startedAt time.Time
+	lag       lagMeter
 
-	mu         sync.Mutex
-	calls      map[string]*call
-	violations []Violation
-	answers    map[int]int // by status
-	requests   int
+	mu           sync.Mutex
+	records      map[string]*requestRecord
+	violations   []Violation
+	statusCounts map[int]int // by status
+	requestCount int
 }
 
-func newJudge(begin time.Time) *judge {
-	return &judge{begin: begin, calls: make(map[string]*call), answers: make(map[int]int)}
+func newChecker(begin time.Time) *checker {
+	return &checker{startedAt: begin, records: make(map[string]*requestRecord), statusCounts: make(map[int]int)}
 }
 
-func (j *judge) breaks(rule Rule, format string, args ...any) {
+func (j *checker) addViolation(rule Rule, format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.breaksLocked(rule, format, args...)
+	j.addViolationLocked(rule, format, args...)
 }
 
-func (j *judge) breaksLocked(rule Rule, format string, args ...any) {
-	j.violations = append(j.violations, Violation{rule, time.Since(j.begin), fmt.Sprintf(format, args...)})
+func (j *checker) addViolationLocked(rule Rule, format string, args ...any) {
+	j.violations = append(j.violations, Violation{rule, time.Since(j.startedAt), fmt.Sprintf(format, args...)})
 }
 
-// begins notes a request that is about to be sent.
-func (j *judge) begins(id string, c class, until time.Time) {
+// recordRequest notes a request that is about to be sent.
+func (j *checker) recordRequest(id string, c class, until time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.calls[id] = &call{id: id, class: c, until: until}
-	j.requests++
+	j.records[id] = &requestRecord{id: id, class: c, deadline: until}
+	j.requestCount++
 }
 
-// sent notes that the last byte of a request is about to be written.
-func (j *judge) sent(id string, until time.Time) {
+// recordLastByte notes that the last byte of a request is about to be written.
+func (j *checker) recordLastByte(id string, until time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.calls[id].until = until
+	j.records[id].deadline = until
 }
 
-// leaves notes that a request's client closes its connection now.
-func (j *judge) leaves(id string) {
+// recordClientLeft notes that a request's client closes its connection now.
+func (j *checker) recordClientLeft(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.calls[id].left = time.Now()
+	j.records[id].clientLeftAt = time.Now()
 }
 
-// reached notes a request that a node has read whole, with the time that it was told;
+// recordAttempt notes a request that a node has read whole, with the time that it was told;
 // ran says whether its effect runs, and delay for how long it may have waited.
-func (j *judge) reached(node, id string, told time.Duration, ran bool, delay time.Duration) {
+func (j *checker) recordAttempt(node, id string, told time.Duration, ran bool, delay time.Duration) {
 	now := time.Now().Add(-delay)
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	c := j.calls[id]
+	c := j.records[id]
 	if c == nil {
-		j.breaksLocked(Body, "node %s got request %q, which no client sent", node, id)
+		j.addViolationLocked(Body, "node %s got request %q, which no client sent", node, id)
 		return
 	}
-	if left := max(c.until.Sub(now), 0); told > left+deadlineSlack+heldUp+j.lag.slack() && !c.excused {
-		j.breaksLocked(Deadline, "%s: %v told, %v left", id, told, left)
+	if left := max(c.deadline.Sub(now), 0); told > left+deadlineSlack+stallSlack+j.lag.slack() && !c.excused {
+		j.addViolationLocked(Deadline, "%s: %v told, %v left", id, told, left)
 	}
-	if !c.left.IsZero() && now.Sub(c.left) > leftSlack+heldUp+j.lag.slack() {
-		j.breaksLocked(Left, "%s began %v after its client had left", id, now.Sub(c.left))
+	if !c.clientLeftAt.IsZero() && now.Sub(c.clientLeftAt) > leftSlack+stallSlack+j.lag.slack() {
+		j.addViolationLocked(Left, "%s began %v after its client had left", id, now.Sub(c.clientLeftAt))
 	}
-	for _, before := range c.runs {
+	for _, before := range c.attempts {
 		switch {
-		case !before.ran || c.class.effect == safe:
-		case c.class.effect == unsafe:
-			j.breaksLocked(Duplicate, "%s ran at %s and at %s", id, before.node, node)
-		case now.Sub(before.at) > c.class.window+heldUp+j.lag.slack():
-			j.breaksLocked(Duplicate, "%s ran again %v after the first", id, now.Sub(before.at))
+		case !before.executed || c.class.idempotency == idempotent:
+		case c.class.idempotency == notIdempotent:
+			j.addViolationLocked(Duplicate, "%s ran at %s and at %s", id, before.node, node)
+		case now.Sub(before.at) > c.class.dedupWindow+stallSlack+j.lag.slack():
+			j.addViolationLocked(Duplicate, "%s ran again %v after the first", id, now.Sub(before.at))
 		}
 	}
-	c.runs = append(c.runs, run{now, ran, node})
+	c.attempts = append(c.attempts, attempt{now, ran, node})
 }
 
-// answered notes a request's final answer; excused says that it need not have come.
-func (j *judge) answered(id string, status int, body string, late time.Duration, excused bool) {
+// recordResponse notes a request's final answer; excused says that it need not have come.
+func (j *checker) recordResponse(id string, status int, body string, late time.Duration, excused bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	c := j.calls[id]
+	c := j.records[id]
 	c.excused = c.excused || excused
-	if c.answer != 0 {
-		j.breaksLocked(Duplicate, "%s was answered %d and %d", id, c.answer, status)
+	if c.status != 0 {
+		j.addViolationLocked(Duplicate, "%s was answered %d and %d", id, c.status, status)
 	}
-	c.answer = status
-	j.answers[status]++
+	c.status = status
+	j.statusCounts[status]++
 	ran := false
-	for _, r := range c.runs {
-		ran = ran || r.ran
+	for _, r := range c.attempts {
+		ran = ran || r.executed
 	}
 	switch {
-	case late > answerSlack+j.lag.slack() && !excused:
-		j.breaksLocked(Lost, "%s was answered %d %v after its time", id, status, late)
+	case late > responseSlack+j.lag.slack() && !excused:
+		j.addViolationLocked(Lost, "%s was answered %d %v after its time", id, status, late)
 	case status == 200 && (body != id || !ran):
-		j.breaksLocked(Body, "%s got %q, ran: %v", id, body, ran)
-	case (status == 503 || status == 429) && ran && c.class.effect == unsafe:
-		j.breaksLocked(Promise, "%s was refused, and has run", id)
+		j.addViolationLocked(Body, "%s got %q, ran: %v", id, body, ran)
+	case (status == 503 || status == 429) && ran && c.class.idempotency == notIdempotent:
+		j.addViolationLocked(Promise, "%s was refused, and has run", id)
 	}
 }
 
-// lost notes a request that got no answer.
-func (j *judge) lost(id string, why error, excused bool) {
+// recordNoResponse notes a request that got no answer.
+func (j *checker) recordNoResponse(id string, why error, excused bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.calls[id].excused = j.calls[id].excused || excused
+	j.records[id].excused = j.records[id].excused || excused
 	if !excused {
-		j.breaksLocked(Lost, "%s: %v", id, why)
+		j.addViolationLocked(Lost, "%s: %v", id, why)
 	}
 }
 
-// budget is how many requests a node may get within a window in which the settings
+// requestBudget is how many requests a node may get within a window in which the settings
 // allow it n (the operators' page, fourth rule).
-func budget(n float64) float64 {
+func requestBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
--- a/internal/soak/lag.go
+++ b/internal/soak/lag.go
@@ -9,31 +9,31 @@
 // stand-ins see is late, and what the sidecars do as well: that much is added to each
 // slack.
 type lagMeter struct {
-	mu     sync.Mutex
-	recent [2]time.Duration // the longest of this span and of the one before
-	turned time.Time
+	mu        sync.Mutex
+	recent    [2]time.Duration // the longest of this span and of the one before
+	spanStart time.Time
 }
 
 const (
-	lagEvery = 5 * time.Millisecond
-	lagSpan  = 2 * time.Second
-	// lagTimes is how many steps of a request may each be late.
-	lagTimes = 4
+	lagSampleInterval = 5 * time.Millisecond
+	lagSpan           = 2 * time.Second
+	// lagSteps is how many steps of a request may each be late.
+	lagSteps = 4
 )
 
 func (l *lagMeter) run(over func() bool) {
 	for !over() {
 		before := time.Now()
-		time.Sleep(lagEvery)
-		l.note(time.Now(), time.Since(before)-lagEvery)
+		time.Sleep(lagSampleInterval)
+		l.record(time.Now(), time.Since(before)-lagSampleInterval)
 	}
 }
 
-func (l *lagMeter) note(now time.Time, lag time.Duration) {
+func (l *lagMeter) record(now time.Time, lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.turned) > lagSpan {
-		l.recent[1], l.recent[0], l.turned = l.recent[0], 0, now
+	if now.Sub(l.spanStart) > lagSpan {
+		l.recent[1], l.recent[0], l.spanStart = l.recent[0], 0, now
 	}
 	l.recent[0] = max(l.recent[0], lag)
 }
@@ -42,5 +42,5 @@
 func (l *lagMeter) slack() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return scheduling + lagTimes*max(l.recent[0], l.recent[1])
+	return schedulingSlack + lagSteps*max(l.recent[0], l.recent[1])
 }
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -16,82 +16,82 @@
 	"time"
 )
 
-// mood is how a node or the way to it behaves.
-type mood int
+// nodeBehaviour is how a node or the way to it behaves.
+type nodeBehaviour int
 
-// The moods.
+// The nodeBehaviourCount.
 const (
-	well       mood = iota
-	hangs           // takes requests and answers none
-	resets          // resets connections under requests, before or in the middle of answers
-	slow            // takes up to most of a deadline
-	spoils          // answers in all forms, good and bad
-	late            // connections come up late: the node accepts none for a while
-	lateResets      // resets connections well after the request has come
-	breaks          // answers 500, or turns away
-	forgetful       // closes idle connections at once
-	moods
+	healthy         nodeBehaviour = iota
+	hangs                         // takes requests and answers none
+	resets                        // resets connections under requests, before or in the middle of answers
+	respondsSlowly                // takes up to most of a deadline
+	variesResponses               // answers in all forms, good and bad
+	acceptsLate                   // connections come up late: the node accepts none for a while
+	resetsLate                    // resets connections well after the request has come
+	fails                         // answers 500, or turns away
+	closesIdle                    // closes idle connections at once
+	nodeBehaviourCount
 )
 
 // arrival is a request that reached a cold node, and whether its sidecar had been told of
 // the start.
 type arrival struct {
-	at   time.Time
-	told bool
+	at         time.Time
+	startKnown bool
 }
 
 // node is a stand-in for an upstream, and the way to it.
 type node struct {
-	world *world
-	name  string
-	ln    net.Listener
-
-	mu       sync.Mutex
-	mood     mood
-	born     time.Time // of its last start; zero: long ago
-	health   string
-	arrivals []arrival // since it was born, while it is cold
-	conns    map[net.Conn]struct{}
-	rng      *rand.Rand
+	env  *environment
+	name string
+	ln   net.Listener
+
+	mu        sync.Mutex
+	behaviour nodeBehaviour
+	startedAt time.Time // of its last start; zero: long ago
+	health    string
+	arrivals  []arrival // since it was born, while it is cold
+	conns     map[net.Conn]struct{}
+	rng       *rand.Rand
 }
 
-func (w *world) newNode(name string, seed uint64) (*node, error) {
-	ln, err := listenShort()
+func (w *environment) newNode(name string, seed uint64) (*node, error) {
+	ln, err := listenShortBacklog()
 	if err != nil {
 		return nil, err
 	}
-	n := &node{world: w, name: name, ln: ln, health: "up", conns: make(map[net.Conn]struct{}), rng: rand.New(rand.NewPCG(seed, 7))}
-	go n.accept()
+	n := &node{env: w, name: name, ln: ln, health: "up", conns: make(map[net.Conn]struct{}), rng: rand.New(rand.NewPCG(seed, 7))}
+	go n.acceptLoop()
 	return n, nil
 }
 
-// lateBy is how long a node may take to accept a connection that comes up late.
-const lateBy = 1200 * time.Millisecond
+// maxAcceptDelay is how long a node may take to accept a connection that comes up late.
+const maxAcceptDelay = 1200 * time.Millisecond
 
-// shortQueue is how many connections wait to be accepted; the system passes over the
+// acceptBacklog is how many connections wait to be accepted; the system passes over the
 // first packet of those beyond, and they come up a second late.
-const shortQueue = 2
+const acceptBacklog = 2
 
-// listenShort opens a listener with a short queue.
-func listenShort() (net.Listener, error) {
+// listenShortBacklog opens a listener with a short queue.
+func listenShortBacklog() (net.Listener, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
 		return nil, err
 	}
 	f := os.NewFile(uintptr(fd), "node")
 	defer f.Close()
-	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, shortQueue)); err != nil {
+	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, acceptBacklog)); err != nil {
 		return nil, err
 	}
 	return net.FileListener(f)
 }
 
-func (n *node) accept() {
+func (n *node) acceptLoop() {
 	for {
 		n.mu.Lock()
 		delay := time.Duration(0)
-		if n.mood == late {
-			delay = lateBy
+		if n.behaviour == acceptsLate {
+			delay = maxAcceptDelay
 		}
 		pause := time.Duration(n.rng.Int64N(int64(max(delay, 1))))
 		n.mu.Unlock()
@@ -104,7 +104,7 @@
 		n.conns[c] = struct{}{}
 		n.mu.Unlock()
 		go func() {
-			n.serve(c, (shortQueue+1)*delay)
+			n.serve(c, (acceptBacklog+1)*delay)
 			c.Close()
 			n.mu.Lock()
 			delete(n.conns, c)
@@ -117,16 +117,16 @@
 func (n *node) restart() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.born, n.arrivals, n.mood = time.Now(), nil, well
+	n.startedAt, n.arrivals, n.behaviour = time.Now(), nil, healthy
 	for c := range n.conns {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
 }
 
-func (n *node) setMood(m mood) {
+func (n *node) setBehaviour(m nodeBehaviour) {
 	n.mu.Lock()
-	n.mood = m
+	n.behaviour = m
 	n.mu.Unlock()
 }
 
@@ -155,21 +155,21 @@
 	seconds, _ := strconv.ParseFloat(req.Header.Get("Request-Timeout"), 64)
 	told := time.Duration(seconds * float64(time.Second))
 	n.mu.Lock()
-	m, draw, pause := n.mood, n.rng.IntN(100), time.Duration(2+n.rng.IntN(8))*time.Millisecond
+	m, draw, pause := n.behaviour, n.rng.IntN(100), time.Duration(2+n.rng.IntN(8))*time.Millisecond
 	long := time.Duration(n.rng.Int64N(int64(max(told, 1))))
 	n.mu.Unlock()
-	n.world.reachedNode(n, id, delay)
-	turned := m == breaks && draw < 50
-	n.world.judge.reached(n.name, id, told, !turned, delay)
+	n.env.checkArrival(n, id, delay)
+	turned := m == fails && draw < 50
+	n.env.checker.recordAttempt(n.name, id, told, !turned, delay)
 	time.Sleep(pause)
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 	switch {
 	case m == hangs:
 		io.Copy(io.Discard, c) // until the other side closes
 		return false
-	case m == slow:
+	case m == respondsSlowly:
 		time.Sleep(long)
-	case m == lateResets && draw < 60:
+	case m == resetsLate && draw < 60:
 		time.Sleep(long)
 		c.(*net.TCPConn).SetLinger(0)
 		return false
@@ -182,12 +182,12 @@
 	case turned:
 		io.WriteString(c, "HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
-	case m == breaks:
+	case m == fails:
 		io.WriteString(c, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n")
 		return true
-	case m == spoils:
-		return n.spoil(c, draw, whole, id)
-	case m == forgetful:
+	case m == variesResponses:
+		return n.varyResponse(c, draw, whole, id)
+	case m == closesIdle:
 		io.WriteString(c, whole)
 		time.Sleep(pause)
 		return false
@@ -196,8 +196,8 @@
 	return err == nil
 }
 
-// spoil answers in one of many forms.
-func (n *node) spoil(c net.Conn, draw int, whole, id string) bool {
+// varyResponse answers in one of many forms.
+func (n *node) varyResponse(c net.Conn, draw int, whole, id string) bool {
 	unsized := "HTTP/1.1 200 OK\r\n\r\n" + id
 	switch draw % 9 {
 	case 0: // no length, closed in order
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// entry is a line of the list, as the protocol has it.
-type entry struct {
+// hostEntry is a line of the list, as the protocol has it.
+type hostEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -23,33 +23,33 @@
 }
 
 type listing struct {
-	Seq   uint64  `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []entry `json:"hosts"`
+	Seq   uint64      `json:"seq"`
+	Whole bool        `json:"whole"`
+	Hosts []hostEntry `json:"hosts"`
 }
 
 // registry is the list that all agents push.
 type registry struct {
 	mu      sync.Mutex
 	seq     uint64
-	entries map[string]entry
-	log     []listing // one change each
+	entries map[string]hostEntry
+	changes []listing // one change each
 	changed chan struct{}
 }
 
 func newRegistry() *registry {
-	return &registry{entries: make(map[string]entry), changed: make(chan struct{})}
+	return &registry{entries: make(map[string]hostEntry), changed: make(chan struct{})}
 }
 
 // set changes an entry; health removed takes it out.
-func (r *registry) set(e entry) {
+func (r *registry) set(e hostEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seq++
 	if r.entries[e.Host] = e; e.Health == "removed" {
 		delete(r.entries, e.Host)
 	}
-	r.log = append(r.log, listing{Seq: r.seq, Hosts: []entry{e}})
+	r.changes = append(r.changes, listing{Seq: r.seq, Hosts: []hostEntry{e}})
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -58,14 +58,14 @@
 func (r *registry) since(from uint64, whole bool) (listing, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := listing{Seq: r.seq, Whole: whole, Hosts: []entry{}}
+	l := listing{Seq: r.seq, Whole: whole, Hosts: []hostEntry{}}
 	if whole {
 		for _, e := range r.entries {
 			l.Hosts = append(l.Hosts, e)
 		}
 		return l, r.changed
 	}
-	for _, change := range r.log {
+	for _, change := range r.changes {
 		if change.Seq > from {
 			l.Hosts = append(l.Hosts, change.Hosts...)
 		}
@@ -76,16 +76,16 @@
 // agent is the discovery of one sidecar: it answers at once with what it has been sent,
 // and is silent while discovery is down.
 type agent struct {
-	list   *registry
-	ln     net.Listener
-	server *http.Server
-
-	mu     sync.Mutex
-	downTo time.Time     // silent until then
-	slowBy time.Duration // before each answer
-	slowAt time.Time     // it was slow until then; zero: never
-	reset  chan struct{} // closed to end all watches
-	muted  time.Time     // watches that were opened before then say nothing any more
+	registry *registry
+	ln       net.Listener
+	server   *http.Server
+
+	mu             sync.Mutex
+	downUntil      time.Time     // silent until then
+	responseDelay  time.Duration // before each answer
+	delaySetAt     time.Time     // it was slow until then; zero: never
+	watchReset     chan struct{} // closed to end all watches
+	watchesMutedAt time.Time     // watches that were opened before then say nothing any more
 }
 
 func newAgent(list *registry) (*agent, error) {
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &agent{list: list, ln: ln, reset: make(chan struct{})}
+	a := &agent{registry: list, ln: ln, watchReset: make(chan struct{})}
 	a.server = &http.Server{Handler: http.HandlerFunc(a.serve)}
 	go a.server.Serve(ln)
 	return a, nil
@@ -101,60 +101,60 @@
 
 func (a *agent) addr() string { return a.ln.Addr().String() }
 
-// goDown silences the agent for a time. Calls made meanwhile are never answered.
-func (a *agent) goDown(d time.Duration) {
+// stopResponding silences the agent for a time. Calls made meanwhile are never answered.
+func (a *agent) stopResponding(d time.Duration) {
 	a.mu.Lock()
-	a.downTo = time.Now().Add(d)
+	a.downUntil = time.Now().Add(d)
 	a.mu.Unlock()
 }
 
-// mute makes the open watches fall silent.
-func (a *agent) mute() {
+// muteWatches makes the open watches fall silent.
+func (a *agent) muteWatches() {
 	a.mu.Lock()
-	a.muted = time.Now()
+	a.watchesMutedAt = time.Now()
 	a.mu.Unlock()
 }
 
 // resetWatches ends the open watches.
 func (a *agent) resetWatches() {
 	a.mu.Lock()
-	close(a.reset)
-	a.reset = make(chan struct{})
+	close(a.watchReset)
+	a.watchReset = make(chan struct{})
 	a.mu.Unlock()
 }
 
-func (a *agent) setSlow(d time.Duration) {
+func (a *agent) setResponseDelay(d time.Duration) {
 	a.mu.Lock()
-	a.slowBy, a.slowAt = d, time.Now()
+	a.responseDelay, a.delaySetAt = d, time.Now()
 	a.mu.Unlock()
 }
 
-// slowSince says whether the agent has been slow since a time.
-func (a *agent) slowSince(t time.Time) bool {
+// delayedSince says whether the agent has been slow since a time.
+func (a *agent) delayedSince(t time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.slowBy > 0 || a.slowAt.After(t)
+	return a.responseDelay > 0 || a.delaySetAt.After(t)
 }
 
-// silentSince says whether what was opened at a time gets nothing (more).
-func (a *agent) silentSince(opened time.Time) bool {
+// isSilent says whether what was opened at a time gets nothing (more).
+func (a *agent) isSilent(opened time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return opened.Before(a.downTo) && !a.downTo.IsZero() || opened.Before(a.muted)
+	return opened.Before(a.downUntil) && !a.downUntil.IsZero() || opened.Before(a.watchesMutedAt)
 }
 
 func (a *agent) serve(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
-	reset, slowBy, opened := a.reset, a.slowBy, time.Now()
+	reset, slowBy, opened := a.watchReset, a.responseDelay, time.Now()
 	a.mu.Unlock()
 	time.Sleep(slowBy)
-	if a.silentSince(opened) {
+	if a.isSilent(opened) {
 		<-r.Context().Done()
 		return
 	}
 	out := json.NewEncoder(w)
 	if r.URL.Query().Get("watch") == "" {
-		l, _ := a.list.since(0, true)
+		l, _ := a.registry.since(0, true)
 		out.Encode(l)
 		return
 	}
@@ -162,8 +162,8 @@
 	blank := time.NewTicker(2 * time.Second)
 	defer blank.Stop()
 	for first := true; ; first = false {
-		l, changed := a.list.since(from, first && from == 0)
-		if a.silentSince(opened) {
+		l, changed := a.registry.since(from, first && from == 0)
+		if a.isSilent(opened) {
 			<-r.Context().Done()
 			return
 		}
