--- a/cmd/soaktest/main.go
+++ b/cmd/soaktest/main.go
@@ -1,5 +1,5 @@
-// Command soaktest runs real sidecars on loopback under overlapping faults and says which
-// invariants were broken: see docs/operate/soak.md.
+// Command soaktest runs real sidecar processes on loopback, injects overlapping faults and reports
+// which invariants were violated: see docs/operate/soak.md.
 package main
 
 import (
@@ -13,19 +13,19 @@
 )
 
 func main() {
-	program := flag.String("program", "bin/sidecar", "the sidecar's program")
-	sidecars := flag.Int("sidecars", 24, "how many sidecar processes")
-	nodes := flag.Int("nodes", 10, "how many stand-in nodes")
-	workers := flag.Int("workers", 4, "clients' connections for each sidecar")
+	program := flag.String("program", "bin/sidecar", "path of the sidecar binary")
+	sidecars := flag.Int("sidecars", 24, "number of sidecar processes")
+	nodes := flag.Int("nodes", 10, "number of stand-in nodes")
+	clients := flag.Int("workers", 4, "number of clients for each sidecar, each with one connection")
 	pause := flag.Duration("pause", 200*time.Millisecond, "mean pause of a client between two requests")
-	length := flag.Duration("length", time.Minute, "how long each seed is played")
+	length := flag.Duration("length", time.Minute, "how long the soak of each seed lasts")
 	seed := flag.Uint64("seed", 1, "the first seed")
-	seeds := flag.Int("seeds", 1, "how many seeds, one after the other")
-	dir := flag.String("dir", "", "where configurations and logs are kept; empty: nowhere")
-	verbose := flag.Bool("v", false, "print the troubles as they come")
+	seeds := flag.Int("seeds", 1, "number of consecutive seeds to run, one after the other")
+	dir := flag.String("dir", "", "directory for configurations and logs; empty: a temporary one, removed at the end")
+	verbose := flag.Bool("v", false, "print each fault when it is injected")
 	flag.Parse()
 	if err := run(*program, *dir, *seed, *seeds, *verbose, soak.Config{
-		Sidecars: *sidecars, Nodes: *nodes, ClientsPerSidecar: *workers, MeanPause: *pause, Duration: *length, SocketLimit: 256,
+		Sidecars: *sidecars, Nodes: *nodes, ClientsPerSidecar: *clients, MeanPause: *pause, Length: *length, SocketLimit: 256,
 	}); err != nil {
 		fmt.Fprintln(os.Stderr, "soaktest:", err)
 		os.Exit(1)
@@ -41,9 +41,9 @@
 		if dir, err = os.MkdirTemp("", "soaktest"); err != nil {
 			return err
 		}
-		defer func() { _ = os.RemoveAll(dir) }() // a temporary folder that stays does no harm
+		defer func() { _ = os.RemoveAll(dir) }() // a temporary directory that cannot be removed does no harm
 	}
-	broken := 0
+	violations := 0
 	for i := range seeds {
 		cfg.Seed, cfg.Dir = seed+uint64(i), filepath.Join(dir, fmt.Sprint("seed-", seed+uint64(i)))
 		if verbose {
@@ -53,14 +53,15 @@
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", cfg.Seed, err)
 		}
-		fmt.Printf("seed %d: %d requests, answers %v, troubles %v, %d violations\n", cfg.Seed, result.Requests, result.StatusCounts, result.FaultCounts, len(result.Violations))
+		fmt.Printf("seed %d: %d requests, answers %v, troubles %v, %d violations\n",
+			cfg.Seed, result.Requests, result.StatusCounts, result.FaultCounts, len(result.Violations))
 		for _, v := range result.Violations {
 			fmt.Println(" ", v)
 		}
-		broken += len(result.Violations)
+		violations += len(result.Violations)
 	}
-	if broken > 0 {
-		return fmt.Errorf("%d violations", broken)
+	if violations > 0 {
+		return fmt.Errorf("%d violations", violations)
 	}
 	return nil
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -12,14 +12,15 @@
 	"time"
 )
 
-// class is a class of requests.
+// class is a request class as the sidecars' settings define it.
 type class struct {
 	name        string
-	idempotency string // in the settings' words
+	idempotency string // value of the setting "semantics"
 	deadline    time.Duration
-	dedupWindow time.Duration
+	dedupWindow time.Duration // deduplication window of the idempotency keys
 }
 
+// Values of class.idempotency.
 const (
 	idempotent      = "free"
 	idempotentByKey = "guarded"
@@ -32,187 +33,198 @@
 	{"harvest-entry", notIdempotent, 2 * time.Second, 0},
 }
 
-// clientBehaviour is how a client behaves with one request.
+// clientBehaviour is how a client sends one request.
 type clientBehaviour int
 
 const (
-	sendsWhole      clientBehaviour = iota
-	leavesEarly                     // closes its connection before the answer
-	sendsInPieces                   // writes in pieces, whole within the time that bad clients have
-	stopsMidRequest                 // stops in the middle and stays
+	sendsWhole      clientBehaviour = iota // sends the request in one write and waits for the response
+	leavesEarly                            // closes its connection before the response
+	sendsInPieces                          // sends the request in several writes, within the time allowed for slow clients
+	stopsMidRequest                        // sends a part of the request and keeps the connection open
 )
 
-// client is one connection's worth of a client: one request at a time.
+// client sends requests to one sidecar on one connection, one request at a time.
 type client struct {
 	sidecar      *sidecar
 	rng          *rand.Rand
-	conn         net.Conn
+	conn         net.Conn // nil: not connected
 	reader       *bufio.Reader
 	requestCount int
 	name         string
 }
 
-// run sends requests until the world ends.
-func (k *client) run(w *environment) {
-	defer k.closeConn()
-	for !w.isOver() {
-		w.sleep(time.Duration(k.rng.ExpFloat64() * float64(w.cfg.MeanPause)))
-		if k.rng.IntN(20) == 0 { // rests until the sidecar ends the connection, or about so
-			w.sleep(1800*time.Millisecond + time.Duration(k.rng.IntN(400))*time.Millisecond)
+// run sends requests until the soak ends.
+func (c *client) run(env *environment) {
+	defer c.closeConn()
+	for !env.isOver() {
+		env.sleep(time.Duration(c.rng.ExpFloat64() * float64(env.cfg.MeanPause)))
+		if c.rng.IntN(20) == 0 { // stays idle for about as long as the sidecar keeps an idle connection open
+			env.sleep(1800*time.Millisecond + time.Duration(c.rng.IntN(400))*time.Millisecond)
 		}
-		if w.isOver() {
+		if env.isOver() {
 			return
 		}
-		k.sendRequest(w)
+		c.sendRequest(env)
 	}
 }
 
-func (k *client) closeConn() {
-	if k.conn != nil {
-		k.conn.Close()
-		k.conn = nil
+func (c *client) closeConn() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
 }
 
-// sendRequest sends sendRequest request and notes what becomes of it.
-func (k *client) sendRequest(w *environment) {
-	fresh, kept := k.sidecar.acceptsRequests()
-	if k.conn == nil && !fresh || !kept {
-		k.closeConn()
-		w.sleep(20 * time.Millisecond)
+// sendRequest sends one request and records its outcome. It sends nothing while the sidecar does
+// not have to accept requests from this client.
+func (c *client) sendRequest(env *environment) {
+	newConns, openConns := c.sidecar.acceptsRequests()
+	if c.conn == nil && !newConns || !openConns {
+		c.closeConn()
+		env.sleep(20 * time.Millisecond)
 		return
 	}
-	k.requestCount++
-	id, c := fmt.Sprintf("%s-%d", k.name, k.requestCount), classes[k.rng.IntN(len(classes))]
-	how := sendsWhole
-	switch draw := k.rng.IntN(100); {
+	c.requestCount++
+	id, requestClass := fmt.Sprintf("%s-%d", c.name, c.requestCount), classes[c.rng.IntN(len(classes))]
+	behaviour := sendsWhole
+	switch draw := c.rng.IntN(100); {
 	case draw < 6:
-		how = leavesEarly
+		behaviour = leavesEarly
 	case draw < 10:
-		how = sendsInPieces
+		behaviour = sendsInPieces
 	case draw < 12:
-		how = stopsMidRequest
-	}
-	wasKept := k.conn != nil
-	if !wasKept && !k.dial() {
-		return // refused or reset before anything was sent: nothing was taken
-	}
-	from := time.Now()
-	until := from.Add(c.deadline)
-	w.checker.recordRequest(id, c, until)
-	err := k.exchange(w, id, c, how, from, until)
-	if errors.Is(err, errNoResponse) && wasKept { // it was not read: once more, on a new connection
-		if fresh, _ := k.sidecar.acceptsRequests(); !fresh || !k.dial() {
+		behaviour = stopsMidRequest
+	}
+	reused := c.conn != nil
+	if !reused && !c.dial() {
+		return // The connection was refused or reset before anything was sent, so no request was accepted.
+	}
+	startedAt := time.Now()
+	deadline := startedAt.Add(requestClass.deadline)
+	env.checker.recordRequest(id, requestClass, deadline)
+	err := c.exchange(env, id, requestClass, behaviour, startedAt, deadline)
+	// If a reused connection closes without a response, the sidecar has not read the request, and the client
+	// retries once on a new connection.
+	if errors.Is(err, errNoResponse) && reused {
+		if acceptsNew, _ := c.sidecar.acceptsRequests(); !acceptsNew || !c.dial() {
 			return
 		}
-		err = k.exchange(w, id, c, sendsWhole, from, until)
+		err = c.exchange(env, id, requestClass, sendsWhole, startedAt, deadline)
 	}
 	if err != nil {
-		w.checker.recordNoResponse(id, err, k.sidecar.excusedSince(from))
+		env.checker.recordNoResponse(id, err, c.sidecar.excusedSince(startedAt))
 	}
 }
 
-func (k *client) dial() bool {
-	k.closeConn()
-	conn, err := net.DialTimeout("tcp", k.sidecar.addr, time.Second)
+// dial replaces the client's connection with a new one. It returns false if the sidecar does not accept one.
+func (c *client) dial() bool {
+	c.closeConn()
+	conn, err := net.DialTimeout("tcp", c.sidecar.addr, time.Second)
 	if err != nil {
 		return false
 	}
-	k.conn, k.reader = conn, bufio.NewReader(conn)
+	c.conn, c.reader = conn, bufio.NewReader(conn)
 	return true
 }
 
-// errNoResponse says that a connection ended without a byte of an answer.
-var errNoResponse = errors.New("closed without an answer")
-
-func (k *client) exchange(w *environment, id string, c class, how clientBehaviour, from, until time.Time) error {
-	text := requestText(id, c, time.Until(until))
-	if how == stopsMidRequest {
-		return k.sendPart(w, id, text)
-	}
-	err := k.write(text, how, func() {
-		until = time.Now().Add(c.deadline)
-		w.checker.recordLastByte(id, until)
+// errNoResponse says that a connection ended before the first byte of a response.
+var errNoResponse = errors.New("connection closed before a response")
+
+// exchange sends a request on the open connection and records the response. startedAt is when the client
+// began the request, and deadline is when the response is due.
+func (c *client) exchange(env *environment, id string, requestClass class, behaviour clientBehaviour,
+	startedAt, deadline time.Time,
+) error {
+	text := requestText(id, requestClass, time.Until(deadline))
+	if behaviour == stopsMidRequest {
+		return c.sendPart(env, id, text)
+	}
+	err := c.write(text, behaviour, func() {
+		deadline = time.Now().Add(requestClass.deadline)
+		env.checker.recordLastByte(id, deadline)
 	})
 	if err != nil {
-		k.closeConn()
+		c.closeConn()
 		return errNoResponse
 	}
-	if how == leavesEarly {
-		w.sleep(time.Duration(k.rng.Int64N(int64(200 * time.Millisecond))))
-		w.checker.recordClientLeft(id)
-		k.closeConn()
+	if behaviour == leavesEarly {
+		env.sleep(time.Duration(c.rng.Int64N(int64(200 * time.Millisecond))))
+		env.checker.recordClientLeft(id)
+		c.closeConn()
 		return nil
 	}
-	k.conn.SetReadDeadline(until.Add(responseSlack + stallSlack + 3*time.Second))
-	if _, err := k.reader.Peek(1); err != nil {
-		k.closeConn()
+	c.conn.SetReadDeadline(deadline.Add(responseSlack + stallSlack + 3*time.Second))
+	if _, err := c.reader.Peek(1); err != nil {
+		c.closeConn()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return fmt.Errorf("no answer %v after its time", time.Since(until))
+			return fmt.Errorf("no response %v after the deadline", time.Since(deadline))
 		}
 		return fmt.Errorf("%w: %w", errNoResponse, err)
 	}
-	resp, err := http.ReadResponse(k.reader, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		k.closeConn()
+		c.closeConn()
 		return err
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		k.closeConn()
+		c.closeConn()
 		return err
 	}
-	w.checker.recordResponse(id, resp.StatusCode, string(body), time.Since(until), k.sidecar.excusedSince(from))
+	env.checker.recordResponse(id, resp.StatusCode, string(body), time.Since(deadline), c.sidecar.excusedSince(startedAt))
 	if resp.Close {
-		k.closeConn()
+		c.closeConn()
 	}
 	return nil
 }
 
-// requestText is a whole request.
-func requestText(id string, c class, left time.Duration) []byte {
+// requestText returns the complete text of an HTTP request. remaining is sent as Request-Timeout.
+func requestText(id string, requestClass class, remaining time.Duration) []byte {
 	method, key, body := "POST", "", "{}"
-	switch c.idempotency {
+	switch requestClass.idempotency {
 	case idempotent:
 		method, body = "GET", ""
 	case idempotentByKey:
 		key = "Idempotency-Key: " + id + "\r\n"
 	}
 	return fmt.Appendf(nil, "%s /api HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nTenant: north\r\nRequest-Timeout: %.3f\r\n%sContent-Length: %d\r\n\r\n%s",
-		method, id, c.name, left.Seconds(), key, len(body), body)
+		method, id, requestClass.name, remaining.Seconds(), key, len(body), body)
 }
 
-// write writes a request in one piece or in some. last is called before the last one,
-// from which on the request's time counts.
-func (k *client) write(text []byte, how clientBehaviour, last func()) error {
-	if how != sendsInPieces {
-		_, err := k.conn.Write(text)
+// write sends a request in one write, or in several if the client's behaviour is sendsInPieces. In the
+// second case it calls beforeLast before the last write, because the request's deadline counts from there.
+func (c *client) write(text []byte, behaviour clientBehaviour, beforeLast func()) error {
+	if behaviour != sendsInPieces {
+		_, err := c.conn.Write(text)
 		return err
 	}
 	for len(text) > 0 {
-		n := min(1+k.rng.IntN(len(text)), len(text))
+		n := min(1+c.rng.IntN(len(text)), len(text))
 		if n == len(text) {
-			last()
+			beforeLast()
 		}
-		if _, err := k.conn.Write(text[:n]); err != nil {
+		if _, err := c.conn.Write(text[:n]); err != nil {
 			return err
 		}
 		if text = text[n:]; len(text) > 0 {
-			time.Sleep(time.Duration(k.rng.Int64N(int64(150 * time.Millisecond))))
+			time.Sleep(time.Duration(c.rng.Int64N(int64(150 * time.Millisecond))))
 		}
 	}
 	return nil
 }
 
-// sendPart writes a part of a request and waits for the error or the close that is owed.
-func (k *client) sendPart(w *environment, id string, text []byte) error {
-	begun := time.Now()
-	k.conn.Write(text[:1+k.rng.IntN(len(text)-1)])
-	k.conn.SetReadDeadline(begun.Add(2 * partialRequestTimeout))
-	io.Copy(io.Discard, k.reader)
-	k.closeConn()
-	if took := time.Since(begun); took > partialRequestTimeout+w.checker.lag.slack() && !k.sidecar.excusedSince(begun) {
-		w.checker.addViolation(Owed, "%s: its connection ended %v after its first byte", id, took)
+// sendPart sends a part of a request and waits for the sidecar to close the connection. The sidecar must
+// do so, with or without an error response, within partialRequestTimeout.
+func (c *client) sendPart(env *environment, id string, text []byte) error {
+	startedAt := time.Now()
+	c.conn.Write(text[:1+c.rng.IntN(len(text)-1)])
+	c.conn.SetReadDeadline(startedAt.Add(2 * partialRequestTimeout))
+	io.Copy(io.Discard, c.reader)
+	c.closeConn()
+	if elapsed := time.Since(startedAt); elapsed > partialRequestTimeout+env.checker.lag.slack() &&
+		!c.sidecar.excusedSince(startedAt) {
+		env.checker.addViolation(Owed, "%s: the connection of an incomplete request closed %v after its first byte",
+			id, elapsed)
 	}
 	return nil
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Rule names an invariant of the soak.
+// Rule names an invariant that the soak checks.
 type Rule string
 
-// The rules.
+// The invariants. Each comment says how the invariant is violated.
 const (
-	Lost      Rule = "lost"      // a request got no final answer in time
-	Duplicate Rule = "duplicate" // an effect ran twice
-	Drain     Rule = "drain"     // a node was sent something too long after its drain was told
-	Failback  Rule = "failback"  // a cold node was sent more than its budget
-	Left      Rule = "left"      // an attempt began after its client had left
-	Deadline  Rule = "deadline"  // a node was told more time than the client had
-	Promise   Rule = "promise"   // a refusal of what has run, and is not safe to repeat
-	Owed      Rule = "owed"      // a client that stopped in the middle of a request got no word in time
-	Crash     Rule = "crash"     // a sidecar ended that was not told to, or late, or with an error
-	Check     Rule = "check"     // a sidecar's own run-time check counted a broken rule
-	Body      Rule = "body"      // a client got a body that no node made for its request
+	Lost      Rule = "lost"      // A request got no final response in time.
+	Duplicate Rule = "duplicate" // The effect of a request was executed twice, or its client got two responses.
+	Drain     Rule = "drain"     // A node got a request too long after its sidecar knew of the node's drain.
+	Failback  Rule = "failback"  // A cold node got more requests than its budget.
+	Left      Rule = "left"      // An attempt began after its client had closed the connection.
+	Deadline  Rule = "deadline"  // A node got a longer request timeout than its client had left.
+	Promise   Rule = "promise"   // A request was refused although it had been executed and is not safe to repeat.
+	Owed      Rule = "owed"      // A client that stopped in the middle of a request got no error or close in time.
+	Crash     Rule = "crash"     // A sidecar exited without SIGTERM, too late, or with an error.
+	Check     Rule = "check"     // A sidecar's own run-time check reported a violation.
+	Body      Rule = "body"      // A client got a body that no node sent for its request, or a node got an unknown request.
 )
 
-// Slacks. The operators' page grants 0.1 s for clients that leave, 0.15 s for deadlines,
-// 0.15 s for a process that is held up, and 0.5 s for answers; schedulingSlack is for a busy
-// machine, where a stand-in may note late what it saw.
+// Slacks and bounds. The operators' page allows 0.1 s for clients that leave, 0.15 s for deadlines, 0.15 s
+// for a stalled process and 0.5 s for responses. schedulingSlack allows for a busy machine, where a stand-in
+// may record an event late.
 const (
 	leftSlack             = 100 * time.Millisecond
 	deadlineSlack         = 150 * time.Millisecond
@@ -38,10 +38,10 @@
 	partialRequestTimeout = 3 * time.Second
 )
 
-// Violation is one broken rule.
+// Violation is one violated invariant.
 type Violation struct {
 	Rule   Rule
-	At     time.Duration // since the soak's begin
+	At     time.Duration // since the start of the soak
 	Detail string
 }
 
@@ -49,141 +49,148 @@
 	return fmt.Sprintf("%8.3f %s: %s", v.At.Seconds(), v.Rule, v.Detail)
 }
 
-// requestRecord is what is known of one request.
+// requestRecord is what clients and nodes have recorded of one request.
 type requestRecord struct {
 	id           string
 	class        class
-	deadline     time.Time // its client's deadline
-	clientLeftAt time.Time // its client has left; zero: it has not
-	excused      bool      // its sidecar was killed or stopped meanwhile
+	deadline     time.Time // of its client
+	clientLeftAt time.Time // when its client closed the connection early; zero: it did not
+	excused      bool      // its sidecar was killed or stalled during the request
 	attempts     []attempt
-	status       int
+	status       int // of the response; 0: none yet
 }
 
-// attempt is one time that a request reached a node whole.
+// attempt is one complete arrival of a request at a node.
 type attempt struct {
 	at       time.Time
-	executed bool // the effect ran
+	executed bool // the node executes the request's effect
 	node     string
 }
 
-// checker notes what clients and nodes see, and holds it against the rules.
+// checker records what clients and nodes observe and checks the invariants. It is safe for concurrent use.
 type checker struct {
-	startedAt time.Time
+	startedAt time.Time // of the soak
 	lag       lagMeter
 
 	mu           sync.Mutex
-	records      map[string]*requestRecord
+	records      map[string]*requestRecord // by request id
 	violations   []Violation
-	statusCounts map[int]int // by status
+	statusCounts map[int]int // responses by status
 	requestCount int
 }
 
-func newChecker(begin time.Time) *checker {
-	return &checker{startedAt: begin, records: make(map[string]*requestRecord), statusCounts: make(map[int]int)}
+func newChecker(startedAt time.Time) *checker {
+	return &checker{startedAt: startedAt, records: make(map[string]*requestRecord), statusCounts: make(map[int]int)}
 }
 
-func (j *checker) addViolation(rule Rule, format string, args ...any) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.addViolationLocked(rule, format, args...)
+// addViolation adds a violation of a rule at the present time.
+func (c *checker) addViolation(rule Rule, format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addViolationLocked(rule, format, args...)
 }
 
-func (j *checker) addViolationLocked(rule Rule, format string, args ...any) {
-	j.violations = append(j.violations, Violation{rule, time.Since(j.startedAt), fmt.Sprintf(format, args...)})
+// addViolationLocked is addViolation for a caller that holds c.mu.
+func (c *checker) addViolationLocked(rule Rule, format string, args ...any) {
+	c.violations = append(c.violations, Violation{rule, time.Since(c.startedAt), fmt.Sprintf(format, args...)})
 }
 
-// recordRequest notes a request that is about to be sent.
-func (j *checker) recordRequest(id string, c class, until time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.records[id] = &requestRecord{id: id, class: c, deadline: until}
-	j.requestCount++
+// recordRequest records a request that its client is about to send.
+func (c *checker) recordRequest(id string, requestClass class, deadline time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.records[id] = &requestRecord{id: id, class: requestClass, deadline: deadline}
+	c.requestCount++
 }
 
-// recordLastByte notes that the last byte of a request is about to be written.
-func (j *checker) recordLastByte(id string, until time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.records[id].deadline = until
+// recordLastByte records that a client is about to send the last byte of a request, and the deadline that
+// counts from there.
+func (c *checker) recordLastByte(id string, deadline time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.records[id].deadline = deadline
 }
 
-// recordClientLeft notes that a request's client closes its connection now.
-func (j *checker) recordClientLeft(id string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.records[id].clientLeftAt = time.Now()
+// recordClientLeft records that a request's client closes its connection now, before the response.
+func (c *checker) recordClientLeft(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.records[id].clientLeftAt = time.Now()
 }
 
-// recordAttempt notes a request that a node has read whole, with the time that it was told;
-// ran says whether its effect runs, and delay for how long it may have waited.
-func (j *checker) recordAttempt(node, id string, told time.Duration, ran bool, delay time.Duration) {
+// recordAttempt records a request that a node has read completely. timeout is the request timeout that the
+// node got, executed says whether the node executes the effect, and delay is how long the request may have
+// waited before the node read it.
+func (c *checker) recordAttempt(nodeName, id string, timeout time.Duration, executed bool, delay time.Duration) {
 	now := time.Now().Add(-delay)
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	c := j.records[id]
-	if c == nil {
-		j.addViolationLocked(Body, "node %s got request %q, which no client sent", node, id)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.records[id]
+	if r == nil {
+		c.addViolationLocked(Body, "node %s got request %q, which no client sent", nodeName, id)
 		return
 	}
-	if left := max(c.deadline.Sub(now), 0); told > left+deadlineSlack+stallSlack+j.lag.slack() && !c.excused {
-		j.addViolationLocked(Deadline, "%s: %v told, %v left", id, told, left)
+	if remaining := max(r.deadline.Sub(now), 0); timeout > remaining+deadlineSlack+stallSlack+c.lag.slack() && !r.excused {
+		c.addViolationLocked(Deadline, "%s: the node got a request timeout of %v, the client had %v left",
+			id, timeout, remaining)
 	}
-	if !c.clientLeftAt.IsZero() && now.Sub(c.clientLeftAt) > leftSlack+stallSlack+j.lag.slack() {
-		j.addViolationLocked(Left, "%s began %v after its client had left", id, now.Sub(c.clientLeftAt))
+	if !r.clientLeftAt.IsZero() && now.Sub(r.clientLeftAt) > leftSlack+stallSlack+c.lag.slack() {
+		c.addViolationLocked(Left, "%s reached a node %v after its client had closed the connection",
+			id, now.Sub(r.clientLeftAt))
 	}
-	for _, before := range c.attempts {
+	for _, earlier := range r.attempts {
 		switch {
-		case !before.executed || c.class.idempotency == idempotent:
-		case c.class.idempotency == notIdempotent:
-			j.addViolationLocked(Duplicate, "%s ran at %s and at %s", id, before.node, node)
-		case now.Sub(before.at) > c.class.dedupWindow+stallSlack+j.lag.slack():
-			j.addViolationLocked(Duplicate, "%s ran again %v after the first", id, now.Sub(before.at))
+		case !earlier.executed || r.class.idempotency == idempotent:
+		case r.class.idempotency == notIdempotent:
+			c.addViolationLocked(Duplicate, "%s was executed by %s and by %s", id, earlier.node, nodeName)
+		case now.Sub(earlier.at) > r.class.dedupWindow+stallSlack+c.lag.slack():
+			c.addViolationLocked(Duplicate, "%s was executed again %v after the first execution", id, now.Sub(earlier.at))
 		}
 	}
-	c.attempts = append(c.attempts, attempt{now, ran, node})
+	r.attempts = append(r.attempts, attempt{now, executed, nodeName})
 }
 
-// recordResponse notes a request's final answer; excused says that it need not have come.
-func (j *checker) recordResponse(id string, status int, body string, late time.Duration, excused bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	c := j.records[id]
-	c.excused = c.excused || excused
-	if c.status != 0 {
-		j.addViolationLocked(Duplicate, "%s was answered %d and %d", id, c.status, status)
+// recordResponse records a request's final response. late is how long after the deadline the response came,
+// negative before the deadline. excused says that the request was allowed to get no response.
+func (c *checker) recordResponse(id string, status int, body string, late time.Duration, excused bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.records[id]
+	r.excused = r.excused || excused
+	if r.status != 0 {
+		c.addViolationLocked(Duplicate, "%s got two responses, with status %d and %d", id, r.status, status)
 	}
-	c.status = status
-	j.statusCounts[status]++
-	ran := false
-	for _, r := range c.attempts {
-		ran = ran || r.executed
+	r.status = status
+	c.statusCounts[status]++
+	executed := false
+	for _, a := range r.attempts {
+		executed = executed || a.executed
 	}
 	switch {
-	case late > responseSlack+j.lag.slack() && !excused:
-		j.addViolationLocked(Lost, "%s was answered %d %v after its time", id, status, late)
-	case status == 200 && (body != id || !ran):
-		j.addViolationLocked(Body, "%s got %q, ran: %v", id, body, ran)
-	case (status == 503 || status == 429) && ran && c.class.idempotency == notIdempotent:
-		j.addViolationLocked(Promise, "%s was refused, and has run", id)
+	case late > responseSlack+c.lag.slack() && !excused:
+		c.addViolationLocked(Lost, "%s got status %d %v after its deadline", id, status, late)
+	case status == 200 && (body != id || !executed):
+		c.addViolationLocked(Body, "%s got body %q, executed: %v", id, body, executed)
+	case (status == 503 || status == 429) && executed && r.class.idempotency == notIdempotent:
+		c.addViolationLocked(Promise, "%s was refused although it had been executed", id)
 	}
 }
 
-// recordNoResponse notes a request that got no answer.
-func (j *checker) recordNoResponse(id string, why error, excused bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.records[id].excused = j.records[id].excused || excused
+// recordNoResponse records a request that got no response. excused says that this was allowed.
+func (c *checker) recordNoResponse(id string, reason error, excused bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.records[id].excused = c.records[id].excused || excused
 	if !excused {
-		j.addViolationLocked(Lost, "%s: %v", id, why)
+		c.addViolationLocked(Lost, "%s: %v", id, reason)
 	}
 }
 
-// requestBudget is how many requests a node may get within a window in which the settings
-// allow it n (the operators' page, fourth rule).
-func requestBudget(n float64) float64 {
-	if n < 30 {
-		return n + 3*math.Sqrt(n) + 3
+// requestBudget returns how many requests a node may get within a window for which the settings allow
+// the given number (fourth rule of the operators' page).
+func requestBudget(allowed float64) float64 {
+	if allowed < 30 {
+		return allowed + 3*math.Sqrt(allowed) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return allowed + 2*math.Sqrt(allowed) + 2
 }
--- a/internal/soak/lag.go
+++ b/internal/soak/lag.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// lagMeter measures how late the machine wakes who sleeps. On a busy machine what the
-// stand-ins see is late, and what the sidecars do as well: that much is added to each
-// slack.
+// lagMeter measures how late the machine wakes a sleeping goroutine. On a busy machine the stand-ins
+// observe events late and the sidecars act late, so that the measured lag is added to each slack.
 type lagMeter struct {
 	mu        sync.Mutex
-	recent    [2]time.Duration // the longest of this span and of the one before
-	spanStart time.Time
+	recent    [2]time.Duration // longest lag of the current span and of the span before
+	spanStart time.Time        // of the current span
 }
 
 const (
 	lagSampleInterval = 5 * time.Millisecond
 	lagSpan           = 2 * time.Second
-	// lagSteps is how many steps of a request may each be late.
+	// lagSteps is how many steps of a request may each be late by the measured lag.
 	lagSteps = 4
 )
 
-func (l *lagMeter) run(over func() bool) {
-	for !over() {
+// run measures the lag every lagSampleInterval until stopped returns true.
+func (l *lagMeter) run(stopped func() bool) {
+	for !stopped() {
 		before := time.Now()
 		time.Sleep(lagSampleInterval)
 		l.record(time.Now(), time.Since(before)-lagSampleInterval)
 	}
 }
 
+// record adds one measurement, and begins a new span when the current one is older than lagSpan.
 func (l *lagMeter) record(now time.Time, lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,7 +39,7 @@
 	l.recent[0] = max(l.recent[0], lag)
 }
 
-// slack is what is granted for scheduling at the moment.
+// slack returns how much every bound is currently extended for scheduling delays.
 func (l *lagMeter) slack() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -16,31 +16,31 @@
 	"time"
 )
 
-// nodeBehaviour is how a node or the way to it behaves.
+// nodeBehaviour is how a node, or the network path to it, behaves.
 type nodeBehaviour int
 
-// The nodeBehaviourCount.
+// The behaviours of nodes.
 const (
-	healthy         nodeBehaviour = iota
-	hangs                         // takes requests and answers none
-	resets                        // resets connections under requests, before or in the middle of answers
-	respondsSlowly                // takes up to most of a deadline
-	variesResponses               // answers in all forms, good and bad
-	acceptsLate                   // connections come up late: the node accepts none for a while
-	resetsLate                    // resets connections well after the request has come
-	fails                         // answers 500, or turns away
-	closesIdle                    // closes idle connections at once
-	nodeBehaviourCount
+	healthy            nodeBehaviour = iota
+	hangs                            // accepts requests and sends no response
+	resets                           // resets connections with open requests, before or in the middle of responses
+	respondsSlowly                   // takes up to almost the whole deadline to respond
+	variesResponses                  // sends valid and invalid responses in many forms
+	acceptsLate                      // establishes connections late: the node accepts none for a while
+	resetsLate                       // resets connections well after the request has arrived
+	fails                            // responds with 500, or refuses the request with 503
+	closesIdle                       // closes a connection as soon as it is idle
+	nodeBehaviourCount               // number of behaviours
 )
 
-// arrival is a request that reached a cold node, and whether its sidecar had been told of
-// the start.
+// arrival is a request that reached a cold node. startKnown says whether the request's sidecar knew by then
+// that the node had started.
 type arrival struct {
 	at         time.Time
 	startKnown bool
 }
 
-// node is a stand-in for an upstream, and the way to it.
+// node is a stand-in for an upstream and for the network path to it.
 type node struct {
 	env  *environment
 	name string
@@ -48,31 +48,35 @@
 
 	mu        sync.Mutex
 	behaviour nodeBehaviour
-	startedAt time.Time // of its last start; zero: long ago
+	startedAt time.Time // last restart; zero: the node has not restarted and is warm
 	health    string
-	arrivals  []arrival // since it was born, while it is cold
+	arrivals  []arrival // since startedAt, while the node is cold
 	conns     map[net.Conn]struct{}
 	rng       *rand.Rand
 }
 
-func (w *environment) newNode(name string, seed uint64) (*node, error) {
+// newNode starts a healthy node on a free loopback port.
+func (env *environment) newNode(name string, seed uint64) (*node, error) {
 	ln, err := listenShortBacklog()
 	if err != nil {
 		return nil, err
 	}
-	n := &node{env: w, name: name, ln: ln, health: "up", conns: make(map[net.Conn]struct{}), rng: rand.New(rand.NewPCG(seed, 7))}
+	n := &node{
+		env: env, name: name, ln: ln, health: "up", conns: make(map[net.Conn]struct{}),
+		rng: rand.New(rand.NewPCG(seed, 7)),
+	}
 	go n.acceptLoop()
 	return n, nil
 }
 
-// maxAcceptDelay is how long a node may take to accept a connection that comes up late.
+// maxAcceptDelay is how long a node that accepts late may wait before it accepts a connection.
 const maxAcceptDelay = 1200 * time.Millisecond
 
-// acceptBacklog is how many connections wait to be accepted; the system passes over the
-// first packet of those beyond, and they come up a second late.
+// acceptBacklog is how many connections may wait to be accepted. The kernel drops the first packet of further
+// connections, so that they are established a second late.
 const acceptBacklog = 2
 
-// listenShortBacklog opens a listener with a short queue.
+// listenShortBacklog opens a loopback listener whose backlog is acceptBacklog.
 func listenShortBacklog() (net.Listener, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
@@ -80,20 +84,23 @@
 	}
 	f := os.NewFile(uintptr(fd), "node")
 	defer f.Close()
-	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, acceptBacklog)); err != nil {
+	if err := errors.Join(
+		syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, acceptBacklog),
+	); err != nil {
 		return nil, err
 	}
 	return net.FileListener(f)
 }
 
+// acceptLoop accepts connections until the listener is closed, and serves each in its own goroutine.
 func (n *node) acceptLoop() {
 	for {
 		n.mu.Lock()
-		delay := time.Duration(0)
+		maxDelay := time.Duration(0)
 		if n.behaviour == acceptsLate {
-			delay = maxAcceptDelay
+			maxDelay = maxAcceptDelay
 		}
-		pause := time.Duration(n.rng.Int64N(int64(max(delay, 1))))
+		pause := time.Duration(n.rng.Int64N(int64(max(maxDelay, 1))))
 		n.mu.Unlock()
 		time.Sleep(pause)
 		c, err := n.ln.Accept()
@@ -104,7 +111,7 @@
 		n.conns[c] = struct{}{}
 		n.mu.Unlock()
 		go func() {
-			n.serve(c, (acceptBacklog+1)*delay)
+			n.serve(c, (acceptBacklog+1)*maxDelay)
 			c.Close()
 			n.mu.Lock()
 			delete(n.conns, c)
@@ -113,7 +120,7 @@
 	}
 }
 
-// restart ends all connections and makes the node cold.
+// restart resets all connections and makes the node cold and healthy.
 func (n *node) restart() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -124,16 +131,18 @@
 	}
 }
 
-func (n *node) setBehaviour(m nodeBehaviour) {
+func (n *node) setBehaviour(b nodeBehaviour) {
 	n.mu.Lock()
-	n.behaviour = m
+	n.behaviour = b
 	n.mu.Unlock()
 }
 
+// serve handles the requests of one connection. The first request may have waited for up to delay before
+// the node accepted the connection. A request without an id is not a client's: it gets status 200 and no body.
 func (n *node) serve(c net.Conn, delay time.Duration) {
-	in := bufio.NewReader(c)
+	reader := bufio.NewReader(c)
 	for {
-		req, err := http.ReadRequest(in)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -149,91 +158,92 @@
 	}
 }
 
-// handle carries a request out; false ends its connection. The request may have waited
-// for as long as delay says before it was read.
+// handle records a request and responds as the node's behaviour says. It returns false if the connection
+// must be closed. The request may have waited for up to delay before it was read.
 func (n *node) handle(c net.Conn, id string, req *http.Request, delay time.Duration) bool {
 	seconds, _ := strconv.ParseFloat(req.Header.Get("Request-Timeout"), 64)
-	told := time.Duration(seconds * float64(time.Second))
+	timeout := time.Duration(seconds * float64(time.Second))
 	n.mu.Lock()
-	m, draw, pause := n.behaviour, n.rng.IntN(100), time.Duration(2+n.rng.IntN(8))*time.Millisecond
-	long := time.Duration(n.rng.Int64N(int64(max(told, 1))))
+	behaviour, draw, pause := n.behaviour, n.rng.IntN(100), time.Duration(2+n.rng.IntN(8))*time.Millisecond
+	longPause := time.Duration(n.rng.Int64N(int64(max(timeout, 1))))
 	n.mu.Unlock()
 	n.env.checkArrival(n, id, delay)
-	turned := m == fails && draw < 50
-	n.env.checker.recordAttempt(n.name, id, told, !turned, delay)
+	refused := behaviour == fails && draw < 50
+	n.env.checker.recordAttempt(n.name, id, timeout, !refused, delay)
 	time.Sleep(pause)
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 	switch {
-	case m == hangs:
-		io.Copy(io.Discard, c) // until the other side closes
+	case behaviour == hangs:
+		io.Copy(io.Discard, c) // until the sidecar closes the connection
 		return false
-	case m == respondsSlowly:
-		time.Sleep(long)
-	case m == resetsLate && draw < 60:
-		time.Sleep(long)
+	case behaviour == respondsSlowly:
+		time.Sleep(longPause)
+	case behaviour == resetsLate && draw < 60:
+		time.Sleep(longPause)
 		c.(*net.TCPConn).SetLinger(0)
 		return false
-	case m == resets && draw < 40:
+	case behaviour == resets && draw < 40:
 		c.(*net.TCPConn).SetLinger(0)
 		if draw < 20 {
-			io.WriteString(c, whole[:len(whole)/2])
+			io.WriteString(c, response[:len(response)/2])
 		}
 		return false
-	case turned:
+	case refused:
 		io.WriteString(c, "HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
-	case m == fails:
+	case behaviour == fails:
 		io.WriteString(c, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n")
 		return true
-	case m == variesResponses:
-		return n.varyResponse(c, draw, whole, id)
-	case m == closesIdle:
-		io.WriteString(c, whole)
+	case behaviour == variesResponses:
+		return n.varyResponse(c, draw, response, id)
+	case behaviour == closesIdle:
+		io.WriteString(c, response)
 		time.Sleep(pause)
 		return false
 	}
-	_, err := io.WriteString(c, whole)
+	_, err := io.WriteString(c, response)
 	return err == nil
 }
 
-// varyResponse answers in one of many forms.
-func (n *node) varyResponse(c net.Conn, draw int, whole, id string) bool {
-	unsized := "HTTP/1.1 200 OK\r\n\r\n" + id
+// varyResponse responds in the form that draw selects. It returns false if the connection must be closed.
+// response is the valid response, with id as its body.
+func (n *node) varyResponse(c net.Conn, draw int, response, id string) bool {
+	withoutLength := "HTTP/1.1 200 OK\r\n\r\n" + id
 	switch draw % 9 {
-	case 0: // no length, closed in order
-		io.WriteString(c, unsized)
+	case 0: // no length; the connection closes without an error
+		io.WriteString(c, withoutLength)
 		return false
-	case 1: // no length, reset on the way
-		io.WriteString(c, unsized[:len(unsized)-2])
+	case 1: // no length; the connection is reset before the end of the body
+		io.WriteString(c, withoutLength[:len(withoutLength)-2])
 		time.Sleep(5 * time.Millisecond)
 		c.(*net.TCPConn).SetLinger(0)
 		return false
-	case 2:
+	case 2: // valid, in chunks
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(id), id)
 		return true
-	case 3: // cut in the middle of its chunks
+	case 3: // in chunks, closed before the last chunk
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(id), id)
 		return false
-	case 4: // a second answer some milliseconds late
-		io.WriteString(c, whole)
+	case 4: // a second response some milliseconds after the first
+		io.WriteString(c, response)
 		time.Sleep(4 * time.Millisecond)
-		io.WriteString(c, strings.Replace(whole, id, strings.Repeat("x", len(id)), 1))
+		io.WriteString(c, strings.Replace(response, id, strings.Repeat("x", len(id)), 1))
 		return true
-	case 5:
+	case 5: // not HTTP
 		io.WriteString(c, "\x00\x01 no HTTP at all\r\n\r\n")
 		return false
-	case 6: // byte by byte
-		for i := range len(whole) {
-			if _, err := io.WriteString(c, whole[i:i+1]); err != nil {
+	case 6: // valid, one byte at a time
+		for i := range len(response) {
+			if _, err := io.WriteString(c, response[i:i+1]); err != nil {
 				return false
 			}
 			time.Sleep(200 * time.Microsecond)
 		}
 		return true
-	case 7: // two lengths
+	case 7: // both a length and chunks, which contradict each other
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(id), id)
 		return true
 	}
-	io.WriteString(c, whole[:len(whole)-1]) // and the end, when its connection ends in order
+	io.WriteString(c, response[:len(response)-1]) // one byte short; the connection then closes without an error
 	return false
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -15,28 +15,28 @@
 	"time"
 )
 
-// sidecar is one real process, under the same name and address through its restarts.
+// sidecar is one real sidecar process. Its name and address stay the same when the process is restarted.
 type sidecar struct {
 	env         *environment
 	number      int
 	addr        string
 	dir         string
 	agents      [2]*agent
-	activeAgent int // which of them the configuration names
+	activeAgent int // index of the agent that the configuration names
 
 	mu                 sync.Mutex
 	cmd                *exec.Cmd
-	exited             chan error
-	startedAt          time.Time // of the process
+	exited             chan error // the result of cmd.Wait
+	startedAt          time.Time  // start of the current process
 	ready              bool
-	terminatedAt       time.Time // SIGTERM was sent; zero: it was not
+	terminatedAt       time.Time // when SIGTERM was sent; zero: not sent
 	killed             bool
-	stalledUntil       time.Time // it is or was stopped (SIGSTOP) until then
-	discoveryChangedAt time.Time // it was told of another discovery
+	stalledUntil       time.Time // end of the current or last stall (SIGSTOP)
+	discoveryChangedAt time.Time // when the configuration last named another agent
 	logReaders         sync.WaitGroup
 }
 
-// classSettings are those of the classes, in the settings' words.
+// classSettings returns the request classes in the form of the sidecar's settings.
 func classSettings() []any {
 	var all []any
 	for _, c := range classes {
@@ -48,12 +48,12 @@
 	return all
 }
 
-// The figures of the settings that the judge needs.
+// Values of the sidecar's settings that the checks need too.
 const (
-	fleetQuota              = 100.0 // requests a second of all sidecars and nodes together
-	slowStartInitialShare   = 0.3
+	fleetQuota              = 100.0 // requests per second of all sidecars and nodes together
+	slowStartInitialShare   = 0.3   // of its capacity that a cold node starts with
 	slowStartDuration       = 8 * time.Second
-	slowStartOverloadFactor = 2.5
+	slowStartOverloadFactor = 2.5 // multiple of its capacity at the moment that a cold node may get
 	slowStartOverloadWindow = time.Second
 )
 
@@ -61,18 +61,25 @@
 	return os.WriteFile(filepath.Join(s.dir, "config.json"), text, 0o600)
 }
 
+// config returns the sidecar's configuration file. The caller holds s.mu.
 func (s *sidecar) config() []byte {
 	text, err := json.Marshal(map[string]any{
-		"name": fmt.Sprint("n", s.number), "listen": s.addr, "discovery": s.agents[s.activeAgent].addr(), "seed": fmt.Sprintf("%x", 1000+s.number),
+		"name": fmt.Sprint("n", s.number), "listen": s.addr, "discovery": s.agents[s.activeAgent].addr(),
+		"seed":   fmt.Sprintf("%x", 1000+s.number),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": s.env.cfg.SocketLimit},
 		"settings": map[string]any{
 			"balancers": s.env.cfg.Sidecars,
 			"caps": map[string]any{
-				"may_cancel": true, "probes": s.number%2 == 0, "most_tries": 3, "dial_timeout_ms": 250 + 1250*(s.number%2), "conn_idle_ms": 6000, "max_retry_after_ms": 1200,
+				"may_cancel": true, "probes": s.number%2 == 0, "most_tries": 3,
+				"dial_timeout_ms": 250 + 1250*(s.number%2), "conn_idle_ms": 6000, "max_retry_after_ms": 1200,
 			},
 			"classes": classSettings(), "discovery": "push", "zones": []any{"a"},
-			"orgs":  []any{map[string]any{"name": "north", "share": 1, "quota_per_s": fleetQuota}},
-			"rules": map[string]any{"cold_from": slowStartInitialShare, "cold_ms": slowStartDuration.Milliseconds(), "fall_multiple": slowStartOverloadFactor, "overload_for_ms": slowStartOverloadWindow.Milliseconds(), "stop_sending_within_ms": drainGrace.Milliseconds()},
+			"orgs": []any{map[string]any{"name": "north", "share": 1, "quota_per_s": fleetQuota}},
+			"rules": map[string]any{
+				"cold_from": slowStartInitialShare, "cold_ms": slowStartDuration.Milliseconds(),
+				"fall_multiple": slowStartOverloadFactor, "overload_for_ms": slowStartOverloadWindow.Milliseconds(),
+				"stop_sending_within_ms": drainGrace.Milliseconds(),
+			},
 		},
 	})
 	if err != nil {
@@ -81,11 +88,11 @@
 	return text
 }
 
-// logUnreadPeriod is how long nobody reads the log of every fourth process.
+// logUnreadPeriod is how long nobody reads the log of every fourth process after its start.
 const logUnreadPeriod = 5 * time.Second
 
-// start starts the process. Every third has so few descriptors that it runs out of them,
-// and every fourth a log that nobody reads.
+// start starts the process. Every third sidecar gets so few file descriptors that it runs out of them.
+// The log pipe of every fourth one is full, and nobody reads it during logUnreadPeriod.
 func (s *sidecar) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +100,7 @@
 		return err
 	}
 	cmd := exec.Command(s.env.cfg.Program)
-	if s.number%3 == 0 { // a shim: less than the settings say
+	if s.number%3 == 0 { // A shell lowers the descriptor limit below the one in the settings.
 		cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec %q", s.env.cfg.SocketLimit/4, s.env.cfg.Program))
 	}
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+filepath.Join(s.dir, "config.json"))
@@ -113,28 +120,30 @@
 	}
 	w.Close()
 	s.logReaders.Go(func() { s.readLog(r, unread) })
-	s.cmd, s.startedAt, s.ready, s.terminatedAt, s.killed, s.exited = cmd, time.Now(), false, time.Time{}, false, make(chan error, 1)
-	go func(ended chan<- error) { ended <- cmd.Wait() }(s.exited)
+	s.cmd, s.startedAt, s.ready, s.terminatedAt, s.killed, s.exited =
+		cmd, time.Now(), false, time.Time{}, false, make(chan error, 1)
+	go func(exited chan<- error) { exited <- cmd.Wait() }(s.exited)
 	return nil
 }
 
-// fillPipe fills a pipe, so that whoever writes to it next waits.
+// fillPipe fills a pipe, so that the next write to it blocks.
 func fillPipe(w *os.File) {
 	raw, err := w.SyscallConn()
 	if err != nil {
 		return
 	}
-	line := bytes.Repeat([]byte("\n"), 4096)
+	newlines := bytes.Repeat([]byte("\n"), 4096)
 	raw.Write(func(fd uintptr) bool {
 		for {
-			if _, err := syscall.Write(int(fd), line); err != nil {
-				return true // it takes no more
+			if _, err := syscall.Write(int(fd), newlines); err != nil {
+				return true // the pipe is full
 			}
 		}
 	})
 }
 
-// readLog keeps the log, and looks for broken rules in it.
+// readLog copies the process's log to a file and reports the violations, panics and data races in it.
+// If unread is true, it starts to read only after logUnreadPeriod. Empty lines are those of fillPipe.
 func (s *sidecar) readLog(r *os.File, unread bool) {
 	defer r.Close()
 	f, err := os.OpenFile(filepath.Join(s.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -152,18 +161,20 @@
 			continue
 		}
 		fmt.Fprintln(f, lines.Text())
-		if line := lines.Text(); strings.Contains(line, "a rule was broken") || strings.HasPrefix(line, "panic:") || strings.Contains(line, "DATA RACE") {
+		if line := lines.Text(); strings.Contains(line, "a rule was broken") || strings.HasPrefix(line, "panic:") ||
+			strings.Contains(line, "DATA RACE") {
 			s.env.checker.addViolation(Check, "sidecar %d: %s", s.number, line)
 		}
 	}
 }
 
-// awaitReady waits until clients may begin to send.
-func (s *sidecar) awaitReady(within time.Duration) bool {
-	client := &http.Client{Timeout: time.Second}
-	defer client.CloseIdleConnections()
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		resp, err := client.Get("http://" + s.addr + "/health/ready")
+// awaitReady waits until the sidecar reports that it is ready, so that clients may send requests. It returns
+// false if the sidecar is not ready within the timeout.
+func (s *sidecar) awaitReady(timeout time.Duration) bool {
+	httpClient := &http.Client{Timeout: time.Second}
+	defer httpClient.CloseIdleConnections()
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		resp, err := httpClient.Get("http://" + s.addr + "/health/ready")
 		if err != nil {
 			continue
 		}
@@ -178,7 +189,7 @@
 	return false
 }
 
-// agent returns the discovery that the configuration names.
+// agent returns the discovery agent that the configuration names.
 func (s *sidecar) agent() *agent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,14 +203,14 @@
 	s.cmd.Process.Signal(sig)
 }
 
-// killAndRestart ends the process with what it holds, and starts it anew.
+// killAndRestart kills the process, whose open requests are lost, and starts a new one.
 func (s *sidecar) killAndRestart() error {
 	s.mu.Lock()
 	s.killed, s.ready = true, false
 	s.cmd.Process.Kill()
-	ended := s.exited
+	exited := s.exited
 	s.mu.Unlock()
-	<-ended
+	<-exited
 	if err := s.start(); err != nil {
 		return err
 	}
@@ -207,29 +218,31 @@
 	return nil
 }
 
-// terminate ends the process as a planned restart does. It has to end by itself.
+// terminate sends SIGTERM to the process, as a planned restart does. The process must exit by itself, without
+// an error and within exitTimeout; otherwise terminate reports a violation, and kills a process that is still
+// running.
 func (s *sidecar) terminate() {
 	s.mu.Lock()
 	s.terminatedAt = time.Now()
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	cmd, ended := s.cmd, s.exited
+	cmd, exited := s.cmd, s.exited
 	s.mu.Unlock()
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		if err != nil {
-			s.env.checker.addViolation(Crash, "sidecar %d ended with %v", s.number, err)
+			s.env.checker.addViolation(Crash, "sidecar %d exited after SIGTERM with an error: %v", s.number, err)
 		}
 	case <-time.After(exitTimeout + s.env.checker.lag.slack()):
 		cmd.Process.Kill()
-		<-ended
-		s.env.checker.addViolation(Crash, "sidecar %d had not ended %v after SIGTERM", s.number, exitTimeout)
+		<-exited
+		s.env.checker.addViolation(Crash, "sidecar %d was still running %v after SIGTERM", s.number, exitTimeout)
 	}
 	s.mu.Lock()
 	s.ready = false
 	s.mu.Unlock()
 }
 
-// stall stops the process for a while, as a machine that is short of processor does.
+// stall stops the process for d, as happens on a machine that is short of processor time.
 func (s *sidecar) stall(d time.Duration) {
 	s.mu.Lock()
 	s.stalledUntil = time.Now().Add(d + schedulingSlack)
@@ -239,7 +252,8 @@
 	s.signal(syscall.SIGCONT)
 }
 
-// hasCrashed says whether the process has ended though nobody told it to.
+// hasCrashed says whether the process has exited although the soak neither terminated nor killed it, and
+// returns the process's error, which may be nil.
 func (s *sidecar) hasCrashed() (error, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -255,9 +269,9 @@
 	}
 }
 
-// acceptsRequests says whether clients may send: on connections of their own making, and on those
-// that they have.
-func (s *sidecar) acceptsRequests() (fresh, kept bool) {
+// acceptsRequests says whether clients may send requests: on new connections, and on connections that are
+// already open.
+func (s *sidecar) acceptsRequests() (newConns, openConns bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ready {
@@ -266,8 +280,8 @@
 	return s.terminatedAt.IsZero() || time.Since(s.terminatedAt) < newConnectionPeriod, true
 }
 
-// excusedSince says whether a request that was open from a time on may have no answer: the
-// process was killed, or could not run.
+// excusedSince says whether a request that has been open since from may get no response, because the process has
+// been killed, or was started or still stalled after from.
 func (s *sidecar) excusedSince(from time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// hostEntry is a line of the list, as the protocol has it.
+// hostEntry is one host of a listing, with the names of the platform's discovery protocol.
 type hostEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -22,26 +22,27 @@
 	BornMS int64   `json:"born_ms"`
 }
 
+// listing is a message of the platform's discovery protocol: the complete list of hosts, or changes only.
 type listing struct {
 	Seq   uint64      `json:"seq"`
 	Whole bool        `json:"whole"`
 	Hosts []hostEntry `json:"hosts"`
 }
 
-// registry is the list that all agents push.
+// registry holds the hosts that all agents report. It is safe for concurrent use.
 type registry struct {
 	mu      sync.Mutex
 	seq     uint64
-	entries map[string]hostEntry
-	changes []listing // one change each
-	changed chan struct{}
+	entries map[string]hostEntry // by host name
+	changes []listing            // with one changed host each, oldest first
+	changed chan struct{}        // closed and replaced at each change
 }
 
 func newRegistry() *registry {
 	return &registry{entries: make(map[string]hostEntry), changed: make(chan struct{})}
 }
 
-// set changes an entry; health removed takes it out.
+// set adds or replaces an entry. An entry with the health "removed" is deleted.
 func (r *registry) set(e hostEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +55,8 @@
 	r.changed = make(chan struct{})
 }
 
-// since returns the list from a version on, and what is closed at its next change.
+// since returns the changes after the sequence number from, or the complete list if whole is true, and
+// a channel that is closed at the next change.
 func (r *registry) since(from uint64, whole bool) (listing, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,27 +75,28 @@
 	return l, r.changed
 }
 
-// agent is the discovery of one sidecar: it answers at once with what it has been sent,
-// and is silent while discovery is down.
+// agent is a stand-in for the discovery agent of one sidecar. It responds at once with the registry's
+// hosts, unless a fault delays or silences its responses.
 type agent struct {
 	registry *registry
 	ln       net.Listener
 	server   *http.Server
 
 	mu             sync.Mutex
-	downUntil      time.Time     // silent until then
-	responseDelay  time.Duration // before each answer
-	delaySetAt     time.Time     // it was slow until then; zero: never
-	watchReset     chan struct{} // closed to end all watches
-	watchesMutedAt time.Time     // watches that were opened before then say nothing any more
+	downUntil      time.Time     // requests that start before then get no response
+	responseDelay  time.Duration // before each response
+	delaySetAt     time.Time     // last change of responseDelay; zero: never
+	watchReset     chan struct{} // closed to end all open watches
+	watchesMutedAt time.Time     // watches opened before then send nothing more
 }
 
-func newAgent(list *registry) (*agent, error) {
+// newAgent starts an agent on a free loopback port.
+func newAgent(hosts *registry) (*agent, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a := &agent{registry: list, ln: ln, watchReset: make(chan struct{})}
+	a := &agent{registry: hosts, ln: ln, watchReset: make(chan struct{})}
 	a.server = &http.Server{Handler: http.HandlerFunc(a.serve)}
 	go a.server.Serve(ln)
 	return a, nil
@@ -101,21 +104,21 @@
 
 func (a *agent) addr() string { return a.ln.Addr().String() }
 
-// stopResponding silences the agent for a time. Calls made meanwhile are never answered.
+// stopResponding silences the agent for d. Requests that start in that time never get a response.
 func (a *agent) stopResponding(d time.Duration) {
 	a.mu.Lock()
 	a.downUntil = time.Now().Add(d)
 	a.mu.Unlock()
 }
 
-// muteWatches makes the open watches fall silent.
+// muteWatches makes the open watches send nothing more. They stay open.
 func (a *agent) muteWatches() {
 	a.mu.Lock()
 	a.watchesMutedAt = time.Now()
 	a.mu.Unlock()
 }
 
-// resetWatches ends the open watches.
+// resetWatches aborts the connections of the open watches.
 func (a *agent) resetWatches() {
 	a.mu.Lock()
 	close(a.watchReset)
@@ -123,59 +126,62 @@
 	a.mu.Unlock()
 }
 
+// setResponseDelay delays each response to a request that starts from now on by d.
 func (a *agent) setResponseDelay(d time.Duration) {
 	a.mu.Lock()
 	a.responseDelay, a.delaySetAt = d, time.Now()
 	a.mu.Unlock()
 }
 
-// delayedSince says whether the agent has been slow since a time.
+// delayedSince says whether the agent delays its responses now or has done so after t.
 func (a *agent) delayedSince(t time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.responseDelay > 0 || a.delaySetAt.After(t)
 }
 
-// isSilent says whether what was opened at a time gets nothing (more).
-func (a *agent) isSilent(opened time.Time) bool {
+// isSilent says whether the agent sends nothing, or nothing more, on a request or watch opened at openedAt.
+func (a *agent) isSilent(openedAt time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return opened.Before(a.downUntil) && !a.downUntil.IsZero() || opened.Before(a.watchesMutedAt)
+	return openedAt.Before(a.downUntil) && !a.downUntil.IsZero() || openedAt.Before(a.watchesMutedAt)
 }
 
+// serve responds with the complete list, or with a watch: first the list or the changes since from, then
+// each change, and an empty line whenever nothing has changed for 2 s.
 func (a *agent) serve(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
-	reset, slowBy, opened := a.watchReset, a.responseDelay, time.Now()
+	reset, delay, openedAt := a.watchReset, a.responseDelay, time.Now()
 	a.mu.Unlock()
-	time.Sleep(slowBy)
-	if a.isSilent(opened) {
+	time.Sleep(delay)
+	if a.isSilent(openedAt) {
 		<-r.Context().Done()
 		return
 	}
-	out := json.NewEncoder(w)
+	encoder := json.NewEncoder(w)
 	if r.URL.Query().Get("watch") == "" {
 		l, _ := a.registry.since(0, true)
-		out.Encode(l)
+		encoder.Encode(l)
 		return
 	}
 	from, _ := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
-	blank := time.NewTicker(2 * time.Second)
-	defer blank.Stop()
+	keepAlive := time.NewTicker(2 * time.Second)
+	defer keepAlive.Stop()
 	for first := true; ; first = false {
 		l, changed := a.registry.since(from, first && from == 0)
-		if a.isSilent(opened) {
+		if a.isSilent(openedAt) {
 			<-r.Context().Done()
 			return
 		}
 		if from = l.Seq; first || len(l.Hosts) > 0 {
-			out.Encode(l)
+			encoder.Encode(l)
 		} else {
 			fmt.Fprintln(w)
 		}
 		w.(http.Flusher).Flush()
 		select {
 		case <-changed:
-		case <-blank.C:
+		case <-keepAlive.C:
 		case <-reset:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak runs real sidecar processes on loopback between stand-ins that misbehave,
-// with two or three troubles at a time, and judges by invariants what clients and nodes
-// see and what the sidecars' own run-time checks count. A seed draws the troubles; times
-// are those of the machine, so that two runs of a seed are alike and not the same.
+// Package soak runs real sidecar processes on loopback between stand-in nodes, discovery agents and clients.
+// It injects two or three faults at a time, and checks invariants on what clients and nodes observe and on what
+// the sidecars' own run-time checks report. The seed determines which faults are drawn. Times are those of the
+// machine, so that two runs with the same seed are similar but not identical.
 package soak
 
 import (
@@ -17,37 +17,45 @@
 	"time"
 )
 
-// Config says what to run.
+// Config says what a soak runs.
 type Config struct {
-	Program           string        // the sidecar's
-	Dir               string        // for configurations and logs
-	Sidecars          int           // processes
-	Nodes             int           // stand-ins
-	ClientsPerSidecar int           // clients' connections for each sidecar
-	MeanPause         time.Duration // of a worker between two requests, on the mean
-	Duration          time.Duration
-	SocketLimit       int // the sidecars' limit
+	Program           string        // path of the sidecar binary
+	Dir               string        // for the sidecars' configurations and logs
+	Sidecars          int           // number of sidecar processes
+	Nodes             int           // number of stand-in nodes
+	ClientsPerSidecar int           // number of clients, each with one connection, for each sidecar
+	MeanPause         time.Duration // of a client between two requests
+	Length            time.Duration // how long clients send requests
+	SocketLimit       int           // of each sidecar
 	Seed              uint64
-	FaultLog          io.Writer // troubles as they come; nil: none
+	FaultLog          io.Writer // gets a line for each fault when it is injected; nil: no lines
 }
 
-// Result is how a soak went.
+// Result is the outcome of a soak.
 type Result struct {
 	Violations   []Violation
 	Requests     int
-	StatusCounts map[int]int // by status
-	FaultCounts  map[string]int
+	StatusCounts map[int]int    // responses by status
+	FaultCounts  map[string]int // injected faults by name
 }
 
 const (
-	readyTimeout        = 20 * time.Second
-	newConnectionPeriod = 400 * time.Millisecond // after SIGTERM
-	exitTimeout         = 3700 * time.Millisecond
-	settleTime          = 4 * time.Second // behind the last request
-	silentWatchTimeout  = 6 * time.Second // what a watch misses counts as told so long after it fell silent
+	// readyTimeout is how long a sidecar may take from its start until it is ready.
+	readyTimeout = 20 * time.Second
+	// newConnectionPeriod is how long after SIGTERM clients still open new connections.
+	newConnectionPeriod = 400 * time.Millisecond
+	// exitTimeout is how long after SIGTERM a sidecar must have exited.
+	exitTimeout = 3700 * time.Millisecond
+	// settleTime is how long before the end of the soak the last fault may start. An agent's response delay
+	// also affects a change of a node, unless the delay ended more than settleTime before the sidecar counts
+	// as knowing the change.
+	settleTime = 4 * time.Second
+	// silentWatchTimeout is how long after a watch fell silent a sidecar counts as knowing the changes that
+	// the watch did not deliver.
+	silentWatchTimeout = 6 * time.Second
 )
 
-// environment is a soak under way.
+// environment is a running soak: its processes and stand-ins, and what each sidecar must know of the nodes.
 type environment struct {
 	cfg       Config
 	startedAt time.Time
@@ -58,68 +66,74 @@
 	nodes     []*node
 	rng       *rand.Rand
 
-	mu           sync.Mutex
-	drainKnownAt map[string]time.Time // when a node's drain counts as told, by node and sidecar
-	startKnownAt map[string]time.Time // the same of its last start
-	faultCounts  map[string]int
+	mu sync.Mutex
+	// drainKnownAt is when a sidecar counts as knowing that a node drains, by node and sidecar.
+	drainKnownAt map[string]time.Time
+	// startKnownAt is when a sidecar counts as knowing of a node's last start, by node and sidecar.
+	startKnownAt map[string]time.Time
+	faultCounts  map[string]int // by name of the fault
 }
 
-// Run runs a soak.
+// Run runs one soak and returns its result. An error means that the soak could not be started.
 func Run(cfg Config) (*Result, error) {
-	w := &environment{
+	env := &environment{
 		cfg: cfg, startedAt: time.Now(), registry: newRegistry(), rng: rand.New(rand.NewPCG(cfg.Seed, 0)),
-		drainKnownAt: make(map[string]time.Time), startKnownAt: make(map[string]time.Time), faultCounts: make(map[string]int),
+		drainKnownAt: make(map[string]time.Time), startKnownAt: make(map[string]time.Time),
+		faultCounts: make(map[string]int),
 	}
-	w.checker = newChecker(w.startedAt)
-	measured := make(chan struct{})
-	defer close(measured)
-	go w.checker.lag.run(func() bool {
+	env.checker = newChecker(env.startedAt)
+	stopMeasuring := make(chan struct{})
+	defer close(stopMeasuring)
+	go env.checker.lag.run(func() bool {
 		select {
-		case <-measured:
+		case <-stopMeasuring:
 			return true
 		default:
 			return false
 		}
 	})
-	defer w.close()
-	if err := w.start(); err != nil {
+	defer env.close()
+	if err := env.start(); err != nil {
 		return nil, err
 	}
-	w.endsAt = time.Now().Add(cfg.Duration)
+	env.endsAt = time.Now().Add(cfg.Length)
 	var running sync.WaitGroup
-	for _, s := range w.sidecars {
+	for _, s := range env.sidecars {
 		for i := range cfg.ClientsPerSidecar {
-			k := &client{sidecar: s, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(100*s.number+i+1))), name: fmt.Sprintf("%d-%d", s.number, i)}
-			running.Go(func() { k.run(w) })
+			c := &client{
+				sidecar: s, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(100*s.number+i+1))),
+				name: fmt.Sprintf("%d-%d", s.number, i),
+			}
+			running.Go(func() { c.run(env) })
 		}
 	}
-	for i := range 3 { // that many troubles overlap
+	for i := range 3 { // the number of faults that overlap
 		rng := rand.New(rand.NewPCG(cfg.Seed, uint64(1_000_000+i)))
-		running.Go(func() { w.injectFaults(rng) })
+		running.Go(func() { env.injectFaults(rng) })
 	}
 	running.Wait()
-	w.terminateSidecars()
-	return &Result{w.checker.violations, w.checker.requestCount, w.checker.statusCounts, w.faultCounts}, nil
+	env.terminateSidecars()
+	return &Result{env.checker.violations, env.checker.requestCount, env.checker.statusCounts, env.faultCounts}, nil
 }
 
-// start starts the stand-ins and the sidecars.
-func (w *environment) start() error {
-	for i := range w.cfg.Nodes {
-		n, err := w.newNode(fmt.Sprintf("node-%02d", i), w.cfg.Seed+uint64(i))
+// start starts the stand-ins and the sidecars, and waits until all sidecars are ready.
+func (env *environment) start() error {
+	for i := range env.cfg.Nodes {
+		n, err := env.newNode(fmt.Sprintf("node-%02d", i), env.cfg.Seed+uint64(i))
 		if err != nil {
 			return err
 		}
-		w.nodes = append(w.nodes, n)
-		w.setHealth(n, "up")
+		env.nodes = append(env.nodes, n)
+		env.setHealth(n, "up")
 	}
-	for i := range w.cfg.Sidecars {
-		s := &sidecar{env: w, number: i, dir: filepath.Join(w.cfg.Dir, fmt.Sprint("sidecar-", i))}
+	for i := range env.cfg.Sidecars {
+		s := &sidecar{env: env, number: i, dir: filepath.Join(env.cfg.Dir, fmt.Sprint("sidecar-", i))}
 		if err := os.MkdirAll(s.dir, 0o700); err != nil {
 			return err
 		}
 		for a := range s.agents {
 			var err error
-			if s.agents[a], err = newAgent(w.registry); err != nil {
+			if s.agents[a], err = newAgent(env.registry); err != nil {
 				return err
 			}
 		}
@@ -130,139 +144,149 @@
 		if err := s.start(); err != nil {
 			return err
 		}
-		w.sidecars = append(w.sidecars, s)
+		env.sidecars = append(env.sidecars, s)
 	}
-	for _, s := range w.sidecars {
+	for _, s := range env.sidecars {
 		if !s.awaitReady(readyTimeout) {
-			return fmt.Errorf("sidecar %d does not get ready", s.number)
+			return fmt.Errorf("sidecar %d did not become ready in time", s.number)
 		}
 	}
 	return nil
 }
 
-// Sidecars listen below the ports that the system gives to connections: one that
-// restarts must find its own free. Soaks at the same time begin at different ones.
+// Sidecars listen on ports below the range from which the system assigns ports to connections, so that the port
+// of a sidecar is still free when it restarts. Soaks that run at the same time start their search for a free port
+// at different ports.
 const (
 	firstPort = 10_000
 	portRange = 20_000
 )
 
-// freeAddress returns an address at which nobody listens.
-func freeAddress(i int) (string, error) {
-	start := os.Getpid()*101 + i
-	for try := range portRange {
-		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+(start+try*37)%portRange)
+// freeAddress returns a loopback address on which no process listens. The search starts at a port that depends
+// on the process id of the soak and on the number of the sidecar.
+func freeAddress(sidecarNumber int) (string, error) {
+	start := os.Getpid()*101 + sidecarNumber
+	for step := range portRange {
+		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+(start+step*37)%portRange)
 		ln, err := net.Listen("tcp", addr)
 		if err == nil {
 			return addr, ln.Close()
 		}
 	}
-	return "", errors.New("no free port")
+	return "", errors.New("no free loopback port found")
 }
 
-// terminateSidecars ends all sidecars in order, and looks at how they do.
-func (w *environment) terminateSidecars() {
-	var ending sync.WaitGroup
-	for _, s := range w.sidecars {
+// terminateSidecars terminates all sidecars concurrently and waits for the end of their logs. A sidecar that has
+// already exited on its own is reported as a violation.
+func (env *environment) terminateSidecars() {
+	var terminating sync.WaitGroup
+	for _, s := range env.sidecars {
 		if err, crashed := s.hasCrashed(); crashed {
-			w.checker.addViolation(Crash, "sidecar %d has ended: %v", s.number, err)
+			env.checker.addViolation(Crash, "sidecar %d exited unexpectedly: %v", s.number, err)
 			continue
 		}
-		ending.Go(func() {
+		terminating.Go(func() {
 			s.terminate()
 			s.logReaders.Wait()
 		})
 	}
-	ending.Wait()
+	terminating.Wait()
 }
 
-func (w *environment) close() {
-	for _, s := range w.sidecars {
+// close kills the sidecars, closes their agents and stops the nodes from accepting connections.
+func (env *environment) close() {
+	for _, s := range env.sidecars {
 		s.cmd.Process.Kill()
 		for _, a := range s.agents {
 			a.server.Close()
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range env.nodes {
 		n.ln.Close()
 	}
 }
 
-func (w *environment) isOver() bool { return time.Now().After(w.endsAt) }
+// isOver says whether the time for requests and faults has passed.
+func (env *environment) isOver() bool { return time.Now().After(env.endsAt) }
 
-// sleep sleeps, but not past the end.
-func (w *environment) sleep(d time.Duration) { time.Sleep(min(d, max(0, time.Until(w.endsAt)))) }
+// sleep sleeps for d, but not past the end of the soak.
+func (env *environment) sleep(d time.Duration) { time.Sleep(min(d, max(0, time.Until(env.endsAt)))) }
 
-// setHealth puts a node's health into the list. For each sidecar it counts as told at once, or
-// once its agent is back.
-func (w *environment) setHealth(n *node, health string) {
+// setHealth sets a node's health in the registry. A sidecar counts as knowing the change at once, or, while a fault
+// affects its agent, at the time when the sidecar must have received the change at the latest.
+func (env *environment) setHealth(n *node, health string) {
 	n.mu.Lock()
 	n.health = health
-	born := int64(0)
+	startMS := int64(0)
 	if !n.startedAt.IsZero() {
-		born = n.startedAt.UnixMilli()
+		startMS = n.startedAt.UnixMilli()
 	}
 	n.mu.Unlock()
-	w.mu.Lock()
-	for _, s := range w.sidecars {
+	env.mu.Lock()
+	for _, s := range env.sidecars {
 		key := fmt.Sprint(n.name, "/", s.number)
-		at := time.Now()
+		knownAt := time.Now()
 		s.mu.Lock()
-		if moved := s.discoveryChangedAt.Add(4 * time.Second); moved.After(at) {
-			at = moved // a new configuration counts 4 s later
+		if applied := s.discoveryChangedAt.Add(4 * time.Second); applied.After(knownAt) {
+			knownAt = applied // a new configuration may take 4 s to take effect
 		}
 		a := s.agents[s.activeAgent]
 		s.mu.Unlock()
 		a.mu.Lock()
-		if a.downUntil.After(at) {
-			at = a.downUntil
+		if a.downUntil.After(knownAt) {
+			knownAt = a.downUntil
 		}
-		if silent := a.watchesMutedAt.Add(silentWatchTimeout); silent.After(at) && !a.watchesMutedAt.IsZero() {
-			at = silent // what a watch misses that has fallen silent
+		if recovered := a.watchesMutedAt.Add(silentWatchTimeout); recovered.After(knownAt) && !a.watchesMutedAt.IsZero() {
+			knownAt = recovered // a watch that has fallen silent does not deliver the change
 		}
-		at = at.Add(2 * a.responseDelay) // the whole list, and a watch
+		knownAt = knownAt.Add(2 * a.responseDelay) // one delay for the complete list, one for the watch
 		a.mu.Unlock()
 		if health == "up" {
-			delete(w.drainKnownAt, key)
-			w.startKnownAt[key] = at
-		} else if _, known := w.drainKnownAt[key]; !known {
-			w.drainKnownAt[key] = at
+			delete(env.drainKnownAt, key)
+			env.startKnownAt[key] = knownAt
+		} else if _, known := env.drainKnownAt[key]; !known {
+			env.drainKnownAt[key] = knownAt
 		}
 	}
-	w.mu.Unlock()
-	w.registry.set(hostEntry{Host: n.name, Dial: n.ln.Addr().String(), Site: "a", Class: "m", Block: 1, Health: health, Share: 1, BornMS: born})
+	env.mu.Unlock()
+	env.registry.set(hostEntry{
+		Host: n.name, Dial: n.ln.Addr().String(), Site: "a", Class: "m", Block: 1,
+		Health: health, Share: 1, BornMS: startMS,
+	})
 }
 
-// checkArrival holds a request that has reached a node against the rules on drains and on
-// cold nodes.
-func (w *environment) checkArrival(n *node, id string, delay time.Duration) {
+// checkArrival checks the invariants Drain and Failback for a request that has reached a node. The request may
+// have waited for up to delay before the node read it.
+func (env *environment) checkArrival(n *node, id string, delay time.Duration) {
 	var number int
-	if _, err := fmt.Sscanf(id, "%d-", &number); err != nil || number >= len(w.sidecars) {
+	if _, err := fmt.Sscanf(id, "%d-", &number); err != nil || number >= len(env.sidecars) {
 		return
 	}
-	s, now := w.sidecars[number], time.Now().Add(-delay)
+	s, now := env.sidecars[number], time.Now().Add(-delay)
 	key := fmt.Sprint(n.name, "/", number)
-	w.mu.Lock()
-	told, draining := w.drainKnownAt[key]
-	start := w.startKnownAt[key]
-	w.mu.Unlock()
-	if s.agent().delayedSince(told.Add(-settleTime)) { // pushed lists know no slow agent: the longest time counts
-		told = told.Add(silentWatchTimeout)
+	env.mu.Lock()
+	drainKnownAt, draining := env.drainKnownAt[key]
+	startKnownAt := env.startKnownAt[key]
+	env.mu.Unlock()
+	// A sidecar with pushed lists does not detect that its agent is slow, so that the longest time applies.
+	if s.agent().delayedSince(drainKnownAt.Add(-settleTime)) {
+		drainKnownAt = drainKnownAt.Add(silentWatchTimeout)
 	}
-	if s.agent().delayedSince(start.Add(-settleTime)) {
-		start = start.Add(silentWatchTimeout)
+	if s.agent().delayedSince(startKnownAt.Add(-settleTime)) {
+		startKnownAt = startKnownAt.Add(silentWatchTimeout)
 	}
 	s.mu.Lock()
-	held, begun := s.stalledUntil, s.startedAt
+	stalledUntil, processStartedAt := s.stalledUntil, s.startedAt
 	s.mu.Unlock()
-	if told.Before(begun) {
-		told = begun // from the first moment of a new process, which needs one
+	if drainKnownAt.Before(processStartedAt) {
+		// A new process knows of the drain from its start, because it needs a list before it sends requests.
+		drainKnownAt = processStartedAt
 	}
-	if held.After(told) {
-		told = held
+	if stalledUntil.After(drainKnownAt) {
+		drainKnownAt = stalledUntil
 	}
-	if late := now.Sub(told); draining && late > drainGrace+stallSlack+w.checker.lag.slack() {
-		w.checker.addViolation(Drain, "%s was sent to %s %v after its drain was told", id, n.name, late)
+	if late := now.Sub(drainKnownAt); draining && late > drainGrace+stallSlack+env.checker.lag.slack() {
+		env.checker.addViolation(Drain, "%s was sent to %s %v after the sidecar knew of the drain", id, n.name, late)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -270,44 +294,50 @@
 	if n.startedAt.IsZero() || age > slowStartDuration {
 		return
 	}
-	n.arrivals = append(n.arrivals, arrival{now, !start.After(now)})
-	inWindow, toldOf := 0, 0
+	n.arrivals = append(n.arrivals, arrival{now, !startKnownAt.After(now)})
+	inWindow, withStartKnown := 0, 0
 	for _, a := range n.arrivals {
 		if now.Sub(a.at) <= slowStartOverloadWindow {
 			inWindow++
 			if a.startKnown {
-				toldOf++
+				withStartKnown++
 			}
 		}
 	}
-	capacity := fleetQuota / float64(w.cfg.Nodes) * (slowStartInitialShare + (1-slowStartInitialShare)*max(0, age-slowStartOverloadWindow).Seconds()/slowStartDuration.Seconds())
-	if most := requestBudget(slowStartOverloadFactor * capacity * slowStartOverloadWindow.Seconds()); float64(inWindow) > most && 3*toldOf > 2*inWindow {
-		w.checker.addViolation(Failback, "%s, %v old, got %d requests within %v, at most %.0f", n.name, age, inWindow, slowStartOverloadWindow, most)
+	capacity := fleetQuota / float64(env.cfg.Nodes) * (slowStartInitialShare +
+		(1-slowStartInitialShare)*max(0, age-slowStartOverloadWindow).Seconds()/slowStartDuration.Seconds())
+	// The budget applies if more than two thirds of the requests come from sidecars that know of the start.
+	if limit := requestBudget(
+		slowStartOverloadFactor * capacity * slowStartOverloadWindow.Seconds(),
+	); float64(inWindow) > limit && 3*withStartKnown > 2*inWindow {
+		env.checker.addViolation(Failback, "%s, started %v ago, got %d requests within %v, want at most %.0f",
+			n.name, age, inWindow, slowStartOverloadWindow, limit)
 	}
 }
 
-// injectFaults plays one injectFaults after the other.
-func (w *environment) injectFaults(rng *rand.Rand) {
-	for !w.isOver() {
-		w.sleep(time.Duration(rng.Int64N(int64(500 * time.Millisecond))))
-		if time.Until(w.endsAt) < settleTime {
+// injectFaults injects one fault after the other, with a pause of less than 0.5 s before each, until less than
+// settleTime is left.
+func (env *environment) injectFaults(rng *rand.Rand) {
+	for !env.isOver() {
+		env.sleep(time.Duration(rng.Int64N(int64(500 * time.Millisecond))))
+		if time.Until(env.endsAt) < settleTime {
 			return
 		}
-		t := faults[rng.IntN(len(faults))]
-		w.mu.Lock()
-		w.faultCounts[t.name]++
-		if w.cfg.FaultLog != nil {
-			fmt.Fprintf(w.cfg.FaultLog, "%8.3f %s\n", time.Since(w.startedAt).Seconds(), t.name)
+		fault := faults[rng.IntN(len(faults))]
+		env.mu.Lock()
+		env.faultCounts[fault.name]++
+		if env.cfg.FaultLog != nil {
+			fmt.Fprintf(env.cfg.FaultLog, "%8.3f %s\n", time.Since(env.startedAt).Seconds(), fault.name)
 		}
-		w.mu.Unlock()
-		t.play(w, rng)
+		env.mu.Unlock()
+		fault.inject(env, rng)
 	}
 }
 
-// drawSidecar draws one and claims it for a trouble that takes its process; nil: it is
-// another's.
-func (w *environment) drawSidecar(rng *rand.Rand) *sidecar {
-	s := w.sidecars[rng.IntN(len(w.sidecars))]
+// drawSidecar draws a sidecar for a fault that acts on its process. It returns nil if the drawn sidecar is not
+// ready, is terminating or is stalled, because another fault is acting on that process.
+func (env *environment) drawSidecar(rng *rand.Rand) *sidecar {
+	s := env.sidecars[rng.IntN(len(env.sidecars))]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ready || !s.terminatedAt.IsZero() || time.Now().Before(s.stalledUntil) {
@@ -316,30 +346,30 @@
 	return s
 }
 
-// faults are what may happen.
+// faults lists the faults from which a soak draws. inject returns when the fault has ended or has been injected.
 var faults = []struct {
-	name string
-	play func(*environment, *rand.Rand)
+	name   string
+	inject func(*environment, *rand.Rand)
 }{
-	{"planned restart", func(w *environment, rng *rand.Rand) {
-		if s := w.drawSidecar(rng); s != nil {
+	{"planned restart", func(env *environment, rng *rand.Rand) {
+		if s := env.drawSidecar(rng); s != nil {
 			s.terminate()
-			w.reportError(s.start())
+			env.reportError(s.start())
 			s.awaitReady(readyTimeout)
 		}
 	}},
-	{"kill", func(w *environment, rng *rand.Rand) {
-		if s := w.drawSidecar(rng); s != nil {
-			w.reportError(s.killAndRestart())
+	{"kill", func(env *environment, rng *rand.Rand) {
+		if s := env.drawSidecar(rng); s != nil {
+			env.reportError(s.killAndRestart())
 		}
 	}},
-	{"stop and go on", func(w *environment, rng *rand.Rand) {
-		if s := w.drawSidecar(rng); s != nil {
+	{"stop and go on", func(env *environment, rng *rand.Rand) {
+		if s := env.drawSidecar(rng); s != nil {
 			s.stall(time.Duration(400+rng.IntN(1300)) * time.Millisecond)
 		}
 	}},
-	{"new configuration", func(w *environment, rng *rand.Rand) {
-		s := w.drawSidecar(rng)
+	{"new configuration", func(env *environment, rng *rand.Rand) {
+		s := env.drawSidecar(rng)
 		if s == nil {
 			return
 		}
@@ -347,90 +377,90 @@
 		s.activeAgent, s.discoveryChangedAt = 1-s.activeAgent, time.Now()
 		text := s.config()
 		s.mu.Unlock()
-		w.reportError(s.writeConfig(text))
+		env.reportError(s.writeConfig(text))
 		s.signal(syscall.SIGHUP)
-		if rng.IntN(2) == 0 { // and at once one that cannot be read
+		if rng.IntN(2) == 0 { // Shortly after, an unreadable configuration and then the valid one again.
 			time.Sleep(time.Duration(rng.IntN(50)) * time.Millisecond)
-			w.reportError(s.writeConfig(text[:len(text)/2]))
+			env.reportError(s.writeConfig(text[:len(text)/2]))
 			s.signal(syscall.SIGHUP)
 			time.Sleep(50 * time.Millisecond)
-			w.reportError(s.writeConfig(text))
+			env.reportError(s.writeConfig(text))
 			s.signal(syscall.SIGHUP)
 		}
 	}},
-	{"discovery down", func(w *environment, rng *rand.Rand) {
+	{"discovery down", func(env *environment, rng *rand.Rand) {
 		d := time.Duration(1+rng.IntN(5)) * time.Second
-		for _, s := range w.sidecars {
+		for _, s := range env.sidecars {
 			for _, a := range s.agents {
 				a.stopResponding(d)
 			}
 		}
-		w.sleep(d)
+		env.sleep(d)
 	}},
-	{"watches fall silent", func(w *environment, rng *rand.Rand) {
-		for _, s := range w.sidecars {
+	{"watches fall silent", func(env *environment, rng *rand.Rand) {
+		for _, s := range env.sidecars {
 			s.agent().muteWatches()
 		}
-		w.sleep(2 * time.Second)
+		env.sleep(2 * time.Second)
 	}},
-	{"watches are reset", func(w *environment, rng *rand.Rand) {
-		for _, s := range w.sidecars {
+	{"watches are reset", func(env *environment, rng *rand.Rand) {
+		for _, s := range env.sidecars {
 			s.agent().resetWatches()
 		}
 	}},
-	{"slow discovery", func(w *environment, rng *rand.Rand) {
-		for _, s := range w.sidecars {
+	{"slow discovery", func(env *environment, rng *rand.Rand) {
+		for _, s := range env.sidecars {
 			s.agent().setResponseDelay(time.Duration(rng.IntN(1500)) * time.Millisecond)
 		}
-		w.sleep(3 * time.Second)
-		for _, s := range w.sidecars {
+		env.sleep(3 * time.Second)
+		for _, s := range env.sidecars {
 			for _, a := range s.agents {
 				a.setResponseDelay(0)
 			}
 		}
 	}},
-	{"drain", func(w *environment, rng *rand.Rand) {
-		n := w.nodes[rng.IntN(len(w.nodes))]
-		w.setHealth(n, "draining")
-		w.sleep(4 * time.Second)
-		w.setHealth(n, "up")
+	{"drain", func(env *environment, rng *rand.Rand) {
+		n := env.nodes[rng.IntN(len(env.nodes))]
+		env.setHealth(n, "draining")
+		env.sleep(4 * time.Second)
+		env.setHealth(n, "up")
 	}},
-	{"cold restart", func(w *environment, rng *rand.Rand) {
-		n := w.nodes[rng.IntN(len(w.nodes))]
+	{"cold restart", func(env *environment, rng *rand.Rand) {
+		n := env.nodes[rng.IntN(len(env.nodes))]
 		n.restart()
-		w.setHealth(n, "up")
-		w.sleep(2 * time.Second)
+		env.setHealth(n, "up")
+		env.sleep(2 * time.Second)
 	}},
-	{"replaced", func(w *environment, rng *rand.Rand) {
-		n := w.nodes[rng.IntN(len(w.nodes))]
-		w.setHealth(n, "removed")
-		w.sleep(3 * time.Second)
+	{"replaced", func(env *environment, rng *rand.Rand) {
+		n := env.nodes[rng.IntN(len(env.nodes))]
+		env.setHealth(n, "removed")
+		env.sleep(3 * time.Second)
 		n.restart()
-		w.setHealth(n, "up")
+		env.setHealth(n, "up")
 	}},
-	{"bad nodes", func(w *environment, rng *rand.Rand) {
+	{"bad nodes", func(env *environment, rng *rand.Rand) {
 		var bad []*node
-		for range 1 + rng.IntN(1+len(w.nodes)/3) {
-			n := w.nodes[rng.IntN(len(w.nodes))]
+		for range 1 + rng.IntN(1+len(env.nodes)/3) {
+			n := env.nodes[rng.IntN(len(env.nodes))]
 			n.setBehaviour(nodeBehaviour(1 + rng.IntN(int(nodeBehaviourCount)-1)))
 			bad = append(bad, n)
 		}
-		w.sleep(time.Duration(2+rng.IntN(4)) * time.Second)
+		env.sleep(time.Duration(2+rng.IntN(4)) * time.Second)
 		for _, n := range bad {
 			n.setBehaviour(healthy)
 		}
 	}},
-	{"bad nodes", func(w *environment, rng *rand.Rand) {
-		n := w.nodes[rng.IntN(len(w.nodes))]
+	{"bad nodes", func(env *environment, rng *rand.Rand) {
+		n := env.nodes[rng.IntN(len(env.nodes))]
 		n.setBehaviour(nodeBehaviour(1 + rng.IntN(int(nodeBehaviourCount)-1)))
-		w.sleep(time.Duration(1+rng.IntN(4)) * time.Second)
+		env.sleep(time.Duration(1+rng.IntN(4)) * time.Second)
 		n.setBehaviour(healthy)
 	}},
 }
 
-// reportError ends the soak where the machine fails it.
-func (w *environment) reportError(err error) {
+// reportError reports an error of the soak itself, such as a process that cannot be started, as a violation.
+func (env *environment) reportError(err error) {
 	if err != nil {
-		w.checker.addViolation(Crash, "the soak itself: %v", errors.Join(err))
+		env.checker.addViolation(Crash, "the soak itself failed: %v", errors.Join(err))
 	}
 }
