--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -12,207 +12,219 @@
 	"time"
 )
 
-// class is a class of requests.
+// class is a request class as the sidecars' settings define it.
 type class struct {
-	name     string
-	effect   string // in the settings' words
-	deadline time.Duration
-	window   time.Duration
+	name        string
+	idempotency string // value of the setting "semantics"
+	deadline    time.Duration
+	dedupWindow time.Duration // deduplication window of the idempotency keys
 }
 
+// Values of class.idempotency.
 const (
-	safe   = "free"
-	keyed  = "guarded"
-	unsafe = "single_shot"
+	idempotent      = "free"
+	idempotentByKey = "guarded"
+	notIdempotent   = "single_shot"
 )
 
 var classes = []class{
-	{"read", safe, time.Second, 0},
-	{"weight-reading", keyed, 2500 * time.Millisecond, 300 * time.Millisecond},
-	{"harvest-entry", unsafe, 2 * time.Second, 0},
+	{"read", idempotent, time.Second, 0},
+	{"weight-reading", idempotentByKey, 2500 * time.Millisecond, 300 * time.Millisecond},
+	{"harvest-entry", notIdempotent, 2 * time.Second, 0},
 }
 
-// manner is how a client behaves with one request.
-type manner int
+// clientBehaviour is how a client sends one request.
+type clientBehaviour int
 
 const (
-	plain   manner = iota
-	leaves         // closes its connection before the answer
-	dribble        // writes in pieces, whole within the time that bad clients have
-	stops          // stops in the middle and stays
+	sendsWhole      clientBehaviour = iota // sends the request in one write and waits for the response
+	leavesEarly                            // closes its connection before the response
+	sendsInPieces                          // sends the request in several writes, within the time allowed for slow clients
+	stopsMidRequest                        // sends a part of the request and keeps the connection open
 )
 
-// worker is one connection's worth of a client: one request at a time.
-type worker struct {
-	s    *sidecar
-	rng  *rand.Rand
-	conn net.Conn
-	in   *bufio.Reader
-	n    int
-	name string
+// client sends requests to one sidecar on one connection, one request at a time.
+type client struct {
+	sidecar      *sidecar
+	rng          *rand.Rand
+	conn         net.Conn // nil: not connected
+	reader       *bufio.Reader
+	requestCount int
+	name         string
 }
 
-// run sends requests until the world ends.
-func (k *worker) run(w *world) {
-	defer k.drop()
-	for !w.over() {
-		w.sleep(time.Duration(k.rng.ExpFloat64() * float64(w.cfg.Pause)))
-		if k.rng.IntN(20) == 0 { // rests until the sidecar ends the connection, or about so
-			w.sleep(1800*time.Millisecond + time.Duration(k.rng.IntN(400))*time.Millisecond)
+// run sends requests until the soak ends.
+func (c *client) run(env *environment) {
+	defer c.closeConn()
+	for !env.isOver() {
+		env.sleep(time.Duration(c.rng.ExpFloat64() * float64(env.cfg.MeanPause)))
+		if c.rng.IntN(20) == 0 { // stays idle for about as long as the sidecar keeps an idle connection open
+			env.sleep(1800*time.Millisecond + time.Duration(c.rng.IntN(400))*time.Millisecond)
 		}
-		if w.over() {
+		if env.isOver() {
 			return
 		}
-		k.one(w)
+		c.sendRequest(env)
 	}
 }
 
-func (k *worker) drop() {
-	if k.conn != nil {
-		k.conn.Close()
-		k.conn = nil
+func (c *client) closeConn() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
 }
 
-// one sends one request and notes what becomes of it.
-func (k *worker) one(w *world) {
-	fresh, kept := k.s.takes()
-	if k.conn == nil && !fresh || !kept {
-		k.drop()
-		w.sleep(20 * time.Millisecond)
+// sendRequest sends one request and records its outcome. It sends nothing while the sidecar does
+// not have to accept requests from this client.
+func (c *client) sendRequest(env *environment) {
+	newConns, openConns := c.sidecar.acceptsRequests()
+	if c.conn == nil && !newConns || !openConns {
+		c.closeConn()
+		env.sleep(20 * time.Millisecond)
 		return
 	}
-	k.n++
-	id, c := fmt.Sprintf("%s-%d", k.name, k.n), classes[k.rng.IntN(len(classes))]
-	how := plain
-	switch draw := k.rng.IntN(100); {
+	c.requestCount++
+	id, requestClass := fmt.Sprintf("%s-%d", c.name, c.requestCount), classes[c.rng.IntN(len(classes))]
+	behaviour := sendsWhole
+	switch draw := c.rng.IntN(100); {
 	case draw < 6:
-		how = leaves
+		behaviour = leavesEarly
 	case draw < 10:
-		how = dribble
+		behaviour = sendsInPieces
 	case draw < 12:
-		how = stops
-	}
-	wasKept := k.conn != nil
-	if !wasKept && !k.dial() {
-		return // refused or reset before anything was sent: nothing was taken
-	}
-	from := time.Now()
-	until := from.Add(c.deadline)
-	w.judge.begins(id, c, until)
-	err := k.exchange(w, id, c, how, from, until)
-	if errors.Is(err, errCrossed) && wasKept { // it was not read: once more, on a new connection
-		if fresh, _ := k.s.takes(); !fresh || !k.dial() {
+		behaviour = stopsMidRequest
+	}
+	reused := c.conn != nil
+	if !reused && !c.dial() {
+		return // The connection was refused or reset before anything was sent, so no request was accepted.
+	}
+	startedAt := time.Now()
+	deadline := startedAt.Add(requestClass.deadline)
+	env.checker.recordRequest(id, requestClass, deadline)
+	err := c.exchange(env, id, requestClass, behaviour, startedAt, deadline)
+	// If a reused connection closes without a response, the sidecar has not read the request, and the client
+	// retries once on a new connection.
+	if errors.Is(err, errNoResponse) && reused {
+		if acceptsNew, _ := c.sidecar.acceptsRequests(); !acceptsNew || !c.dial() {
 			return
 		}
-		err = k.exchange(w, id, c, plain, from, until)
+		err = c.exchange(env, id, requestClass, sendsWhole, startedAt, deadline)
 	}
 	if err != nil {
-		w.judge.lost(id, err, k.s.excuses(from))
+		env.checker.recordNoResponse(id, err, c.sidecar.excusedSince(startedAt))
 	}
 }
 
-func (k *worker) dial() bool {
-	k.drop()
-	conn, err := net.DialTimeout("tcp", k.s.addr, time.Second)
+// dial replaces the client's connection with a new one. It returns false if the sidecar does not accept one.
+func (c *client) dial() bool {
+	c.closeConn()
+	conn, err := net.DialTimeout("tcp", c.sidecar.addr, time.Second)
 	if err != nil {
 		return false
 	}
-	k.conn, k.in = conn, bufio.NewReader(conn)
+	c.conn, c.reader = conn, bufio.NewReader(conn)
 	return true
 }
 
-// errCrossed says that a connection ended without a byte of an answer.
-var errCrossed = errors.New("closed without an answer")
-
-func (k *worker) exchange(w *world, id string, c class, how manner, from, until time.Time) error {
-	text := requestText(id, c, time.Until(until))
-	if how == stops {
-		return k.stop(w, id, text)
-	}
-	err := k.write(text, how, func() {
-		until = time.Now().Add(c.deadline)
-		w.judge.sent(id, until)
+// errNoResponse says that a connection ended before the first byte of a response.
+var errNoResponse = errors.New("connection closed before a response")
+
+// exchange sends a request on the open connection and records the response. startedAt is when the client
+// began the request, and deadline is when the response is due.
+func (c *client) exchange(env *environment, id string, requestClass class, behaviour clientBehaviour,
+	startedAt, deadline time.Time,
+) error {
+	text := requestText(id, requestClass, time.Until(deadline))
+	if behaviour == stopsMidRequest {
+		return c.sendPart(env, id, text)
+	}
+	err := c.write(text, behaviour, func() {
+		deadline = time.Now().Add(requestClass.deadline)
+		env.checker.recordLastByte(id, deadline)
 	})
 	if err != nil {
-		k.drop()
-		return errCrossed
+		c.closeConn()
+		return errNoResponse
 	}
-	if how == leaves {
-		w.sleep(time.Duration(k.rng.Int64N(int64(200 * time.Millisecond))))
-		w.judge.leaves(id)
-		k.drop()
+	if behaviour == leavesEarly {
+		env.sleep(time.Duration(c.rng.Int64N(int64(200 * time.Millisecond))))
+		env.checker.recordClientLeft(id)
+		c.closeConn()
 		return nil
 	}
-	k.conn.SetReadDeadline(until.Add(answerSlack + heldUp + 3*time.Second))
-	if _, err := k.in.Peek(1); err != nil {
-		k.drop()
+	c.conn.SetReadDeadline(deadline.Add(responseSlack + stallSlack + 3*time.Second))
+	if _, err := c.reader.Peek(1); err != nil {
+		c.closeConn()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return fmt.Errorf("no answer %v after its time", time.Since(until))
+			return fmt.Errorf("no response %v after the deadline", time.Since(deadline))
 		}
-		return fmt.Errorf("%w: %w", errCrossed, err)
+		return fmt.Errorf("%w: %w", errNoResponse, err)
 	}
-	resp, err := http.ReadResponse(k.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		k.drop()
+		c.closeConn()
 		return err
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		k.drop()
+		c.closeConn()
 		return err
 	}
-	w.judge.answered(id, resp.StatusCode, string(body), time.Since(until), k.s.excuses(from))
+	env.checker.recordResponse(id, resp.StatusCode, string(body), time.Since(deadline), c.sidecar.excusedSince(startedAt))
 	if resp.Close {
-		k.drop()
+		c.closeConn()
 	}
 	return nil
 }
 
-// requestText is a whole request.
-func requestText(id string, c class, left time.Duration) []byte {
+// requestText returns the complete text of an HTTP request. remaining is sent as Request-Timeout.
+func requestText(id string, requestClass class, remaining time.Duration) []byte {
 	method, key, body := "POST", "", "{}"
-	switch c.effect {
-	case safe:
+	switch requestClass.idempotency {
+	case idempotent:
 		method, body = "GET", ""
-	case keyed:
+	case idempotentByKey:
 		key = "Idempotency-Key: " + id + "\r\n"
 	}
 	return fmt.Appendf(nil, "%s /api HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nTenant: north\r\nRequest-Timeout: %.3f\r\n%sContent-Length: %d\r\n\r\n%s",
-		method, id, c.name, left.Seconds(), key, len(body), body)
+		method, id, requestClass.name, remaining.Seconds(), key, len(body), body)
 }
 
-// write writes a request in one piece or in some. last is called before the last one,
-// from which on the request's time counts.
-func (k *worker) write(text []byte, how manner, last func()) error {
-	if how != dribble {
-		_, err := k.conn.Write(text)
+// write sends a request in one write, or in several if the client's behaviour is sendsInPieces. In the
+// second case it calls beforeLast before the last write, because the request's deadline counts from there.
+func (c *client) write(text []byte, behaviour clientBehaviour, beforeLast func()) error {
+	if behaviour != sendsInPieces {
+		_, err := c.conn.Write(text)
 		return err
 	}
 	for len(text) > 0 {
-		n := min(1+k.rng.IntN(len(text)), len(text))
+		n := min(1+c.rng.IntN(len(text)), len(text))
 		if n == len(text) {
-			last()
+			beforeLast()
 		}
-		if _, err := k.conn.Write(text[:n]); err != nil {
+		if _, err := c.conn.Write(text[:n]); err != nil {
 			return err
 		}
 		if text = text[n:]; len(text) > 0 {
-			time.Sleep(time.Duration(k.rng.Int64N(int64(150 * time.Millisecond))))
+			time.Sleep(time.Duration(c.rng.Int64N(int64(150 * time.Millisecond))))
 		}
 	}
 	return nil
 }
 
-// stop writes a part of a request and waits for the error or the close that is owed.
-func (k *worker) stop(w *world, id string, text []byte) error {
-	begun := time.Now()
-	k.conn.Write(text[:1+k.rng.IntN(len(text)-1)])
-	k.conn.SetReadDeadline(begun.Add(2 * owedIn))
-	io.Copy(io.Discard, k.in)
-	k.drop()
-	if took := time.Since(begun); took > owedIn+w.judge.lag.slack() && !k.s.excuses(begun) {
-		w.judge.breaks(Owed, "%s: its connection ended %v after its first byte", id, took)
+// sendPart sends a part of a request and waits for the sidecar to close the connection. The sidecar must
+// do so, with or without an error response, within partialRequestTimeout.
+func (c *client) sendPart(env *environment, id string, text []byte) error {
+	startedAt := time.Now()
+	c.conn.Write(text[:1+c.rng.IntN(len(text)-1)])
+	c.conn.SetReadDeadline(startedAt.Add(2 * partialRequestTimeout))
+	io.Copy(io.Discard, c.reader)
+	c.closeConn()
+	if elapsed := time.Since(startedAt); elapsed > partialRequestTimeout+env.checker.lag.slack() &&
+		!c.sidecar.excusedSince(startedAt) {
+		env.checker.addViolation(Owed, "%s: the connection of an incomplete request closed %v after its first byte",
+			id, elapsed)
 	}
 	return nil
 }
--- a/internal/soak/lag.go
+++ b/internal/soak/lag.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// lagMeter measures how late the machine wakes who sleeps. On a busy machine what the
-// stand-ins see is late, and what the sidecars do as well: that much is added to each
-// slack.
+// lagMeter measures how late the machine wakes a sleeping goroutine. On a busy machine the stand-ins
+// observe events late and the sidecars act late, so that the measured lag is added to each slack.
 type lagMeter struct {
-	mu     sync.Mutex
-	recent [2]time.Duration // the longest of this span and of the one before
-	turned time.Time
+	mu        sync.Mutex
+	recent    [2]time.Duration // longest lag of the current span and of the span before
+	spanStart time.Time        // of the current span
 }
 
 const (
-	lagEvery = 5 * time.Millisecond
-	lagSpan  = 2 * time.Second
-	// lagTimes is how many steps of a request may each be late.
-	lagTimes = 4
+	lagSampleInterval = 5 * time.Millisecond
+	lagSpan           = 2 * time.Second
+	// lagSteps is how many steps of a request may each be late by the measured lag.
+	lagSteps = 4
 )
 
-func (l *lagMeter) run(over func() bool) {
-	for !over() {
+// run measures the lag every lagSampleInterval until stopped returns true.
+func (l *lagMeter) run(stopped func() bool) {
+	for !stopped() {
 		before := time.Now()
-		time.Sleep(lagEvery)
-		l.note(time.Now(), time.Since(before)-lagEvery)
+		time.Sleep(lagSampleInterval)
+		l.record(time.Now(), time.Since(before)-lagSampleInterval)
 	}
 }
 
-func (l *lagMeter) note(now time.Time, lag time.Duration) {
+// record adds one measurement, and begins a new span when the current one is older than lagSpan.
+func (l *lagMeter) record(now time.Time, lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.turned) > lagSpan {
-		l.recent[1], l.recent[0], l.turned = l.recent[0], 0, now
+	if now.Sub(l.spanStart) > lagSpan {
+		l.recent[1], l.recent[0], l.spanStart = l.recent[0], 0, now
 	}
 	l.recent[0] = max(l.recent[0], lag)
 }
 
-// slack is what is granted for scheduling at the moment.
+// slack returns how much every bound is currently extended for scheduling delays.
 func (l *lagMeter) slack() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return scheduling + lagTimes*max(l.recent[0], l.recent[1])
+	return schedulingSlack + lagSteps*max(l.recent[0], l.recent[1])
 }
