--- a/cmd/fleetsim/simulate.go
+++ b/cmd/fleetsim/simulate.go
@@ -71,7 +71,7 @@
 	}
 	for _, sample := range samples {
 		fmt.Fprintf(o.out, "seed %d, request %d: %s after %v (fleetsim explain %s --seed %d --request %d)\n",
-			c.Seed, sample.ID, sample.Outcome, sample.Took, c.File, c.Seed, sample.ID)
+			c.Seed, sample.ID, sample.Outcome, sample.Latency, c.File, c.Seed, sample.ID)
 	}
 	if len(findings) > 0 {
 		return fmt.Errorf("%d findings, the first: %s", len(findings), findings[0])
--- a/cmd/sidecar/commands.go
+++ b/cmd/sidecar/commands.go
@@ -82,8 +82,8 @@
 	if c.Rate < 1 || c.Rate > 5000 {
 		return fmt.Errorf("--rate must be between 1 and 5000 requests per second, got %d", c.Rate)
 	}
-	if c.Duration < try.Shortest || c.Duration > time.Hour {
-		return fmt.Errorf("--duration must be between %[2]v and 1h, got %[1]v", c.Duration, try.Shortest)
+	if c.Duration < try.MinDuration || c.Duration > time.Hour {
+		return fmt.Errorf("--duration must be between %[2]v and 1h, got %[1]v", c.Duration, try.MinDuration)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -54,7 +54,7 @@
 const logFlushTimeout = 100 * time.Millisecond
 
 // standardError receives the log and the error of a failed command.
-var standardError = logsink.New(os.Stderr, logsink.DefaultLimit, func(lines uint64) {
+var standardError = logsink.New(os.Stderr, logsink.DefaultMaxQueuedBytes, func(lines uint64) {
 	slog.Warn("log lines lost", "lines", lines)
 })
 
@@ -73,7 +73,7 @@
 		return err
 	}
 	applyLimits(c.Limits)
-	c.LogLost = standardError.Lost
+	c.LostLogLines = standardError.LostLines
 	return sidecar.Run(stopped, reloads, c)
 }
 
--- a/cmd/sidecar/members_test.go
+++ b/cmd/sidecar/members_test.go
@@ -61,7 +61,7 @@
 
 // awaitMembers runs the members command until it lists the draining instance and the sidecar is
 // registered under the ID, for at most 10 s, and returns the output of the last run.
-func awaitMembers(t *testing.T, socket string, registry *peers.Eureka, id string) (output, errorOutput string) {
+func awaitMembers(t *testing.T, socket string, registry *peers.EurekaRegistry, id string) (output, errorOutput string) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		var exitCode int
--- a/cmd/sidecar/memory_test.go
+++ b/cmd/sidecar/memory_test.go
@@ -63,7 +63,7 @@
 }
 
 // registerMany registers the given number of instances, each with an address of its own.
-func registerMany(registry *peers.Eureka, instances int) {
+func registerMany(registry *peers.EurekaRegistry, instances int) {
 	for i := range instances {
 		registry.Register(peers.EurekaInstance{
 			ID: fmt.Sprint("records-", i), App: "RECORDS", Host: "127.0.0.1",
--- a/cmd/sidecar/program_test.go
+++ b/cmd/sidecar/program_test.go
@@ -174,7 +174,7 @@
 // awaitService waits until the program responds to requests.
 func awaitService(t *testing.T, address string) {
 	t.Helper()
-	peertest.Until(t, "the program to respond", func() bool {
+	peertest.WaitUntil(t, "the program to respond", func() bool {
 		_, err := postRequest(address)
 		return err == nil
 	})
--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -64,7 +64,7 @@
 		command.Process.Signal(syscall.SIGHUP)
 		time.Sleep(time.Millisecond)
 	}
-	peertest.Until(t, "the program to be ready", func() bool {
+	peertest.WaitUntil(t, "the program to be ready", func() bool {
 		response, err := http.Get("http://" + address + "/health/ready")
 		if err != nil {
 			return false
--- a/cmd/sidecar/stopped_process_test.go
+++ b/cmd/sidecar/stopped_process_test.go
@@ -22,7 +22,7 @@
 		stopped = time.Second
 		slack   = 150 * time.Millisecond
 	)
-	upstream := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("ok")))
+	upstream := peertest.NewUpstream(t, peertest.RespondWith(peertest.Response200("ok")))
 	config := platformConfig{
 		listen: freeAddresses(t, 1)[0], endpoint: upstream.Addr, latencyObjective: timeout, deadline: timeout,
 	}
@@ -63,7 +63,7 @@
 // dialUntilOpen connects to the program as soon as it listens.
 func dialUntilOpen(t *testing.T, address string) (client net.Conn) {
 	t.Helper()
-	peertest.Until(t, "the program to listen", func() bool {
+	peertest.WaitUntil(t, "the program to listen", func() bool {
 		var err error
 		client, err = net.Dial("tcp", address)
 		return err == nil
--- a/internal/core/endpoint_table.go
+++ b/internal/core/endpoint_table.go
@@ -159,11 +159,11 @@
 	}
 	known := e.entry.Name != ""
 	e.startedAt = policy.StartedAt(policy.StartEvidence{
-		Reported:    entry.StartedAt,
-		Now:         now,
-		WallClock:   unixNow(),
-		Changed:     appeared || known && !sameStart,
-		ConfirmedAt: confirmedAt,
+		ReportedStart: entry.StartedAt,
+		Now:           now,
+		WallClock:     unixNow(),
+		Changed:       appeared || known && !sameStart,
+		ConfirmedAt:   confirmedAt,
 	})
 }
 
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -78,7 +78,7 @@
 			return reason
 		}
 	}
-	if m.ClientGone != nil && m.ClientGone() {
+	if m.ClientDisconnected != nil && m.ClientDisconnected() {
 		return preventClientDisconnected
 	}
 	return notPrevented
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -12,9 +12,9 @@
 	Fields map[string][]string // header fields by canonical name, including Request-Id
 	Body   []byte
 
-	// ClientGone reports whether the client has disconnected. Listeners may leave ClientGone nil. It may be
-	// called from any goroutine until the request is completed.
-	ClientGone func() bool
+	// ClientDisconnected reports whether the client has disconnected. Listeners may leave
+	// ClientDisconnected nil. It may be called from any goroutine until the request is completed.
+	ClientDisconnected func() bool
 	// RequiresLength reports that the listener cannot forward a response whose end is uncertain: see
 	// Response.DelimitedByClose.
 	RequiresLength bool
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -10,9 +10,9 @@
 // from when it sends the request, but the listener counts it from when the listener reads the request.
 const ResponseMargin = 5 * time.Millisecond
 
-// Request is a client's request. Its listener sets the exported fields, except for OnClientGone, which only
-// package quotas sets. Each Handler in the chain may wrap Respond before it calls the next Handler. No
-// exported field changes after the request was submitted to the Core.
+// Request is a client's request. Its listener sets the exported fields, except for OnClientDisconnected,
+// which only package quotas sets. Each Handler in the chain may wrap Respond before it calls the next
+// Handler. No exported field changes after the request was submitted to the Core.
 type Request struct {
 	Message
 	ID           string        // Request-Id; while in use, another request with this ID is a Duplicate
@@ -24,9 +24,9 @@
 
 	// Respond receives the only response. The Core calls Respond on the event loop, so it must not block.
 	Respond func(Response)
-	// OnClientGone, if set, is called when the client disconnects before its response. The Handler that set
-	// OnClientGone calls it; the Core does not.
-	OnClientGone func()
+	// OnClientDisconnected, if set, is called when the client disconnects before its response. The
+	// Handler that set OnClientDisconnected calls it; the Core does not.
+	OnClientDisconnected func()
 
 	history requestHistory
 
--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -65,7 +65,7 @@
 // peakRateFactor returns the greatest factor on the mean arrival rate that the daily variation and the traffic bursts
 // can reach.
 func (scenario *Scenario) peakRateFactor() float64 {
-	daily := 1 + scenario.Daily.Swing
+	daily := 1 + scenario.Daily.Amplitude
 	peak := daily
 	for _, fault := range scenario.Faults {
 		if fault.Kind == TrafficBurst {
@@ -120,11 +120,11 @@
 }
 
 // factorAt returns the factor on the mean arrival rate at the given time.
-func (wave *Wave) factorAt(at time.Duration) float64 {
-	if wave.Period <= 0 {
+func (variation *RateVariation) factorAt(at time.Duration) float64 {
+	if variation.Period <= 0 {
 		return 1
 	}
-	return 1 + wave.Swing*math.Sin(2*math.Pi*float64(at)/float64(wave.Period))
+	return 1 + variation.Amplitude*math.Sin(2*math.Pi*float64(at)/float64(variation.Period))
 }
 
 // drawWork draws the work of a request, in seconds on a core of speed 1.
--- a/internal/fleet/arrivals_test.go
+++ b/internal/fleet/arrivals_test.go
@@ -10,7 +10,7 @@
 // simulates, and a replay of them gives the same requests and utilisation.
 func TestArrivals(t *testing.T) {
 	scenario := steadyScenario(4, 0.4)
-	scenario.Sidecars, scenario.TrafficSkew, scenario.Daily = 4, 1, Wave{Period: time.Minute, Swing: 0.5}
+	scenario.Sidecars, scenario.TrafficSkew, scenario.Daily = 4, 1, RateVariation{Period: time.Minute, Amplitude: 0.5}
 	plan, err := PlanArrivals(scenario)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -26,7 +26,7 @@
 	if histogram, ok := value.Interface().(*hdrhistogram.Histogram); ok {
 		for i, count := range histogram.Export().Counts {
 			if count != 0 {
-				digest.Numbers('h', int64(i), count)
+				digest.AddNumbers('h', int64(i), count)
 			}
 		}
 		return
@@ -37,20 +37,20 @@
 			addValue(digest, value.Field(i))
 		}
 	case reflect.Slice:
-		digest.Numbers('l', int64(value.Len()))
+		digest.AddNumbers('l', int64(value.Len()))
 		for i := range value.Len() {
 			addValue(digest, value.Index(i))
 		}
 	case reflect.String:
-		digest.Text('s', value.String())
+		digest.AddText('s', value.String())
 	case reflect.Float64:
-		digest.Float('f', value.Float())
+		digest.AddFloat('f', value.Float())
 	case reflect.Uint64:
-		digest.Numbers('u', int64(value.Uint()))
+		digest.AddNumbers('u', int64(value.Uint()))
 	case reflect.Int, reflect.Int64:
-		digest.Numbers('i', value.Int())
+		digest.AddNumbers('i', value.Int())
 	case reflect.Bool:
-		digest.Text('b', fmt.Sprint(value.Bool()))
+		digest.AddText('b', fmt.Sprint(value.Bool()))
 	default:
 		panic(fmt.Sprintf("values of type %v cannot be digested", value.Type()))
 	}
@@ -165,9 +165,9 @@
 	for i := range 3000 {
 		now += time.Duration(rng.ExpFloat64() * 15 * float64(time.Millisecond))
 		next, due := node.Advance(now)
-		digest.Text('a', fmt.Sprint(next, due))
-		accepted := node.Submit(time.Duration(rng.ExpFloat64()*40*float64(time.Millisecond)), func(ok bool) { digest.Text('d', fmt.Sprint(i, ok)) })
-		digest.Text('t', fmt.Sprint(accepted))
+		digest.AddText('a', fmt.Sprint(next, due))
+		accepted := node.Submit(time.Duration(rng.ExpFloat64()*40*float64(time.Millisecond)), func(ok bool) { digest.AddText('d', fmt.Sprint(i, ok)) })
+		digest.AddText('t', fmt.Sprint(accepted))
 		switch fault := faults[rng.IntN(3)]; rng.IntN(60) {
 		case 0:
 			node.BeginFault(fault)
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -75,7 +75,7 @@
 	sidecar.settleQuota(submission, policy.ServerError)
 	sidecar.recorder.recordFailure()
 	sidecar.complete(submission)
-	mayRetry := sidecar.scenario.Clients.RetriesFailures && sidecar.isIdempotent(submission)
+	mayRetry := sidecar.scenario.Clients.RetryAfterFailure && sidecar.isIdempotent(submission)
 	if !mayRetry || !sidecar.scheduleRetry(submission, sidecar.retryBackoff(submission)) {
 		sidecar.recorder.recordSample(submission, "failed", sidecar.now-submission.arrivedAt)
 	}
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -49,13 +49,13 @@
 func (sidecar *sidecar) instanceOf(node *node, health policy.Health) membership.Instance {
 	name := fmt.Sprint("node-", node.number)
 	instance := membership.Instance{
-		ID:        name,
-		Name:      name,
-		Addr:      fmt.Sprint(node.number),
-		Cell:      fmt.Sprint(sidecar.cellOf(node)),
-		Weight:    sidecar.scenario.NodeCapacity(node.number),
-		StartedAt: sidecar.processStart(node),
-		Updated:   int64(sidecar.now),
+		ID:          name,
+		Name:        name,
+		Addr:        fmt.Sprint(node.number),
+		Cell:        fmt.Sprint(sidecar.cellOf(node)),
+		Weight:      sidecar.scenario.NodeCapacity(node.number),
+		StartedAt:   sidecar.processStart(node),
+		LastUpdated: int64(sidecar.now),
 	}
 	if health == policy.Draining {
 		instance.Status = membership.OutOfService
--- a/internal/fleet/random_scenario.go
+++ b/internal/fleet/random_scenario.go
@@ -37,7 +37,7 @@
 		scenario.Clients.TimeoutShares = []float64{0.5, 0.8}
 	}
 	if generator.chance(0.3) {
-		scenario.Daily = Wave{Period: 5 * time.Second, Swing: 0.3}
+		scenario.Daily = RateVariation{Period: 5 * time.Second, Amplitude: 0.3}
 	}
 	for range generator.random.IntN(5) {
 		scenario.Faults = append(scenario.Faults, generator.fault(&scenario))
@@ -94,11 +94,11 @@
 
 func (generator scenarioGenerator) clients() Clients {
 	return Clients{
-		MaxSubmissions:  1 + generator.random.IntN(3),
-		MaxRetryAfter:   generator.upTo(3, 500*time.Millisecond),
-		RetryAfterShare: generator.random.Float64(),
-		RetryBackoff:    generator.upTo(4, 50*time.Millisecond),
-		RetriesFailures: generator.chance(0.3),
+		MaxSubmissions:    1 + generator.random.IntN(3),
+		MaxRetryAfter:     generator.upTo(3, 500*time.Millisecond),
+		RetryAfterShare:   generator.random.Float64(),
+		RetryBackoff:      generator.upTo(4, 50*time.Millisecond),
+		RetryAfterFailure: generator.chance(0.3),
 	}
 }
 
--- a/internal/fleet/result.go
+++ b/internal/fleet/result.go
@@ -78,7 +78,7 @@
 type Sample struct {
 	ID      policy.RequestID
 	Outcome string
-	Took    time.Duration // since the request's first submission
+	Latency time.Duration // since the request's first submission
 }
 
 // ExplanationLine is an event of an explained request.
--- a/internal/fleet/scenario.go
+++ b/internal/fleet/scenario.go
@@ -52,7 +52,7 @@
 	// Clients determines how clients wait and retry.
 	Clients Clients `toml:"clients"`
 	// Daily is the daily variation of the arrival rate.
-	Daily Wave `toml:"daily,omitempty"`
+	Daily RateVariation `toml:"daily,omitempty"`
 	// RecordedArrivals replace the random arrivals; they are in order of time.
 	RecordedArrivals []Arrival `toml:"arrival,omitempty"`
 	// Faults to inject.
--- a/internal/fleet/scenario_check.go
+++ b/internal/fleet/scenario_check.go
@@ -128,7 +128,7 @@
 }
 
 func (scenario *Scenario) checkShares() error {
-	retryAfter, swing := scenario.Clients.RetryAfterShare, scenario.Daily.Swing
+	retryAfter, swing := scenario.Clients.RetryAfterShare, scenario.Daily.Amplitude
 	if retryAfter < 0 || retryAfter > 1 || swing < 0 || swing > 1 {
 		return fmt.Errorf("heeds of clients and swing of daily must be between 0 and 1, got %v and %v",
 			retryAfter, swing)
--- a/internal/fleet/scenario_clients.go
+++ b/internal/fleet/scenario_clients.go
@@ -105,16 +105,16 @@
 	// RetryBackoff is the mean backoff before a client retry without Retry-After, doubled for each further retry; 0: no
 	// backoff.
 	RetryBackoff time.Duration `toml:"pause,omitempty"`
-	// RetriesFailures means that clients also submit idempotent requests again after a failure.
-	RetriesFailures bool `toml:"insists,omitempty"`
+	// RetryAfterFailure means that clients also submit idempotent requests again after a failure.
+	RetryAfterFailure bool `toml:"insists,omitempty"`
 }
 
-// Wave varies the arrival rate as a sine, like the variation over a day.
-type Wave struct {
+// RateVariation varies the arrival rate as a sine, like the variation over a day.
+type RateVariation struct {
 	// Period of the sine; 0: the rate is constant.
 	Period time.Duration `toml:"period,omitempty"`
-	// Swing is the amplitude as a share of the mean rate, 0 to 1.
-	Swing float64 `toml:"swing,omitempty"`
+	// Amplitude is a share of the mean rate, 0 to 1.
+	Amplitude float64 `toml:"swing,omitempty"`
 }
 
 // Arrival is a recorded request.
--- a/internal/front/httpfront/evict_test.go
+++ b/internal/front/httpfront/evict_test.go
@@ -45,7 +45,7 @@
 	for i := range 14 {
 		dialWithOpenRequest(t, address, handler, string(rune('g'+i)))
 	}
-	peertest.Until(t, "the first connection to be evicted", func() bool {
+	peertest.WaitUntil(t, "the first connection to be evicted", func() bool {
 		front.listener.mu.Lock()
 		defer front.listener.mu.Unlock()
 		return len(front.listener.idle) == 5
--- a/internal/front/httpfront/handle_request.go
+++ b/internal/front/httpfront/handle_request.go
@@ -56,7 +56,7 @@
 func (front *Front) awaitResponse(httpRequest *http.Request, conn *clientConn, request *core.Request) core.Response {
 	responses := make(chan core.Response, 1) // buffered, because Respond must not block
 	request.Respond = func(response core.Response) { responses <- response }
-	request.ClientGone = conn.hasClientDisconnected
+	request.ClientDisconnected = conn.hasClientDisconnected
 	front.submitted.Add(1)
 	front.handler.Submit(request)
 	select {
--- a/internal/front/httpfront/read_timeout_test.go
+++ b/internal/front/httpfront/read_timeout_test.go
@@ -54,7 +54,7 @@
 	conn, reader := dialKeptAlive(t, address)
 	text := requestBytes(t, "started")
 	conn.Write(text[:40])
-	peertest.Until(t, "the first bytes of the request to be read", func() bool {
+	peertest.WaitUntil(t, "the first bytes of the request to be read", func() bool {
 		front.listener.mu.Lock()
 		defer front.listener.mu.Unlock()
 		return len(front.listener.idle) == 1 && front.listener.idle[0].framing.Pending()
--- a/internal/front/httpfront/shutdown_test.go
+++ b/internal/front/httpfront/shutdown_test.go
@@ -30,7 +30,7 @@
 				text := requestBytes(t, "started")
 				split := (sentBytes + len(text)) % len(text)
 				conn.Write(text[:split])
-				peertest.Until(t, "the first bytes of the request to be read", front.hasPendingRequest)
+				peertest.WaitUntil(t, "the first bytes of the request to be read", front.hasPendingRequest)
 				front.Drain()
 				shutdown := make(chan error, 1)
 				go func() { shutdown <- front.Shutdown(context.Background()) }()
@@ -79,7 +79,7 @@
 	front.Drain()
 	shutdown := make(chan error, 1)
 	go func() { shutdown <- front.Shutdown(t.Context()) }()
-	peertest.Until(t, "the drain to start", front.listener.isDraining)
+	peertest.WaitUntil(t, "the drain to start", front.listener.isDraining)
 	close(handler.release)
 	for range testConfig.MaxConnections + 2 {
 		if got := peertest.Await(t, "a response", statuses); got != http.StatusOK {
--- a/internal/front/rpcfront/cancel_test.go
+++ b/internal/front/rpcfront/cancel_test.go
@@ -55,15 +55,15 @@
 		t.Errorf("got request %s abandoned, want r32", request.ID)
 	}
 	for id, request := range all {
-		if request.ClientGone() != (id == "r32") {
-			t.Errorf("request %s: got ClientGone() = %v", id, request.ClientGone())
+		if request.ClientDisconnected() != (id == "r32") {
+			t.Errorf("request %s: got ClientDisconnected() = %v", id, request.ClientDisconnected())
 		}
 	}
 	client.expectFault(t, 32)
 	client.Close()
-	peertest.Until(t, "all requests to be abandoned", func() bool {
+	peertest.WaitUntil(t, "all requests to be abandoned", func() bool {
 		for _, request := range all {
-			if !request.ClientGone() {
+			if !request.ClientDisconnected() {
 				return false
 			}
 		}
--- a/internal/front/rpcfront/drain_test.go
+++ b/internal/front/rpcfront/drain_test.go
@@ -69,7 +69,7 @@
 			text := callBytes(7, nil)
 			if sentBytes > 0 {
 				client.Write(text[:sentBytes])
-				peertest.Until(t, "the first bytes of the message to be read", front.hasStartedMessage)
+				peertest.WaitUntil(t, "the first bytes of the message to be read", front.hasStartedMessage)
 			}
 			front.Drain()
 			done := make(chan error, 1)
--- a/internal/front/rpcfront/handle_message.go
+++ b/internal/front/rpcfront/handle_message.go
@@ -81,7 +81,7 @@
 		return true
 	}
 	request.Respond = func(result core.Response) { conn.respond(id, request, result) }
-	request.ClientGone = func() bool { return conn.isAbandoned(id, request) }
+	request.ClientDisconnected = func() bool { return conn.isAbandoned(id, request) }
 	if !conn.beginRequest(id, request) {
 		return false
 	}
--- a/internal/front/rpcfront/helpers_test.go
+++ b/internal/front/rpcfront/helpers_test.go
@@ -49,7 +49,7 @@
 		if err := peertest.Await(t, "Serve to return", done); err != nil {
 			t.Errorf("Serve: got error %v, want nil", err)
 		}
-		peertest.Until(t, "all connections to be closed", func() bool {
+		peertest.WaitUntil(t, "all connections to be closed", func() bool {
 			front.mu.Lock()
 			defer front.mu.Unlock()
 			return len(front.conns) == 0
--- a/internal/front/rpcfront/write_response_test.go
+++ b/internal/front/rpcfront/write_response_test.go
@@ -119,7 +119,7 @@
 		}
 		checkBuffered(t, front, bodyBytes)
 	}
-	peertest.Until(t, "the connection of the stalled client to be closed", func() bool {
+	peertest.WaitUntil(t, "the connection of the stalled client to be closed", func() bool {
 		front.mu.Lock()
 		defer front.mu.Unlock()
 		return len(front.conns) == 1
@@ -156,7 +156,7 @@
 		request := peertest.Await(t, "a request to be submitted", handler.submitted)
 		request.Respond(core.Response{Result: core.Served, Body: make([]byte, 1<<20)})
 	}
-	peertest.Until(t, "the connection to be closed", func() bool {
+	peertest.WaitUntil(t, "the connection to be closed", func() bool {
 		front.mu.Lock()
 		defer front.mu.Unlock()
 		return len(front.conns) == 0
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -24,8 +24,8 @@
 // NewDigest returns an empty Digest.
 func NewDigest() Digest { return Digest{fnv.New64a()} }
 
-// Numbers adds a record: its kind, followed by each number as 8 bytes, little-endian.
-func (d Digest) Numbers(kind byte, numbers ...int64) {
+// AddNumbers adds a record: its kind, followed by each number as 8 bytes, little-endian.
+func (d Digest) AddNumbers(kind byte, numbers ...int64) {
 	var buffer [8]byte
 	d.hasher.Write([]byte{kind}) // Write of a hash never returns an error
 	for _, n := range numbers {
@@ -34,12 +34,12 @@
 	}
 }
 
-// Float adds a record with all bits of a floating-point number.
-func (d Digest) Float(kind byte, f float64) { d.Numbers(kind, int64(math.Float64bits(f))) }
+// AddFloat adds a record with all bits of a floating-point number.
+func (d Digest) AddFloat(kind byte, f float64) { d.AddNumbers(kind, int64(math.Float64bits(f))) }
 
-// Text adds a record with the length of a text in bytes, followed by the text.
-func (d Digest) Text(kind byte, text string) {
-	d.Numbers(kind, int64(len(text)))
+// AddText adds a record with the length of a text in bytes, followed by the text.
+func (d Digest) AddText(kind byte, text string) {
+	d.AddNumbers(kind, int64(len(text)))
 	d.hasher.Write([]byte(text))
 }
 
--- a/internal/hook/builtins_effect.go
+++ b/internal/hook/builtins_effect.go
@@ -36,7 +36,7 @@
 }
 
 func runRefuse(m *Machine, operands []value, _ kind) error {
-	refusal := Effect{Kind: Refuse, Text: operands[0].text, Pause: time.Duration(operands[1].number)}
+	refusal := Effect{Kind: Refuse, Text: operands[0].text, RetryAfter: time.Duration(operands[1].number)}
 	if err := m.addEffect(refusal); err != nil {
 		return err
 	}
--- a/internal/hook/effect.go
+++ b/internal/hook/effect.go
@@ -4,10 +4,10 @@
 
 // Effect is an action that a run requests. The caller of Machine.Run executes it.
 type Effect struct {
-	Kind  EffectKind
-	Name  string
-	Text  string
-	Pause time.Duration
+	Kind       EffectKind
+	Name       string
+	Text       string
+	RetryAfter time.Duration
 }
 
 // EffectKind is a kind of Effect.
@@ -19,7 +19,7 @@
 	RemoveHeader                   // Name
 	Tag                            // Text
 	SetTenant                      // Text
-	Refuse                         // Text is the reason, Pause the value of Retry-After
+	Refuse                         // Text is the reason, RetryAfter the value of Retry-After
 	Count                          // Name of a metric of the plug-in
 	Label                          // Name and Text label an outcome or a member
 )
--- a/internal/hook/event.go
+++ b/internal/hook/event.go
@@ -32,23 +32,23 @@
 
 // The indexes of the fields of a request.
 const (
-	RequestClass  = iota // Text
-	RequestTenant        // Text
-	RequestID            // Text
-	RequestKey           // Text; the idempotency key, or ""
-	RequestTarget        // Text
-	RequestSize          // Int; bytes
-	RequestLeft          // Int; time to the deadline, in ns
-	RequestRetry         // Int; 1 if the client marked it as a retry
+	RequestClass    = iota // Text
+	RequestTenant          // Text
+	RequestID              // Text
+	RequestKey             // Text; the idempotency key, or ""
+	RequestTarget          // Text
+	RequestSize            // Int; bytes
+	RequestTimeLeft        // Int; time to the deadline, in ns
+	RequestRetry           // Int; 1 if the client marked it as a retry
 )
 
 // The indexes of the fields of an outcome.
 const (
-	OutcomeClass  = iota // Text
-	OutcomeTenant        // Text
-	OutcomeID            // Text
-	OutcomeEnding        // Text; served, refused, failed, timed_out or duplicate
-	OutcomeTook          // Int; duration in ns
+	OutcomeClass    = iota // Text
+	OutcomeTenant          // Text
+	OutcomeID              // Text
+	OutcomeEnding          // Text; served, refused, failed, timed_out or duplicate
+	OutcomeDuration        // Int; duration in ns
 )
 
 // The indexes of the fields of a member.
@@ -69,21 +69,21 @@
 // eventFields are the fields of each kind of event, by their indexes.
 var eventFields = map[string][]eventField{
 	KindRequest: {
-		RequestClass:  {"class", typeText},
-		RequestTenant: {"tenant", typeText},
-		RequestID:     {"id", typeText},
-		RequestKey:    {"key", typeText},
-		RequestTarget: {"target", typeText},
-		RequestSize:   {"size", typeInt},
-		RequestLeft:   {"left", typeDuration},
-		RequestRetry:  {"retry", typeBool},
+		RequestClass:    {"class", typeText},
+		RequestTenant:   {"tenant", typeText},
+		RequestID:       {"id", typeText},
+		RequestKey:      {"key", typeText},
+		RequestTarget:   {"target", typeText},
+		RequestSize:     {"size", typeInt},
+		RequestTimeLeft: {"left", typeDuration},
+		RequestRetry:    {"retry", typeBool},
 	},
 	KindOutcome: {
-		OutcomeClass:  {"class", typeText},
-		OutcomeTenant: {"tenant", typeText},
-		OutcomeID:     {"id", typeText},
-		OutcomeEnding: {"ending", typeText},
-		OutcomeTook:   {"took", typeDuration},
+		OutcomeClass:    {"class", typeText},
+		OutcomeTenant:   {"tenant", typeText},
+		OutcomeID:       {"id", typeText},
+		OutcomeEnding:   {"ending", typeText},
+		OutcomeDuration: {"took", typeDuration},
 	},
 	KindMember: {
 		MemberName:    {"name", typeText},
--- a/internal/hook/golden_test.go
+++ b/internal/hook/golden_test.go
@@ -82,9 +82,9 @@
 		event.Text[i] = fmt.Sprintf("text-%d", i)
 	}
 	event.Text[0] = "weight-reading"
-	event.Int[RequestSize], event.Int[RequestLeft], event.Int[RequestRetry] = 42, int64(time.Second), 1
+	event.Int[RequestSize], event.Int[RequestTimeLeft], event.Int[RequestRetry] = 42, int64(time.Second), 1
 	if kind == "outcome" {
-		event.Int[OutcomeTook] = int64(30 * time.Millisecond)
+		event.Int[OutcomeDuration] = int64(30 * time.Millisecond)
 	}
 	return event
 }
@@ -96,16 +96,16 @@
 	store := memoryStore{}
 	for run := range 3 {
 		result, err := machine.Run(p, goldenEvent(kind), store, limits)
-		digest.Numbers('r', result.Fuel, result.Memory, int64(len(result.Effects)))
-		digest.Text('e', fmt.Sprint(err))
+		digest.AddNumbers('r', result.Fuel, result.Memory, int64(len(result.Effects)))
+		digest.AddText('e', fmt.Sprint(err))
 		for _, effect := range result.Effects {
-			digest.Numbers('k', int64(effect.Kind), int64(effect.Pause))
-			digest.Text('n', effect.Name)
-			digest.Text('t', effect.Text)
+			digest.AddNumbers('k', int64(effect.Kind), int64(effect.RetryAfter))
+			digest.AddText('n', effect.Name)
+			digest.AddText('t', effect.Text)
 		}
 		for _, key := range slices.Sorted(maps.Keys(store)) {
-			digest.Text('s', key)
-			digest.Numbers('v', store[key])
+			digest.AddText('s', key)
+			digest.AddNumbers('v', store[key])
 		}
 		if run == 0 {
 			first, firstErr = result, err
@@ -133,10 +133,10 @@
 func goldenLines(program goldenProgram) string {
 	digest := golden.NewDigest()
 	formatted, err := Format("golden.hook", program.source)
-	digest.Text('f', formatted)
-	digest.Text('e', fmt.Sprint(err))
+	digest.AddText('f', formatted)
+	digest.AddText('e', fmt.Sprint(err))
 	compiled, err := Compile("golden.hook", program.source)
-	digest.Text('c', fmt.Sprint(err))
+	digest.AddText('c', fmt.Sprint(err))
 	lines := fmt.Sprintf("%s: %v, %s\n", program.name, err == nil, digest)
 	if err != nil {
 		return lines
--- a/internal/hook/helpers_test.go
+++ b/internal/hook/helpers_test.go
@@ -41,7 +41,7 @@
 	event.Text[RequestClass] = "weight-reading"
 	event.Text[RequestTenant] = "downs"
 	event.Int[RequestSize] = 42
-	event.Int[RequestLeft] = int64(time.Second)
+	event.Int[RequestTimeLeft] = int64(time.Second)
 	event.Int[RequestRetry] = 1
 	var machine Machine
 	return machine.Run(program, event, memoryStore{}, limits)
--- a/internal/hook/run_test.go
+++ b/internal/hook/run_test.go
@@ -112,7 +112,7 @@
 			t.Errorf("%s: got %+v and error %v, want a first effect with the text %s", test.source, result.Effects, err, test.want)
 		}
 	}
-	if result, _ := runProgram(t, `on request { refuse("go away", 2s) tag("never") }`, ampleLimits); len(result.Effects) != 1 || result.Effects[0] != (Effect{Kind: Refuse, Text: "go away", Pause: 2 * time.Second}) {
+	if result, _ := runProgram(t, `on request { refuse("go away", 2s) tag("never") }`, ampleLimits); len(result.Effects) != 1 || result.Effects[0] != (Effect{Kind: Refuse, Text: "go away", RetryAfter: 2 * time.Second}) {
 		t.Errorf("got effects %+v, want one refusal with the text go away and a pause of 2s", result.Effects)
 	}
 }
--- a/internal/hook/typed_tree.go
+++ b/internal/hook/typed_tree.go
@@ -32,7 +32,7 @@
 const (
 	statementAssign      statementKind = iota // slot = value
 	statementAssignIndex                      // container[index] = value
-	statementIf                               // condition, body, orElse
+	statementIf                               // condition, body, elseBody
 	statementWhile                            // condition, body
 	statementForRange                         // slot (the next slot is for the bound), from, to, body
 	statementForEach                          // slot (the next two slots are for the list and the position), value, body
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -303,7 +303,7 @@
 // invalid descriptions of faults that are accepted.
 func TestShrink(t *testing.T) {
 	s := fleet.RandomScenario(4)
-	s.Nodes, s.Sidecars, s.OfferedLoad, s.Duration, s.Daily = 8, 4, 0.5, 20*time.Second, fleet.Wave{}
+	s.Nodes, s.Sidecars, s.OfferedLoad, s.Duration, s.Daily = 8, 4, 0.5, 20*time.Second, fleet.RateVariation{}
 	s.Faults = []fleet.Fault{{Kind: fleet.Drain, Start: 2 * time.Second, Node: 1}, {Kind: fleet.Hang, Start: time.Second, NodeShare: 1}}
 	fault, err := ParseFault("good<0.7")
 	if err != nil {
--- a/internal/lab/shrink.go
+++ b/internal/lab/shrink.go
@@ -139,7 +139,7 @@
 			return s.List != c.List
 		},
 		func(c *fleet.Scenario) bool { c.List.MaxDelay = 0; return s.List.MaxDelay > 0 },
-		func(c *fleet.Scenario) bool { c.Daily = fleet.Wave{}; return s.Daily != c.Daily },
+		func(c *fleet.Scenario) bool { c.Daily = fleet.RateVariation{}; return s.Daily != c.Daily },
 		func(c *fleet.Scenario) bool { c.LoadReports = false; return s.LoadReports },
 		func(c *fleet.Scenario) bool { c.TrafficSkew = 0; return s.TrafficSkew > 0 },
 		func(c *fleet.Scenario) bool { c.SpeedFactors = nil; return len(s.SpeedFactors) > 0 },
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -124,7 +124,7 @@
 		return backoff(), true
 	}
 	idempotent := policy.Idempotency(class.Idempotency) == policy.Idempotent
-	retriesOutcome := clients.RetriesFailures || result.Outcome == peers.Lost
+	retriesOutcome := clients.RetryAfterFailure || result.Outcome == peers.Lost
 	if result.Outcome != peers.Served && idempotent && retriesOutcome {
 		return backoff(), true
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -89,7 +89,7 @@
 	startedAt := time.Now()
 	abandoned := make(chan struct{})
 	first, second, third := n.Respond(peers.Call{}), n.Respond(peers.Call{Body: []byte("work_us=50000")}), n.Respond(peers.Call{})
-	if first.Wait(abandoned) != peers.Serve || second.Wait(abandoned) != peers.Serve || third.Action != peers.Reject {
+	if first.WaitForAction(abandoned) != peers.Serve || second.WaitForAction(abandoned) != peers.Serve || third.Action != peers.Reject {
 		t.Error("want the first two requests served and the third rejected")
 	}
 	if took := time.Since(startedAt); took < 95*ms {
@@ -98,13 +98,13 @@
 	end := n.BeginFault(fleet.Fault{Kind: fleet.Hang})
 	hung := n.Respond(peers.Call{})
 	close(abandoned)
-	if hung.Wait(abandoned) != peers.Reset {
+	if hung.WaitForAction(abandoned) != peers.Reset {
 		t.Error("an abandoned request on a hung node: want a reset")
 	}
 	end()
 	lost := n.Respond(peers.Call{})
 	n.BeginFault(fleet.Fault{Kind: fleet.Restart})
-	if lost.Wait(make(chan struct{})) != peers.Reset {
+	if lost.WaitForAction(make(chan struct{})) != peers.Reset {
 		t.Error("a request in flight during a restart: want a reset")
 	}
 }
--- a/internal/load/node.go
+++ b/internal/load/node.go
@@ -85,7 +85,7 @@
 	if !accepted {
 		return peers.Response{Action: peers.Reject}
 	}
-	return peers.Response{Wait: func(abandoned <-chan struct{}) peers.ResponseAction {
+	return peers.Response{WaitForAction: func(abandoned <-chan struct{}) peers.ResponseAction {
 		select {
 		case ok := <-done:
 			if ok {
--- a/internal/load/settings.go
+++ b/internal/load/settings.go
@@ -22,7 +22,7 @@
 			"may_cancel":         true,
 			"probes":             e.scenario.LoadReports,
 			"most_tries":         e.scenario.MaxAttempts,
-			"dial_timeout_ms":    rig.ConnectIn.Milliseconds(),
+			"dial_timeout_ms":    rig.DialTimeout.Milliseconds(),
 			"conn_idle_ms":       nodeIdleMilliseconds,
 			"max_retry_after_ms": e.scenario.Clients.MaxRetryAfter.Milliseconds(),
 		},
@@ -30,7 +30,7 @@
 			"cold_from":              e.scenario.Node.InitialSpeedShare,
 			"cold_ms":                e.scenario.Node.WarmUpTime.Milliseconds(),
 			"fall_multiple":          e.scenario.Node.WarmUpOverloadFactor,
-			"stop_sending_within_ms": rig.DrainWithin.Milliseconds(),
+			"stop_sending_within_ms": rig.DrainTimeLimit.Milliseconds(),
 		},
 	}
 }
--- a/internal/load/world.go
+++ b/internal/load/world.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, request := range e.rigs[0].Ledger.ExecutedTwice(func(string) bool { return true }) {
+	for _, request := range e.rigs[0].Ledger.DescribeRepeatedExecutions(func(string) bool { return true }) {
 		r.Violations = append(r.Violations, "rule 2: "+request)
 	}
 	return r, nil
@@ -61,7 +61,7 @@
 		e.nodes = append(e.nodes, NewNode(s.NodeParamsAt(i), s.Classes[0].Work))
 	}
 	o := rig.Options{
-		Front: protocol, Nodes: protocol, Number: s.Nodes, Slots: s.Slots, Settings: e.settings(), Sockets: sidecarSockets,
+		ClientProtocol: protocol, NodeProtocol: protocol, NodeCount: s.Nodes, Slots: s.Slots, Settings: e.settings(), SocketLimit: sidecarSockets,
 	}
 	for i := range s.Sidecars {
 		o.Seed = fmt.Sprint(s.Seed + uint64(i))
@@ -73,7 +73,7 @@
 		if i > 0 {
 			continue
 		}
-		o.Beside = r
+		o.SharePeersOf = r
 		for n := range r.Nodes {
 			r.Nodes[n].SetScript(e.nodes[n].Respond)
 			e.setEndpoint(n, "up", 0)
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// DefaultLimit is the default for the maximum number of queued bytes. Lines beyond it are lost.
-const DefaultLimit = 64 << 10
+// DefaultMaxQueuedBytes is the default for the maximum number of queued bytes. Lines beyond it are lost.
+const DefaultMaxQueuedBytes = 64 << 10
 
 // Sink is an io.Writer that queues lines. A goroutine that New starts writes them to the file and
 // runs until the process exits. A Sink is safe for concurrent use.
@@ -57,8 +57,8 @@
 	return len(line), nil
 }
 
-// Lost returns the number of lines lost since the Sink was created.
-func (s *Sink) Lost() uint64 {
+// LostLines returns the number of lines lost since the Sink was created.
+func (s *Sink) LostLines() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.totalLosses
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -60,8 +60,8 @@
 		t.Error("Flush: got true while the write is blocked, want false")
 	}
 	close(f.unblock)
-	if n := peertest.Await(t, "the loss", losses); n != 41 || s.Lost() != n {
-		t.Errorf("got %d reported losses and %d in total, want 41", n, s.Lost())
+	if n := peertest.Await(t, "the loss", losses); n != 41 || s.LostLines() != n {
+		t.Errorf("got %d reported losses and %d in total, want 41", n, s.LostLines())
 	}
 	if !s.Flush(peertest.WaitTimeout) || f.String() != strings.Repeat(string(line), 9) {
 		t.Errorf("got %q written, want 9 lines", f)
@@ -70,8 +70,8 @@
 		s.Write(fmt.Appendf(nil, "%d\n", i))
 		s.Flush(peertest.WaitTimeout)
 	}
-	if s.Lost() != 41 {
-		t.Errorf("got %d later losses, want none", s.Lost()-41)
+	if s.LostLines() != 41 {
+		t.Errorf("got %d later losses, want none", s.LostLines()-41)
 	}
 }
 
@@ -80,7 +80,7 @@
 func TestWrite_FailureLosesOneLine(t *testing.T) {
 	f := &file{limit: 3}
 	losses := make(chan uint64, 1)
-	s := New(f, DefaultLimit, func(n uint64) { losses <- n })
+	s := New(f, DefaultMaxQueuedBytes, func(n uint64) { losses <- n })
 	s.Write([]byte("first\n"))
 	s.Flush(peertest.WaitTimeout)
 	f.setLimit(0)
--- a/internal/peers/client_http.go
+++ b/internal/peers/client_http.go
@@ -160,7 +160,7 @@
 	if c.ClientRetry {
 		appendHTTPField(out, "Client-Retry", "1")
 	}
-	for name, value := range c.Fields {
+	for name, value := range c.HeaderFields {
 		appendHTTPField(out, name, value)
 	}
 	if len(c.Body) > 0 || method == http.MethodPost {
--- a/internal/peers/client_rpc.go
+++ b/internal/peers/client_rpc.go
@@ -104,10 +104,10 @@
 		Target:         "/api",
 		Body:           c.Body,
 	}
-	if len(c.Fields) > 0 {
-		message.Fields = make(map[string][]string, len(c.Fields))
+	if len(c.HeaderFields) > 0 {
+		message.Fields = make(map[string][]string, len(c.HeaderFields))
 	}
-	for name, value := range c.Fields {
+	for name, value := range c.HeaderFields {
 		message.Fields[name] = []string{value}
 	}
 	return message
--- a/internal/peers/eureka.go
+++ b/internal/peers/eureka.go
@@ -38,10 +38,10 @@
 	otherFetchesKind = "some" // key in calls for fetches of neither all apps nor the delta
 )
 
-// Eureka is a stand-in for a Eureka registry. It implements the REST API of docs/protocol/eureka.md,
-// with leases, eviction, self-preservation, deltas and overridden statuses. Eureka is safe for
-// concurrent use. Close ends the goroutines of its HTTP server.
-type Eureka struct {
+// EurekaRegistry is a stand-in for a Eureka registry. It implements the REST API of
+// docs/protocol/eureka.md, with leases, eviction, self-preservation, deltas and overridden statuses.
+// EurekaRegistry is safe for concurrent use. Close ends the goroutines of its HTTP server.
+type EurekaRegistry struct {
 	listener  net.Listener
 	server    *http.Server
 	closing   chan struct{} // closed by Close
@@ -56,7 +56,7 @@
 	staleLists    map[staleListKey][]byte // copies from when StaleList was set
 	clockSkew     time.Duration           // positive: the registry's clock is ahead
 	version       int                     // of the list; incremented on each change
-	calls         map[string]int          // by the kinds of Calls
+	calls         map[string]int          // by the kinds of CallCount
 	fetchedBytes  int64
 	fetchTimes    []time.Time
 	dialect       EurekaDialect
@@ -69,7 +69,7 @@
 }
 
 // StartEureka starts a registry at addr, or on a free loopback port if addr is empty.
-func StartEureka(addr string) (*Eureka, error) {
+func StartEureka(addr string) (*EurekaRegistry, error) {
 	if addr == "" {
 		addr = loopbackAddr
 	}
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("eureka: %w", err)
 	}
-	e := &Eureka{
+	e := &EurekaRegistry{
 		listener:  listener,
 		closing:   make(chan struct{}),
 		instances: make(map[string]*EurekaInstance),
@@ -89,10 +89,10 @@
 }
 
 // URL returns the base URL of the API.
-func (e *Eureka) URL() string { return "http://" + e.listener.Addr().String() + eurekaV2Path }
+func (e *EurekaRegistry) URL() string { return "http://" + e.listener.Addr().String() + eurekaV2Path }
 
 // Close stops the server and ends its requests.
-func (e *Eureka) Close() {
+func (e *EurekaRegistry) Close() {
 	e.closeOnce.Do(func() {
 		close(e.closing)
 		e.server.Close()
@@ -100,7 +100,7 @@
 }
 
 // SetFault sets the fault that the registry injects after the call.
-func (e *Eureka) SetFault(fault EurekaFault) {
+func (e *EurekaRegistry) SetFault(fault EurekaFault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault = fault
@@ -111,7 +111,7 @@
 }
 
 // lists returns the complete list and the delta in both formats.
-func (e *Eureka) lists() map[staleListKey][]byte {
+func (e *EurekaRegistry) lists() map[staleListKey][]byte {
 	lists := make(map[staleListKey][]byte)
 	for _, path := range []string{allAppsPath, deltaPath} {
 		for _, asXML := range []bool{false, true} {
@@ -122,7 +122,7 @@
 }
 
 // SetDialect sets the dialect of the responses after the call.
-func (e *Eureka) SetDialect(dialect EurekaDialect) {
+func (e *EurekaRegistry) SetDialect(dialect EurekaDialect) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dialect = dialect
@@ -130,7 +130,7 @@
 
 // SetClockSkew sets the difference between the registry's clock and the system clock. A positive skew
 // means that the registry's clock is ahead.
-func (e *Eureka) SetClockSkew(skew time.Duration) {
+func (e *EurekaRegistry) SetClockSkew(skew time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.clockSkew = skew
@@ -138,43 +138,43 @@
 
 // SetLeaseDuration sets the time without renewal after which a lease expires. With 0, the default,
 // leases do not expire.
-func (e *Eureka) SetLeaseDuration(duration time.Duration) {
+func (e *EurekaRegistry) SetLeaseDuration(duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaseDuration = duration
 }
 
-// Calls returns how many calls of a kind were received. The kinds are /apps, /apps/delta, some (other
+// CallCount returns how many calls of a kind were received. The kinds are /apps, /apps/delta, some (other
 // fetches), register, renew, status, metadata and cancel.
-func (e *Eureka) Calls(kind string) int {
+func (e *EurekaRegistry) CallCount(kind string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.calls[kind]
 }
 
-// Bytes returns the total size in bytes of the responses to fetches, before compression.
-func (e *Eureka) Bytes() int64 {
+// FetchedBytes returns the total size in bytes of the responses to fetches, before compression.
+func (e *EurekaRegistry) FetchedBytes() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.fetchedBytes
 }
 
 // ClearDelta removes all changes from the delta, as if deltaRetention had passed.
-func (e *Eureka) ClearDelta() {
+func (e *EurekaRegistry) ClearDelta() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.delta = nil
 }
 
 // FetchTimes returns the times of fetches whose responses contain a correct list.
-func (e *Eureka) FetchTimes() []time.Time {
+func (e *EurekaRegistry) FetchTimes() []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.fetchTimes)
 }
 
 // Instance returns the instance with an id, or false if there is none.
-func (e *Eureka) Instance(id string) (EurekaInstance, bool) {
+func (e *EurekaRegistry) Instance(id string) (EurekaInstance, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if instance := e.instances[id]; instance != nil {
--- a/internal/peers/eureka_change.go
+++ b/internal/peers/eureka_change.go
@@ -18,7 +18,7 @@
 const maxRegistrationBytes = 1 << 20
 
 // serveChange responds to a call that changes the registry: apps/APP, apps/APP/ID and paths below.
-func (e *Eureka) serveChange(w http.ResponseWriter, r *http.Request, parts []string) {
+func (e *EurekaRegistry) serveChange(w http.ResponseWriter, r *http.Request, parts []string) {
 	if len(parts) < 2 || parts[0] != "apps" {
 		http.NotFound(w, r)
 		return
@@ -35,7 +35,7 @@
 }
 
 // changeInstance responds to a call that changes a registered instance.
-func (e *Eureka) changeInstance(w http.ResponseWriter, r *http.Request, parts []string) {
+func (e *EurekaRegistry) changeInstance(w http.ResponseWriter, r *http.Request, parts []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	app, id := parts[1], parts[2]
@@ -64,7 +64,7 @@
 
 // renew handles a heartbeat. An instance must register again if it has changed since its registration
 // or if its status is UNKNOWN.
-func (e *Eureka) renew(w http.ResponseWriter, instance *EurekaInstance, query url.Values) {
+func (e *EurekaRegistry) renew(w http.ResponseWriter, instance *EurekaInstance, query url.Values) {
 	e.calls["renew"]++
 	lastDirtyMs, _ := strconv.ParseInt(query.Get("lastDirtyTimestamp"), 10, 64) // 0 if absent
 	if instance.effectiveStatus() == statusUnknown || lastDirtyMs > instance.LastDirtyMs {
@@ -75,7 +75,7 @@
 }
 
 // overrideStatus sets the status that an operator has chosen. The call also renews the lease.
-func (e *Eureka) overrideStatus(w http.ResponseWriter, instance *EurekaInstance, status string) {
+func (e *EurekaRegistry) overrideStatus(w http.ResponseWriter, instance *EurekaInstance, status string) {
 	e.calls["status"]++
 	if !slices.Contains(eurekaStatuses, status) {
 		message := "value must be one of " + strings.Join(eurekaStatuses, ", ")
@@ -89,7 +89,7 @@
 
 // removeOverride removes an operator's status. The instance's status becomes the given status, or
 // UNKNOWN until the instance registers again if the given status is empty.
-func (e *Eureka) removeOverride(instance *EurekaInstance, status string) {
+func (e *EurekaRegistry) removeOverride(instance *EurekaInstance, status string) {
 	e.calls["status"]++
 	instance.Override = ""
 	instance.Status = status
@@ -101,7 +101,7 @@
 
 // addMetadata sets a metadata key for each query parameter. It copies the map, because the delta shares
 // the old one.
-func (e *Eureka) addMetadata(instance *EurekaInstance, query url.Values) {
+func (e *EurekaRegistry) addMetadata(instance *EurekaInstance, query url.Values) {
 	e.calls["metadata"]++
 	instance.Metadata = maps.Clone(instance.Metadata)
 	if instance.Metadata == nil {
@@ -114,7 +114,7 @@
 }
 
 // serveRegister responds to the registration of an instance.
-func (e *Eureka) serveRegister(w http.ResponseWriter, r *http.Request, app string) {
+func (e *EurekaRegistry) serveRegister(w http.ResponseWriter, r *http.Request, app string) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRegistrationBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
@@ -147,7 +147,7 @@
 
 // registerUnlessOutdated registers an instance. Two clients may register under the same id: the
 // registration with the later LastDirtyMs stays, and an outdated registration only renews its lease.
-func (e *Eureka) registerUnlessOutdated(instance EurekaInstance) {
+func (e *EurekaRegistry) registerUnlessOutdated(instance EurekaInstance) {
 	registered := e.instances[instance.ID]
 	if registered != nil && isOutdated(instance, *registered) {
 		registered.renewedAt = time.Now()
--- a/internal/peers/eureka_encode.go
+++ b/internal/peers/eureka_encode.go
@@ -10,7 +10,7 @@
 )
 
 // encode encodes a response with its root element, as JSON or XML.
-func (e *Eureka) encode(root string, fields []eurekaField, asXML bool) []byte {
+func (e *EurekaRegistry) encode(root string, fields []eurekaField, asXML bool) []byte {
 	var out bytes.Buffer
 	if asXML {
 		writeXML(&out, root, fields)
--- a/internal/peers/eureka_fetch.go
+++ b/internal/peers/eureka_fetch.go
@@ -13,7 +13,7 @@
 func wantsXML(r *http.Request) bool { return !strings.Contains(r.Header.Get("Accept"), "json") }
 
 // serveFetch responds to a GET request.
-func (e *Eureka) serveFetch(w http.ResponseWriter, r *http.Request, parts []string, fault EurekaFault) {
+func (e *EurekaRegistry) serveFetch(w http.ResponseWriter, r *http.Request, parts []string, fault EurekaFault) {
 	asXML := wantsXML(r)
 	body := e.fetch(parts, asXML, fault)
 	if body == nil {
@@ -51,7 +51,7 @@
 
 // fetch counts the call and returns the body for a path, with the fault injected. It returns nil if
 // there is no such resource.
-func (e *Eureka) fetch(parts []string, asXML bool, fault EurekaFault) []byte {
+func (e *EurekaRegistry) fetch(parts []string, asXML bool, fault EurekaFault) []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	path := strings.Join(parts, "/")
@@ -78,7 +78,7 @@
 	return body
 }
 
-// fetchKind returns the kind under which Calls counts a fetch.
+// fetchKind returns the kind under which CallCount counts a fetch.
 func fetchKind(path string) string {
 	if path == allAppsPath || path == deltaPath {
 		return "/" + path
@@ -141,7 +141,7 @@
 func listsName(list, name string) bool { return slices.Contains(strings.Split(list, ","), name) }
 
 // selectInstances returns the instances of a resource, each with its action.
-func (e *Eureka) selectInstances(resource eurekaResource) []eurekaChange {
+func (e *EurekaRegistry) selectInstances(resource eurekaResource) []eurekaChange {
 	if resource.isDelta {
 		return e.delta
 	}
@@ -155,7 +155,7 @@
 }
 
 // encodeResource encodes the resource at a path. It returns nil if there is no such resource.
-func (e *Eureka) encodeResource(parts []string, asXML bool) []byte {
+func (e *EurekaRegistry) encodeResource(parts []string, asXML bool) []byte {
 	resource, ok := resourceOf(parts)
 	if !ok {
 		return nil
--- a/internal/peers/eureka_fields.go
+++ b/internal/peers/eureka_fields.go
@@ -58,7 +58,7 @@
 }
 
 // groupByApp groups instances by their app and preserves the order of apps and instances.
-func (e *Eureka) groupByApp(changes []eurekaChange, asXML bool) []*eurekaApplication {
+func (e *EurekaRegistry) groupByApp(changes []eurekaChange, asXML bool) []*eurekaApplication {
 	var applications []*eurekaApplication
 	byName := make(map[string]*eurekaApplication)
 	for i := range changes {
@@ -76,7 +76,7 @@
 }
 
 // encodedVersion returns the version of the list: a number in XStream, a string in Jackson.
-func (e *Eureka) encodedVersion() any {
+func (e *EurekaRegistry) encodedVersion() any {
 	if e.dialect == XStream {
 		return int64(e.version)
 	}
@@ -84,7 +84,7 @@
 }
 
 // hash returns the hash code of the complete list: each status with its count, sorted by status.
-func (e *Eureka) hash() string {
+func (e *EurekaRegistry) hash() string {
 	if e.fault == WrongHash {
 		return mismatchedHash
 	}
--- a/internal/peers/eureka_leases.go
+++ b/internal/peers/eureka_leases.go
@@ -25,18 +25,18 @@
 }
 
 // nowMs returns the Unix time of the registry's clock in milliseconds.
-func (e *Eureka) nowMs() int64 { return time.Now().Add(e.clockSkew).UnixMilli() }
+func (e *EurekaRegistry) nowMs() int64 { return time.Now().Add(e.clockSkew).UnixMilli() }
 
 // Register adds an instance or replaces the instance with the same id, like a registration over HTTP.
 // The previous override stays unless the new instance has an override.
-func (e *Eureka) Register(instance EurekaInstance) {
+func (e *EurekaRegistry) Register(instance EurekaInstance) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.register(instance)
 }
 
 // register does the work of Register. The caller must hold e.mu.
-func (e *Eureka) register(instance EurekaInstance) {
+func (e *EurekaRegistry) register(instance EurekaInstance) {
 	previous := e.instances[instance.ID]
 	if previous == nil {
 		e.ids = append(e.ids, instance.ID)
@@ -53,7 +53,7 @@
 
 // setTimes sets the times of a registration. previous is the instance that the registration replaces,
 // or nil.
-func (e *Eureka) setTimes(instance, previous *EurekaInstance) {
+func (e *EurekaRegistry) setTimes(instance, previous *EurekaInstance) {
 	setLastDirty(instance, previous)
 	instance.LastUpdatedMs = e.nowMs()
 	instance.renewedAt = time.Now()
@@ -81,20 +81,20 @@
 }
 
 // recordChange increments the list's version and adds a change to the delta.
-func (e *Eureka) recordChange(action string, instance *EurekaInstance) {
+func (e *EurekaRegistry) recordChange(action string, instance *EurekaInstance) {
 	e.version++
 	e.delta = append(e.delta, eurekaChange{time.Now(), action, *instance})
 }
 
 // recordModified records that a registered instance was modified.
-func (e *Eureka) recordModified(instance *EurekaInstance) {
+func (e *EurekaRegistry) recordModified(instance *EurekaInstance) {
 	instance.LastUpdatedMs = max(e.nowMs(), instance.LastUpdatedMs+1)
 	e.recordChange(actionModified, instance)
 }
 
 // Override sets an operator's status for an instance; "" removes it. It returns false if the id is
 // unknown.
-func (e *Eureka) Override(id, status string) bool {
+func (e *EurekaRegistry) Override(id, status string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	instance := e.instances[id]
@@ -107,14 +107,14 @@
 }
 
 // Cancel removes an instance. It returns false if the id is unknown.
-func (e *Eureka) Cancel(id string) bool {
+func (e *EurekaRegistry) Cancel(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cancel(id)
 }
 
 // cancel does the work of Cancel. The caller must hold e.mu.
-func (e *Eureka) cancel(id string) bool {
+func (e *EurekaRegistry) cancel(id string) bool {
 	instance := e.instances[id]
 	if instance == nil {
 		return false
@@ -129,7 +129,7 @@
 // evict removes old changes from the delta, and instances whose lease has expired. If there is more
 // than one instance and more than maxExpiredPercent of the leases have expired, evict removes no
 // instance (self-preservation).
-func (e *Eureka) evict() {
+func (e *EurekaRegistry) evict() {
 	e.pruneDelta()
 	if e.leaseDuration == 0 {
 		return
@@ -145,12 +145,12 @@
 }
 
 // pruneDelta removes the changes that are older than deltaRetention.
-func (e *Eureka) pruneDelta() {
+func (e *EurekaRegistry) pruneDelta() {
 	oldest := time.Now().Add(-deltaRetention)
 	e.delta = slices.DeleteFunc(e.delta, func(change eurekaChange) bool { return change.at.Before(oldest) })
 }
 
-func (e *Eureka) expiredIDs() []string {
+func (e *EurekaRegistry) expiredIDs() []string {
 	var expired []string
 	for id, instance := range e.instances {
 		if time.Since(instance.renewedAt) > e.leaseDuration {
--- a/internal/peers/eureka_serve.go
+++ b/internal/peers/eureka_serve.go
@@ -8,7 +8,7 @@
 )
 
 // serve evicts expired instances, injects the fault and responds to one request.
-func (e *Eureka) serve(w http.ResponseWriter, r *http.Request) {
+func (e *EurekaRegistry) serve(w http.ResponseWriter, r *http.Request) {
 	parts, ok := eurekaPath(r.URL)
 	if !ok {
 		http.NotFound(w, r)
@@ -51,7 +51,7 @@
 }
 
 // waitForDisconnect blocks until the client disconnects or the registry closes.
-func (e *Eureka) waitForDisconnect(r *http.Request) {
+func (e *EurekaRegistry) waitForDisconnect(r *http.Request) {
 	select {
 	case <-r.Context().Done():
 	case <-e.closing:
--- a/internal/peers/eureka_test.go
+++ b/internal/peers/eureka_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func startEureka(t *testing.T) *Eureka {
+func startEureka(t *testing.T) *EurekaRegistry {
 	t.Helper()
 	registry, err := StartEureka("")
 	if err != nil {
@@ -51,7 +51,7 @@
 }
 
 // callURL returns the URL of a call. A path that begins with / contains its own base.
-func callURL(registry *Eureka, path string) string {
+func callURL(registry *EurekaRegistry, path string) string {
 	if strings.HasPrefix(path, "/") {
 		return strings.TrimSuffix(registry.URL(), eurekaV2Path) + path
 	}
@@ -106,7 +106,7 @@
 }
 
 // registerPort registers instance r1 with a port and a lastDirtyTimestamp.
-func registerPort(t *testing.T, registry *Eureka, port, lastDirtyMs string) {
+func registerPort(t *testing.T, registry *EurekaRegistry, port, lastDirtyMs string) {
 	t.Helper()
 	replacer := strings.NewReplacer(":1234", ":"+port, `"50"`, `"`+lastDirtyMs+`"`)
 	body := replacer.Replace(registration)
@@ -117,7 +117,7 @@
 }
 
 // renewR1 renews the lease of instance r1 and returns the status of the response.
-func renewR1(t *testing.T, registry *Eureka) (status int) {
+func renewR1(t *testing.T, registry *EurekaRegistry) (status int) {
 	t.Helper()
 	status, _ = callEureka(t, http.MethodPut, registry.URL()+"/apps/RECORDS/r1", "json", "")
 	return status
@@ -131,7 +131,7 @@
 	registerPort(t, registry, "2222", "50")
 	registerPort(t, registry, "1111", "61")
 	instance, _ := registry.Instance("r1")
-	if instance.Port != 1111 || instance.LastDirtyMs != 61 || registry.Calls("register") != 3 {
+	if instance.Port != 1111 || instance.LastDirtyMs != 61 || registry.CallCount("register") != 3 {
 		t.Errorf("two clients under one id: got %+v, want port 1111, LastDirtyMs 61 and 3 registrations", instance)
 	}
 }
--- a/internal/peers/ledger.go
+++ b/internal/peers/ledger.go
@@ -68,9 +68,9 @@
 	return l.executions[id]
 }
 
-// ExecutedTwice describes, in no particular order, the requests that were executed more than once
+// DescribeRepeatedExecutions describes, in no particular order, the requests that were executed more than once
 // and for whose id notIdempotent returns true.
-func (l *Ledger) ExecutedTwice(notIdempotent func(id string) bool) []string {
+func (l *Ledger) DescribeRepeatedExecutions(notIdempotent func(id string) bool) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var descriptions []string
--- a/internal/peers/peertest/discovery.go
+++ b/internal/peers/peertest/discovery.go
@@ -11,11 +11,11 @@
 // listPath is the path of the platform's endpoint list.
 const listPath = "/registry/instances"
 
-// discoveryChannelSize is the buffer size of a Discovery's channels.
+// discoveryChannelSize is the buffer size of a ScriptedDiscovery's channels.
 const discoveryChannelSize = 10
 
-// Discovery is a stand-in for the platform's discovery whose responses the test writes.
-type Discovery struct {
+// ScriptedDiscovery is a stand-in for the platform's discovery whose responses the test writes.
+type ScriptedDiscovery struct {
 	Addr          string
 	Watches       chan *Watch
 	ListResponses chan string // bodies of the responses to requests for the complete list, in order
@@ -32,10 +32,10 @@
 }
 
 // NewDiscovery starts a discovery on a free loopback port. It is closed at the end of the test.
-func NewDiscovery(t testing.TB) *Discovery {
+func NewDiscovery(t testing.TB) *ScriptedDiscovery {
 	t.Helper()
 	listener := Listen(t)
-	d := &Discovery{
+	d := &ScriptedDiscovery{
 		Addr:          listener.Addr().String(),
 		Watches:       make(chan *Watch, discoveryChannelSize),
 		ListResponses: make(chan string, discoveryChannelSize),
@@ -47,7 +47,7 @@
 	return d
 }
 
-func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
+func (d *ScriptedDiscovery) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != listPath {
 		http.NotFound(w, r)
 		return
@@ -64,7 +64,7 @@
 	}
 }
 
-func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request) {
+func (d *ScriptedDiscovery) serveWatch(w http.ResponseWriter, r *http.Request) {
 	watch := &Watch{
 		From:  r.URL.Query().Get("from"),
 		Lines: make(chan string),
@@ -97,14 +97,14 @@
 	}
 }
 
-// HostText returns an entry of the platform's endpoint list as JSON. startedAtMs is Unix time in
+// EndpointJSON returns an entry of the platform's endpoint list as JSON. startedAtMs is Unix time in
 // milliseconds.
-func HostText(name, addr, health string, startedAtMs int64) string {
+func EndpointJSON(name, addr, health string, startedAtMs int64) string {
 	const entry = `{"host":%q,"dial":%q,"site":"a","block":3,"health":%q,"share":1.0,"born_ms":%d}`
 	return fmt.Sprintf(entry, name, addr, health, startedAtMs)
 }
 
-// ListText returns an update of the platform's endpoint list as JSON, with the given entries.
-func ListText(version int, complete bool, entries ...string) string {
+// EndpointListJSON returns an update of the platform's endpoint list as JSON, with the given entries.
+func EndpointListJSON(version int, complete bool, entries ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, complete, strings.Join(entries, ","))
 }
--- a/internal/peers/peertest/peertest.go
+++ b/internal/peers/peertest/peertest.go
@@ -16,7 +16,7 @@
 // WaitTimeout is the time that a test waits for an event before it fails.
 const WaitTimeout = 10 * time.Second
 
-// pollInterval is the interval at which Until checks its condition.
+// pollInterval is the interval at which WaitUntil checks its condition.
 const pollInterval = time.Millisecond
 
 // Await returns the next value of a channel, and fails the test after WaitTimeout. what names the
@@ -32,9 +32,9 @@
 	}
 }
 
-// Until blocks until a condition holds, and fails the test after WaitTimeout. what names the condition
+// WaitUntil blocks until a condition holds, and fails the test after WaitTimeout. what names the condition
 // in the failure message.
-func Until(t testing.TB, what string, holds func() bool) {
+func WaitUntil(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(WaitTimeout)
 	for !holds() {
@@ -56,8 +56,8 @@
 	return listener
 }
 
-// ValidJSON returns text unchanged, and fails the test if text is not valid JSON.
-func ValidJSON(t testing.TB, text string) string {
+// RequireJSON returns text unchanged, and fails the test if text is not valid JSON.
+func RequireJSON(t testing.TB, text string) string {
 	t.Helper()
 	if !json.Valid([]byte(text)) {
 		t.Fatalf("invalid JSON: %s", text)
--- a/internal/peers/peertest/stalled_listener.go
+++ b/internal/peers/peertest/stalled_listener.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// StalledListener is an address at which no connection is established before Admit is called. A
+// StalledListener is an address at which no connection is established before AcceptNext is called. A
 // connection that is not accepted fills the listener's backlog, so that the kernel drops the SYN of
 // every further connection. Clients retransmit the SYN 1 s and 3 s after their first attempt.
 type StalledListener struct {
@@ -52,18 +52,18 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port), nil
 }
 
-// Admit allows the next connection to be established, and returns the channel of the requests received
+// AcceptNext allows the next connection to be established, and returns the channel of the requests received
 // on that connection. Each request gets a response with status 200. A goroutine serves the connection
 // until its client closes it.
-func (s *StalledListener) Admit(t testing.TB) <-chan Received {
+func (s *StalledListener) AcceptNext(t testing.TB) <-chan ReceivedRequest {
 	t.Helper()
 	fillerFD, _, err := syscall.Accept(s.fd)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = syscall.Close(fillerFD)
-	upstream := &Upstream{
-		Requests: make(chan Received, channelSize),
+	upstream := &RawUpstream{
+		Requests: make(chan ReceivedRequest, channelSize),
 		Closed:   make(chan net.Conn, channelSize),
 	}
 	go s.serveNext(upstream)
@@ -71,7 +71,7 @@
 }
 
 // serveNext accepts the next connection and serves its requests.
-func (s *StalledListener) serveNext(upstream *Upstream) {
+func (s *StalledListener) serveNext(upstream *RawUpstream) {
 	fd, _, err := syscall.Accept(s.fd)
 	if err != nil {
 		return
@@ -82,6 +82,6 @@
 	if err != nil {
 		return
 	}
-	upstream.serve(conn, Always(Answer200("late")))
+	upstream.serve(conn, RespondWith(Response200("late")))
 	conn.Close()
 }
--- a/internal/peers/script.go
+++ b/internal/peers/script.go
@@ -20,15 +20,15 @@
 	NotIdempotent  bool          // in HTTP: a POST without an idempotency key
 	Timeout        time.Duration // time left until the client's deadline
 	Body           []byte
-	Fields         map[string]string // additional header fields that a client sends
+	HeaderFields   map[string]string // additional header fields that a client sends
 	ClientRetry    bool              // the client marks the request as its own retry
 
 	// Attempt is set by an upstream with a ledger: the number of times that the request has reached
 	// an upstream, from 1.
 	Attempt int
-	// Field is set by an upstream. It returns the value of a header field: in HTTP the first value,
+	// HeaderValue is set by an upstream. It returns the value of a header field: in HTTP the first value,
 	// in MessagePack-RPC all values joined by commas, and "" if the field is absent.
-	Field func(name string) string
+	HeaderValue func(name string) string
 }
 
 // ResponseAction is how an upstream responds to a request.
@@ -54,11 +54,11 @@
 	Body       []byte        // response body; nil: the request's id
 	TruncateAt int           // for Truncate: number of bytes of the response to write
 
-	// Wait, if set, blocks and returns the action. In HTTP, Wait runs after Delay; in MessagePack-RPC
-	// it replaces Delay. Wait must return once cancelled is closed. In HTTP, cancelled is closed when
-	// the upstream closes; in MessagePack-RPC, when the request is cancelled, but not when its
-	// connection ends.
-	Wait func(cancelled <-chan struct{}) ResponseAction
+	// WaitForAction, if set, blocks and returns the action. In HTTP, WaitForAction runs after Delay; in
+	// MessagePack-RPC it replaces Delay. WaitForAction must return once cancelled is closed. In HTTP,
+	// cancelled is closed when the upstream closes; in MessagePack-RPC, when the request is cancelled,
+	// but not when its connection ends.
+	WaitForAction func(cancelled <-chan struct{}) ResponseAction
 }
 
 // Script decides how an upstream responds to a request. Each connection's goroutine calls it, so it
--- a/internal/peers/upstream_http.go
+++ b/internal/peers/upstream_http.go
@@ -63,7 +63,7 @@
 		NotIdempotent:  request.Method == http.MethodPost && key == "",
 		Timeout:        time.Duration(seconds * float64(time.Second)),
 		Body:           body,
-		Field:          header.Get,
+		HeaderValue:    header.Get,
 	}
 }
 
@@ -74,8 +74,8 @@
 	defer u.inFlight.Add(-1)
 	response := u.decide(call)
 	u.sleep(response.Delay)
-	if response.Wait != nil {
-		response.Action = response.Wait(u.closing)
+	if response.WaitForAction != nil {
+		response.Action = response.WaitForAction(u.closing)
 	}
 	if response.Action == Hang {
 		_, _ = io.Copy(io.Discard, conn) // blocks until the client closes the connection
--- a/internal/peers/upstream_rpc.go
+++ b/internal/peers/upstream_rpc.go
@@ -100,7 +100,7 @@
 		IdempotencyKey: request.IdempotencyKey,
 		Timeout:        request.Timeout,
 		Body:           request.Body,
-		Field:          func(name string) string { return strings.Join(request.Fields[name], ",") },
+		HeaderValue:    func(name string) string { return strings.Join(request.Fields[name], ",") },
 	}
 }
 
@@ -126,10 +126,10 @@
 
 // respondsAtOnce reports whether a response needs no wait.
 func respondsAtOnce(response Response) bool {
-	return response.Action != Hang && response.Delay == 0 && response.Wait == nil
+	return response.Action != Hang && response.Delay == 0 && response.WaitForAction == nil
 }
 
-// respondLater responds after the response's Delay or Wait, unless the request is cancelled first.
+// respondLater responds after the response's Delay or WaitForAction, unless the request is cancelled first.
 func (c *rpcServerConn) respondLater(id uint32, response Response, cancelled <-chan struct{}) {
 	if response.Action == Hang {
 		response.Delay = rpcHangTime
@@ -137,11 +137,11 @@
 	timer := time.NewTimer(response.Delay)
 	defer timer.Stop()
 	ready := timer.C
-	if response.Wait != nil {
+	if response.WaitForAction != nil {
 		waited := make(chan time.Time, 1)
 		ready = waited
 		c.wg.Go(func() {
-			response.Action = response.Wait(cancelled)
+			response.Action = response.WaitForAction(cancelled)
 			waited <- time.Time{}
 		})
 	}
--- a/internal/plugin/effects.go
+++ b/internal/plugin/effects.go
@@ -143,7 +143,7 @@
 	}
 	t.rejection = &core.Response{
 		Result:     core.Rejected,
-		RetryAfter: min(max(e.Pause, 0), maxPause),
+		RetryAfter: min(max(e.RetryAfter, 0), maxPause),
 		Detail:     sanitizeReason(e.Text),
 	}
 	return nil
--- a/internal/plugin/event_json.go
+++ b/internal/plugin/event_json.go
@@ -91,7 +91,7 @@
 		hook.RequestTarget: e.Target,
 	}
 	event.Int[hook.RequestSize] = e.Size
-	event.Int[hook.RequestLeft] = nanoseconds(e.LeftMS)
+	event.Int[hook.RequestTimeLeft] = nanoseconds(e.LeftMS)
 	if e.Retry {
 		event.Int[hook.RequestRetry] = 1
 	}
@@ -105,7 +105,7 @@
 		hook.OutcomeID:     e.ID,
 		hook.OutcomeEnding: e.Ending,
 	}
-	event.Int[hook.OutcomeTook] = nanoseconds(e.TookMS)
+	event.Int[hook.OutcomeDuration] = nanoseconds(e.TookMS)
 }
 
 // fillMember sets the event's fields of a member.
--- a/internal/plugin/gate.go
+++ b/internal/plugin/gate.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// Dropped returns how many outcomes were dropped because the queue was full.
-func (g *Gate) Dropped() uint64 { return g.dropped.Load() }
+// DroppedOutcomes returns how many outcomes were dropped because the queue was full.
+func (g *Gate) DroppedOutcomes() uint64 { return g.dropped.Load() }
 
 // Submit runs the request hooks. It passes the request to the next handler, or responds to it if a hook
 // rejects it.
--- a/internal/plugin/outcome.go
+++ b/internal/plugin/outcome.go
@@ -63,7 +63,7 @@
 			hook.OutcomeID:     o.id,
 			hook.OutcomeEnding: o.result.String(),
 		}
-		e.Int[hook.OutcomeTook] = int64(o.took)
+		e.Int[hook.OutcomeDuration] = int64(o.took)
 		_, _ = p.run(w, p.applyOutcomeEffects) // run counts and logs its error
 	}
 }
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -21,7 +21,7 @@
 // Counts holds the numbers of a plug-in's runs by result.
 type Counts struct {
 	Runs      uint64 // runs of the program
-	Refused   uint64 // requests rejected by the program or because the program failed
+	Rejected  uint64 `metric:"refused"` // requests rejected by the program or because the program failed
 	Failed    uint64 // runs that ended with an error
 	Exhausted uint64 // failed runs that ran out of fuel, memory or depth, or panicked
 	Denied    uint64 // failed runs with an effect that the manifest or a bound does not allow
@@ -80,7 +80,7 @@
 func (p *Plugin) Counts() Counts {
 	return Counts{
 		Runs:      p.runs.Load(),
-		Refused:   p.rejected.Load(),
+		Rejected:  p.rejected.Load(),
 		Failed:    p.failed.Load(),
 		Exhausted: p.exhausted.Load(),
 		Denied:    p.denied.Load(),
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -248,8 +248,8 @@
 	for range outcomeQueueLength + 10 {
 		submit(g, 1, nil)
 	}
-	if g.Dropped() != 10 {
-		t.Errorf("got %d dropped outcomes, want 10", g.Dropped())
+	if g.DroppedOutcomes() != 10 {
+		t.Errorf("got %d dropped outcomes, want 10", g.DroppedOutcomes())
 	}
 	go func() { g.Run(done); close(runReturned) }()
 	p := g.plugins.Load().all[0]
--- a/internal/plugin/request.go
+++ b/internal/plugin/request.go
@@ -67,7 +67,7 @@
 		hook.RequestTarget: r.Target,
 	}
 	e.Int[hook.RequestSize] = int64(len(r.Body))
-	e.Int[hook.RequestLeft] = int64(time.Until(r.Deadline))
+	e.Int[hook.RequestTimeLeft] = int64(time.Until(r.Deadline))
 	e.Int[hook.RequestRetry] = 0
 	if r.ClientRetry {
 		e.Int[hook.RequestRetry] = 1
--- a/internal/plugin/trial.go
+++ b/internal/plugin/trial.go
@@ -72,7 +72,7 @@
 	case hook.SetTenant:
 		return "set_tenant " + text
 	case hook.Refuse:
-		return "refuse " + text + " " + e.Pause.String()
+		return "refuse " + text + " " + e.RetryAfter.String()
 	case hook.Count:
 		return "count " + name
 	default:
--- a/internal/quotas/admit.go
+++ b/internal/quotas/admit.go
@@ -25,7 +25,7 @@
 		admitted.end(mayHaveRun(response.Result))
 		respond(response)
 	}
-	r.OnClientGone = func() { admitted.end(true) }
+	r.OnClientDisconnected = func() { admitted.end(true) }
 	g.Handler.Submit(r)
 }
 
@@ -33,8 +33,8 @@
 // It then ends the request's charge, because no response will follow.
 func (g *Gate) Abandon(r *core.Request) {
 	g.Handler.Abandon(r)
-	if r.OnClientGone != nil {
-		r.OnClientGone()
+	if r.OnClientDisconnected != nil {
+		r.OnClientDisconnected()
 	}
 }
 
--- a/internal/quotas/match.go
+++ b/internal/quotas/match.go
@@ -8,9 +8,9 @@
 	"mothridge/internal/plugin"
 )
 
-// Match selects a node's requests among those of its parent: all conditions that are set
-// must hold. A zero Match selects no requests.
-type Match struct {
+// RequestMatch selects a node's requests among those of its parent: all conditions that are set
+// must hold. A zero RequestMatch selects no requests.
+type RequestMatch struct {
 	Tenant string // name of the request's tenant
 	Header string // canonical name of a header field, whose first value must equal Value
 	Value  string
@@ -41,14 +41,14 @@
 }
 
 // matches reports whether all conditions of m hold for the request.
-func (g *Gate) matches(m Match, r *core.Request) bool {
-	if m == (Match{}) {
+func (g *Gate) matches(m RequestMatch, r *core.Request) bool {
+	if m == (RequestMatch{}) {
 		return false
 	}
 	return g.matchesTenant(m, r) && matchesHeader(m, r) && matchesTag(m, r)
 }
 
-func (g *Gate) matchesTenant(m Match, r *core.Request) bool {
+func (g *Gate) matchesTenant(m RequestMatch, r *core.Request) bool {
 	if m.Tenant == "" {
 		return true
 	}
@@ -56,7 +56,7 @@
 	return r.Tenant < len(tenants) && tenants[r.Tenant] == m.Tenant
 }
 
-func matchesHeader(m Match, r *core.Request) bool {
+func matchesHeader(m RequestMatch, r *core.Request) bool {
 	if m.Header == "" {
 		return true
 	}
@@ -64,7 +64,7 @@
 	return len(values) > 0 && values[0] == m.Value
 }
 
-func matchesTag(m Match, r *core.Request) bool {
+func matchesTag(m RequestMatch, r *core.Request) bool {
 	if m.Tag == "" {
 		return true
 	}
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -19,7 +19,7 @@
 	Tree quota.Config
 	// Matches selects the requests of each node, by the node's name. A node without an
 	// entry matches no requests.
-	Matches map[string]Match
+	Matches map[string]RequestMatch
 	// Share is the share of every limit and ceiling that this sidecar may use, above 0
 	// and at most 1. A share is needed because sidecars do not exchange their counts.
 	Share float64
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -35,7 +35,7 @@
 			{Name: "lockyer", Parent: "all", Limits: testLimits(1)},
 			{Name: "loud", Parent: "lockyer", Limits: testLimits(0.2)},
 		}},
-		Matches: map[string]Match{
+		Matches: map[string]RequestMatch{
 			"downs":   {Tenant: "downs"},
 			"ridge":   {Header: "Site", Value: "ridge"},
 			"lockyer": {Tenant: "lockyer"},
@@ -177,7 +177,7 @@
 	g, _ := newGate(t, testConfig())
 	for name, change := range map[string]func(*Config){
 		"no share":       func(c *Config) { c.Share = 0 },
-		"unknown tenant": func(c *Config) { c.Matches["downs"] = Match{Tenant: "unknown"} },
+		"unknown tenant": func(c *Config) { c.Matches["downs"] = RequestMatch{Tenant: "unknown"} },
 		"duplicate node": func(c *Config) { c.Tree.Nodes[1].Name = "all" },
 	} {
 		config := testConfig()
--- a/internal/registry/eureka/bench_test.go
+++ b/internal/registry/eureka/bench_test.go
@@ -97,8 +97,8 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				modified := Instance{ID: fmt.Sprint("records-", i%n), Status: "UP", Action: "MODIFIED", Dirty: benchTimeMs}
-				modified.Updated = benchTimeMs + 1 + int64(i)
+				modified := Instance{ID: fmt.Sprint("records-", i%n), Status: "UP", Action: "MODIFIED", LastDirty: benchTimeMs}
+				modified.LastUpdated = benchTimeMs + 1 + int64(i)
 				if !client.applyDelta(&Applications{Instances: []Instance{modified}}) {
 					b.Fatal("got a hash mismatch after a delta, want the delta applied")
 				}
@@ -128,7 +128,7 @@
 			if err := client.poll(b.Context()); err != nil {
 				b.Fatal(err)
 			}
-			firstPollBytes := registry.Bytes()
+			firstPollBytes := registry.FetchedBytes()
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
@@ -137,7 +137,7 @@
 				}
 			}
 			b.ReportMetric(float64(firstPollBytes), "first-B")
-			b.ReportMetric(float64(registry.Bytes()-firstPollBytes)/float64(b.N), "poll-B")
+			b.ReportMetric(float64(registry.FetchedBytes()-firstPollBytes)/float64(b.N), "poll-B")
 		})
 	}
 }
--- a/internal/registry/eureka/client_test.go
+++ b/internal/registry/eureka/client_test.go
@@ -41,8 +41,8 @@
 				step.change()
 				client.expectChanges(t, step.want)
 			}
-			if registry.Calls("/apps") != 1 {
-				t.Errorf("got %d fetches of the complete list, want 1", registry.Calls("/apps"))
+			if registry.CallCount("/apps") != 1 {
+				t.Errorf("got %d fetches of the complete list, want 1", registry.CallCount("/apps"))
 			}
 		})
 	}
@@ -55,13 +55,13 @@
 		t.Fatal("got no instance, want at least one")
 	}
 	got := update.Instances[0]
-	if got.Dirty == 0 || got.Updated == 0 || got.ServiceUpTime == 0 {
+	if got.LastDirty == 0 || got.LastUpdated == 0 || got.ServiceUpTime == 0 {
 		t.Errorf("got %+v, want nonzero times", got)
 	}
 	if got.Port != 7001 || got.SecurePort != 0 || got.IP != "127.0.0.1" {
 		t.Errorf("got %+v, want port 7001, no secure port and IP 127.0.0.1", got)
 	}
-	if got.App != "RECORDS" || got.VIP != "records" || got.Override != "UNKNOWN" || got.Metadata["zone"] != "a" {
+	if got.App != "RECORDS" || got.VIP != "records" || got.OverriddenStatus != "UNKNOWN" || got.Metadata["zone"] != "a" {
 		t.Errorf("got %+v, want app RECORDS, VIP records, override UNKNOWN and zone a", got)
 	}
 }
@@ -152,7 +152,7 @@
 }
 
 // nextUpdateFrom waits for the next update from a replica and discards updates from other replicas.
-func nextUpdateFrom(t *testing.T, updates <-chan Update, replica *peers.Eureka) Update {
+func nextUpdateFrom(t *testing.T, updates <-chan Update, replica *peers.EurekaRegistry) Update {
 	t.Helper()
 	for {
 		if update := peertest.Await(t, "an update from the next replica", updates); update.Replica == replica.URL() {
@@ -216,11 +216,11 @@
 // repeats for minutes, causes no changes when it is applied again.
 func TestLargeDelta(t *testing.T) {
 	client := newManualClient(t, Config{Replicas: []string{"http://127.0.0.1:1"}})
-	client.applyList(&Applications{Instances: []Instance{{ID: "i0", Status: "UP", Dirty: 1}}})
+	client.applyList(&Applications{Instances: []Instance{{ID: "i0", Status: "UP", LastDirty: 1}}})
 	client.updates = nil
 	delta := &Applications{Hash: "UP_1000_"}
 	for i := range maxInstances {
-		entry := Instance{ID: fmt.Sprint("i", i%1000), Status: "UP", Action: "MODIFIED", Dirty: int64(2 + i)}
+		entry := Instance{ID: fmt.Sprint("i", i%1000), Status: "UP", Action: "MODIFIED", LastDirty: int64(2 + i)}
 		delta.Instances = append(delta.Instances, entry)
 	}
 	if !client.applyDelta(delta) || len(client.updates) != 1 || len(client.updates[0].Instances) != maxInstances {
--- a/internal/registry/eureka/helpers_test.go
+++ b/internal/registry/eureka/helpers_test.go
@@ -30,7 +30,7 @@
 	updates []Update // published since the start of the last pollOnce
 }
 
-func newManualClient(t *testing.T, config Config, registries ...*peers.Eureka) *manualClient {
+func newManualClient(t *testing.T, config Config, registries ...*peers.EurekaRegistry) *manualClient {
 	t.Helper()
 	for _, registry := range registries {
 		config.Replicas = append(config.Replicas, registry.URL())
--- a/internal/registry/eureka/instance.go
+++ b/internal/registry/eureka/instance.go
@@ -12,20 +12,20 @@
 
 // Instance is an instance as the registry's responses describe it.
 type Instance struct {
-	ID            string
-	App           string
-	Host          string
-	IP            string
-	VIP           string
-	Port          int // 0: the non-TLS port is disabled
-	SecurePort    int // 0: the secure port is disabled
-	Status        string
-	Override      string            // overridden status; empty or UNKNOWN: no override
-	Action        string            // in a delta: ADDED, MODIFIED or DELETED
-	Updated       int64             // time of the last update, in Unix ms by the registry's clock
-	Dirty         int64             // time of the instance's last own change, in Unix ms by the instance's clock
-	ServiceUpTime int64             // time of the first status UP, in Unix ms
-	Metadata      map[string]string // the entries accepted by Parse's filter
+	ID               string
+	App              string
+	Host             string
+	IP               string
+	VIP              string
+	Port             int // 0: the non-TLS port is disabled
+	SecurePort       int // 0: the secure port is disabled
+	Status           string
+	OverriddenStatus string            // overridden status; empty or UNKNOWN: no override
+	Action           string            // in a delta: ADDED, MODIFIED or DELETED
+	LastUpdated      int64             // time of the last update, in Unix ms by the registry's clock
+	LastDirty        int64             // time of the instance's last own change, in Unix ms by the instance's clock
+	ServiceUpTime    int64             // time of the first status UP, in Unix ms
+	Metadata         map[string]string // the entries accepted by Parse's filter
 }
 
 // Applications is the content of a registry's response: a list of instances or a delta.
--- a/internal/registry/eureka/list_state.go
+++ b/internal/registry/eureka/list_state.go
@@ -32,7 +32,7 @@
 }
 
 func versionOf(instance *Instance) instanceVersion {
-	return instanceVersion{instance.Status, instance.Dirty, instance.Updated}
+	return instanceVersion{instance.Status, instance.LastDirty, instance.LastUpdated}
 }
 
 func countByStatus(instances []Instance) map[string]int {
@@ -52,7 +52,7 @@
 	delta := make(map[deltaKey]struct{}, len(entries))
 	for i := range entries {
 		entry := &entries[i]
-		key := deltaKey{entry.ID, entry.Action, entry.Status, entry.Override, entry.Dirty, entry.Updated}
+		key := deltaKey{entry.ID, entry.Action, entry.Status, entry.OverriddenStatus, entry.LastDirty, entry.LastUpdated}
 		delta[key] = struct{}{}
 		if _, repeated := l.lastDelta[key]; repeated {
 			continue
--- a/internal/registry/eureka/parse.go
+++ b/internal/registry/eureka/parse.go
@@ -95,14 +95,14 @@
 		instance.Status = strings.ToUpper(p.intern(value))
 	case "overriddenStatus", "overriddenstatus":
 		if len(value) > 0 {
-			instance.Override = strings.ToUpper(p.intern(value))
+			instance.OverriddenStatus = strings.ToUpper(p.intern(value))
 		}
 	case "actionType":
 		instance.Action = strings.ToUpper(p.intern(value))
 	case "lastUpdatedTimestamp":
-		instance.Updated = parseNumber(value)
+		instance.LastUpdated = parseNumber(value)
 	case "lastDirtyTimestamp":
-		instance.Dirty = parseNumber(value)
+		instance.LastDirty = parseNumber(value)
 	}
 }
 
@@ -148,7 +148,7 @@
 func hasValidFields(instance *Instance) bool {
 	for _, text := range []string{
 		instance.ID, instance.App, instance.Host, instance.IP, instance.VIP,
-		instance.Status, instance.Override, instance.Action,
+		instance.Status, instance.OverriddenStatus, instance.Action,
 	} {
 		if len(text) > maxFieldBytes || strings.ContainsFunc(text, isControl) {
 			return false
--- a/internal/registry/eureka/register_test.go
+++ b/internal/registry/eureka/register_test.go
@@ -33,9 +33,9 @@
 		registrar.Run(ctx)
 		close(done)
 	}()
-	waitForStatus := func(what string, registry *peers.Eureka, want string) {
+	waitForStatus := func(what string, registry *peers.EurekaRegistry, want string) {
 		t.Helper()
-		peertest.Until(t, what, func() bool {
+		peertest.WaitUntil(t, what, func() bool {
 			registered, _ := registry.Instance(registrar.ID())
 			return registered.Status == want
 		})
@@ -48,8 +48,8 @@
 		registered.Port != 7070 || registered.IP != "127.0.0.1" {
 		t.Errorf("got registration %+v, want app MOTHRIDGE, VIP sidecars, zone a and 127.0.0.1:7070", registered)
 	}
-	renewals := first.Calls("renew")
-	peertest.Until(t, "renewals", func() bool { return first.Calls("renew") > renewals+2 })
+	renewals := first.CallCount("renew")
+	peertest.WaitUntil(t, "renewals", func() bool { return first.CallCount("renew") > renewals+2 })
 	first.Cancel(registrar.ID()) // simulates an expired lease
 	waitForStatus("registration after the lease has expired", first, "UP")
 	first.SetFault(peers.ServerError)
@@ -59,8 +59,8 @@
 	if _, present := second.Instance(registrar.ID()); present {
 		t.Error("got a registration after the end of Run, want none")
 	}
-	if second.Calls("status") != 1 || second.Calls("cancel") != 1 {
-		t.Errorf("got %d calls of status and %d of cancel, want 1 of each", second.Calls("status"), second.Calls("cancel"))
+	if second.CallCount("status") != 1 || second.CallCount("cancel") != 1 {
+		t.Errorf("got %d calls of status and %d of cancel, want 1 of each", second.CallCount("status"), second.CallCount("cancel"))
 	}
 }
 
--- a/internal/registry/merge/eureka.go
+++ b/internal/registry/merge/eureka.go
@@ -9,9 +9,9 @@
 	"mothridge/membership"
 )
 
-// Mapping contains the metadata keys of a registered instance from which the fields are read
+// MetadataMapping contains the metadata keys of a registered instance from which the fields are read
 // that the registry has no field of its own for. A field whose key is empty is not mapped.
-type Mapping struct {
+type MetadataMapping struct {
 	Zone          string
 	MachineType   string
 	Cell          string
@@ -28,7 +28,7 @@
 )
 
 // UsesKey reports whether any field is read from the metadata key.
-func (m *Mapping) UsesKey(key string) bool {
+func (m *MetadataMapping) UsesKey(key string) bool {
 	switch key {
 	case "":
 		return false
@@ -40,7 +40,7 @@
 
 // UpdateEureka queues an update from a Eureka registry as an update of the source with this
 // index. It does not retain the update.
-func (m *Merger) UpdateEureka(source int, mapping Mapping, update eureka.Update) {
+func (m *Merger) UpdateEureka(source int, mapping MetadataMapping, update eureka.Update) {
 	if update.Complete {
 		m.replaceList(source, update.Replica, mapping.instances(update.Instances))
 		return
@@ -48,7 +48,7 @@
 	m.applyDelta(source, update.Replica, mapping.deltas(update.Instances))
 }
 
-func (m *Mapping) instances(registered []eureka.Instance) []membership.Instance {
+func (m *MetadataMapping) instances(registered []eureka.Instance) []membership.Instance {
 	list := make([]membership.Instance, 0, len(registered))
 	for i := range registered {
 		if instance, ok := m.instance(&registered[i]); ok {
@@ -58,7 +58,7 @@
 	return list
 }
 
-func (m *Mapping) deltas(registered []eureka.Instance) []membership.Delta {
+func (m *MetadataMapping) deltas(registered []eureka.Instance) []membership.Delta {
 	deltas := make([]membership.Delta, 0, len(registered))
 	for i := range registered {
 		instance, ok := m.instance(&registered[i])
@@ -75,7 +75,7 @@
 }
 
 // instance converts a registered instance. The result is false if the instance has no address.
-func (m *Mapping) instance(registered *eureka.Instance) (membership.Instance, bool) {
+func (m *MetadataMapping) instance(registered *eureka.Instance) (membership.Instance, bool) {
 	addr, ok := m.address(registered)
 	if !ok {
 		return membership.Instance{}, false
@@ -97,15 +97,15 @@
 		Protocol:    metadataValue(m.Protocol),
 		Weight:      parseWeight(metadataValue(m.Weight)),
 		StartedAt:   parseStart(metadataValue(m.StartedAt)),
-		Dirty:       registered.Dirty,
-		Updated:     registered.Updated,
+		LastDirty:   registered.LastDirty,
+		LastUpdated: registered.LastUpdated,
 	}, true
 }
 
 // address returns the IP address and port of a registered instance, and false if the instance
 // has no port or no IP address. No DNS is available, so the host name is used only if it is an
 // IP address.
-func (m *Mapping) address(registered *eureka.Instance) (string, bool) {
+func (m *MetadataMapping) address(registered *eureka.Instance) (string, bool) {
 	host, port := registered.IP, registered.Port
 	if m.UseSecurePort {
 		port = registered.SecurePort
@@ -123,10 +123,10 @@
 // normally reports the override as the status. If the two differ, the stricter one applies.
 func effectiveStatus(registered *eureka.Instance) membership.Status {
 	status := parseStatus(registered.Status)
-	if registered.Override == "" || registered.Override == "UNKNOWN" {
+	if registered.OverriddenStatus == "" || registered.OverriddenStatus == "UNKNOWN" {
 		return status
 	}
-	return max(status, parseStatus(registered.Override))
+	return max(status, parseStatus(registered.OverriddenStatus))
 }
 
 func parseStatus(text string) membership.Status {
--- a/internal/registry/merge/eureka_test.go
+++ b/internal/registry/merge/eureka_test.go
@@ -9,14 +9,14 @@
 )
 
 // fullMapping maps every field from a metadata key.
-var fullMapping = Mapping{
+var fullMapping = MetadataMapping{
 	Zone: "zone", MachineType: "type", Cell: "cell", Weight: "weight", Protocol: "protocol", StartedAt: "started_ms",
 }
 
 func registeredInstance() eureka.Instance {
 	return eureka.Instance{
 		ID: "r1", Host: "records.example.org", IP: "10.0.0.1", Port: 8080, SecurePort: 8443,
-		Status: "UP", Dirty: 3, Updated: 4,
+		Status: "UP", LastDirty: 3, LastUpdated: 4,
 		Metadata: map[string]string{
 			"zone": "b", "type": "m2", "cell": "c7", "weight": "1.5", "protocol": "msgpack-rpc", "started_ms": "1500",
 		},
@@ -28,7 +28,7 @@
 	got := fullMapping.deltas([]eureka.Instance{registered})
 	want := membership.Instance{
 		ID: "r1", Name: "r1", Addr: "10.0.0.1:8080", Status: membership.Up, Zone: "b", MachineType: "m2", Cell: "c7",
-		Protocol: "msgpack-rpc", Weight: 1.5, StartedAt: 1500 * time.Millisecond, Dirty: 3, Updated: 4,
+		Protocol: "msgpack-rpc", Weight: 1.5, StartedAt: 1500 * time.Millisecond, LastDirty: 3, LastUpdated: 4,
 	}
 	if len(got) != 1 || got[0].Op != membership.Put || got[0].Instance != want {
 		t.Errorf("got the deltas %+v, want one Put of the mapped instance", got)
@@ -70,7 +70,7 @@
 		"no status":       {"", "", membership.Unknown},
 	} {
 		registered := registeredInstance()
-		registered.Status, registered.Override = tt.status, tt.override
+		registered.Status, registered.OverriddenStatus = tt.status, tt.override
 		if instance, _ := fullMapping.instance(&registered); instance.Status != tt.want {
 			t.Errorf("%s: got the status %v, want %v", name, instance.Status, tt.want)
 		}
--- a/internal/registry/merge/merge_test.go
+++ b/internal/registry/merge/merge_test.go
@@ -54,7 +54,7 @@
 		first.Weight != 2 || first.Zone != "a" {
 		t.Errorf("got the endpoint %+v, want s-1 as the platform reported it", first)
 	}
-	merger.UpdateEureka(eurekaSource, Mapping{Cell: "cell"}, eureka.Update{Complete: true, Instances: []eureka.Instance{
+	merger.UpdateEureka(eurekaSource, MetadataMapping{Cell: "cell"}, eureka.Update{Complete: true, Instances: []eureka.Instance{
 		{ID: "s-1", IP: "10.0.0.1", Port: 80, Status: "OUT_OF_SERVICE"},
 		{ID: "s-2", IP: "10.0.0.2", Port: 80, Status: "UP", Metadata: map[string]string{"cell": "north"}},
 	}})
--- a/internal/registry/platform/discovery_test.go
+++ b/internal/registry/platform/discovery_test.go
@@ -27,7 +27,7 @@
 			discovery.SetAddress("127.0.0.1:1") // replaced before Run reads it: only the last address applies
 			discovery.SetAddress(next.Addr)
 			peertest.Await(t, "the call for the new list", next.ListRequests)
-			next.ListResponses <- peertest.ListText(7, true, endpointText("up"))
+			next.ListResponses <- peertest.EndpointListJSON(7, true, endpointText("up"))
 			wantList(t, updates, 7)
 			wantWatchFrom(t, next, "7")
 			wantNoMore(t, updates)
@@ -54,7 +54,7 @@
 	peertest.Await(t, "the old watch", previous.Watches)
 	discovery.SetAddress(next.Addr)
 	peertest.Await(t, "the call for the new list", next.ListRequests)
-	next.ListResponses <- peertest.ListText(1, true)
+	next.ListResponses <- peertest.EndpointListJSON(1, true)
 	if update := peertest.Await(t, "the list", updates); update.Version != 1 || !update.Complete {
 		t.Errorf("got the update %+v, want a complete list of version 1", update)
 	}
@@ -132,7 +132,7 @@
 
 func respondWithDrain(conn net.Conn) {
 	conn.Read(make([]byte, 4<<10))
-	change := peertest.ListText(43, false, endpointText("draining")) + "\n"
+	change := peertest.EndpointListJSON(43, false, endpointText("draining")) + "\n"
 	conn.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + change))
 }
 
--- a/internal/registry/platform/hedged_call.go
+++ b/internal/registry/platform/hedged_call.go
@@ -38,7 +38,7 @@
 			timer.Reset(step.Wait)
 		case result := <-calls.results:
 			if result.err == nil {
-				d.schedule.CallAnswered(time.Since(d.startedAt), result.id)
+				d.schedule.CallResponded(time.Since(d.startedAt), result.id)
 				calls.cancelAllBut(result.id)
 				return result.body, nil
 			}
--- a/internal/registry/platform/helpers_test.go
+++ b/internal/registry/platform/helpers_test.go
@@ -17,7 +17,7 @@
 }
 
 // startDiscovery runs a Discovery against a stand-in and returns the channel of its updates.
-func startDiscovery(t *testing.T, registry *peertest.Discovery, known *Listing) <-chan core.EndpointUpdate {
+func startDiscovery(t *testing.T, registry *peertest.ScriptedDiscovery, known *Listing) <-chan core.EndpointUpdate {
 	t.Helper()
 	discovery, updates := newDiscovery(registry.Addr, known)
 	go discovery.Run(t.Context())
@@ -25,10 +25,12 @@
 }
 
 // endpointText returns the JSON entry of the endpoint s-1 with the given health.
-func endpointText(health string) string { return peertest.HostText("s-1", "127.0.0.1:7", health, 0) }
+func endpointText(health string) string {
+	return peertest.EndpointJSON("s-1", "127.0.0.1:7", health, 0)
+}
 
 // wantWatchFrom waits for the next watch and checks the version that it starts from.
-func wantWatchFrom(t *testing.T, registry *peertest.Discovery, version string) *peertest.Watch {
+func wantWatchFrom(t *testing.T, registry *peertest.ScriptedDiscovery, version string) *peertest.Watch {
 	t.Helper()
 	watch := peertest.Await(t, "the watch", registry.Watches)
 	if watch.From != version {
--- a/internal/registry/platform/listing_test.go
+++ b/internal/registry/platform/listing_test.go
@@ -11,10 +11,10 @@
 // Entries that are invalid must not make the other entries of the list unusable, and an unknown
 // health must count as draining.
 func TestInvalidEntriesAreIsolated(t *testing.T) {
-	text := peertest.ValidJSON(t, peertest.ListText(1, true,
+	text := peertest.RequireJSON(t, peertest.EndpointListJSON(1, true,
 		`{"host":7,"dial":"127.0.0.1:7","health":"up"}`,
 		`"nonsense"`,
-		peertest.HostText("s-1", "127.0.0.1:7", "up", 4000),
+		peertest.EndpointJSON("s-1", "127.0.0.1:7", "up", 4000),
 		`{"host":"s-3","dial":"127.0.0.1:8","health":"a later word","later":{"x":1}}`))
 	var listing Listing
 	if err := json.Unmarshal([]byte(text), &listing); err != nil {
--- a/internal/registry/platform/message_forms_test.go
+++ b/internal/registry/platform/message_forms_test.go
@@ -14,8 +14,8 @@
 // the message contains and however it is split into pieces. The watch stays open and no further
 // call is made.
 func TestMessageFormats(t *testing.T) {
-	ready, otherEndpoint := endpointText("up"), peertest.HostText("s-2", "127.0.0.1:8", "up", 0)
-	change := peertest.ListText(43, false, endpointText("draining"))
+	ready, otherEndpoint := endpointText("up"), peertest.EndpointJSON("s-2", "127.0.0.1:8", "up", 0)
+	change := peertest.EndpointListJSON(43, false, endpointText("draining"))
 	fieldEnd := strings.Index(change, ",\"health\"") // offset between two fields of the message
 	for name, pieces := range map[string][]string{
 		"one line":                           {change + "\n"},
@@ -24,10 +24,10 @@
 		"carriage returns":                   {strings.ReplaceAll(indented(t, change), "\n", "\r\n") + "\r\n\r\n"},
 		"byte by byte":                       strings.Split(change+"\n", ""),
 		"indented, byte by byte":             strings.Split(indented(t, change), ""),
-		"after another message":              {peertest.ListText(42, false, ready) + "\n" + change + "\n"},
-		"start in piece of another message":  {peertest.ListText(42, false, ready) + change[:30], change[30:]},
+		"after another message":              {peertest.EndpointListJSON(42, false, ready) + "\n" + change + "\n"},
+		"start in piece of another message":  {peertest.EndpointListJSON(42, false, ready) + change[:30], change[30:]},
 		"empty lines within the message":     {change[:fieldEnd], "\n", "\n", change[fieldEnd:]},
-		"complete list without the endpoint": {peertest.ListText(43, true, otherEndpoint) + "\n"},
+		"complete list without the endpoint": {peertest.EndpointListJSON(43, true, otherEndpoint) + "\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			registry := peertest.NewDiscovery(t)
@@ -70,7 +70,7 @@
 }
 
 // wantStillOpen checks that the client still reads the watch and has made no other call.
-func wantStillOpen(t *testing.T, registry *peertest.Discovery, watch *peertest.Watch) {
+func wantStillOpen(t *testing.T, registry *peertest.ScriptedDiscovery, watch *peertest.Watch) {
 	t.Helper()
 	select {
 	case watch.Lines <- "":
--- a/internal/registry/platform/slow_discovery_test.go
+++ b/internal/registry/platform/slow_discovery_test.go
@@ -23,7 +23,7 @@
 		case <-r.Context().Done():
 			return
 		}
-		io.WriteString(w, peertest.ListText(7, true, endpointText("up"))+"\n")
+		io.WriteString(w, peertest.EndpointListJSON(7, true, endpointText("up"))+"\n")
 		if r.URL.Query().Get("watch") != "" {
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
--- a/internal/registry/platform/watch_test.go
+++ b/internal/registry/platform/watch_test.go
@@ -14,10 +14,10 @@
 	registry := peertest.NewDiscovery(t)
 	updates := startDiscovery(t, registry, knownList(41))
 	watch := wantWatchFrom(t, registry, "41")
-	watch.Lines <- peertest.ListText(43, false, endpointText("up"))
+	watch.Lines <- peertest.EndpointListJSON(43, false, endpointText("up"))
 	watch.Lines <- ""
-	watch.Lines <- peertest.ListText(43, false, endpointText("up")) // same version again: already known
-	watch.Lines <- peertest.ListText(47, false, endpointText("draining"))
+	watch.Lines <- peertest.EndpointListJSON(43, false, endpointText("up")) // same version again: already known
+	watch.Lines <- peertest.EndpointListJSON(47, false, endpointText("draining"))
 	for i, want := range []struct {
 		version   uint64
 		endpoints int
@@ -39,7 +39,7 @@
 func TestGapFetchesCompleteList(t *testing.T) {
 	for name, line := range map[string]string{
 		"unreadable": `{"seq":42,"whole":false,"hosts":[{"ho`,
-		"backwards":  peertest.ListText(30, false),
+		"backwards":  peertest.EndpointListJSON(30, false),
 		"no list":    `{"seq":42,"hosts":7}`,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 			watch := peertest.Await(t, "the watch", registry.Watches)
 			watch.Lines <- line
 			peertest.Await(t, "the call for the complete list", registry.ListRequests)
-			registry.ListResponses <- peertest.ListText(45, true, endpointText("up"))
+			registry.ListResponses <- peertest.EndpointListJSON(45, true, endpointText("up"))
 			wantList(t, updates, 45)
 			wantWatchFrom(t, registry, "45")
 		})
@@ -74,7 +74,7 @@
 	registry := peertest.NewDiscovery(t)
 	updates := startDiscovery(t, registry, knownList(41))
 	watch := peertest.Await(t, "the watch", registry.Watches)
-	change := peertest.ListText(43, false, endpointText("draining"))
+	change := peertest.EndpointListJSON(43, false, endpointText("draining"))
 	watch.Bytes <- change[:strings.Index(change, ",\"health\"")]
 	start := time.Now()
 	ticker := time.NewTicker(watchSilence / 10)
--- a/internal/rig/accept_test.go
+++ b/internal/rig/accept_test.go
@@ -42,7 +42,7 @@
 }
 
 func testAcceptError(t *testing.T, front peers.Protocol, errno syscall.Errno) {
-	rig, err := Start(Options{Front: front, Number: 1, WrapListener: func(listener *net.TCPListener) net.Listener {
+	rig, err := Start(Options{ClientProtocol: front, NodeCount: 1, WrapListener: func(listener *net.TCPListener) net.Listener {
 		return &failingListener{TCPListener: listener, errs: []error{errno, errno, errno}}
 	}})
 	if err != nil {
--- a/internal/rig/bench_test.go
+++ b/internal/rig/bench_test.go
@@ -81,7 +81,7 @@
 		for _, pair := range pairings {
 			b.Run(fmt.Sprintf("sidecar/%s-%s/clients=%d", pair.front, pair.nodes, clients), func(b *testing.B) {
 				rig := start(b, Options{
-					Front: pair.front, Nodes: pair.nodes, Number: 1, Slots: 1024, MaxInFlightPerConn: 512, Sockets: 4096,
+					ClientProtocol: pair.front, NodeProtocol: pair.nodes, NodeCount: 1, Slots: 1024, MaxInFlightPerConn: 512, SocketLimit: 4096,
 				})
 				benchmarkRequests(b, rig.Addr, rig.Front, clients)
 			})
@@ -122,7 +122,7 @@
 	for _, nodes := range []int{1, 8} {
 		for _, slots := range []int{0, 64, 128} {
 			b.Run(fmt.Sprintf("nodes=%d/slots=%d", nodes, slots), func(b *testing.B) {
-				rig := start(b, Options{Number: nodes, Slots: slots, Sockets: 4096})
+				rig := start(b, Options{NodeCount: nodes, Slots: slots, SocketLimit: 4096})
 				benchmarkRequests(b, rig.Addr, rig.Front, 64)
 			})
 		}
--- a/internal/rig/breaks_test.go
+++ b/internal/rig/breaks_test.go
@@ -30,7 +30,7 @@
 		resets = 5000
 	}
 	rig := start(t, Options{
-		Front: pair.front, Nodes: pair.nodes, Number: 3, Slots: 300, MaxInFlightPerConn: 300,
+		ClientProtocol: pair.front, NodeProtocol: pair.nodes, NodeCount: 3, Slots: 300, MaxInFlightPerConn: 300,
 		Script: func(call peers.Call) peers.Response {
 			return peers.Response{Delay: time.Duration(len(call.ID)%3) * time.Millisecond}
 		},
--- a/internal/rig/cancel_test.go
+++ b/internal/rig/cancel_test.go
@@ -14,7 +14,7 @@
 // sidecar does not retry such a request if it is not idempotent, and a request with an idempotency key has
 // its effect once. The test guards against effects that are executed twice.
 func TestIgnoredCancelExecutesNothingTwice(t *testing.T) {
-	rig := start(t, Options{Front: peers.RPC, Nodes: peers.RPC, Script: func(call peers.Call) peers.Response {
+	rig := start(t, Options{ClientProtocol: peers.RPC, NodeProtocol: peers.RPC, Script: func(call peers.Call) peers.Response {
 		if call.Attempt == 1 {
 			// Longer than the client waits; the node continues after the cancel notification.
 			return peers.Response{Delay: 700 * time.Millisecond}
@@ -49,7 +49,7 @@
 // and the sidecar serves later requests. The test guards against requests that stay in flight without a client.
 func TestClientDisconnectsWithHundredInFlight(t *testing.T) {
 	rig := start(t, Options{
-		Front: peers.RPC, Nodes: peers.RPC, Slots: 400, MaxInFlightPerConn: 200,
+		ClientProtocol: peers.RPC, NodeProtocol: peers.RPC, Slots: 400, MaxInFlightPerConn: 200,
 		Script: func(peers.Call) peers.Response { return peers.Response{Action: peers.Hang} },
 	})
 	client := rig.Client()
@@ -58,10 +58,10 @@
 		wg.Go(func() { client.Do(t.Context(), Request(Read, fmt.Sprint("r-", i), Tenant(i))) })
 	}
 	inFlight := func() int64 { return rig.Nodes[0].InFlight() + rig.Nodes[1].InFlight() }
-	peertest.Until(t, "100 requests to be in flight", func() bool { return inFlight() == 100 })
+	peertest.WaitUntil(t, "100 requests to be in flight", func() bool { return inFlight() == 100 })
 	client.Close()
 	wg.Wait()
-	peertest.Until(t, "100 cancel notifications at the nodes", func() bool {
+	peertest.WaitUntil(t, "100 cancel notifications at the nodes", func() bool {
 		return inFlight() == 0 && rig.Nodes[0].Cancels()+rig.Nodes[1].Cancels() == 100
 	})
 	other := startClient(t, rig)
--- a/internal/rig/drain_test.go
+++ b/internal/rig/drain_test.go
@@ -22,25 +22,25 @@
 
 func testDrain(t *testing.T, pair pairing) {
 	rig := start(t, Options{
-		Front: pair.front, Nodes: pair.nodes, Number: 3, KeepAttemptTimes: true, Script: delayed(time.Millisecond),
+		ClientProtocol: pair.front, NodeProtocol: pair.nodes, NodeCount: 3, KeepAttemptTimes: true, Script: delayed(time.Millisecond),
 	})
 	clients := []peers.Client{startClient(t, rig), startClient(t, rig)}
 	stop := sendContinuously(6, func(worker, i int) { doRequest(t, clients[worker%2], mixedRequest(worker, i)) })
 	drained, removed, stays := rig.Nodes[0], rig.Nodes[1], rig.Nodes[2]
-	peertest.Until(t, "each node to be in use", func() bool {
+	peertest.WaitUntil(t, "each node to be in use", func() bool {
 		return drained.Served() > 20 && removed.Served() > 20 && stays.Served() > 20
 	})
 	rig.SetHealth(drained, "draining", 0)
 	rig.SetHealth(removed, "removed", 0)
 	notified := time.Now()
-	time.Sleep(DrainWithin + 300*time.Millisecond) // fixed, because the rule limits a duration
+	time.Sleep(DrainTimeLimit + 300*time.Millisecond) // fixed, because the rule limits a duration
 	before := stays.Served()
-	peertest.Until(t, "the load to continue", func() bool { return stays.Served() > before+100 })
+	peertest.WaitUntil(t, "the load to continue", func() bool { return stays.Served() > before+100 })
 	stop()
 	for _, node := range []*peers.Upstream{drained, removed} {
 		times := rig.Ledger.AttemptTimes(node.Name)
-		if last := times[len(times)-1]; last.After(notified.Add(DrainWithin)) {
-			t.Errorf("%s: got the last request %v after the notification, want at most DrainWithin",
+		if last := times[len(times)-1]; last.After(notified.Add(DrainTimeLimit)) {
+			t.Errorf("%s: got the last request %v after the notification, want at most DrainTimeLimit",
 				node.Name, last.Sub(notified))
 		}
 	}
--- a/internal/rig/eureka_flips_test.go
+++ b/internal/rig/eureka_flips_test.go
@@ -20,9 +20,9 @@
 	// interval the node's flap penalty stays below the limit of 3 at which damping drains the node:
 	// it reaches at most 1/(1-2^-(16/20)), which is 2.3.
 	minDrainInterval = 16 * time.Second
-	// minDrainDuration is the minimum duration of a drain. It exceeds DrainWithin, so that each drain has a
+	// minDrainDuration is the minimum duration of a drain. It exceeds DrainTimeLimit, so that each drain has a
 	// period in which no request may reach its node.
-	minDrainDuration = DrainWithin + 700*time.Millisecond
+	minDrainDuration = DrainTimeLimit + 700*time.Millisecond
 	// notificationSlack is the time for a correct response of the registry to be written and read.
 	notificationSlack = 50 * time.Millisecond
 	// recentUseWindow is the time before a drain in which a node that is in use has received a request.
@@ -49,7 +49,7 @@
 	}
 	registry := peertest.NewEureka(t)
 	rig, _ := startWithEureka(t, registry, Options{
-		Front: pair.front, Nodes: pair.nodes, Number: nodes, Slots: 120, MaxInFlightPerConn: 200,
+		ClientProtocol: pair.front, NodeProtocol: pair.nodes, NodeCount: nodes, Slots: 120, MaxInFlightPerConn: 200,
 		Script:            delayed(2 * time.Millisecond),
 		ConfigureOperator: func(file *operator.File) { file.Eureka[0].Interval = operator.Duration(pollInterval.String()) },
 	})
@@ -163,7 +163,7 @@
 			lag, used := time.Duration(0), false
 			for _, at := range attempts {
 				used = used || at.Before(drain.from) && drain.from.Sub(at) < recentUseWindow
-				if at.After(notified.Add(DrainWithin+notificationSlack)) && at.Before(drain.to) {
+				if at.After(notified.Add(DrainTimeLimit+notificationSlack)) && at.Before(drain.to) {
 					late++
 				}
 				if at.After(drain.from) && at.Before(drain.to) {
--- a/internal/rig/eureka_test.go
+++ b/internal/rig/eureka_test.go
@@ -13,12 +13,12 @@
 
 // startWithEureka starts a rig whose only source of endpoints is a Eureka registry. It waits until all
 // nodes have served a request.
-func startWithEureka(t *testing.T, registry *peers.Eureka, options Options) (*Rig, peers.Client) {
+func startWithEureka(t *testing.T, registry *peers.EurekaRegistry, options Options) (*Rig, peers.Client) {
 	t.Helper()
 	options.Eureka, options.KeepAttemptTimes = registry, true
 	rig := start(t, options)
 	client := startClient(t, rig)
-	peertest.Until(t, "all nodes to be in use", func() bool {
+	peertest.WaitUntil(t, "all nodes to be in use", func() bool {
 		used := 0
 		for _, node := range rig.Nodes {
 			client.Do(t.Context(), Request(Read, fmt.Sprint("first-", time.Now().UnixNano()), "north"))
@@ -32,22 +32,22 @@
 }
 
 // pollCount returns how many times the sidecar has fetched the list or the delta.
-func pollCount(registry *peers.Eureka) int {
-	return registry.Calls("/apps") + registry.Calls("/apps/delta")
+func pollCount(registry *peers.EurekaRegistry) int {
+	return registry.CallCount("/apps") + registry.CallCount("/apps/delta")
 }
 
 // awaitPolls waits until the sidecar has polled count more times.
-func awaitPolls(t *testing.T, registry *peers.Eureka, count int) {
+func awaitPolls(t *testing.T, registry *peers.EurekaRegistry, count int) {
 	t.Helper()
 	before := pollCount(registry)
-	peertest.Until(t, "polls", func() bool { return pollCount(registry) >= before+count })
+	peertest.WaitUntil(t, "polls", func() bool { return pollCount(registry) >= before+count })
 }
 
 // A registry that stops responding, or responds with an empty list, does not change the pool. It guards
 // against losing all endpoints because of a fault of the registry.
 func TestEurekaSilentRegistryKeepsEndpoints(t *testing.T) {
 	registry := peertest.NewEureka(t)
-	_, client := startWithEureka(t, registry, Options{Number: 3})
+	_, client := startWithEureka(t, registry, Options{NodeCount: 3})
 	for _, fault := range []peers.EurekaFault{peers.EmptyList, peers.NoResponse} {
 		registry.SetFault(fault)
 		if fault == peers.EmptyList {
@@ -76,7 +76,7 @@
 
 func testNewID(t *testing.T, pair pairing) {
 	registry := peertest.NewEureka(t)
-	rig, client := startWithEureka(t, registry, Options{Front: pair.front, Nodes: pair.nodes, Number: 1})
+	rig, client := startWithEureka(t, registry, Options{ClientProtocol: pair.front, NodeProtocol: pair.nodes, NodeCount: 1})
 	node := rig.Nodes[0]
 	node.SetScript(func(call peers.Call) peers.Response {
 		if call.ID == "old" {
@@ -87,10 +87,10 @@
 	before := node.Accepted()
 	old := make(chan peers.Result, 1)
 	go func() { old <- doRequest(t, client, Request(NonIdempotent, "old", "north")) }()
-	peertest.Until(t, "the old request to be in flight", func() bool { return node.InFlight() == 1 })
+	peertest.WaitUntil(t, "the old request to be in flight", func() bool { return node.InFlight() == 1 })
 	registry.Register(rig.EurekaRegistration(node, node.Name+"-again", "UP", 0))
 	registry.Cancel(node.Name)
-	peertest.Until(t, "a connection for the new id", func() bool {
+	peertest.WaitUntil(t, "a connection for the new id", func() bool {
 		client.Do(t.Context(), Request(Read, fmt.Sprint("n-", time.Now().UnixNano()), "north"))
 		return node.Accepted() > before
 	})
@@ -129,7 +129,7 @@
 // once, another replica of the registry is stale, and the registry's clock is off by an hour.
 func TestEurekaMembershipProtection(t *testing.T) {
 	stale, registry := peertest.NewEureka(t), peertest.NewEureka(t)
-	rig, client := startWithEureka(t, registry, Options{Number: 6, ConfigureOperator: func(file *operator.File) {
+	rig, client := startWithEureka(t, registry, Options{NodeCount: 6, ConfigureOperator: func(file *operator.File) {
 		file.Eureka[0].Replicas = append(file.Eureka[0].Replicas, operator.URL(stale.URL()))
 	}})
 	usage := &nodeUsage{rig: rig, client: client}
@@ -159,7 +159,7 @@
 }
 
 // testDrainWithClockSkew checks that a drain takes effect whatever the skew of the registry's clock.
-func testDrainWithClockSkew(t *testing.T, registry *peers.Eureka, usage *nodeUsage, drained string) {
+func testDrainWithClockSkew(t *testing.T, registry *peers.EurekaRegistry, usage *nodeUsage, drained string) {
 	t.Helper()
 	for _, skew := range []time.Duration{time.Hour, -time.Hour, 0} {
 		registry.SetClockSkew(skew)
--- a/internal/rig/faults_test.go
+++ b/internal/rig/faults_test.go
@@ -71,7 +71,7 @@
 // after the other, so that the counts do not depend on the machine's speed.
 func runFault(t *testing.T, f fault, class string, pair pairing) (counts runCounts) {
 	t.Helper()
-	rig, err := Start(Options{Front: pair.front, Nodes: pair.nodes, Script: f.script})
+	rig, err := Start(Options{ClientProtocol: pair.front, NodeProtocol: pair.nodes, Script: f.script})
 	if err != nil {
 		t.Error(err)
 		return runCounts{}
@@ -87,7 +87,7 @@
 		counts.add(t, call, doWithinDeadline(t, client, call))
 		counts.attempts += rig.Ledger.Attempts(call.ID)
 	}
-	counts.executedTwice = len(rig.Ledger.ExecutedTwice(func(string) bool { return class == NonIdempotent }))
+	counts.executedTwice = len(rig.Ledger.DescribeRepeatedExecutions(func(string) bool { return class == NonIdempotent }))
 	return counts
 }
 
--- a/internal/rig/hang_test.go
+++ b/internal/rig/hang_test.go
@@ -15,7 +15,7 @@
 func TestHangOnOneConnection(t *testing.T) {
 	const requests = 600
 	rig := start(t, Options{
-		Front: peers.RPC, Nodes: peers.RPC, Number: 4, Slots: 200, MaxInFlightPerConn: 400, KeepAttemptTimes: true,
+		ClientProtocol: peers.RPC, NodeProtocol: peers.RPC, NodeCount: 4, Slots: 200, MaxInFlightPerConn: 400, KeepAttemptTimes: true,
 	})
 	hangs := scriptHangs(rig)
 	client := startClient(t, rig)
--- a/internal/rig/helpers_test.go
+++ b/internal/rig/helpers_test.go
@@ -144,7 +144,7 @@
 // executed more than once.
 func expectNoneExecutedTwice(t *testing.T, rig *Rig, ofInterest func(id string) bool) {
 	t.Helper()
-	for _, what := range rig.Ledger.ExecutedTwice(ofInterest) {
+	for _, what := range rig.Ledger.DescribeRepeatedExecutions(ofInterest) {
 		t.Error(what)
 	}
 }
--- a/internal/rig/metrics_test.go
+++ b/internal/rig/metrics_test.go
@@ -35,7 +35,7 @@
 func testMetrics(t *testing.T, pair pairing) {
 	socket := filepath.Join(t.TempDir(), "s")
 	rig := start(t, Options{
-		Front: pair.front, Nodes: pair.nodes, Slots: 50, Script: failNotIdempotent,
+		ClientProtocol: pair.front, NodeProtocol: pair.nodes, Slots: 50, Script: failNotIdempotent,
 		ConfigureOperator: func(file *operator.File) { file.Admin = operator.Admin{Socket: socket, Metrics: true} },
 	})
 	client := startClient(t, rig)
--- a/internal/rig/options.go
+++ b/internal/rig/options.go
@@ -11,9 +11,9 @@
 
 // Options configures a rig. Zero values stand for the defaults in brackets.
 type Options struct {
-	Front            peers.Protocol // protocol of the clients [HTTP]
-	Nodes            peers.Protocol // protocol of the nodes [HTTP]
-	Number           int            // number of nodes [2]
+	ClientProtocol   peers.Protocol // protocol of the clients [HTTP]
+	NodeProtocol     peers.Protocol // protocol of the nodes [HTTP]
+	NodeCount        int            // number of nodes [2]
 	Script           peers.Script   // script of each node [peers.ServeAll]
 	KeepAttemptTimes bool           // the ledger keeps the time of each attempt by node
 
@@ -21,22 +21,22 @@
 	MaxInFlightPerConn int                                 // limit for a client's MessagePack-RPC connection
 	Settings           map[string]any                      // replace the default settings with the same top-level key
 	WrapListener       func(*net.TCPListener) net.Listener // wraps each listener of the sidecar
-	Sockets            int                                 // maximum number of sockets of the sidecar [1024]
-	Eureka             *peers.Eureka                       // lists the nodes instead of the platform's discovery
+	SocketLimit        int                                 // maximum number of sockets of the sidecar [1024]
+	Eureka             *peers.EurekaRegistry               // lists the nodes instead of the platform's discovery
 	ConfigureOperator  func(*operator.File)                // changes the operators' file before the sidecar starts
 	Reload             <-chan os.Signal                    // signals on which the sidecar reloads its files
 	Seed               string                              // seed of the sidecar's decisions ["1"]
 
-	// Beside is another rig whose nodes and discovery this rig uses. Only the other rig's Close closes them.
-	Beside *Rig
+	// SharePeersOf is another rig whose nodes and discovery this rig uses. Only the other rig's Close closes them.
+	SharePeersOf *Rig
 }
 
 // withDefaults returns the options with the defaults instead of zero values.
 func (o Options) withDefaults() Options {
-	o.Front = cmp.Or(o.Front, peers.HTTP)
-	o.Nodes = cmp.Or(o.Nodes, peers.HTTP)
-	o.Number = cmp.Or(o.Number, 2)
-	o.Sockets = cmp.Or(o.Sockets, 1024)
+	o.ClientProtocol = cmp.Or(o.ClientProtocol, peers.HTTP)
+	o.NodeProtocol = cmp.Or(o.NodeProtocol, peers.HTTP)
+	o.NodeCount = cmp.Or(o.NodeCount, 2)
+	o.SocketLimit = cmp.Or(o.SocketLimit, 1024)
 	o.Seed = cmp.Or(o.Seed, "1")
 	if o.Script == nil {
 		o.Script = peers.ServeAll
@@ -48,12 +48,12 @@
 // MessagePack-RPC listener.
 func (o Options) operatorFile(rpcAddress string) operator.File {
 	file := operator.File{Limits: operator.Limits{Slots: operator.Count(o.Slots)}}
-	if o.Front == peers.RPC {
+	if o.ClientProtocol == peers.RPC {
 		file.Listeners = []operator.Listener{{
 			Protocol: operator.RPC, Address: operator.Address(rpcAddress), MaxInFlight: operator.Count(o.MaxInFlightPerConn),
 		}}
 	}
-	if o.Nodes == peers.RPC {
+	if o.NodeProtocol == peers.RPC {
 		file.Pools = []operator.Pool{{Name: "records", Protocol: operator.RPC, Hosts: []operator.Pattern{"records-*"}}}
 	}
 	if o.Eureka != nil {
--- a/internal/rig/plugins_bench_test.go
+++ b/internal/rig/plugins_bench_test.go
@@ -68,7 +68,7 @@
 func benchmarkRunaway(b *testing.B, program string) {
 	file := newOperatorsFile(b, "[[plugin]]\nname = \"p\"\nfile = \"0.hook\"\n", program)
 	rig := start(b, Options{
-		ConfigureOperator: file.load, Slots: 256, Sockets: 4096, Number: 4, Script: delayed(5 * time.Millisecond),
+		ConfigureOperator: file.load, Slots: 256, SocketLimit: 4096, NodeCount: 4, Script: delayed(5 * time.Millisecond),
 	})
 	client := startClient(b, rig)
 	latencies := newRunawayLatencies()
@@ -81,9 +81,9 @@
 		<-ticker.C
 		phase, tenant := int(time.Since(startedAt)/runawayPhase)%2, i%2
 		call := Request(Read, fmt.Sprint("r", i), Tenant(tenant))
-		call.Fields = map[string]string{"Spin": "no"}
+		call.HeaderFields = map[string]string{"Spin": "no"}
 		if phase == 1 && tenant == 1 {
-			call.Fields["Spin"] = "yes"
+			call.HeaderFields["Spin"] = "yes"
 		}
 		wg.Go(func() {
 			requestedAt := time.Now()
@@ -108,7 +108,7 @@
 				programs = append(programs, program)
 			}
 			file := newOperatorsFile(b, text, programs...)
-			rig := start(b, Options{ConfigureOperator: file.load, Number: 1, Slots: 1024, Sockets: 4096})
+			rig := start(b, Options{ConfigureOperator: file.load, NodeCount: 1, Slots: 1024, SocketLimit: 4096})
 			benchmarkRequests(b, rig.Addr, rig.Front, 16)
 		})
 	}
--- a/internal/rig/plugins_test.go
+++ b/internal/rig/plugins_test.go
@@ -86,7 +86,7 @@
 func (s *receivedByNodes) script(call peers.Call) peers.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen = append(s.seen, call.ID+" "+call.Field("Request-Tags")+" "+call.Field("X-Was"))
+	s.seen = append(s.seen, call.ID+" "+call.HeaderValue("Request-Tags")+" "+call.HeaderValue("X-Was"))
 	return peers.Response{}
 }
 
@@ -117,7 +117,7 @@
 	var nodes receivedByNodes
 	reload := make(chan os.Signal)
 	rig := start(t, Options{
-		Front: pair.front, Nodes: pair.nodes, ConfigureOperator: file.load, Reload: reload, Script: nodes.script,
+		ClientProtocol: pair.front, NodeProtocol: pair.nodes, ConfigureOperator: file.load, Reload: reload, Script: nodes.script,
 	})
 	client := startClient(t, rig)
 	do := func(call peers.Call) peers.Result { return client.Do(t.Context(), call) }
@@ -129,7 +129,7 @@
 			got)
 	}
 	forged := Request(Read, "c", Tenant(0))
-	forged.Fields = map[string]string{"Request-Tags": "forged"}
+	forged.HeaderFields = map[string]string{"Request-Tags": "forged"}
 	if got := do(forged); got.Outcome != peers.Served {
 		t.Errorf("request with a forged tag: got %+v, want outcome served", got)
 	}
@@ -161,7 +161,7 @@
 	file := newOperatorsFile(t, "[[plugin]]\nname = \"p\"\nfile = \"0.hook\"\nheaders = [\"X-*\"]\n", program(1))
 	reload := make(chan os.Signal)
 	rig := start(t, Options{ConfigureOperator: file.load, Reload: reload, Slots: 64, Script: func(call peers.Call) peers.Response {
-		if a, b := call.Field("X-A"), call.Field("X-B"); a != b || a == "" {
+		if a, b := call.HeaderValue("X-A"), call.HeaderValue("X-B"); a != b || a == "" {
 			return peers.Response{Action: peers.Error} // headers from two sets of programs, or from none
 		}
 		return peers.Response{}
--- a/internal/rig/quotas_test.go
+++ b/internal/rig/quotas_test.go
@@ -53,8 +53,8 @@
 	socket := filepath.Join(t.TempDir(), "s")
 	file := newOperatorsFile(t, fmt.Sprintf("[admin]\nsocket = %q\n", socket)+twoTenants)
 	rig := start(t, Options{
-		Front: pair.front, Nodes: pair.nodes, ConfigureOperator: file.load,
-		Slots: 256, MaxInFlightPerConn: 512, Sockets: 2048,
+		ClientProtocol: pair.front, NodeProtocol: pair.nodes, ConfigureOperator: file.load,
+		Slots: 256, MaxInFlightPerConn: 512, SocketLimit: 2048,
 	})
 	client := startClient(t, rig)
 	if got := sendAtRates(t, client, 2*time.Second, [2]int{0, 300}); got[1] < 300 {
--- a/internal/rig/restart_test.go
+++ b/internal/rig/restart_test.go
@@ -23,7 +23,7 @@
 
 func testPlannedRestart(t *testing.T, pair pairing) {
 	rig, err := Start(Options{
-		Front: pair.front, Nodes: pair.nodes, Slots: 400, MaxInFlightPerConn: 200,
+		ClientProtocol: pair.front, NodeProtocol: pair.nodes, Slots: 400, MaxInFlightPerConn: 200,
 		Script: delayed(400 * time.Millisecond),
 	})
 	if err != nil {
@@ -42,7 +42,7 @@
 		}
 	}
 	send("taken-")
-	peertest.Until(t, "30 requests to be in flight", func() bool {
+	peertest.WaitUntil(t, "30 requests to be in flight", func() bool {
 		return rig.Nodes[0].InFlight()+rig.Nodes[1].InFlight() == 30
 	})
 	rig.Stop()
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -23,7 +23,7 @@
 	Nodes     []*peers.Upstream
 	Ledger    *peers.Ledger
 	Discovery *peers.Discovery
-	Eureka    *peers.Eureka // from the options; may be nil
+	Eureka    *peers.EurekaRegistry // from the options; may be nil
 
 	protocol    peers.Protocol
 	sharesPeers bool // the nodes and the discovery belong to another rig
@@ -35,10 +35,10 @@
 func Start(options Options) (*Rig, error) {
 	options = options.withDefaults()
 	r := &Rig{
-		Front: options.Front, Ledger: peers.NewLedger(options.KeepAttemptTimes), Eureka: options.Eureka,
-		protocol: options.Nodes, ended: make(chan error, 1), stop: func() {},
+		Front: options.ClientProtocol, Ledger: peers.NewLedger(options.KeepAttemptTimes), Eureka: options.Eureka,
+		protocol: options.NodeProtocol, ended: make(chan error, 1), stop: func() {},
 	}
-	if host := options.Beside; host != nil {
+	if host := options.SharePeersOf; host != nil {
 		r.Ledger, r.Discovery, r.Nodes, r.sharesPeers = host.Ledger, host.Discovery, host.Nodes, true
 		return r, r.startSidecar(options)
 	}
@@ -59,8 +59,8 @@
 
 // startNodes starts the nodes and adds them to the endpoint list.
 func (r *Rig) startNodes(options Options) error {
-	for i := range options.Number {
-		node, err := peers.StartUpstream(options.Nodes, fmt.Sprintf("records-%02d", i+1), r.Ledger, options.Script)
+	for i := range options.NodeCount {
+		node, err := peers.StartUpstream(options.NodeProtocol, fmt.Sprintf("records-%02d", i+1), r.Ledger, options.Script)
 		if err != nil {
 			return err
 		}
@@ -96,7 +96,7 @@
 // listen opens the HTTP/1.1 listener and, if clients use MessagePack-RPC, a second listener for that protocol.
 func listen(options Options) ([]net.Listener, error) {
 	count := 1
-	if options.Front != peers.HTTP {
+	if options.ClientProtocol != peers.HTTP {
 		count = 2
 	}
 	var listeners []net.Listener
--- a/internal/rig/settings.go
+++ b/internal/rig/settings.go
@@ -18,10 +18,10 @@
 	RequestTimeout = 2 * time.Second
 	// LatencyObjective is the latency objective of all classes.
 	LatencyObjective = 500 * time.Millisecond
-	// ConnectIn is the timeout for establishing a connection to a node.
-	ConnectIn = 250 * time.Millisecond
-	// DrainWithin is the time after the notification of a drain in which a request may still reach the node.
-	DrainWithin = 2 * time.Second
+	// DialTimeout is the timeout for establishing a connection to a node.
+	DialTimeout = 250 * time.Millisecond
+	// DrainTimeLimit is the time after the notification of a drain in which a request may still reach the node.
+	DrainTimeLimit = 2 * time.Second
 )
 
 // tenants contains the names of the tenants of the settings.
@@ -41,7 +41,7 @@
 	return map[string]any{
 		"balancers": 1,
 		"caps": map[string]any{
-			"may_cancel": true, "probes": false, "most_tries": 3, "dial_timeout_ms": ConnectIn.Milliseconds(),
+			"may_cancel": true, "probes": false, "most_tries": 3, "dial_timeout_ms": DialTimeout.Milliseconds(),
 			"conn_idle_ms": 30000, "max_retry_after_ms": 1200,
 		},
 		"classes":   []any{class(Read, "free"), class(Keyed, "guarded"), class(NonIdempotent, "single_shot")},
@@ -51,7 +51,7 @@
 		},
 		"zones": []any{"a"},
 		"rules": map[string]any{
-			"cold_from": 0.3, "cold_ms": 8000, "fall_multiple": 2.5, "stop_sending_within_ms": DrainWithin.Milliseconds(),
+			"cold_from": 0.3, "cold_ms": 8000, "fall_multiple": 2.5, "stop_sending_within_ms": DrainTimeLimit.Milliseconds(),
 		},
 	}
 }
@@ -62,6 +62,6 @@
 	maps.Copy(merged, o.Settings)
 	return json.Marshal(map[string]any{
 		"name": "rig", "listen": listen, "discovery": discovery, "seed": o.Seed,
-		"limits": map[string]any{"sockets": o.Sockets}, "settings": merged,
+		"limits": map[string]any{"sockets": o.SocketLimit}, "settings": merged,
 	})
 }
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -46,14 +46,14 @@
 func (s *Settings) class(index int) policy.Class {
 	prefix := item(keyClasses, index)
 	return policy.Class{
-		LatencyObjective: s.requireDuration(prefix + keyLatencyObjective),
-		ObjectiveStretch: s.number(prefix + keyObjectiveStretch),
-		Deadline:         s.requireDuration(prefix + keyDeadline),
-		LateValueShare:   s.number(prefix + keyLateValueShare),
-		PriorityWeight:   s.number(prefix + keyPriorityWeight),
-		DedupWindow:      s.duration(prefix + keyDedupWindow),
-		Idempotency:      idempotency(s.text(prefix + keyIdempotency)),
-		DedupScope:       dedupScope(s.text(prefix + keyDedupScope)),
+		LatencyObjective:    s.requireDuration(prefix + keyLatencyObjective),
+		ObjectiveWorkFactor: s.number(prefix + keyObjectiveWorkFactor),
+		Deadline:            s.requireDuration(prefix + keyDeadline),
+		LateValueShare:      s.number(prefix + keyLateValueShare),
+		PriorityWeight:      s.number(prefix + keyPriorityWeight),
+		DedupWindow:         s.duration(prefix + keyDedupWindow),
+		Idempotency:         idempotency(s.text(prefix + keyIdempotency)),
+		DedupScope:          dedupScope(s.text(prefix + keyDedupScope)),
 	}
 }
 
--- a/internal/settings/form_test.go
+++ b/internal/settings/form_test.go
@@ -73,7 +73,7 @@
 		ProbeCost: 0.004, CrossZoneCost: 0.03,
 		Classes: []policy.Class{
 			{
-				LatencyObjective: 500 * time.Millisecond, ObjectiveStretch: 1.5,
+				LatencyObjective: 500 * time.Millisecond, ObjectiveWorkFactor: 1.5,
 				Deadline: time.Second, LateValueShare: 0.25, PriorityWeight: 5,
 				DedupWindow: 600 * time.Millisecond, Idempotency: policy.IdempotentByKey, DedupScope: policy.ScopeZone,
 			},
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -32,14 +32,14 @@
 const (
 	keyName = "name" // key of a class and of a tenant
 
-	keyLatencyObjective = "aim_ms"
-	keyObjectiveStretch = "aim_stretch"
-	keyDeadline         = "hard_limit_ms"
-	keyLateValueShare   = "late_share"
-	keyPriorityWeight   = "worth"
-	keyDedupWindow      = "window_ms"
-	keyIdempotency      = "semantics"
-	keyDedupScope       = "dedup_scope"
+	keyLatencyObjective    = "aim_ms"
+	keyObjectiveWorkFactor = "aim_stretch"
+	keyDeadline            = "hard_limit_ms"
+	keyLateValueShare      = "late_share"
+	keyPriorityWeight      = "worth"
+	keyDedupWindow         = "window_ms"
+	keyIdempotency         = "semantics"
+	keyDedupScope          = "dedup_scope"
 
 	keyTenantShare = "share"
 	keyTenantQuota = "quota_per_s"
--- a/internal/sidecar/bad_request_test.go
+++ b/internal/sidecar/bad_request_test.go
@@ -94,7 +94,7 @@
 // rejected with 409.
 func TestIDInUseIsRejected(t *testing.T) {
 	upstream := newGatedUpstream(t)
-	address, _, _ := startWithUpstream(t, upstream.Upstream)
+	address, _, _ := startWithUpstream(t, upstream.RawUpstream)
 	first := peertest.Call{Class: "once"}.Start(t, address)
 	peertest.Await(t, "the first request", upstream.Requests)
 	if got := (peertest.Call{Class: "once"}).Do(t, address); got.Status != http.StatusConflict {
@@ -110,7 +110,7 @@
 // before its body arrives: the client may wait for the response before it sends the body.
 func TestRejectedHeaderNeedsNoBody(t *testing.T) {
 	upstream := newGatedUpstream(t)
-	address, _, _ := startWithUpstream(t, upstream.Upstream)
+	address, _, _ := startWithUpstream(t, upstream.RawUpstream)
 	first := peertest.Call{Class: "once", ID: "held"}.Start(t, address)
 	peertest.Await(t, "the first request", upstream.Requests)
 	for status, text := range map[int]string{
--- a/internal/sidecar/client_disconnect_test.go
+++ b/internal/sidecar/client_disconnect_test.go
@@ -14,7 +14,7 @@
 // When a client disconnects, its attempt in flight must be cancelled, its id must become free and no
 // further attempt may start. Otherwise an upstream would work for nobody.
 func TestClientDisconnectEndsItsAttempt(t *testing.T) {
-	upstream := peertest.NewUpstream(t, peertest.Always(""))
+	upstream := peertest.NewUpstream(t, peertest.RespondWith(""))
 	address, _, _ := startWithUpstream(t, upstream)
 	client := dial(t, address)
 	peertest.Call{Class: "once", Body: "{}"}.Request(t, address).Write(client)
@@ -72,7 +72,7 @@
 		upEndpoint("s-1", upstreams[0].Addr), upEndpoint("s-2", upstreams[1].Addr)))
 	disconnecting := dial(t, address)
 	disconnecting.sendRequest("leaves")
-	peertest.Until(t, "the first attempt", func() bool { return received() > 0 })
+	peertest.WaitUntil(t, "the first attempt", func() bool { return received() > 0 })
 	io.WriteString(disconnecting, postHeader("more")+noBody)
 	disconnecting.Close()
 	time.Sleep(schedulingMargin)
@@ -83,7 +83,7 @@
 	for i := range 4 { // each endpoint gets one, after any request that was still queued
 		dial(t, address).sendRequest(fmt.Sprint(i))
 	}
-	peertest.Until(t, "the other requests", func() bool { return received() >= 5 })
+	peertest.WaitUntil(t, "the other requests", func() bool { return received() >= 5 })
 	attempts := 0
 	for _, upstream := range upstreams {
 		for len(upstream.Requests) > 0 {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -21,7 +21,7 @@
 	CachedListing *platform.Listing // the cached endpoint list that the platform provides; nil: none
 	Limits        Limits
 	Operator      operator.File // the operators' file; its zero value without such a file
-	LogLost       func() uint64 // returns the number of lost log lines; nil: unknown
+	LostLogLines  func() uint64 // returns the number of lost log lines; nil: unknown
 	platformFile  string        // path of the platform's configuration file; empty: none
 
 	Policy              policy.Config
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -12,7 +12,7 @@
 // An upstream that never responds must not make the client wait beyond its timeout: the sidecar must
 // respond with 504 itself and close the connection of the attempt.
 func TestUnresponsiveUpstreamGets504AtDeadline(t *testing.T) {
-	upstream := peertest.NewUpstream(t, peertest.Always(""))
+	upstream := peertest.NewUpstream(t, peertest.RespondWith(""))
 	address, _, _ := startWithUpstream(t, upstream)
 	start := time.Now()
 	got := peertest.Call{Class: "once", Timeout: "0.4"}.Do(t, address)
@@ -31,7 +31,7 @@
 		wait    = 300 * time.Millisecond
 	)
 	upstream := newGatedUpstream(t)
-	address, _, _ := startWithUpstream(t, upstream.Upstream)
+	address, _, _ := startWithUpstream(t, upstream.RawUpstream)
 	client := dial(t, address)
 	client.sendRequest("first")
 	start := time.Now()
@@ -40,7 +40,7 @@
 	}
 	peertest.Await(t, "the first request", upstream.Requests)
 	time.Sleep(time.Until(start.Add(wait)))
-	upstream.responses <- peertest.Answer200("ok")
+	upstream.responses <- peertest.Response200("ok")
 	client.readResponse()
 	second := peertest.Await(t, "the second request", upstream.Requests)
 	if left, ok := parseSeconds(second.Header.Get("Request-Timeout")); !ok || left > timeout-wait {
@@ -56,7 +56,7 @@
 // A retry whose connection is established after the window must not be sent, or it would run again.
 func TestKeyedRetryIsNotSentAfterItsWindow(t *testing.T) {
 	stalled := peertest.NewStalledListener(t)
-	failing := peertest.NewUpstream(t, func(peertest.Received) (string, bool) { return "", true })
+	failing := peertest.NewUpstream(t, func(peertest.ReceivedRequest) (string, bool) { return "", true })
 	failingEndpoint := strings.Replace(upEndpoint("s-1", failing.Addr), `"share":1.0`, `"share":100`, 1)
 	config := testConfig(t, testOptions{}, noDiscovery, failingEndpoint, upEndpoint("s-2", stalled.Addr))
 	config.DialTimeout = 3 * time.Second
@@ -68,7 +68,7 @@
 	result := peertest.Call{Class: "keyed", ID: "x"}.Start(t, address)
 	peertest.Await(t, "the first attempt", failing.Requests)
 	time.Sleep(time.Until(start.Add(500 * time.Millisecond)))
-	lateRequests := stalled.Admit(t) // the window has ended; the kernel retries the connect 1 s after its first attempt
+	lateRequests := stalled.AcceptNext(t) // the window has ended; the kernel retries the connect 1 s after its first attempt
 	if got := peertest.Await(t, "the response", result); got.Status == http.StatusOK {
 		t.Errorf("got 200 after %v from a retry sent after the deduplication window", time.Since(start))
 	}
--- a/internal/sidecar/descriptors_test.go
+++ b/internal/sidecar/descriptors_test.go
@@ -52,7 +52,7 @@
 
 // countProbes removes all requests that the upstreams have received and returns how many of them
 // were probes.
-func countProbes(upstreams ...*peertest.Upstream) int {
+func countProbes(upstreams ...*peertest.RawUpstream) int {
 	probes := 0
 	for _, upstream := range upstreams {
 		for len(upstream.Requests) > 0 {
@@ -69,7 +69,7 @@
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	drained, remaining := newServingUpstream(t, "ok"), newServingUpstream(t, "ok")
 	respond := make(chan struct{})
-	discovery, connections := startUnresponsiveDiscovery(t, peertest.ListText(2, true, upEndpoint("s-2", remaining.Addr)), respond)
+	discovery, connections := startUnresponsiveDiscovery(t, peertest.EndpointListJSON(2, true, upEndpoint("s-2", remaining.Addr)), respond)
 	address, _, _ := startSidecar(t, testConfig(t, testOptions{sockets: minSockets, probes: true}, discovery,
 		upEndpoint("s-1", drained.Addr), upEndpoint("s-2", remaining.Addr)))
 	peertest.Await(t, "a connection to the unresponsive discovery", connections)
@@ -86,7 +86,7 @@
 		t.Errorf("readiness check: got %d, error %v, want 200", status, err)
 	}
 	close(respond)
-	peertest.Until(t, "the drain to take effect", func() bool { // a drain closes idle connections
+	peertest.WaitUntil(t, "the drain to take effect", func() bool { // a drain closes idle connections
 		select {
 		case <-drained.Closed:
 			return true
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -89,7 +89,7 @@
 		TombstoneLifetime: bounds.TombstoneLifetime.Value(),
 		StaleUpdateHold:   bounds.StaleUpdateHold.Value(),
 		NewProcessPeriod:  bounds.NewProcessPeriod.Value(),
-		MaxNodes:          c.maxNodes(),
+		MaxInstances:      c.maxNodes(),
 	}, sources...)
 }
 
@@ -113,7 +113,7 @@
 // followEureka follows one Eureka registry as the source with the given number, in a goroutine that
 // ends with ctx.
 func (s *service) followEureka(ctx context.Context, registry *operator.Eureka, number int, seed uint64) error {
-	mapping := merge.Mapping{
+	mapping := merge.MetadataMapping{
 		Zone:          registry.Metadata.Zone,
 		MachineType:   registry.Metadata.MachineType,
 		Cell:          registry.Metadata.Cell,
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -15,10 +15,10 @@
 	registry := peertest.NewDiscovery(t)
 	upstream := newServingUpstream(t, "ok")
 	address, _, _ := startSidecar(t, testConfig(t, testOptions{watchOnRequest: true}, registry.Addr,
-		peertest.HostText("s-0", "127.0.0.1:1", "draining", 0)))
+		peertest.EndpointJSON("s-0", "127.0.0.1:1", "draining", 0)))
 	close(peertest.Await(t, "the watch", registry.Watches).Lines)
 	watch := peertest.Await(t, "the next watch", registry.Watches)
-	watch.Lines <- peertest.ListText(2, false, upEndpoint("s-1", upstream.Addr))
+	watch.Lines <- peertest.EndpointListJSON(2, false, upEndpoint("s-1", upstream.Addr))
 	awaitServed(t, address)
 }
 
@@ -38,7 +38,7 @@
 		t.Errorf("readiness check without a list: got %d, want 503", got)
 	}
 	upstream := newServingUpstream(t, "ok")
-	registry.ListResponses <- peertest.ListText(5, true, upEndpoint("s-1", upstream.Addr))
+	registry.ListResponses <- peertest.EndpointListJSON(5, true, upEndpoint("s-1", upstream.Addr))
 	if watch := peertest.Await(t, "the watch", registry.Watches); watch.From != "5" {
 		t.Errorf("start of the watch: got version %s, want 5", watch.From)
 	}
@@ -57,8 +57,8 @@
 	watch := peertest.Await(t, "the watch", registry.Watches)
 	awaitServed(t, address)
 	peertest.Await(t, "a request", drained.Requests)
-	watch.Lines <- peertest.ListText(2, false,
-		peertest.HostText("s-1", drained.Addr, "draining", 0), upEndpoint("s-2", other.Addr))
+	watch.Lines <- peertest.EndpointListJSON(2, false,
+		peertest.EndpointJSON("s-1", drained.Addr, "draining", 0), upEndpoint("s-2", other.Addr))
 	for i := range 1000 { // until the update has arrived; from then on all requests go to the other upstream
 		if got := (peertest.Call{Class: "once", ID: fmt.Sprint(i)}).Do(t, address); got.Body == "b" {
 			break
--- a/internal/sidecar/forward_test.go
+++ b/internal/sidecar/forward_test.go
@@ -22,10 +22,10 @@
 		t.Fatalf("got %+v, want 200 and body ok", got)
 	}
 	received := peertest.Await(t, "the request", upstream.Requests)
-	if received.Method != "POST" || received.RequestURI != "/api/a%2Fb?q=1&r=%20" || received.Text != body ||
+	if received.Method != "POST" || received.RequestURI != "/api/a%2Fb?q=1&r=%20" || received.BodyText != body ||
 		received.Header.Get("Request-Id") != t.Name() || received.Header.Get("Idempotency-Key") != "5c0f6e1a" {
 		t.Errorf("upstream: got %s %s %v, %d bytes",
-			received.Method, received.RequestURI, received.Header, len(received.Text))
+			received.Method, received.RequestURI, received.Header, len(received.BodyText))
 	}
 	if received.Header.Get("X-Hop") != "" || len(received.Header["X-Trace"]) != 2 {
 		t.Errorf("upstream: got header %v, want X-Trace twice and no hop-by-hop field X-Hop", received.Header)
@@ -38,7 +38,7 @@
 
 func TestResponseBodyIsForwardedUnchanged(t *testing.T) {
 	body := strings.Repeat("\x00honey\r\n", 60000) // real upstreams send responses of this size
-	upstream := peertest.NewUpstream(t, peertest.Always(fmt.Sprintf(
+	upstream := peertest.NewUpstream(t, peertest.RespondWith(fmt.Sprintf(
 		"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer-Load: TEXT busy_reqs=1\r\nX-Ledger: 4\r\n\r\n%s", len(body), body)))
 	address, _, _ := startWithUpstream(t, upstream)
 	got := peertest.Call{Class: "once", Body: "{}"}.Do(t, address)
@@ -53,7 +53,7 @@
 func TestUpstreamFailureIsNoRejection(t *testing.T) {
 	for _, status := range []int{500, 503, 504, 429, 400, 302} {
 		response := fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: 4\r\n\r\nlate", status)
-		upstream := peertest.NewUpstream(t, peertest.Always(response))
+		upstream := peertest.NewUpstream(t, peertest.RespondWith(response))
 		address, _, _ := startWithUpstream(t, upstream)
 		got := peertest.Call{Class: "once"}.Do(t, address)
 		if got.Status != http.StatusBadGateway || got.Body != "" || got.Header.Get("Retry-After") != "" {
@@ -68,7 +68,7 @@
 // A request that no endpoint can serve within the latency objective must be rejected early, with a
 // Retry-After header, and not only when the client's timeout ends.
 func TestRejectionHasRetryAfter(t *testing.T) {
-	upstream := peertest.NewUpstream(t, peertest.Always(rejectedNotStarted))
+	upstream := peertest.NewUpstream(t, peertest.RespondWith(rejectedNotStarted))
 	// Package policy rejects a request once its response would miss the latency objective.
 	options := testOptions{latencyObjective: 200 * time.Millisecond}
 	config := testConfig(t, options, noDiscovery, upEndpoint("s-1", upstream.Addr))
@@ -87,9 +87,9 @@
 // Sequential requests to a slow upstream must reuse its connections instead of opening a connection
 // for each request. Package httpnode tests the same for fast upstreams.
 func TestUpstreamConnectionsAreReused(t *testing.T) {
-	upstream := peertest.NewUpstream(t, func(peertest.Received) (string, bool) {
+	upstream := peertest.NewUpstream(t, func(peertest.ReceivedRequest) (string, bool) {
 		time.Sleep(5 * time.Millisecond)
-		return peertest.Answer200("ok"), false
+		return peertest.Response200("ok"), false
 	})
 	config := testConfig(t, testOptions{probes: true}, noDiscovery, upEndpoint("s-1", upstream.Addr))
 	address, _, _ := startSidecar(t, config)
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -54,7 +54,7 @@
 	}
 	known := ""
 	if len(endpoints) > 0 {
-		known = `"known":` + peertest.ListText(1, true, endpoints...) + ","
+		known = `"known":` + peertest.EndpointListJSON(1, true, endpoints...) + ","
 	}
 	settings := fmt.Sprintf(testSettings, options.probes, options.latencyObjective.Milliseconds(), mode)
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",%s
@@ -76,7 +76,7 @@
 }
 
 // upEndpoint returns an entry of the endpoint list in the state up.
-func upEndpoint(name, address string) string { return peertest.HostText(name, address, "up", 0) }
+func upEndpoint(name, address string) string { return peertest.EndpointJSON(name, address, "up", 0) }
 
 // startSidecar runs a sidecar until the test ends. Calling shutdown stops it as SIGTERM does in a
 // planned restart; ended then gets the result of Serve.
@@ -104,7 +104,7 @@
 }
 
 // startWithUpstream runs a sidecar with one endpoint, the given upstream.
-func startWithUpstream(t *testing.T, upstream *peertest.Upstream) (
+func startWithUpstream(t *testing.T, upstream *peertest.RawUpstream) (
 	address string, shutdown func(), ended <-chan error,
 ) {
 	t.Helper()
@@ -112,25 +112,25 @@
 }
 
 // newServingUpstream starts an upstream that responds to each request with 200 and body.
-func newServingUpstream(t *testing.T, body string) *peertest.Upstream {
+func newServingUpstream(t *testing.T, body string) *peertest.RawUpstream {
 	t.Helper()
-	return peertest.NewUpstream(t, peertest.Always(peertest.Answer200(body)))
+	return peertest.NewUpstream(t, peertest.RespondWith(peertest.Response200(body)))
 }
 
 // gatedUpstream is an upstream that responds to each request with the next text from responses.
 type gatedUpstream struct {
-	*peertest.Upstream
+	*peertest.RawUpstream
 	responses chan string // if closed, each request gets 200
 }
 
 func newGatedUpstream(t *testing.T) *gatedUpstream {
 	t.Helper()
 	upstream := &gatedUpstream{responses: make(chan string, 100)}
-	upstream.Upstream = peertest.NewUpstream(t, func(peertest.Received) (string, bool) {
+	upstream.RawUpstream = peertest.NewUpstream(t, func(peertest.ReceivedRequest) (string, bool) {
 		if text, ok := <-upstream.responses; ok {
 			return text, false
 		}
-		return peertest.Answer200("ok"), false
+		return peertest.Response200("ok"), false
 	})
 	t.Cleanup(func() {
 		defer func() { recover() }() // the test may have closed the channel
@@ -141,13 +141,13 @@
 
 // newBlockingUpstream starts an upstream that responds to each request with 200 and body. It responds
 // to the request with the id 'held' only after release is closed.
-func newBlockingUpstream(t *testing.T, body string, release <-chan struct{}) *peertest.Upstream {
+func newBlockingUpstream(t *testing.T, body string, release <-chan struct{}) *peertest.RawUpstream {
 	t.Helper()
-	return peertest.NewUpstream(t, func(received peertest.Received) (string, bool) {
+	return peertest.NewUpstream(t, func(received peertest.ReceivedRequest) (string, bool) {
 		if received.Header.Get("Request-Id") == "held" {
 			<-release
 		}
-		return peertest.Answer200(body), false
+		return peertest.Response200(body), false
 	})
 }
 
@@ -164,7 +164,7 @@
 // awaitDraining waits until the readiness check of the sidecar announces the shutdown.
 func awaitDraining(t *testing.T, address string) {
 	t.Helper()
-	peertest.Until(t, "the announcement of the shutdown", func() bool {
+	peertest.WaitUntil(t, "the announcement of the shutdown", func() bool {
 		status, err := readyStatus(address)
 		return err == nil && status == http.StatusServiceUnavailable
 	})
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -41,14 +41,14 @@
 
 // maxNodes returns the maximum number of endpoints that a source may list: the value of the
 // operators' file, or otherwise the number that fits into the memory limit of this process, from
-// minNodes to membership.DefaultMaxNodes. Without a memory limit it is the latter.
+// minNodes to membership.DefaultMaxInstances. Without a memory limit it is the latter.
 func (c *Config) maxNodes() int {
 	if n := int(c.Operator.Membership.MaxNodes); n > 0 {
 		return n
 	}
 	if c.Limits.MemoryMB <= 0 {
-		return membership.DefaultMaxNodes
+		return membership.DefaultMaxInstances
 	}
 	fittingNodes := (c.Limits.MemoryMB<<20 - baseMemory) / bytesPerNode
-	return int(min(max(fittingNodes, minNodes), membership.DefaultMaxNodes))
+	return int(min(max(fittingNodes, minNodes), membership.DefaultMaxInstances))
 }
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -35,9 +35,9 @@
 // addStateMetrics adds the metrics that are read from the core, the merger and the log at each scrape.
 func (s *service) addStateMetrics() {
 	s.metrics.Add(s.collectCore)
-	if s.config.LogLost != nil {
+	if s.config.LostLogLines != nil {
 		s.metrics.Add(func(scrape *metrics.Scrape) {
-			scrape.Counter("log_lines_lost_total", "Log lines lost because they could not be written.", float64(s.config.LogLost()))
+			scrape.Counter("log_lines_lost_total", "Log lines lost because they could not be written.", float64(s.config.LostLogLines()))
 		})
 	}
 	if s.merger != nil {
--- a/internal/sidecar/plugins.go
+++ b/internal/sidecar/plugins.go
@@ -34,14 +34,14 @@
 
 // collectPlugins adds the plug-ins' counters and states to a scrape.
 func collectPlugins(scrape *metrics.Scrape, gate *plugin.Gate) {
-	gate.Plugins(func(name, state string, counts plugin.Counts, named map[string]uint64) {
+	gate.Plugins(func(name, state string, counts plugin.Counts, programCounters map[string]uint64) {
 		scrape.Counters("plugin_total", "Runs of a plug-in, by event.", "event", counts, "plugin", name)
 		scrape.Gauge("plugin_suspended", "Whether a plug-in is suspended for exhausting its budget (1) or not (0).", suspended(state), "plugin", name)
-		for n, count := range named {
+		for n, count := range programCounters {
 			scrape.Gauge("plugin_counts", "Counters that a plug-in maintains itself.", float64(count), "plugin", name, "count", n)
 		}
 	})
-	scrape.Gauge("plugin_outcomes_dropped", "Outcomes whose hooks did not run because too many outcomes were queued.", float64(gate.Dropped()))
+	scrape.Gauge("plugin_outcomes_dropped", "Outcomes whose hooks did not run because too many outcomes were queued.", float64(gate.DroppedOutcomes()))
 }
 
 // suspended returns 0 if the state of a circuit breaker lets calls through ("closed"), else 1.
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -73,7 +73,7 @@
 			RepaymentShare: cmp.Or(float64(lending.RepaymentShare), defaultRepaymentShare),
 			DebtLifetime:   cmp.Or(lending.DebtLifetime.Value(), defaultDebtLifetime),
 		},
-		Matches:       make(map[string]quotas.Match),
+		Matches:       make(map[string]quotas.RequestMatch),
 		Tenants:       c.Tenants,
 		MaxRetryAfter: c.Policy.MaxRetryAfter,
 		Share:         cmp.Or(lending.SidecarShare, min(1, evenShare)),
@@ -87,7 +87,7 @@
 			Name: q.Name, Parent: q.Parent, Weight: q.Weight, Limits: quotaLimits(q),
 		})
 		if q.Tenant != "" || q.Header != "" || q.Tag != "" {
-			config.Matches[q.Name] = quotas.Match{
+			config.Matches[q.Name] = quotas.RequestMatch{
 				Tenant: q.Tenant, Header: textproto.CanonicalMIMEHeaderKey(q.Header), Value: q.Value, Tag: q.Tag,
 			}
 		}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -44,21 +44,21 @@
 	watch := peertest.Await(t, "the watch", oldRegistry.Watches)
 	inFlight := peertest.Call{Class: "once", ID: "held"}.Start(t, address)
 	peertest.Await(t, "the request in flight", oldUpstream.Requests)
-	unresolvedAddress := peertest.ValidJSON(t, reloadText("discovery.internal"))
+	unresolvedAddress := peertest.RequireJSON(t, reloadText("discovery.internal"))
 	for _, invalid := range []string{"", "{", unresolvedAddress, `{"discovery":"127.0.0.1:1"}`} {
 		reload(invalid)
 	}
 	select {
-	case watch.Lines <- peertest.ListText(2, false): // the sidecar still reads the old watch
+	case watch.Lines <- peertest.EndpointListJSON(2, false): // the sidecar still reads the old watch
 	case <-watch.Ended:
 		t.Fatal("reload of an invalid file: got the end of the watch, want it open")
 	}
-	reload(peertest.ValidJSON(t, reloadText(newRegistry.Addr)))
+	reload(peertest.RequireJSON(t, reloadText(newRegistry.Addr)))
 	peertest.Await(t, "the request for the new list", newRegistry.ListRequests)
 	if got := (peertest.Call{Class: "once", ID: "meanwhile"}).Do(t, address); got.Body != "a" {
 		t.Errorf("before the new list: got %+v, want body a", got)
 	}
-	newRegistry.ListResponses <- peertest.ListText(1, true, upEndpoint("s-2", newUpstream.Addr))
+	newRegistry.ListResponses <- peertest.EndpointListJSON(1, true, upEndpoint("s-2", newUpstream.Addr))
 	peertest.Await(t, "the new watch", newRegistry.Watches)
 	awaitBody(t, address, "b")
 	close(release)
--- a/internal/sidecar/request_framing_test.go
+++ b/internal/sidecar/request_framing_test.go
@@ -84,9 +84,9 @@
 				t.Fatalf("chunks %d: got status %d, last %v; want 200 and an open connection", i, status, last)
 			}
 			received := peertest.Await(t, "the request", upstream.Requests)
-			if received.Text != body || len(received.TransferEncoding) > 0 || received.ContentLength != int64(len(body)) {
+			if received.BodyText != body || len(received.TransferEncoding) > 0 || received.ContentLength != int64(len(body)) {
 				t.Errorf("chunks %d: upstream got body %q, %d bytes, encodings %v",
-					i, received.Text, received.ContentLength, received.TransferEncoding)
+					i, received.BodyText, received.ContentLength, received.TransferEncoding)
 			}
 		}
 	}
@@ -108,8 +108,8 @@
 		if status, last := client.readResponse(); status != http.StatusOK || last {
 			t.Fatalf("request %d: got status %d, last %v; want 200 and an open connection", i, status, last)
 		}
-		if received := peertest.Await(t, "the request", upstream.Requests); received.Text != "abcd" {
-			t.Errorf("upstream: got body %q, want abcd", received.Text)
+		if received := peertest.Await(t, "the request", upstream.Requests); received.BodyText != "abcd" {
+			t.Errorf("upstream: got body %q, want abcd", received.BodyText)
 		}
 	}
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -50,7 +50,7 @@
 
 func testShutdownBetweenAttempts(t *testing.T) {
 	upstream := newGatedUpstream(t)
-	address, shutdown, _ := startWithUpstream(t, upstream.Upstream)
+	address, shutdown, _ := startWithUpstream(t, upstream.RawUpstream)
 	client := dial(t, address)
 	client.sendRequest("x")
 	peertest.Await(t, "the first attempt", upstream.Requests)
@@ -71,7 +71,7 @@
 	peertest.Await(t, "the request to be accepted", requestAccepted(t, address, "x"))
 	shutdown()
 	awaitDraining(t, address)
-	requests := stalled.Admit(t)
+	requests := stalled.AcceptNext(t)
 	peertest.Await(t, "the attempt", requests)
 	client.expectLastResponse(http.StatusOK)
 	client.expectClose()
@@ -99,7 +99,7 @@
 
 func testShutdownWithPipelinedRequests(t *testing.T) {
 	upstream := newGatedUpstream(t)
-	address, shutdown, _ := startWithUpstream(t, upstream.Upstream)
+	address, shutdown, _ := startWithUpstream(t, upstream.RawUpstream)
 	client := dial(t, address)
 	client.sendRequest("first")
 	peertest.Await(t, "the first request", upstream.Requests)
--- a/internal/sidecar/watch_drain_test.go
+++ b/internal/sidecar/watch_drain_test.go
@@ -17,9 +17,9 @@
 // watchDrain is a running sidecar with a watch on a registry, a second registry to which discovery
 // may move, and a client that sends requests continuously.
 type watchDrain struct {
-	registry, newRegistry *peertest.Discovery
+	registry, newRegistry *peertest.ScriptedDiscovery
 	watch                 *peertest.Watch
-	drained, other        *peertest.Upstream
+	drained, other        *peertest.RawUpstream
 	drain                 string // update that drains the endpoint of drained
 	complete              string // complete list without that endpoint
 	config                *Config
@@ -39,14 +39,14 @@
 		other:   newServingUpstream(t, "b"),
 		signals: make(chan os.Signal), stopRequesting: make(chan struct{}), stopped: make(chan struct{}),
 	}
-	w.drained = peertest.NewUpstream(t, func(peertest.Received) (string, bool) {
+	w.drained = peertest.NewUpstream(t, func(peertest.ReceivedRequest) (string, bool) {
 		w.mu.Lock()
 		w.lastAtDrained = time.Now()
 		w.mu.Unlock()
-		return peertest.Answer200("a"), false
+		return peertest.Response200("a"), false
 	})
-	w.drain = peertest.ListText(2, false, peertest.HostText("s-1", w.drained.Addr, "draining", 0))
-	w.complete = peertest.ListText(2, true, upEndpoint("s-2", w.other.Addr))
+	w.drain = peertest.EndpointListJSON(2, false, peertest.EndpointJSON("s-1", w.drained.Addr, "draining", 0))
+	w.complete = peertest.EndpointListJSON(2, true, upEndpoint("s-2", w.other.Addr))
 	w.config = testConfig(t, testOptions{}, w.registry.Addr,
 		upEndpoint("s-1", w.drained.Addr), upEndpoint("s-2", w.other.Addr))
 	w.config.platformFile = filepath.Join(t.TempDir(), "config.json")
@@ -80,7 +80,7 @@
 }
 
 // nextWatch waits for the next watch at a registry.
-func nextWatch(t *testing.T, registry *peertest.Discovery) *peertest.Watch {
+func nextWatch(t *testing.T, registry *peertest.ScriptedDiscovery) *peertest.Watch {
 	t.Helper()
 	return peertest.Await(t, "another watch", registry.Watches)
 }
--- a/internal/transport/httpnode/delimited_by_close_test.go
+++ b/internal/transport/httpnode/delimited_by_close_test.go
@@ -44,7 +44,7 @@
 		"rejection, then reset":          {text: rejected, reset: true, want: policy.Rejected},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := peertest.NewUpstream(t, func(request peertest.Received) (string, bool) {
+			server := peertest.NewUpstream(t, func(request peertest.ReceivedRequest) (string, bool) {
 				if !test.reset {
 					return test.text, true
 				}
@@ -67,7 +67,7 @@
 // If the upstream neither closes nor resets the connection after a response without a length, the
 // attempt ends at its deadline.
 func TestResponseThatNeverEndsTimesOut(t *testing.T) {
-	server := peertest.NewUpstream(t, peertest.Always(responseWithoutLength))
+	server := peertest.NewUpstream(t, peertest.RespondWith(responseWithoutLength))
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	if got, _ := roundTrip(ctx, newTestUpstream(newTestPool(2), server.Addr)); got != policy.TimedOut {
@@ -78,7 +78,7 @@
 // A front end that cannot forward a response without a length gets no response. The result says
 // that the request may have run.
 func TestRequiresLengthFailsResponsesWithoutALength(t *testing.T) {
-	server := peertest.NewUpstream(t, func(peertest.Received) (string, bool) { return responseWithoutLength, true })
+	server := peertest.NewUpstream(t, func(peertest.ReceivedRequest) (string, bool) { return responseWithoutLength, true })
 	message := newTestMessage()
 	message.RequiresLength = true
 	got, response := newTestUpstream(newTestPool(2), server.Addr).RoundTrip(t.Context(), message)
--- a/internal/transport/httpnode/local_error_test.go
+++ b/internal/transport/httpnode/local_error_test.go
@@ -13,7 +13,7 @@
 // A connection that fails because this machine lacks a resource must not count against the upstream.
 // Errors that the network or the upstream reports must count.
 func TestLocalErrorsDoNotCountAgainstAnUpstream(t *testing.T) {
-	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("honey")))
+	server := peertest.NewUpstream(t, peertest.RespondWith(peertest.Response200("honey")))
 	for errno, want := range map[syscall.Errno]policy.AttemptResult{
 		syscall.EMFILE:        policy.NotSent,
 		syscall.ENFILE:        policy.NotSent,
--- a/internal/transport/httpnode/pool_test.go
+++ b/internal/transport/httpnode/pool_test.go
@@ -12,7 +12,7 @@
 // Among the connections past their reuseDelay, the pool reuses the most recently used one first, so
 // that the others reach their idle timeout.
 func TestPoolReusesTheMostRecentConnection(t *testing.T) {
-	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
+	server := peertest.NewUpstream(t, peertest.RespondWith(peertest.Response200("")))
 	pool := newTestPool(4)
 	upstream := newTestUpstream(pool, server.Addr)
 	var all []*connection
@@ -48,7 +48,7 @@
 // The number of connections that are opened because others are in their reuseDelay is limited both
 // for each upstream and by the slots of the pool.
 func TestPoolBoundsDelayedConnections(t *testing.T) {
-	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
+	server := peertest.NewUpstream(t, peertest.RespondWith(peertest.Response200("")))
 	for _, maxConnections := range []int{maxDelayedConnections + 10, 8} {
 		pool := newTestPool(maxConnections)
 		upstream := newTestUpstream(pool, server.Addr)
@@ -71,7 +71,7 @@
 
 // A connection that the upstream has closed while it was idle must not be reused.
 func TestPoolDropsConnectionsClosedByTheUpstream(t *testing.T) {
-	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
+	server := peertest.NewUpstream(t, peertest.RespondWith(peertest.Response200("")))
 	pool := newTestPool(4)
 	upstream := newTestUpstream(pool, server.Addr)
 	conn := getConnection(t, upstream)
@@ -95,7 +95,7 @@
 
 // The pool closes an idle connection at its own idle timeout, before the upstream closes it.
 func TestPoolClosesIdleConnectionsBeforeTheUpstreamDoes(t *testing.T) {
-	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
+	server := peertest.NewUpstream(t, peertest.RespondWith(peertest.Response200("")))
 	pool := newConnectionPool(time.Second, 10*time.Second, 4)
 	conn := getConnection(t, newTestUpstream(pool, server.Addr))
 	pool.put(conn)
@@ -116,8 +116,8 @@
 // At the maximum number of connections, the pool closes an idle connection to open a new one, even
 // if the two connect to different upstreams. Without an idle connection, the caller waits for a slot.
 func TestPoolBoundsConnections(t *testing.T) {
-	serverA := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
-	serverB := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
+	serverA := peertest.NewUpstream(t, peertest.RespondWith(peertest.Response200("")))
+	serverB := peertest.NewUpstream(t, peertest.RespondWith(peertest.Response200("")))
 	pool := newTestPool(2)
 	upstreamA, upstreamB := newTestUpstream(pool, serverA.Addr), newTestUpstream(pool, serverB.Addr)
 	first, second := getConnection(t, upstreamA), getConnection(t, upstreamA)
@@ -144,7 +144,7 @@
 // Another process may take over the address of a retired upstream while an attempt to the old
 // process is still in flight. The connection of that attempt must not be reused for the new process.
 func TestConnectionsBelongToTheirUpstream(t *testing.T) {
-	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
+	server := peertest.NewUpstream(t, peertest.RespondWith(peertest.Response200("")))
 	pool := newTestPool(4)
 	retired := newTestUpstream(pool, server.Addr)
 	idle, inUse := getConnection(t, retired), getConnection(t, retired)
--- a/internal/transport/httpnode/probe_test.go
+++ b/internal/transport/httpnode/probe_test.go
@@ -16,17 +16,17 @@
 		wantSuccess  bool
 		wantInFlight float64
 	}{
-		"body":          {peertest.Answer200("TEXT failed_ps=0.5, busy_reqs=7"), true, 7},
+		"body":          {peertest.Response200("TEXT failed_ps=0.5, busy_reqs=7"), true, 7},
 		"header":        {inHeader, true, 3},
-		"without field": {peertest.Answer200("TEXT failed_ps=0.5"), true, -1},
-		"not a number":  {peertest.Answer200("TEXT busy_reqs=many"), true, -1},
-		"negative":      {peertest.Answer200("TEXT busy_reqs=-2"), true, -1},
-		"infinite":      {peertest.Answer200("TEXT busy_reqs=+Inf"), true, -1},
-		"garbage":       {peertest.Answer200("\x00=,,=busy_reqs"), true, -1},
+		"without field": {peertest.Response200("TEXT failed_ps=0.5"), true, -1},
+		"not a number":  {peertest.Response200("TEXT busy_reqs=many"), true, -1},
+		"negative":      {peertest.Response200("TEXT busy_reqs=-2"), true, -1},
+		"infinite":      {peertest.Response200("TEXT busy_reqs=+Inf"), true, -1},
+		"garbage":       {peertest.Response200("\x00=,,=busy_reqs"), true, -1},
 		"unhealthy":     {"HTTP/1.1 503 x\r\n" + emptyBody, false, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := peertest.NewUpstream(t, peertest.Always(test.text))
+			server := peertest.NewUpstream(t, peertest.RespondWith(test.text))
 			transport := &Transport{pool: newTestPool(1), loadReportField: "busy_reqs", probePath: loadReportPath}
 			load, err := transport.Upstream(server.Addr).Probe(t.Context())
 			if (err == nil) != test.wantSuccess || load.InFlight != test.wantInFlight {
@@ -43,7 +43,7 @@
 
 // A probe without a response fails after the dial timeout and closes its connection.
 func TestProbeWithoutResponseTimesOut(t *testing.T) {
-	server := peertest.NewUpstream(t, peertest.Always(""))
+	server := peertest.NewUpstream(t, peertest.RespondWith(""))
 	pool := newConnectionPool(500*time.Millisecond, time.Second, 1)
 	load, err := newTestUpstream(pool, server.Addr).Probe(t.Context())
 	if err == nil || load.InFlight >= 0 {
--- a/internal/transport/httpnode/read_response_test.go
+++ b/internal/transport/httpnode/read_response_test.go
@@ -17,7 +17,7 @@
 	want  policy.AttemptResult
 }
 
-var okResponse = peertest.Answer200("honey")
+var okResponse = peertest.Response200("honey")
 
 // The result of an attempt for each kind of response that the protocol defines: whether the response
 // is complete, and whether the request may have run. TestResponsesWithoutALength covers the other
@@ -27,7 +27,7 @@
 	for name, test := range map[string]responseCase{
 		"served":                       {text: okResponse, want: policy.Served},
 		"two equal lengths":            {text: twoEqualLengths, want: policy.Served},
-		"followed by another response": {text: okResponse + peertest.Answer200("again"), want: policy.Served},
+		"followed by another response": {text: okResponse + peertest.Response200("again"), want: policy.Served},
 		"no length, then closed":       {text: responseWithoutLength, close: true, want: policy.Served},
 		"error":                        {text: "HTTP/1.1 500 x\r\n" + emptyBody, want: policy.ServerError},
 		"rejected with 503":            {text: "HTTP/1.1 503 x\r\n" + notStartedField + emptyBody, want: policy.Rejected},
@@ -59,7 +59,7 @@
 	for name, test := range map[string]responseCase{
 		"one chunk":                    {text: complete, want: policy.Served},
 		"several chunks and a trailer": {text: earlyHints + chunkedHead + severalChunks, want: policy.Served},
-		"followed by another response": {text: complete + peertest.Answer200("again"), want: policy.Served},
+		"followed by another response": {text: complete + peertest.Response200("again"), want: policy.Served},
 		"without the last chunk":       {text: chunkedHead + firstChunk, close: true, want: policy.ConnectionReset},
 		"last chunk without its end":   {text: chunkedHead + firstChunk + "0\r\n", close: true, want: policy.ConnectionReset},
 		"too large":                    {text: chunkedHead + tooLarge + lastChunk, want: policy.ConnectionReset},
@@ -76,7 +76,7 @@
 func TestInvalidResponses(t *testing.T) {
 	const twoLengths = statusOK + "Content-Length: 3\r\nContent-Length: 5\r\n\r\nhoney"
 	const withoutColon = statusOK + "no colon here\r\nContent-Length: 5\r\n\r\nhoney"
-	tooLarge := peertest.Answer200(strings.Repeat("x", maxResponseBodyBytes+1))
+	tooLarge := peertest.Response200(strings.Repeat("x", maxResponseBodyBytes+1))
 	endlessHead := statusOK + "X: " + strings.Repeat("x", 2*maxResponseHeadBytes)
 	for name, test := range map[string]responseCase{
 		"two lengths":            {text: twoLengths},
@@ -99,7 +99,7 @@
 // checkAttemptResult performs an attempt that gets the response of test, and checks the result.
 func checkAttemptResult(t *testing.T, test responseCase) {
 	t.Helper()
-	server := peertest.NewUpstream(t, func(peertest.Received) (string, bool) { return test.text, test.close })
+	server := peertest.NewUpstream(t, func(peertest.ReceivedRequest) (string, bool) { return test.text, test.close })
 	got, response := roundTrip(t.Context(), newTestUpstream(newTestPool(2), server.Addr))
 	if got != test.want {
 		t.Errorf("got result %v, want %v", got, test.want)
@@ -108,16 +108,16 @@
 		t.Errorf("got response %+v, want the body honey if served, else none", response)
 	}
 	request := peertest.Await(t, "the request", server.Requests)
-	if request.Text != "{}" || request.Header.Get("Request-Id") != "x" {
-		t.Errorf("upstream: got header %v, body %q; want Request-Id x, body {}", request.Header, request.Text)
+	if request.BodyText != "{}" || request.Header.Get("Request-Id") != "x" {
+		t.Errorf("upstream: got header %v, body %q; want Request-Id x, body {}", request.Header, request.BodyText)
 	}
 }
 
 // A response that is too large ends its attempt as soon as the limit is exceeded. The attempt must not
 // wait for the rest of the body.
 func TestTooLargeResponseEndsTheAttemptEarly(t *testing.T) {
-	text := peertest.Answer200(strings.Repeat("x", maxResponseBodyBytes+2))
-	server := peertest.NewUpstream(t, peertest.Always(text[:len(text)-1])) // the last byte is never sent
+	text := peertest.Response200(strings.Repeat("x", maxResponseBodyBytes+2))
+	server := peertest.NewUpstream(t, peertest.RespondWith(text[:len(text)-1])) // the last byte is never sent
 	if got, _ := roundTrip(t.Context(), newTestUpstream(newTestPool(2), server.Addr)); got != policy.ConnectionReset {
 		t.Errorf("got result %v, want connection reset", got)
 	}
@@ -128,22 +128,22 @@
 // bytes must not be used as the response to the next request.
 func TestSurplusBytesAreNotUsedAsResponse(t *testing.T) {
 	const attempts = 20
-	surplus := peertest.Answer200("stale")
-	for name, sendSurplus := range map[string]func(*httpUpstream, peertest.Received){
+	surplus := peertest.Response200("stale")
+	for name, sendSurplus := range map[string]func(*httpUpstream, peertest.ReceivedRequest){
 		"in the same write": nil,
-		"later":             func(_ *httpUpstream, request peertest.Received) { io.WriteString(request.Conn, surplus) },
-		"half a line":       func(_ *httpUpstream, request peertest.Received) { io.WriteString(request.Conn, "HTTP/1.1 2") },
-		"some milliseconds later": func(upstream *httpUpstream, request peertest.Received) {
+		"later":             func(_ *httpUpstream, request peertest.ReceivedRequest) { io.WriteString(request.Conn, surplus) },
+		"half a line":       func(_ *httpUpstream, request peertest.ReceivedRequest) { io.WriteString(request.Conn, "HTTP/1.1 2") },
+		"some milliseconds later": func(upstream *httpUpstream, request peertest.ReceivedRequest) {
 			upstream.meanExchangeTime = fastExchangeTime // the next attempt waits until the reuseDelay has passed
 			time.AfterFunc(5*time.Millisecond, func() { io.WriteString(request.Conn, surplus) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := peertest.Answer200("good")
+			text := peertest.Response200("good")
 			if sendSurplus == nil {
 				text += surplus
 			}
-			server := peertest.NewUpstream(t, peertest.Always(text))
+			server := peertest.NewUpstream(t, peertest.RespondWith(text))
 			upstream := newTestUpstream(newTestPool(4), server.Addr)
 			for i := range attempts {
 				result, response := roundTrip(t.Context(), upstream)
@@ -171,7 +171,7 @@
 	const lengthAndChunks = statusOK + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks
 	responses := []string{chunked, okResponse, chunked, earlyHints + chunked, lengthAndChunks}
 	served := 0
-	server := peertest.NewUpstream(t, func(peertest.Received) (string, bool) {
+	server := peertest.NewUpstream(t, func(peertest.ReceivedRequest) (string, bool) {
 		served++
 		return responses[served-1], false
 	})
--- a/internal/transport/httpnode/round_trip_test.go
+++ b/internal/transport/httpnode/round_trip_test.go
@@ -13,7 +13,7 @@
 
 // An attempt that times out closes its connection.
 func TestTimeoutClosesTheConnection(t *testing.T) {
-	server := peertest.NewUpstream(t, peertest.Always(""))
+	server := peertest.NewUpstream(t, peertest.RespondWith(""))
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	if got, _ := roundTrip(ctx, newTestUpstream(newTestPool(2), server.Addr)); got != policy.TimedOut {
@@ -24,7 +24,7 @@
 
 // An attempt that is cancelled closes its connection.
 func TestCancelClosesTheConnection(t *testing.T) {
-	server := peertest.NewUpstream(t, peertest.Always(""))
+	server := peertest.NewUpstream(t, peertest.RespondWith(""))
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-server.Requests
@@ -49,11 +49,11 @@
 // If a reused connection breaks during an attempt, the transport must not retry the request itself,
 // even if the request is idempotent: only the balancer decides on retries.
 func TestNoHiddenRetries(t *testing.T) {
-	server := peertest.NewUpstream(t, func(request peertest.Received) (string, bool) {
+	server := peertest.NewUpstream(t, func(request peertest.ReceivedRequest) (string, bool) {
 		if request.Header.Get("Request-Id") == "breaks" {
 			return "", true
 		}
-		return peertest.Answer200("ok"), false
+		return peertest.Response200("ok"), false
 	})
 	upstream := newTestUpstream(newTestPool(2), server.Addr)
 	send := func(id string) policy.AttemptResult {
--- a/internal/transport/httpnode/write_request_test.go
+++ b/internal/transport/httpnode/write_request_test.go
@@ -15,7 +15,7 @@
 
 // An attempt that is cancelled or times out while it waits for a connection writes nothing.
 func TestAttemptThatEndsBeforeItHasAConnectionWritesNothing(t *testing.T) {
-	server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("")))
+	server := peertest.NewUpstream(t, peertest.RespondWith(peertest.Response200("")))
 	pool := newTestPool(1)
 	upstream := newTestUpstream(pool, server.Addr)
 	inUse := getConnection(t, upstream)
@@ -60,18 +60,18 @@
 		writeTimeout time.Duration // time until WriteDeadline; 0 for no WriteDeadline
 		wait         time.Duration // until a slot is free
 	}{
-		"client disconnected":              {message: core.Message{ClientGone: disconnected}},
-		"client disconnected after a wait": {message: core.Message{ClientGone: disconnected}, wait: 20 * time.Millisecond},
+		"client disconnected":              {message: core.Message{ClientDisconnected: disconnected}},
+		"client disconnected after a wait": {message: core.Message{ClientDisconnected: disconnected}, wait: 20 * time.Millisecond},
 		"deadline passed":                  {writeTimeout: -time.Millisecond},
 		"deadline passed after a wait":     {writeTimeout: 10 * time.Millisecond, wait: wait},
 		"both, after a wait": {
-			message:      core.Message{ClientGone: disconnected},
+			message:      core.Message{ClientDisconnected: disconnected},
 			writeTimeout: 10 * time.Millisecond,
 			wait:         wait,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := peertest.NewUpstream(t, peertest.Always(peertest.Answer200("ok")))
+			server := peertest.NewUpstream(t, peertest.RespondWith(peertest.Response200("ok")))
 			pool := newTestPool(1)
 			upstream := newTestUpstream(pool, server.Addr)
 			message := &test.message
--- a/internal/transport/roundtrip/roundtrip_test.go
+++ b/internal/transport/roundtrip/roundtrip_test.go
@@ -51,7 +51,7 @@
 	cancel()
 	timedOut, stop := context.WithDeadline(t.Context(), time.Unix(1, 0))
 	defer stop()
-	disconnected := &core.Message{ClientGone: func() bool { return true }}
+	disconnected := &core.Message{ClientDisconnected: func() bool { return true }}
 	for name, test := range map[string]struct {
 		ctx     context.Context
 		message *core.Message
--- a/internal/transport/rpcnode/abandon_test.go
+++ b/internal/transport/rpcnode/abandon_test.go
@@ -55,7 +55,7 @@
 	var attempts []<-chan attemptOutcome
 	for i := range maxInFlight * maxConnectionsPerUpstream {
 		attempts = append(attempts, startAttempt(ctx, upstream, fmt.Sprint(i)))
-		peertest.Until(t, "the request to be in flight", func() bool { return upstream.waitingCount() == i+1 })
+		peertest.WaitUntil(t, "the request to be in flight", func() bool { return upstream.waitingCount() == i+1 })
 	}
 	awaitResult(t, startAttempt(t.Context(), upstream, "more"), policy.ConnectionFailed)
 	if len(server.conns) != maxConnectionsPerUpstream {
--- a/internal/transport/rpcnode/helpers_test.go
+++ b/internal/transport/rpcnode/helpers_test.go
@@ -187,6 +187,6 @@
 // awaitConnection waits until the upstream has exactly one connection, and returns it.
 func awaitConnection(t *testing.T, upstream *rpcUpstream) *connection {
 	t.Helper()
-	peertest.Until(t, "the connection", func() bool { return len(upstream.connections()) == 1 })
+	peertest.WaitUntil(t, "the connection", func() bool { return len(upstream.connections()) == 1 })
 	return upstream.connections()[0]
 }
--- a/internal/transport/rpcnode/read_responses_test.go
+++ b/internal/transport/rpcnode/read_responses_test.go
@@ -93,7 +93,7 @@
 	request := peertest.Await(t, "the request", first.calls)
 	first.Write(msgrpc.AppendDrain(nil))
 	client := awaitConnection(t, upstream)
-	peertest.Until(t, "the drain", func() bool { return !client.checkCapacity(time.Now()) })
+	peertest.WaitUntil(t, "the drain", func() bool { return !client.checkCapacity(time.Now()) })
 	next := startAttempt(t.Context(), upstream, "next")
 	second := server.accept(t)
 	nextRequest := peertest.Await(t, "the next request", second.calls)
--- a/internal/transport/rpcnode/round_trip_test.go
+++ b/internal/transport/rpcnode/round_trip_test.go
@@ -142,5 +142,5 @@
 	}
 	transport.Sweep(time.Now().Add(idleTimeout + time.Second))
 	peertest.Await(t, "its close", conn.closed)
-	peertest.Until(t, "the free slot", func() bool { return len(transport.slots) == 0 })
+	peertest.WaitUntil(t, "the free slot", func() bool { return len(transport.slots) == 0 })
 }
--- a/internal/transport/rpcnode/write_requests_test.go
+++ b/internal/transport/rpcnode/write_requests_test.go
@@ -55,7 +55,7 @@
 	}
 	// The upstream stops reading: the writer blocks with a batch that exceeds the socket buffers, and
 	// the other requests are queued.
-	peertest.Until(t, "all requests to be in flight", func() bool { return client.waitingCount() == attempts })
+	peertest.WaitUntil(t, "all requests to be in flight", func() bool { return client.waitingCount() == attempts })
 	readRequests(t, framer, complete-1)
 	serverConn.(*net.TCPConn).SetLinger(0)
 	serverConn.Close()
@@ -135,7 +135,7 @@
 // are not affected.
 func TestPreventedSendWritesNothing(t *testing.T) {
 	for name, message := range map[string]*core.Message{
-		"client disconnected": {ClientGone: func() bool { return true }},
+		"client disconnected": {ClientDisconnected: func() bool { return true }},
 		"deadline passed":     {WriteDeadline: time.Now().Add(-time.Millisecond)},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/try/rules.go
+++ b/internal/try/rules.go
@@ -21,7 +21,7 @@
 const (
 	oneFinalResponse    rule = iota + 1 // each request gets one response before its deadline
 	noEffectTwice                       // no request that is not idempotent is executed twice
-	noRequestAfterDrain                 // a draining endpoint gets no request after rig.DrainWithin
+	noRequestAfterDrain                 // a draining endpoint gets no request after rig.DrainTimeLimit
 	noOverload                          // an endpoint that is warming up gets no more requests than it can serve
 	lastRule            = noOverload
 )
@@ -100,7 +100,7 @@
 // checkEffects checks that no request that is not idempotent was executed twice.
 func (d *demo) checkEffects() {
 	notIdempotent := func(id string) bool { return strings.HasPrefix(id, rig.NonIdempotent) }
-	for _, description := range d.rig.Ledger.ExecutedTwice(notIdempotent) {
+	for _, description := range d.rig.Ledger.DescribeRepeatedExecutions(notIdempotent) {
 		d.addViolation(noEffectTwice, "%s", description)
 	}
 }
@@ -108,10 +108,10 @@
 // checkDrain checks that the draining upstream got no request after the drain's time limit.
 func (d *demo) checkDrain() {
 	name := d.rig.Nodes[drainingUpstream].Name
-	lastAllowed := d.drainedAt.Add(rig.DrainWithin + tolerance)
+	lastAllowed := d.drainedAt.Add(rig.DrainTimeLimit + tolerance)
 	if late := len(timesAfter(d.rig.Ledger.AttemptTimes(name), lastAllowed)); late > 0 {
 		d.addViolation(noRequestAfterDrain, "%d requests were sent to %s more than %v after its drain began",
-			late, name, rig.DrainWithin)
+			late, name, rig.DrainTimeLimit)
 	}
 }
 
--- a/internal/try/try.go
+++ b/internal/try/try.go
@@ -19,7 +19,7 @@
 // Options configures a run. No option has a default; Duration has a lower bound.
 type Options struct {
 	Protocol peers.Protocol // protocol of the clients and the upstreams
-	Duration time.Duration  // at least Shortest
+	Duration time.Duration  // at least MinDuration
 	Eureka   bool           // a stand-in Eureka registry lists the upstreams
 	Rate     int            // requests per second; at least 1
 	Seed     uint64         // seed of the load and the service times
@@ -27,8 +27,8 @@
 	Live     bool           // redraw the table in place; if false, print one line per second
 }
 
-// Shortest is the shortest duration in which each fault still has an effect.
-const Shortest = 4 * time.Second
+// MinDuration is the shortest duration in which each fault still has an effect.
+const MinDuration = 4 * time.Second
 
 // upstreamCount is the number of upstreams of a run.
 const upstreamCount = 8
@@ -53,16 +53,16 @@
 // the demo cannot start. While Run runs, it discards the process's log, because log lines would disturb
 // the table. If ctx ends, the demo ends early.
 func Run(ctx context.Context, options Options) error {
-	options.Duration = max(options.Duration, Shortest)
+	options.Duration = max(options.Duration, MinDuration)
 	log := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer slog.SetDefault(log)
 
 	d := &demo{Options: options, byUpstream: make(map[string]*tally)}
 	rigOptions := rig.Options{
-		Front:            options.Protocol,
-		Nodes:            options.Protocol,
-		Number:           upstreamCount,
+		ClientProtocol:   options.Protocol,
+		NodeProtocol:     options.Protocol,
+		NodeCount:        upstreamCount,
 		Script:           d.serveAfterDelay,
 		KeepAttemptTimes: true,
 	}
--- a/internal/try/try_test.go
+++ b/internal/try/try_test.go
@@ -31,7 +31,7 @@
 			options := Options{
 				Protocol: test.protocol,
 				Eureka:   test.eureka,
-				Duration: Shortest,
+				Duration: MinDuration,
 				Rate:     60,
 				Seed:     1,
 				Out:      &out,
@@ -53,7 +53,7 @@
 // four rules: it sends requests to the upstreams without the sidecar, and one request through a client
 // that loses it.
 func TestCheckRulesReportsViolations(t *testing.T) {
-	r, err := rig.Start(rig.Options{Number: upstreamCount, KeepAttemptTimes: true})
+	r, err := rig.Start(rig.Options{NodeCount: upstreamCount, KeepAttemptTimes: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/interop/world.go
+++ b/interop/world.go
@@ -23,7 +23,7 @@
 	httpAddr       string // the sidecar's HTTP/1.1 listener
 	mapErrorsAddr  string // its MessagePack-RPC listener that writes errors as maps
 	textErrorsAddr string // its MessagePack-RPC listener that writes errors as texts
-	registry       *peers.Eureka
+	registry       *peers.EurekaRegistry
 	nodes          []*peers.Upstream
 	ledger         *peers.Ledger
 
@@ -197,7 +197,7 @@
 
 // checkExecutedOnce returns an error if nodes executed a request more than once.
 func (env *environment) checkExecutedOnce() error {
-	if ids := env.ledger.ExecutedTwice(func(string) bool { return true }); len(ids) > 0 {
+	if ids := env.ledger.DescribeRepeatedExecutions(func(string) bool { return true }); len(ids) > 0 {
 		return fmt.Errorf("requests were executed more than once: %v", ids)
 	}
 	return nil
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -15,7 +15,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				instance := list[i%n]
-				instance.Dirty, instance.Status = int64(2+i), Status(i/n%2)*OutOfService
+				instance.LastDirty, instance.Status = int64(2+i), Status(i/n%2)*OutOfService
 				set.ApplyDelta(time.Hour+time.Duration(i)*time.Second, 0, "r1", []Delta{{Put, instance}})
 			}
 		})
--- a/membership/config.go
+++ b/membership/config.go
@@ -16,7 +16,7 @@
 	DefaultTombstoneLifetime = time.Minute
 	DefaultStaleUpdateHold   = 30 * time.Second
 	DefaultNewProcessPeriod  = 30 * time.Second
-	DefaultMaxNodes          = 20000
+	DefaultMaxInstances      = 20000
 )
 
 // Config contains the limits and periods of a Set. A field that is zero takes its default value.
@@ -52,9 +52,9 @@
 	// its address before. Default: 30 s.
 	NewProcessPeriod time.Duration
 
-	// MaxNodes is the maximum number of instances in one list of a source. A longer list is
+	// MaxInstances is the maximum number of instances in one list of a source. A longer list is
 	// rejected and the previous list stays in use. Default: 20,000.
-	MaxNodes int
+	MaxInstances int
 }
 
 // ErrNoSource is the error that New returns if it is called without a source.
@@ -69,8 +69,8 @@
 	if c.MaxLoss == 0 {
 		c.MaxLoss = DefaultMaxLoss
 	}
-	if c.MaxNodes == 0 {
-		c.MaxNodes = DefaultMaxNodes
+	if c.MaxInstances == 0 {
+		c.MaxInstances = DefaultMaxInstances
 	}
 	for _, period := range []struct {
 		field        *time.Duration
--- a/membership/fakecore_test.go
+++ b/membership/fakecore_test.go
@@ -140,13 +140,13 @@
 // testInstance returns instance n with this status. Its ID, name and address follow from n.
 func testInstance(n int, status Status, dirty int64) Instance {
 	return Instance{
-		ID:     fmt.Sprint("i", n),
-		Name:   fmt.Sprint("records-", n),
-		Addr:   fmt.Sprint("10.0.0.", n, ":80"),
-		Status: status,
-		Weight: 1,
-		Cell:   "c",
-		Dirty:  dirty,
+		ID:        fmt.Sprint("i", n),
+		Name:      fmt.Sprint("records-", n),
+		Addr:      fmt.Sprint("10.0.0.", n, ":80"),
+		Status:    status,
+		Weight:    1,
+		Cell:      "c",
+		LastDirty: dirty,
 	}
 }
 
--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -33,11 +33,11 @@
 	digest, readySum := golden.NewDigest(), 0
 	recordChanges := func(changes []membership.Change) {
 		for _, c := range changes {
-			digest.Text('c', strings.Join([]string{c.Key, c.Name, c.Addr, c.Zone, c.MachineType, c.Cell, c.Protocol}, "\t"))
-			digest.Numbers('s', int64(c.State), int64(c.StartedAt))
-			digest.Float('w', c.Weight)
+			digest.AddText('c', strings.Join([]string{c.Key, c.Name, c.Addr, c.Zone, c.MachineType, c.Cell, c.Protocol}, "\t"))
+			digest.AddNumbers('s', int64(c.State), int64(c.StartedAt))
+			digest.AddFloat('w', c.Weight)
 		}
-		digest.Numbers('r', int64(set.Ready()))
+		digest.AddNumbers('r', int64(set.Ready()))
 		readySum += set.Ready()
 	}
 	dirty, flaps := int64(0), 0
@@ -47,7 +47,7 @@
 		}
 		instance := membership.Instance{
 			ID: fmt.Sprint("i", id), Name: fmt.Sprint("records-", id), Addr: fmt.Sprint("10.0.0.", id%23, ":80"),
-			Zone: fmt.Sprint("z", id%3), Weight: float64(id % 4), Dirty: dirty, Updated: dirty + int64(rng.IntN(3)),
+			Zone: fmt.Sprint("z", id%3), Weight: float64(id % 4), LastDirty: dirty, LastUpdated: dirty + int64(rng.IntN(3)),
 		}
 		if rng.IntN(6) == 0 {
 			instance.Status = membership.Status(rng.IntN(5))
@@ -80,7 +80,7 @@
 		if flapping && flapInterval > 0 && rng.IntN(flapInterval) == 0 {
 			flaps++
 			instance := membership.Instance{ID: "flapping", Name: "flapping", Addr: "10.0.1.1:80", StartedAt: time.Minute}
-			instance.Dirty = int64(flaps)
+			instance.LastDirty = int64(flaps)
 			instance.Status = membership.Status(flaps % 2 * int(membership.Down))
 			recordChanges(set.ApplyDelta(now, 1, replica, []membership.Delta{{Op: membership.Put, Instance: instance}}))
 		}
--- a/membership/instance.go
+++ b/membership/instance.go
@@ -32,10 +32,10 @@
 	Protocol    string
 	Weight      float64
 	StartedAt   time.Duration // Unix time at which its process started; 0: not known
-	// Dirty and Updated order the updates of one instance. Dirty is a time from the clock of the
-	// instance, Updated a time from the clock of its registry. They are never compared with any
-	// other time, because either clock may be wrong.
-	Dirty, Updated int64
+	// LastDirty and LastUpdated order the updates of one instance. LastDirty is a time from the
+	// clock of the instance, LastUpdated a time from the clock of its registry. They are never
+	// compared with any other time, because either clock may be wrong.
+	LastDirty, LastUpdated int64
 }
 
 // Op is the operation of a Delta.
--- a/membership/loss_protection.go
+++ b/membership/loss_protection.go
@@ -20,7 +20,7 @@
 	if rec == nil || rec.state != recordLive {
 		return
 	}
-	if removed.Dirty != 0 && removed.Dirty < rec.Dirty {
+	if removed.LastDirty != 0 && removed.LastDirty < rec.LastDirty {
 		return // the instance has registered again since then
 	}
 	s.removeOrHold(now, []*record{rec}, src.lossAllowed(now, 1, &s.cfg))
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -51,11 +51,11 @@
 	return set, nil
 }
 
-// ListTooLongError is the error for a list with more than Config.MaxNodes instances.
+// ListTooLongError is the error for a list with more than Config.MaxInstances instances.
 type ListTooLongError struct {
 	Source    string
 	Instances int // number of instances in the list
-	Max       int // Config.MaxNodes
+	Max       int // Config.MaxInstances
 }
 
 // Error returns a text with the source, the number of instances and the maximum.
@@ -69,8 +69,8 @@
 // *ListTooLongError; the list is then not applied at all.
 func (s *Set) ReplaceList(now time.Duration, sourceIndex int, replica string, list []Instance) ([]Change, error) {
 	src := s.sources[sourceIndex]
-	if len(list) > s.cfg.MaxNodes {
-		return nil, &ListTooLongError{Source: src.name, Instances: len(list), Max: s.cfg.MaxNodes}
+	if len(list) > s.cfg.MaxInstances {
+		return nil, &ListTooLongError{Source: src.name, Instances: len(list), Max: s.cfg.MaxInstances}
 	}
 	src.markResponded(now)
 	present := make(map[string]bool, len(list))
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -115,13 +115,13 @@
 	core.wantState(older.Addr, Draining, "OUT_OF_SERVICE")
 	// The same registration is drained by a registry whose clock is an hour slow.
 	drained := testInstance(2, OutOfService, 1)
-	drained.Updated = -3600_000
+	drained.LastUpdated = -3600_000
 	changes, _ = core.set.ReplaceList(core.now, eureka, "lagging", []Instance{older, drained, third})
 	core.apply(changes)
 	core.wantState(drained.Addr, Draining, "OUT_OF_SERVICE")
 	// A later update from the same replica applies immediately.
 	restored := drained
-	restored.Status, restored.Updated = Up, drained.Updated+1
+	restored.Status, restored.LastUpdated = Up, drained.LastUpdated+1
 	core.apply(core.set.ApplyDelta(core.now, eureka, "lagging", []Delta{{Put, restored}}))
 	core.wantState(restored.Addr, Ready, "UP")
 	// An older update that is repeated for StaleUpdateHold applies: the instance's clock was set back.
@@ -181,7 +181,7 @@
 	}
 	// The same ID with a later start is a new process as well.
 	restarted := next
-	restarted.StartedAt, restarted.Dirty = core.now, 8
+	restarted.StartedAt, restarted.LastDirty = core.now, 8
 	core.put(eureka, restarted)
 	if got := core.endpointAt("10.0.0.1:80"); got.Key == current.Key || got.StartedAt != core.now || got.Cell != "" {
 		t.Errorf("after the restart: got %+v, want a new key, started now, no cell", got)
@@ -273,9 +273,9 @@
 	}
 }
 
-// A list with more than MaxNodes instances is rejected and the previous list stays in use.
+// A list with more than MaxInstances instances is rejected and the previous list stays in use.
 func TestTooLongListIsRejected(t *testing.T) {
-	core := newFakeCore(t, Config{MaxNodes: 3})
+	core := newFakeCore(t, Config{MaxInstances: 3})
 	core.replaceList(eureka, testInstances(3, Up)...)
 	_, err := core.set.ReplaceList(core.now, eureka, "r1", testInstances(4, OutOfService))
 	var tooLong *ListTooLongError
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -217,7 +217,7 @@
 	for id := range modelInstances {
 		if run.rng.IntN(4) > 0 {
 			instance := run.randomInstance()
-			identity := testInstance(id, instance.Status, instance.Dirty)
+			identity := testInstance(id, instance.Status, instance.LastDirty)
 			instance.ID, instance.Name, instance.Addr = identity.ID, identity.Name, identity.Addr
 			list = append(list, instance)
 		}
--- a/membership/processes.go
+++ b/membership/processes.go
@@ -86,8 +86,8 @@
 		return bHeld
 	case a.StartedAt != b.StartedAt:
 		return a.StartedAt > b.StartedAt
-	case a.Dirty != b.Dirty:
-		return a.Dirty > b.Dirty
+	case a.LastDirty != b.LastDirty:
+		return a.LastDirty > b.LastDirty
 	}
 	return a.ID > b.ID
 }
--- a/membership/staleness.go
+++ b/membership/staleness.go
@@ -26,19 +26,19 @@
 // isOlder reports whether an update precedes the current record. The updates of one replica are in
 // order, so the registry's clock is compared only if the last update came from another replica.
 func isOlder(rec *record, replica string, update *Instance) bool {
-	if rec.state == recordDeleted && update.Dirty <= rec.Dirty {
+	if rec.state == recordDeleted && update.LastDirty <= rec.LastDirty {
 		return true // only a new registration replaces a tombstone
 	}
-	if update.Dirty != rec.Dirty {
-		return update.Dirty < rec.Dirty
+	if update.LastDirty != rec.LastDirty {
+		return update.LastDirty < rec.LastDirty
 	}
-	return update.Updated < rec.Updated && replica != rec.source.replica
+	return update.LastUpdated < rec.LastUpdated && replica != rec.source.replica
 }
 
 // isStricterStatus reports whether an update belongs to the same registration as the record and has
 // a stricter status.
 func isStricterStatus(rec *record, update *Instance) bool {
-	return rec.state != recordDeleted && update.Dirty == rec.Dirty && update.Status > rec.Status
+	return rec.state != recordDeleted && update.LastDirty == rec.LastDirty && update.Status > rec.Status
 }
 
 // expireStaleUpdate applies the deferred update of a record once Config.StaleUpdateHold has passed,
@@ -56,7 +56,7 @@
 	}
 	update := *rec.staleUpdate
 	rec.staleUpdate = nil
-	rec.Dirty, rec.Updated = update.Dirty, update.Updated // later updates are compared with these times
+	rec.LastDirty, rec.LastUpdated = update.LastDirty, update.LastUpdated // later updates are compared with these times
 	s.applyInstance(now, rec.source, rec.source.replica, &update)
 	return false
 }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -45,7 +45,7 @@
 	if b.isClientRetry(class, received) {
 		firstReceivedAt = min(now, deadline-class.Deadline)
 	}
-	stretch := time.Duration(class.ObjectiveStretch * float64(received.ExpectedWork))
+	stretch := time.Duration(class.ObjectiveWorkFactor * float64(received.ExpectedWork))
 	objectiveAt := min(deadline, firstReceivedAt+class.LatencyObjective+stretch)
 	usefulUntil := objectiveAt
 	if class.lateResponseMayHaveValue(received) {
@@ -74,7 +74,7 @@
 // lateResponseMayHaveValue reports whether a response after the objective may have a value. That is
 // also the case if the objective depends on the expected work and the expected work is unknown.
 func (c *classState) lateResponseMayHaveValue(received Request) bool {
-	return c.LateValueShare > 0 || (c.ObjectiveStretch > 0 && received.ExpectedWork == 0)
+	return c.LateValueShare > 0 || (c.ObjectiveWorkFactor > 0 && received.ExpectedWork == 0)
 }
 
 // startDeadline returns the latest time at which an attempt may start. An attempt that starts later
--- a/policy/config.go
+++ b/policy/config.go
@@ -100,9 +100,9 @@
 	// LatencyObjective is the latency up to which a response has its full value; above 0.
 	LatencyObjective time.Duration
 
-	// ObjectiveStretch is the multiple of Request.ExpectedWork that is added to the latency
+	// ObjectiveWorkFactor is the multiple of Request.ExpectedWork that is added to the latency
 	// objective of a request.
-	ObjectiveStretch float64
+	ObjectiveWorkFactor float64
 
 	// Deadline is how long a client waits in total, including its own retries; above 0.
 	Deadline time.Duration
@@ -212,9 +212,9 @@
 				"config: Classes[%d]: want LatencyObjective > 0, Deadline > 0 and DedupWindow >= 0, got %v, %v and %v",
 				i, class.LatencyObjective, class.Deadline, class.DedupWindow)
 		}
-		if isInvalidNumber(class.ObjectiveStretch) || isInvalidNumber(class.LateValueShare) ||
+		if isInvalidNumber(class.ObjectiveWorkFactor) || isInvalidNumber(class.LateValueShare) ||
 			isInvalidNumber(class.PriorityWeight) {
-			return fmt.Errorf("config: Classes[%d]: ObjectiveStretch, LateValueShare and PriorityWeight"+
+			return fmt.Errorf("config: Classes[%d]: ObjectiveWorkFactor, LateValueShare and PriorityWeight"+
 				" must be finite and not negative", i)
 		}
 	}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -83,7 +83,7 @@
 	}},
 	{name: "stretched objectives", gapFactor: 0.5, serviceFactor: 0.4, faultShare: 0.1, restartShare: 0.1, listIntervalMS: 700, adjust: func(c *policy.Config) {
 		for i := range c.Classes {
-			c.Classes[i].ObjectiveStretch, c.Classes[i].LateValueShare = 1.5, 0.3*float64(i%2)
+			c.Classes[i].ObjectiveWorkFactor, c.Classes[i].LateValueShare = 1.5, 0.3*float64(i%2)
 		}
 	}},
 }
@@ -186,7 +186,7 @@
 }
 
 func (h *goldenHost) Send(id policy.RequestID, to policy.EndpointID, timeout, writeWithin time.Duration) {
-	h.digest.Numbers('s', int64(id), int64(to), int64(timeout), int64(writeWithin))
+	h.digest.AddNumbers('s', int64(id), int64(to), int64(timeout), int64(writeWithin))
 	request := h.requests[id]
 	number := request.attempts
 	request.attempts++
@@ -230,28 +230,28 @@
 }
 
 func (h *goldenHost) Reject(id policy.RequestID, pause time.Duration) {
-	h.digest.Numbers('r', int64(id), int64(pause), int64(h.b.Reason()))
+	h.digest.AddNumbers('r', int64(id), int64(pause), int64(h.b.Reason()))
 	h.requests[id].ended = true
 	h.after(0, func() { h.deleteIfEnded(id) })
 }
 
 func (h *goldenHost) Fail(id policy.RequestID) {
-	h.digest.Numbers('f', int64(id), int64(h.b.Reason()))
+	h.digest.AddNumbers('f', int64(id), int64(h.b.Reason()))
 	h.requests[id].ended = true
 	h.after(0, func() { h.deleteIfEnded(id) })
 }
 
 func (h *goldenHost) Cancel(id policy.RequestID, attempt int) {
-	h.digest.Numbers('c', int64(id), int64(attempt))
+	h.digest.AddNumbers('c', int64(id), int64(attempt))
 }
 
 func (h *goldenHost) SetTimer(delay time.Duration) {
-	h.digest.Numbers('w', int64(delay))
+	h.digest.AddNumbers('w', int64(delay))
 	h.after(delay, func() { h.b.TimerFired(h.now) })
 }
 
 func (h *goldenHost) Probe(to policy.EndpointID) {
-	h.digest.Numbers('p', int64(to))
+	h.digest.AddNumbers('p', int64(to))
 	endpoint := &h.endpoints[to]
 	latency := h.exponential(2 + 30*h.scenario.serviceFactor*endpoint.slowdown)
 	load := policy.LoadReport{InFlight: -1}
@@ -269,7 +269,7 @@
 }
 
 func (h *goldenHost) RequestWatch() {
-	h.digest.Numbers('l')
+	h.digest.AddNumbers('l')
 	outcome := h.rng.IntN(8)
 	h.after(h.exponential(20), func() {
 		switch outcome {
@@ -331,7 +331,7 @@
 		endpoint.entry.Health = []policy.Health{policy.Ready, policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Removed}[h.rng.IntN(6)]
 		if h.rng.Float64() < h.scenario.restartShare {
 			endpoint.entry.StartedAt = policy.StartedAt(policy.StartEvidence{
-				Reported: h.now - h.exponential(2500), Now: h.now, WallClock: h.now + time.Duration(h.rng.IntN(3)-1)*h.exponential(2000),
+				ReportedStart: h.now - h.exponential(2500), Now: h.now, WallClock: h.now + time.Duration(h.rng.IntN(3)-1)*h.exponential(2000),
 				Changed: h.rng.IntN(2) == 0, ConfirmedAt: h.now - h.exponential(1500),
 			})
 		}
@@ -392,7 +392,7 @@
 		h.now = event.at
 		event.run()
 		if h.handledEvents%100 == 0 {
-			h.digest.Numbers('n', int64(b.SlotsFree(0)), int64(b.QueueFree(0)))
+			h.digest.AddNumbers('n', int64(b.SlotsFree(0)), int64(b.QueueFree(0)))
 		}
 	}
 	b.Shutdown()
--- a/policy/start_time.go
+++ b/policy/start_time.go
@@ -7,7 +7,7 @@
 
 // StartEvidence is the available information about the last start of an endpoint.
 type StartEvidence struct {
-	Reported time.Duration // start in Unix time, as in the endpoint list; 0 means long ago
+	ReportedStart time.Duration // start in Unix time, as in the endpoint list; 0 means long ago
 
 	// Now is the current time on the balancer's clock, which is monotonic and was set to the machine's Unix
 	// time when the process started. WallClock is the machine's current Unix time. The two differ by the
@@ -26,11 +26,11 @@
 // unnecessary slow start reduces the capacity for a while, but a missing slow start overloads an
 // endpoint that has just started.
 func StartedAt(evidence StartEvidence) time.Duration {
-	if evidence.Reported <= 0 {
+	if evidence.ReportedStart <= 0 {
 		return 0
 	}
-	age := evidence.WallClock - evidence.Reported
-	started := max(evidence.Reported, evidence.Now-age)
+	age := evidence.WallClock - evidence.ReportedStart
+	started := max(evidence.ReportedStart, evidence.Now-age)
 	startedSinceConfirmed := evidence.Changed && evidence.ConfirmedAt > 0
 	if startedSinceConfirmed && started < evidence.ConfirmedAt-reportTolerance {
 		started = evidence.ConfirmedAt
--- a/policy/start_time_test.go
+++ b/policy/start_time_test.go
@@ -65,7 +65,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := trueTime + tt.errorAtStart // the balancer's clock was set from the machine's clock at process start
-			evidence := StartEvidence{Reported: trueTime - tt.age, Now: now, WallClock: trueTime + tt.errorNow, Changed: tt.changed}
+			evidence := StartEvidence{ReportedStart: trueTime - tt.age, Now: now, WallClock: trueTime + tt.errorNow, Changed: tt.changed}
 			if tt.sinceConfirmed > 0 {
 				evidence.ConfirmedAt = now - tt.sinceConfirmed
 			}
