--- a/quota/golden_test.go
+++ b/quota/golden_test.go
@@ -94,10 +94,10 @@
 		if decision.Receipt != nil {
 			openReceipts = append(openReceipts, decision.Receipt)
 		}
-		digest.Numbers('d', int64(decision.Outcome), int64(decision.RetryAfter),
+		digest.AddNumbers('d', int64(decision.Outcome), int64(decision.RetryAfter),
 			int64(decision.Rejection.Dimension), int64(decision.Rejection.Window))
-		digest.Float('s', decision.Rejection.Missing)
-		digest.Text('n', decision.Rejection.Node+"\t"+strings.Join(decision.Lenders, "\t"))
+		digest.AddFloat('s', decision.Rejection.Missing)
+		digest.AddText('n', decision.Rejection.Node+"\t"+strings.Join(decision.Lenders, "\t"))
 		if i%1000 == 0 {
 			digestStates(digest, tree.Explain(now))
 		}
@@ -118,14 +118,14 @@
 func digestStates(digest golden.Digest, states []quota.State) {
 	for _, state := range states {
 		usage := state.Usage
-		digest.Numbers('u', int64(state.Depth), int64(usage.WithinShare), int64(usage.Borrowed),
+		digest.AddNumbers('u', int64(state.Depth), int64(usage.WithinShare), int64(usage.Borrowed),
 			int64(usage.Rejected), int64(usage.Lent), int64(usage.Repaid))
 		for _, limit := range state.Limits {
-			digest.Float('l', limit.Left)
+			digest.AddFloat('l', limit.Left)
 		}
 		for _, debt := range state.Debts {
-			digest.Text('o', debt.To)
-			digest.Float('a', debt.Amount)
+			digest.AddText('o', debt.To)
+			digest.AddFloat('a', debt.Amount)
 		}
 	}
 }
--- a/resolver/golden_test.go
+++ b/resolver/golden_test.go
@@ -27,9 +27,9 @@
 			schedule.SetHasList(rng.IntN(2) == 0)
 		}
 		step := schedule.Next(now)
-		digest.Numbers('n', int64(step.Wait), int64(step.Call), int64(len(step.Cancel)))
+		digest.AddNumbers('n', int64(step.Wait), int64(step.Call), int64(len(step.Cancel)))
 		for _, id := range step.Cancel {
-			digest.Numbers('g', int64(id))
+			digest.AddNumbers('g', int64(id))
 			delete(endAt, id)
 			cancelled++
 		}
@@ -44,7 +44,7 @@
 		now = endAt[first]
 		switch rng.IntN(5) {
 		case 0:
-			digest.Numbers('f', int64(first))
+			digest.AddNumbers('f', int64(first))
 			if !schedule.CallFailed(first) {
 				now += time.Duration(rng.IntN(2000)) * time.Millisecond
 			}
@@ -54,7 +54,7 @@
 			schedule.CancelAll()
 			clear(endAt)
 		default:
-			schedule.CallAnswered(now, first)
+			schedule.CallResponded(now, first)
 			clear(endAt)
 			answered++
 		}
--- a/resolver/resolver.go
+++ b/resolver/resolver.go
@@ -109,10 +109,10 @@
 	return wait - time.Duration(s.config.Jitter*s.rng.Float64()*float64(wait))
 }
 
-// CallAnswered records that the response to a call has started. The caller must cancel all other calls. The
+// CallResponded records that the response to a call has started. The caller must cancel all other calls. The
 // next call is hedged after 1.5 times the response time of the answered call, or after HedgeAfter if that
 // is longer.
-func (s *Schedule) CallAnswered(now time.Duration, id CallID) {
+func (s *Schedule) CallResponded(now time.Duration, id CallID) {
 	for _, answered := range s.calls {
 		if answered.id == id {
 			responseTime := now - answered.startedAt
--- a/resolver/resolver_test.go
+++ b/resolver/resolver_test.go
@@ -44,7 +44,7 @@
 			}
 		}
 		if first != 0 {
-			schedule.CallAnswered(responseAt[first], first)
+			schedule.CallResponded(responseAt[first], first)
 			return responseAt[first], calls
 		}
 		if step.Wait <= 0 {
