--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -55,7 +55,7 @@
 
 // standardError receives the log and the error of a failed command.
 var standardError = logsink.New(os.Stderr, logsink.DefaultMaxQueuedBytes, func(lines uint64) {
-	slog.Warn("log lines lost", "lines", lines)
+	slog.Warn("log lines could not be written and were dropped", "lines", lines)
 })
 
 // reloads receives the signals that request a reload. Its buffer of one keeps a signal that
--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -47,8 +47,8 @@
 				t.Errorf("after SIGTERM: got %v, want exit status 0", err)
 			}
 			text, err := os.ReadFile(log.Name())
-			if err != nil || !strings.Contains(string(text), "msg=ended") {
-				t.Errorf("log: got %q, error %v; want it to contain \"msg=ended\"", text, err)
+			if err != nil || !strings.Contains(string(text), `msg="connections drained; exiting"`) {
+				t.Errorf("log: got %q, error %v; want the message \"connections drained; exiting\"", text, err)
 			}
 		})
 	}
@@ -101,10 +101,10 @@
 	}
 	moved := false
 	for !moved && lines.Scan() {
-		moved = strings.Contains(lines.Text(), "moved") && strings.Contains(lines.Text(), "127.0.0.1:2")
+		moved = strings.Contains(lines.Text(), `msg="discovery: address changed"`) && strings.Contains(lines.Text(), "127.0.0.1:2")
 	}
 	if !moved {
-		t.Error("the log does not say that discovery moved to 127.0.0.1:2, the address of the new configuration")
+		t.Error("the log has no message \"discovery: address changed\" with 127.0.0.1:2, the address of the new configuration")
 	}
 	response, err := http.Get("http://" + config.listen + "/health/ready")
 	if err != nil || response.StatusCode != http.StatusOK {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -96,7 +96,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(result); err != nil {
-		slog.Debug("admin: response not written", "path", r.URL.Path, "err", err)
+		slog.Debug("admin socket: write of the response failed", "path", r.URL.Path, "err", err)
 	}
 }
 
--- a/internal/core/endpoint_table.go
+++ b/internal/core/endpoint_table.go
@@ -86,12 +86,12 @@
 	}
 	for _, entry := range entries {
 		if present[entry.Name] {
-			slog.Warn("discovery: duplicate endpoint", "endpoint", entry.Name)
+			slog.Warn("discovery: endpoint list contains a name more than once", "endpoint", entry.Name)
 		}
 		endpoint, usable := t.upsert(entry, now, confirmedAt)
 		if !usable {
 			if entry.Health != Removed {
-				slog.Warn("discovery: unusable endpoint ignored", "endpoint", entry.Name, "address", entry.Addr)
+				slog.Warn("discovery: ignoring an endpoint without a name or with an invalid address", "endpoint", entry.Name, "address", entry.Addr)
 			}
 			continue
 		}
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -70,7 +70,7 @@
 // reportViolation counts and logs an invariant violation. rule is the name of the count in metrics.
 func reportViolation(count *atomic.Uint64, rule, requestID string) {
 	count.Add(1)
-	slog.Error("a rule was broken", "rule", rule, "request", requestID)
+	slog.Error("invariant violated", "rule", rule, "request", requestID)
 }
 
 // SendCompleted records that the last byte of an attempt was written, and checks the invariants.
--- a/internal/core/pause_detection.go
+++ b/internal/core/pause_detection.go
@@ -35,7 +35,7 @@
 		from:  d.startedAt.Add(last),
 		until: d.startedAt.Add(sinceStart),
 	})
-	slog.Warn("the process did not run", "for", sinceStart-last)
+	slog.Warn("process was paused; requests may have waited in the kernel", "for", sinceStart-last)
 }
 
 // earliestArrival returns the earliest time at which bytes that the process read at now may have arrived.
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -68,7 +68,7 @@
 	reason := c.balancer.Reason()
 	c.outcomes.unserved[reason].Add(1)
 	if request := c.requests.byID[id]; request != nil && debugEnabled() {
-		slog.Debug("request given up",
+		slog.Debug("request rejected or failed",
 			"request", request.ID, "how", outcome, "reason", reason.String(), "attempts", len(request.attempts))
 	}
 }
@@ -115,7 +115,7 @@
 // logCounters logs the counts since the Core was created. Only the event loop may call it.
 func (c *Core) logCounters() {
 	slog.Info("counters", counterAttributes(c.balancer.Counters())...)
-	slog.Info("checks", counterAttributes(c.Violations())...)
+	slog.Info("invariant violations", counterAttributes(c.Violations())...)
 }
 
 // counterAttributes returns a log attribute for each counter of a struct.
--- a/internal/front/httpfront/handle_request.go
+++ b/internal/front/httpfront/handle_request.go
@@ -74,6 +74,6 @@
 func (front *Front) recordClosedUnanswered(conn *clientConn, requestID string) {
 	if conn.isClosed() && !conn.peerClosed.Load() {
 		front.closedUnanswered.Add(1)
-		slog.Error("a rule was broken", "rule", "closed_unanswered", "request", requestID)
+		slog.Error("invariant violated", "rule", "closed_unanswered", "request", requestID)
 	}
 }
--- a/internal/front/httpfront/listener.go
+++ b/internal/front/httpfront/listener.go
@@ -63,7 +63,7 @@
 			listener.accepted.Add(1)
 			return listener.newClientConn(tcpConn), nil
 		}
-		slog.Error("a connection that is not TCP was closed", "kind", fmt.Sprintf("%T", conn))
+		slog.Error("closed a connection that is not TCP", "kind", fmt.Sprintf("%T", conn))
 		conn.Close()
 	}
 }
--- a/internal/plugin/run.go
+++ b/internal/plugin/run.go
@@ -67,7 +67,7 @@
 	}
 	p.mu.Unlock()
 	if shouldLog {
-		slog.Warn("plug-in", "plugin", p.spec.Name, "breaker", state.String(), "failed", p.failed.Load(), "err", err)
+		slog.Warn("plug-in run failed or its circuit breaker changed state", "plugin", p.spec.Name, "breaker", state.String(), "failed", p.failed.Load(), "err", err)
 	}
 }
 
--- a/internal/registry/eureka/client.go
+++ b/internal/registry/eureka/client.go
@@ -92,7 +92,7 @@
 			wait = c.failover(err, &retry)
 		} else {
 			if retry.failures > 0 {
-				slog.Info("eureka: registry responds again", "replica", c.replicaURL())
+				slog.Info("eureka: registry is responding again", "replica", c.replicaURL())
 			}
 			retry = newRetryState()
 		}
@@ -104,7 +104,7 @@
 // delay is 0 until every replica has failed in the current round.
 func (c *Client) failover(err error, retry *retryState) time.Duration {
 	if retry.failures == 0 {
-		slog.Warn("eureka: fetch failed", "replica", c.replicaURL(), "err", err)
+		slog.Warn("eureka: fetch failed; trying the next replica", "replica", c.replicaURL(), "err", err)
 	}
 	retry.failures++
 	c.replicaIndex = (c.replicaIndex + 1) % len(c.cfg.Replicas)
--- a/internal/registry/eureka/poll.go
+++ b/internal/registry/eureka/poll.go
@@ -62,7 +62,7 @@
 func (c *Client) applyDelta(delta *Applications) bool {
 	changes := c.list.applyDelta(delta.Instances)
 	if delta.Hash != "" && delta.Hash != c.list.hash() {
-		slog.Info("eureka: hash mismatch after a delta, fetching the complete list", "replica", c.replicaURL())
+		slog.Info("eureka: hash mismatch after a delta; fetching the complete list", "replica", c.replicaURL())
 		c.list = nil
 		return false
 	}
--- a/internal/registry/eureka/register.go
+++ b/internal/registry/eureka/register.go
@@ -141,7 +141,7 @@
 	}
 	err := r.sendRequest(ctx, http.MethodPut, r.instancePath()+"?status="+status, nil)
 	if errors.Is(err, statusError(http.StatusNotFound)) {
-		slog.Info("eureka: the lease has run out, registering again", "id", r.id)
+		slog.Info("eureka: lease not found; registering again", "id", r.id)
 		return r.register(ctx, status)
 	}
 	return err
@@ -149,7 +149,7 @@
 
 func (r *Registrar) recordSuccess(status string) {
 	if r.failing {
-		slog.Info("eureka: registered again", "id", r.id)
+		slog.Info("eureka: registration succeeded after failures", "id", r.id)
 	}
 	r.status, r.failing = status, false
 }
@@ -158,7 +158,7 @@
 // attempt registers again.
 func (r *Registrar) failover(err error) {
 	if !r.failing {
-		slog.Warn("eureka: registration failed", "replica", r.cfg.Replicas[r.replicaIndex], "err", err)
+		slog.Warn("eureka: registration or renewal failed; trying the next replica", "replica", r.cfg.Replicas[r.replicaIndex], "err", err)
 	}
 	r.status, r.failing = "", true
 	r.replicaIndex = (r.replicaIndex + 1) % len(r.cfg.Replicas)
@@ -171,10 +171,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
 	if err := r.sendRequest(ctx, http.MethodPut, r.instancePath()+"/status?value=OUT_OF_SERVICE", nil); err != nil {
-		slog.Warn("eureka: taking out of service failed", "err", err)
+		slog.Warn("eureka: setting status OUT_OF_SERVICE failed", "err", err)
 	}
 	if err := r.sendRequest(ctx, http.MethodDelete, r.instancePath(), nil); err != nil {
-		slog.Warn("eureka: deregistration failed, the lease will run out", "err", err)
+		slog.Warn("eureka: deregistration failed; the instance stays registered until its lease expires", "err", err)
 	}
 }
 
--- a/internal/registry/merge/merge.go
+++ b/internal/registry/merge/merge.go
@@ -80,7 +80,7 @@
 		changes, err := m.set.ReplaceList(now, source, replica, list)
 		list = nil // allows the list to be garbage collected while the changes are published
 		if err != nil {
-			slog.Warn("membership: list rejected, nothing of it is applied", "err", err)
+			slog.Warn("membership: list rejected; keeping the previous list", "err", err)
 		}
 		m.publishChanges(changes)
 	}
@@ -146,7 +146,7 @@
 		case source.Reason == "" && logged != "":
 			slog.Info("membership: source trusted again", "source", source.Name)
 		case source.Reason != "" && logged == "":
-			slog.Warn("membership: source not trusted", "source", source.Name, "reason", source.Reason)
+			slog.Warn("membership: source not trusted; keeping its lost or last known instances", "source", source.Name, "reason", source.Reason)
 		}
 	}
 }
--- a/internal/registry/platform/discovery.go
+++ b/internal/registry/platform/discovery.go
@@ -80,7 +80,7 @@
 // changeAddress switches to another address. Versions at the new address may be unrelated to
 // those at the previous address, so the next list must be complete.
 func (d *Discovery) changeAddress(addr string) {
-	slog.Info("discovery: moved", "to", addr)
+	slog.Info("discovery: address changed", "to", addr)
 	d.listURL, d.hasBase = listURL(addr), false
 }
 
@@ -115,7 +115,7 @@
 			retry = newRetryState()
 		}
 		if !retry.logged {
-			slog.Warn("discovery: watch ended", "err", end.err, "version", d.version)
+			slog.Warn("discovery: watch ended; it will be reopened", "err", end.err, "version", d.version)
 			retry.logged = true
 		}
 		if d.watchRequests != nil {
--- a/internal/sidecar/platform_config.go
+++ b/internal/sidecar/platform_config.go
@@ -149,7 +149,7 @@
 	}
 	known := new(platform.Listing)
 	if err := json.Unmarshal(text, known); err != nil {
-		slog.Warn("configuration: cached endpoint list unreadable, ignored", "err", err)
+		slog.Warn("configuration: ignoring the invalid cached endpoint list", "err", err)
 		return nil
 	}
 	return known
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -59,7 +59,7 @@
 	if err := s.quotas.Load(s.config.quotaConfig(f)); err != nil {
 		return err
 	}
-	slog.Info("quotas were read again", "number", len(f.Quotas))
+	slog.Info("quotas reloaded", "number", len(f.Quotas))
 	return nil
 }
 
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -21,7 +21,7 @@
 	}
 	oldAddress := s.config.Discovery
 	if err := s.config.reloadDiscovery(); err != nil {
-		slog.Error("configuration: the old one stays in force", "err", err)
+		slog.Error("configuration reload failed; keeping the previous configuration", "err", err)
 		return
 	}
 	if s.config.Discovery != oldAddress && s.discovery != nil {
@@ -38,20 +38,20 @@
 	}
 	file, err := operator.Load(s.config.Operator.Path())
 	if err != nil {
-		slog.Error("the operators' file: plug-ins and quotas stay as they were", "err", err)
+		slog.Error("reload of the operators' file failed; keeping the previous plug-ins and quotas", "err", err)
 		return
 	}
 	if err := s.reloadQuotas(file); err != nil {
-		slog.Error("quotas: the old ones stay in force", "err", err)
+		slog.Error("quota reload failed; keeping the previous quotas", "err", err)
 	}
 	if s.plugins == nil {
 		return
 	}
 	if err := s.plugins.Load(pluginSpecs(file)); err != nil {
-		slog.Error("plug-ins: the old ones stay in force", "err", err)
+		slog.Error("plug-in reload failed; keeping the previous plug-ins", "err", err)
 		return
 	}
-	slog.Info("plug-ins were read again", "number", len(file.Plugins))
+	slog.Info("plug-ins reloaded", "number", len(file.Plugins))
 }
 
 // reloadDiscovery applies the address of discovery from the platform's file. It ignores
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -28,7 +28,7 @@
 // Closing a listener resets the connections in its accept queue. The listeners therefore stay open
 // for acceptGrace while clients are signalled to send no new requests.
 func (s *service) shutDown() error {
-	slog.Info("draining")
+	slog.Info("shutdown started; draining connections")
 	killedAt := time.Now().Add(s.config.killGrace())
 	for _, f := range s.frontEnds {
 		f.Drain() // before the listener closes, because no request may arrive on an idle connection after that
@@ -39,7 +39,7 @@
 	defer cancel()
 	err := s.shutDownFrontEnds(ctx)
 	if err == nil {
-		slog.Info("ended")
+		slog.Info("connections drained; exiting")
 	}
 	return err
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -161,7 +161,7 @@
 			continue
 		}
 		fmt.Fprintln(f, lines.Text())
-		if line := lines.Text(); strings.Contains(line, "a rule was broken") || strings.HasPrefix(line, "panic:") ||
+		if line := lines.Text(); strings.Contains(line, "invariant violated") || strings.HasPrefix(line, "panic:") ||
 			strings.Contains(line, "DATA RACE") {
 			s.env.checker.addViolation(Check, "sidecar %d: %s", s.number, line)
 		}
--- a/internal/sockets/retrying_listener.go
+++ b/internal/sockets/retrying_listener.go
@@ -131,7 +131,7 @@
 	listener.backoff = min(max(2*listener.backoff, initialAcceptBackoff), maxAcceptBackoff)
 	if listener.loggedAt.IsZero() || now.Sub(listener.loggedAt) >= failureLogInterval {
 		listener.loggedAt = now
-		slog.Warn("accept failed, waiting", "listener", listener.Addr().String(), "err", err, "failures", count)
+		slog.Warn("accept failed; retrying after a delay", "listener", listener.Addr().String(), "err", err, "failures", count)
 	}
 	return listener.backoff
 }
