--- a/cmd/soaktest/main.go
+++ b/cmd/soaktest/main.go
@@ -53,7 +53,7 @@
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", cfg.Seed, err)
 		}
-		fmt.Printf("seed %d: %d requests, answers %v, troubles %v, %d violations\n",
+		fmt.Printf("seed %d: %d requests, responses %v, faults %v, %d violations\n",
 			cfg.Seed, result.Requests, result.StatusCounts, result.FaultCounts, len(result.Violations))
 		for _, v := range result.Violations {
 			fmt.Println(" ", v)
--- a/internal/fleet/scenario_check.go
+++ b/internal/fleet/scenario_check.go
@@ -51,7 +51,7 @@
 	node := &scenario.Node
 	switch {
 	case scenario.Nodes < 1 || scenario.Sidecars < 1:
-		return fmt.Errorf("%d nodes and %d sidecars: both must be at least 1", scenario.Nodes, scenario.Sidecars)
+		return fmt.Errorf("nodes and sidecars must be at least 1, got %d and %d", scenario.Nodes, scenario.Sidecars)
 	case scenario.Duration <= 0:
 		return fmt.Errorf("duration must be above 0, got %v", scenario.Duration)
 	case !scenario.arrivalsDefined():
--- a/internal/front/httpfront/read_request.go
+++ b/internal/front/httpfront/read_request.go
@@ -46,7 +46,7 @@
 func checkFraming(httpRequest *http.Request, head http1.Head) *requestError {
 	switch {
 	case !httpRequest.ProtoAtLeast(1, 1): // net/http ignores a Transfer-Encoding of HTTP/1.0
-		return &requestError{http.StatusHTTPVersionNotSupported, "version 1.1 is spoken here"}
+		return &requestError{http.StatusHTTPVersionNotSupported, "only version 1.1 is supported"}
 	case len(httpRequest.TransferEncoding) > 0 && !head.Unambiguous():
 		return &requestError{http.StatusLengthRequired, "set either Content-Length or Transfer-Encoding, not both"}
 	case httpRequest.ContentLength > http1.MaxRequestBodyBytes:
--- a/internal/front/rpcfront/write_response_test.go
+++ b/internal/front/rpcfront/write_response_test.go
@@ -54,10 +54,10 @@
 				}, "timeout"},
 				{func() {
 					client.call(3, func(call *msgrpc.Call) { call.Class = "no\x02such" })
-				}, "rejected: class: byte 0x02: no control bytes are allowed"},
+				}, "rejected: class: must not contain control bytes, got byte 0x02"},
 				{func() {
 					client.call(4, func(call *msgrpc.Call) { call.Target = strings.Repeat("x", 20_000) })
-				}, `rejected: target "` + strings.Repeat("x", 40) + `": it begins with '/'`},
+				}, `rejected: target must begin with '/', got "` + strings.Repeat("x", 40) + `"`},
 				{func() {
 					client.Write(msgp.AppendArrayHeader(msgrpc.AppendRequest(nil, 5, "add"), 0))
 				}, "rejected: method: must be call or ready"},
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -120,7 +120,7 @@
 		{func(s *fleet.Scenario) { s.Classes[0].DedupScope = fleet.DedupScope(policy.ScopeCell) }, "scope must be all"},
 		{func(s *fleet.Scenario) { s.Faults = []fleet.Fault{{Kind: fleet.PowerLoss}} }, "power-cut"},
 		{func(s *fleet.Scenario) { s.Faults = []fleet.Fault{{Kind: fleet.Hang, NodeShare: 0.5}} }, "exactly one node"},
-		{func(s *fleet.Scenario) { s.Nodes = 0 }, "0 nodes"},
+		{func(s *fleet.Scenario) { s.Nodes = 0 }, "nodes and sidecars must be at least 1, got 0 and 2"},
 	} {
 		s := smallScenario()
 		test.change(&s)
--- a/internal/msgrpc/call.go
+++ b/internal/msgrpc/call.go
@@ -145,7 +145,7 @@
 	case call.Timeout == 0:
 		return errors.New("left_ms is missing: must be the time in milliseconds for which the client waits")
 	case call.Target[0] != '/':
-		return fmt.Errorf("target %.40q: it begins with '/'", call.Target)
+		return fmt.Errorf("target must begin with '/', got %.40q", call.Target)
 	}
 	return nil
 }
--- a/internal/msgrpc/parse.go
+++ b/internal/msgrpc/parse.go
@@ -64,7 +64,7 @@
 	}
 	for _, char := range raw {
 		if isControl(char) {
-			return "", rest, fmt.Errorf("byte %#02x: no control bytes are allowed", char)
+			return "", rest, fmt.Errorf("must not contain control bytes, got byte %#02x", char)
 		}
 	}
 	return string(raw), rest, nil
--- a/internal/peers/eureka_calls_test.go
+++ b/internal/peers/eureka_calls_test.go
@@ -26,7 +26,7 @@
 		204, "",
 	},
 	{
-		"register by the body's look", "POST apps/RECORDS", "",
+		"register without a Content-Type", "POST apps/RECORDS", "",
 		` <instance><hostName>h5</hostName><app>RECORDS</app><ipAddr>127.0.0.5</ipAddr><dataCenterInfo>` +
 			`<name>MyOwn</name></dataCenterInfo></instance>`,
 		204, "",
@@ -50,13 +50,13 @@
 	},
 	{"register too much", "POST apps/RECORDS", "json", `{"instance":"` + strings.Repeat("x", 1<<20) + `"}`, 413, ""},
 	{
-		"register older news", "POST apps/RECORDS", "json",
+		"register an outdated instance", "POST apps/RECORDS", "json",
 		strings.NewReplacer(`:"50"`, `:"49"`, `:1234`, `:4321`).Replace(registration),
 		204, "",
 	},
 	{"renew", "PUT apps/RECORDS/r1?status=UP&lastDirtyTimestamp=50", "json", "", 200, ""},
-	{"renew what is not held", "PUT apps/RECORDS/none", "json", "", 404, ""},
-	{"renew newer news", "PUT apps/RECORDS/r1?lastDirtyTimestamp=51", "json", "", 404, "must register again"},
+	{"renew an unknown instance", "PUT apps/RECORDS/none", "json", "", 404, ""},
+	{"renew with a newer timestamp", "PUT apps/RECORDS/r1?lastDirtyTimestamp=51", "json", "", 404, "must register again"},
 	{
 		"apps JSON", "GET apps", "json", "", 200,
 		`{"applications":{"versions__delta":"5","apps__hashcode":"UP_5_",` +
@@ -108,7 +108,7 @@
 	{"cancel", "DELETE apps/RECORDS/r1", "json", "", 200, ""},
 	{"cancel", "GET apps", "json", "", 200, `-"r1"`},
 	{"cancel twice", "DELETE apps/RECORDS/r1", "json", "", 404, ""},
-	{"no such call", "PATCH apps/RECORDS/r3", "json", "", 405, "unsupported call"},
+	{"unsupported call", "PATCH apps/RECORDS/r3", "json", "", 405, "unsupported call"},
 	{"no such path", "GET people", "json", "", 404, ""},
 	{"base of Spring", "GET /eureka/apps", "json", "", 200, `{"applications"`},
 }
