--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -54,8 +54,8 @@
 const logFlushTimeout = 100 * time.Millisecond
 
 // standardError receives the log and the error of a failed command.
-var standardError = logsink.New(os.Stderr, logsink.DefaultLimit, func(lines uint64) {
-	slog.Warn("log lines lost", "lines", lines)
+var standardError = logsink.New(os.Stderr, logsink.DefaultMaxQueuedBytes, func(lines uint64) {
+	slog.Warn("log lines could not be written and were dropped", "lines", lines)
 })
 
 // reloads receives the signals that request a reload. Its buffer of one keeps a signal that
@@ -73,7 +73,7 @@
 		return err
 	}
 	applyLimits(c.Limits)
-	c.LogLost = standardError.Lost
+	c.LostLogLines = standardError.LostLines
 	return sidecar.Run(stopped, reloads, c)
 }
 
--- a/internal/fleet/scenario_check.go
+++ b/internal/fleet/scenario_check.go
@@ -51,7 +51,7 @@
 	node := &scenario.Node
 	switch {
 	case scenario.Nodes < 1 || scenario.Sidecars < 1:
-		return fmt.Errorf("%d nodes and %d sidecars: both must be at least 1", scenario.Nodes, scenario.Sidecars)
+		return fmt.Errorf("nodes and sidecars must be at least 1, got %d and %d", scenario.Nodes, scenario.Sidecars)
 	case scenario.Duration <= 0:
 		return fmt.Errorf("duration must be above 0, got %v", scenario.Duration)
 	case !scenario.arrivalsDefined():
@@ -128,7 +128,7 @@
 }
 
 func (scenario *Scenario) checkShares() error {
-	retryAfter, swing := scenario.Clients.RetryAfterShare, scenario.Daily.Swing
+	retryAfter, swing := scenario.Clients.RetryAfterShare, scenario.Daily.Amplitude
 	if retryAfter < 0 || retryAfter > 1 || swing < 0 || swing > 1 {
 		return fmt.Errorf("heeds of clients and swing of daily must be between 0 and 1, got %v and %v",
 			retryAfter, swing)
--- a/internal/front/rpcfront/write_response_test.go
+++ b/internal/front/rpcfront/write_response_test.go
@@ -54,10 +54,10 @@
 				}, "timeout"},
 				{func() {
 					client.call(3, func(call *msgrpc.Call) { call.Class = "no\x02such" })
-				}, "rejected: class: byte 0x02: no control bytes are allowed"},
+				}, "rejected: class: must not contain control bytes, got byte 0x02"},
 				{func() {
 					client.call(4, func(call *msgrpc.Call) { call.Target = strings.Repeat("x", 20_000) })
-				}, `rejected: target "` + strings.Repeat("x", 40) + `": it begins with '/'`},
+				}, `rejected: target must begin with '/', got "` + strings.Repeat("x", 40) + `"`},
 				{func() {
 					client.Write(msgp.AppendArrayHeader(msgrpc.AppendRequest(nil, 5, "add"), 0))
 				}, "rejected: method: must be call or ready"},
@@ -119,7 +119,7 @@
 		}
 		checkBuffered(t, front, bodyBytes)
 	}
-	peertest.Until(t, "the connection of the stalled client to be closed", func() bool {
+	peertest.WaitUntil(t, "the connection of the stalled client to be closed", func() bool {
 		front.mu.Lock()
 		defer front.mu.Unlock()
 		return len(front.conns) == 1
@@ -156,7 +156,7 @@
 		request := peertest.Await(t, "a request to be submitted", handler.submitted)
 		request.Respond(core.Response{Result: core.Served, Body: make([]byte, 1<<20)})
 	}
-	peertest.Until(t, "the connection to be closed", func() bool {
+	peertest.WaitUntil(t, "the connection to be closed", func() bool {
 		front.mu.Lock()
 		defer front.mu.Unlock()
 		return len(front.conns) == 0
