--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,6 +1,6 @@
 // Admission decides on arrival whether a request is dispatched, queued or rejected. It also sets the
-// deadlines that later decisions use, based on the client's timeout, the class and smoothed latencies
-// (all durations).
+// deadlines that later decisions use. The deadlines are based on the client's timeout, the class and the
+// smoothed latencies.
 
 package policy
 
@@ -45,8 +45,8 @@
 	if b.isClientRetry(class, received) {
 		firstReceivedAt = min(now, deadline-class.Deadline)
 	}
-	stretch := time.Duration(class.ObjectiveWorkFactor * float64(received.ExpectedWork))
-	objectiveAt := min(deadline, firstReceivedAt+class.LatencyObjective+stretch)
+	workAllowance := time.Duration(class.ObjectiveWorkFactor * float64(received.ExpectedWork))
+	objectiveAt := min(deadline, firstReceivedAt+class.LatencyObjective+workAllowance)
 	usefulUntil := objectiveAt
 	if class.lateResponseMayHaveValue(received) {
 		usefulUntil = deadline
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// A client must get an answer before the objective if no endpoint becomes available.
+// A client must get a response before the objective if no endpoint becomes available.
 func TestQueuedRequestIsRejectedBeforeItsObjective(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), nil) // without endpoints, a request is queued and later rejected
 	receive(b, 0, 1, notIdempotentClass)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -34,7 +34,7 @@
 	requestsReceived int // number of requests received, except invalid requests
 
 	bulkheads     []bulkhead // indexed by tenant
-	firstBulkhead int        // index of the bulkhead whose queue dispatchQueued handled first last time
+	firstBulkhead int        // index of the bulkhead with which the last call of dispatchQueued started
 	totalSlots    int        // slots of all bulkheads
 	totalShare    float64    // sum of Tenant.Share of all tenants
 	totalQuota    float64    // sum of Tenant.Quota of all tenants, in requests per second of the fleet
@@ -84,7 +84,7 @@
 	b.setTimer(now, idleInterval)
 }
 
-// RequestReceived handles a request from a client. The request is answered exactly once, before its timeout
+// RequestReceived handles a request from a client. The request gets exactly one response, before its timeout
 // expires: by the AttemptEnded event that completes it, or by Host.Reject or Host.Fail, possibly from within
 // this call. A request with the ID of another request that is not finished is ignored. A request with an
 // unknown class or tenant, or without time left, is rejected at once, as is any request after Shutdown.
@@ -137,7 +137,8 @@
 	}
 }
 
-// ClientDisconnected handles the disconnect of a client that no longer waits. The request gets no response.
+// ClientDisconnected handles a request whose client has disconnected or has cancelled the request. The
+// Balancer then neither rejects nor fails the request.
 func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	if request := b.requests[id]; request != nil && !request.completed {
 		b.complete(request)
@@ -208,7 +209,7 @@
 func (b *Balancer) Shutdown() {
 	b.shuttingDown = true
 	for _, request := range b.openRequests {
-		if !request.answered() {
+		if !request.needsNoResponse() {
 			b.rejectOrFail(request, ShuttingDown)
 		}
 	}
@@ -226,7 +227,7 @@
 		if request.awaitingProbes && now >= request.probeDeadline {
 			b.dispatchToBest(now, request)
 		}
-		if !request.answered() && b.shouldStopWaiting(now, request) {
+		if !request.needsNoResponse() && b.shouldStopWaiting(now, request) {
 			b.rejectOrFail(request, QueueTimeout)
 		}
 	}
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -45,12 +45,12 @@
 	}
 	endAttempt(b, 2*ms, 1, 0, Cancelled)
 	if len(h.rejected)+len(h.failed) != 0 || len(b.requests) != 0 || b.SlotsFree(0) != 6 {
-		t.Fatalf("got %d answers and %d requests with state, want 0 and 0",
+		t.Fatalf("got %d responses and %d requests with state, want 0 and 0",
 			len(h.rejected)+len(h.failed), len(b.requests))
 	}
 }
 
-// Once the response to the client has started, a retry or another answer would conflict with that response.
+// Once the response to the client has started, a retry or another response would conflict with that response.
 func TestStreamingRequestGetsNoFurtherAction(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), readyEndpoints(1, 2))
 	receive(b, 0, 1, idempotentClass)
@@ -59,7 +59,7 @@
 		b.TimerFired(now)
 	}
 	if len(h.rejected)+len(h.failed)+len(h.cancelled) != 0 || len(h.sends) != 1 {
-		t.Fatal("streaming request was answered, cancelled or retried; want no action")
+		t.Fatal("streaming request was rejected, failed, cancelled or retried; want no action")
 	}
 	b.AttemptEnded(11*time.Second, AttemptOutcome{ID: 1, Result: ConnectionReset, Completed: true})
 	if len(b.requests) != 0 {
--- a/policy/config.go
+++ b/policy/config.go
@@ -66,10 +66,10 @@
 	// Host.RequestWatch.
 	WatchOnRequest bool
 
-	// WatchRequestWithin is how long a watch request may stay without a response before this
-	// balancer is expected to know of a change. The Balancer repeats a watch request without
-	// a response before that time is over. 0 means unknown; the Balancer then repeats the
-	// request after a default time.
+	// WatchRequestWithin is how long the Balancer may wait for the response to a watch request
+	// and still learn of changes in time. The Balancer repeats a watch request without a
+	// response after 3/4 of this time. 0 means unknown; the Balancer then repeats the request
+	// after 4 s (defaultWatchRepeat).
 	WatchRequestWithin time.Duration
 
 	// SlowStartInitialShare is the fraction of its full capacity that an endpoint has right
@@ -108,7 +108,8 @@
 	Deadline time.Duration
 
 	// LateValueShare is the fraction of its value that a response keeps if it arrives after
-	// the objective. At 0, attempts time out at the objective.
+	// the objective. At 0, attempts time out at the objective, unless the request arrived too
+	// late for its objective or the objective depends on an expected work that is unknown.
 	LateValueShare float64
 
 	// PriorityWeight is the value of a response. Requests of a class with a higher weight are
@@ -209,7 +210,7 @@
 	for i, class := range cfg.Classes {
 		if class.LatencyObjective <= 0 || class.Deadline <= 0 || class.DedupWindow < 0 {
 			return fmt.Errorf(
-				"config: Classes[%d]: want LatencyObjective > 0, Deadline > 0 and DedupWindow >= 0, got %v, %v and %v",
+				"config: Classes[%d]: LatencyObjective and Deadline must be > 0, DedupWindow >= 0, got %v, %v and %v",
 				i, class.LatencyObjective, class.Deadline, class.DedupWindow)
 		}
 		if isInvalidNumber(class.ObjectiveWorkFactor) || isInvalidNumber(class.LateValueShare) ||
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -36,12 +36,12 @@
 	loadReportedAt         time.Duration // time of the last load report; 0 if there is none
 	otherBalancersInFlight float64       // requests of other balancers in flight, according to that report
 
-	ejected               bool
-	consecutiveFailures   int           // number of failures since the last response
-	hasPossibleFailure    bool          // one failure since the last response that may be accidental
-	lastPossibleFailureAt time.Duration // time of the last failure that may be accidental
-	lastResponseAt        time.Duration // time at which an attempt was last served or a restart became known
-	nextTrialAt           time.Duration // earliest time of the next trial request
+	ejected                bool
+	consecutiveFailures    int           // number of failures since the last success
+	hasTransientFailure    bool          // one failure that may be transient has occurred since the last success
+	lastTransientFailureAt time.Duration // time of the last failure that may be transient
+	lastSuccessAt          time.Duration // time of the last served attempt or reported restart
+	nextTrialAt            time.Duration // earliest time of the next trial request
 
 	slowStartEndsAt     time.Duration // time at which slow start ends
 	nextSlowStartSendAt time.Duration // earliest time of the next attempt in slow start
@@ -83,7 +83,7 @@
 // applyEntry adds or updates one endpoint. A start later than the known start begins a new slow start and
 // resets the failures of the endpoint.
 func (b *Balancer) applyEntry(now time.Duration, entry Endpoint) {
-	if usable := entry.Weight > 0 && !math.IsInf(entry.Weight, 0); !usable {
+	if valid := entry.Weight > 0 && !math.IsInf(entry.Weight, 0); !valid {
 		entry.Weight = 1
 	}
 	endpoint := b.endpointsByID[entry.ID]
--- a/policy/events.go
+++ b/policy/events.go
@@ -13,7 +13,7 @@
 	ID           RequestID
 	Class        int           // index into Config.Classes
 	Tenant       int           // index into Config.Tenants
-	Timeout      time.Duration // time until the client gives up
+	Timeout      time.Duration // time until the client stops waiting
 	ExpectedWork time.Duration // time that the endpoint is expected to work on the request; 0 if unknown
 	ClientRetry  bool          // the client marked the request as a retry
 }
--- a/policy/guard.go
+++ b/policy/guard.go
@@ -1,7 +1,7 @@
 // The guard: the rules that every attempt must satisfy, whichever decision requested the attempt. Only
 // startAttempt starts attempts, and only isAttemptAllowed decides whether the rules allow an attempt.
 //
-//  1. A request is answered exactly once, before its deadline, and gets no attempt afterwards.
+//  1. A request gets exactly one response, before its deadline, and no attempt afterwards.
 //  2. A request that is not idempotent never runs twice. At most one of its attempts is in flight
 //     at a time. A further attempt requires proof that no earlier attempt has run, or an endpoint
 //     that drops repeats of the request.
@@ -15,7 +15,7 @@
 // isAttemptAllowed reports whether the rules allow an attempt at an endpoint now.
 func (b *Balancer) isAttemptAllowed(now time.Duration, request *requestState, endpoint *endpointState) bool {
 	switch {
-	case request.answered() || now >= request.deadline, // rule 1
+	case request.needsNoResponse() || now >= request.deadline, // rule 1
 		len(request.attempts) >= b.cfg.MaxAttempts,
 		endpoint.Health != Ready,                                        // rule 3
 		endpoint.inSlowStart(now) && now < endpoint.nextSlowStartSendAt, // rule 4
--- a/policy/host.go
+++ b/policy/host.go
@@ -19,12 +19,12 @@
 	// repeat of an earlier attempt.
 	Send(id RequestID, to EndpointID, timeout, writeWithin time.Duration)
 
-	// Reject answers a request with an error that says that the client may safely retry.
+	// Reject responds to a request with an error that states that the client may safely retry.
 	// The recommended pause before the retry is retryAfter, between 0 and
 	// Config.MaxRetryAfter.
 	Reject(id RequestID, retryAfter time.Duration)
 
-	// Fail answers a request with an error that does not say whether the request has run.
+	// Fail responds to a request with an error that does not state whether the request has run.
 	Fail(id RequestID)
 
 	// Cancel cancels one attempt. The program must still report its end to
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -1,5 +1,5 @@
 // Limits based on load reports: an endpoint gets no attempt while the requests that it has in flight from all
-// balancers exceed its share.
+// balancers have reached its share plus a tolerance.
 
 package policy
 
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -14,8 +14,8 @@
 const (
 	loadDecayTime = 2 * time.Second // time constant: a request of this age counts 1/e
 
-	// alwaysAdmittedRequests is a number of requests that are admitted in any case, because so few requests do
-	// not show a success rate.
+	// alwaysAdmittedRequests is added to the requests to admit and to the offered requests, so that requests
+	// are admitted while too few were counted to estimate the success rate.
 	alwaysAdmittedRequests = 0.5
 
 	// growthExponent is the exponent of the success rate in the growth of the admitted load. It is high,
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -10,7 +10,7 @@
 	initialBackoff      = 250 * time.Millisecond // pause after one failure; doubled after each further failure
 	maxBackoff          = 4 * time.Second        // maximum pause between trial requests, before randomization
 	maxBackoffDoublings = 16                     // maxBackoff is reached earlier; more doublings would overflow
-	minBackoffFactor    = 0.5                    // a pause is multiplied by a random factor from this to 1 more
+	minBackoffFactor    = 0.5                    // smallest random factor of a pause; the largest is 1 more
 
 	initialLatencyDivisor   = 8  // the initial smoothed latency is 1/8 of the objective
 	classLatencySmoothing   = 16 // weight 1/16 of a new response in a class's smoothed latency
@@ -38,15 +38,15 @@
 		b.smoothedLatency += (latency - b.smoothedLatency) / overallLatencySmoothing
 		b.recordSuccess(now, endpoint)
 	case TimedOut:
-		if endpoint.lastResponseAt <= ended.startedAt { // no other attempt got a response in the meantime either
+		if endpoint.lastSuccessAt <= ended.startedAt { // no other attempt was served in the meantime either
 			b.recordFailure(now, endpoint)
 		}
 	case ConnectionReset:
-		if ended.startedAt >= endpoint.lastPossibleFailureAt { // otherwise it failed with another connection
-			b.recordPossibleFailure(now, endpoint)
+		if ended.startedAt >= endpoint.lastTransientFailureAt { // otherwise it failed with another connection
+			b.recordTransientFailure(now, endpoint)
 		}
 	case ServerError:
-		b.recordPossibleFailure(now, endpoint)
+		b.recordTransientFailure(now, endpoint)
 	case Rejected, ConnectionFailed:
 		b.recordFailure(now, endpoint)
 	case Cancelled, NotSent: // the result says nothing about the endpoint
@@ -58,14 +58,14 @@
 	b.setEjected(now, endpoint, false)
 }
 
-// recordPossibleFailure records a failure that may be accidental. The first failure after a success does not
+// recordTransientFailure records a failure that may be transient. The first failure after a success does not
 // count; each further failure does.
-func (b *Balancer) recordPossibleFailure(now time.Duration, endpoint *endpointState) {
-	endpoint.lastPossibleFailureAt = now
-	if endpoint.hasPossibleFailure {
+func (b *Balancer) recordTransientFailure(now time.Duration, endpoint *endpointState) {
+	endpoint.lastTransientFailureAt = now
+	if endpoint.hasTransientFailure {
 		b.recordFailure(now, endpoint)
 	}
-	endpoint.hasPossibleFailure = true
+	endpoint.hasTransientFailure = true
 }
 
 // recordFailure ejects an endpoint and schedules its next trial request.
@@ -87,9 +87,9 @@
 }
 
 func (e *endpointState) clearFailures(now time.Duration) {
-	e.lastResponseAt = now
+	e.lastSuccessAt = now
 	e.consecutiveFailures = 0
-	e.hasPossibleFailure = false
+	e.hasTransientFailure = false
 }
 
 func (b *Balancer) setEjected(now time.Duration, endpoint *endpointState, ejected bool) {
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -19,7 +19,7 @@
 }
 
 // runRandomEvents runs a number of random events and returns all actions of the Balancer. It fails the
-// test if a rule is violated, a request is not answered, or a slot is not freed.
+// test if a rule is violated, a request is not completed, or a slot is not freed.
 func runRandomEvents(t testing.TB, steps int, pick func(n int) int) []string {
 	cfg := testConfig()
 	cfg.WatchOnRequest, cfg.ProbesAllowed, cfg.ProbeLoadReports = true, true, pick(2) == 0
@@ -39,14 +39,14 @@
 		run.step()
 		run.checkSlots()
 	}
-	for range 600 { // all open requests must be answered in time
+	for range 600 { // all open requests must be completed in time
 		run.now += 5 * ms
 		run.processDueEvents()
 		run.checkSlots()
 	}
 	for id, request := range run.requests {
-		if !request.answered {
-			t.Fatalf("rule 1: request %d was not answered", id)
+		if !request.completed {
+			t.Fatalf("rule 1: request %d was not completed", id)
 		}
 	}
 	for tenant, slots := range run.slots {
@@ -101,13 +101,13 @@
 	run.b.ProbeCompleted(run.now, id, run.pick(3) > 0, LoadReport{InFlight: float64(run.pick(40) - 1)})
 }
 
-// disconnectClient disconnects the client of a random request, if the request is not answered.
+// disconnectClient disconnects the client of a random request, if the request is not completed.
 func (run *randomRun) disconnectClient() {
 	if len(run.requestOrder) == 0 {
 		return
 	}
-	if id := run.requestOrder[run.pick(len(run.requestOrder))]; !run.requests[id].answered {
-		run.requests[id].answered = true
+	if id := run.requestOrder[run.pick(len(run.requestOrder))]; !run.requests[id].completed {
+		run.requests[id].completed = true
 		run.b.ClientDisconnected(run.now, id)
 	}
 }
@@ -133,8 +133,8 @@
 	request := run.requests[id]
 	request.attempts[number].inFlight = false
 	request.attempts[number].result = result
-	request.answered = request.answered || result == Served
-	run.b.AttemptEnded(run.now, AttemptOutcome{ID: id, Attempt: number, Result: result, Completed: request.answered})
+	request.completed = request.completed || result == Served
+	run.b.AttemptEnded(run.now, AttemptOutcome{ID: id, Attempt: number, Result: result, Completed: request.completed})
 }
 
 // processDueEvents calls TimerFired once for each timer that is due, and ends the attempts in flight of
@@ -188,7 +188,7 @@
 }
 
 // checkSlots checks that no bulkhead has more attempts in flight than slots in use. It also removes
-// requests that are answered and have no attempt in flight from the list of requests if the list is
+// requests that are completed and have no attempt in flight from the list of requests if the list is
 // long.
 func (run *randomRun) checkSlots() {
 	inFlight := make([]int, len(run.cfg.Tenants))
@@ -210,10 +210,10 @@
 	}
 }
 
-// deleteIfDone removes a request that is answered and has no attempt in flight, and reports whether it did.
+// deleteIfDone removes a request that is completed and has no attempt in flight, and reports whether it did.
 func (run *randomRun) deleteIfDone(id RequestID) bool {
 	request := run.requests[id]
-	done := request.answered && !slices.ContainsFunc(request.attempts, func(a checkedAttempt) bool { return a.inFlight })
+	done := request.completed && !slices.ContainsFunc(request.attempts, func(a checkedAttempt) bool { return a.inFlight })
 	if done {
 		delete(run.requests, id)
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -22,14 +22,14 @@
 	class    *classState
 	bulkhead *bulkhead
 
-	deadline    time.Duration // time at which the client gives up
+	deadline    time.Duration // time at which the client stops waiting
 	usefulUntil time.Duration // a later response has no value, so attempts time out then
 	objectiveAt time.Duration // a response before this time has its full value
 
 	attempts  []attempt
 	inFlight  int  // number of attempts that have not ended
 	streaming bool // the response to the client has started
-	completed bool // answered, or no answer is needed; kept until its attempts have ended
+	completed bool // has its response, or its client no longer waits; kept until its attempts have ended
 
 	shed           bool    // rejected by load shedding
 	shedPreference float64 // how likely the request is to be shed, relative to other requests
@@ -81,5 +81,5 @@
 	return slices.ContainsFunc(r.attempts, attempted) || slices.Contains(r.probed, endpoint)
 }
 
-// answered reports whether the request is completed or its response has started.
-func (r *requestState) answered() bool { return r.completed || r.streaming }
+// needsNoResponse reports whether the request is completed or its response has started.
+func (r *requestState) needsNoResponse() bool { return r.completed || r.streaming }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -80,7 +80,8 @@
 }
 
 // rejectOrFail rejects a request if a retry by the client is safe, and fails the request otherwise. No
-// other function answers a request that has a requestState. rejectUnacceptable rejects all other requests.
+// other function rejects or fails a request that has a requestState. rejectUnacceptable rejects all other
+// requests.
 func (b *Balancer) rejectOrFail(request *requestState, reason Reason) {
 	b.reason = reason
 	if request.clientRetryIsSafe() {
@@ -103,7 +104,7 @@
 	return r.class.Idempotency == IdempotentByKey && r.class.DedupScope == ScopeAll
 }
 
-// complete ends a request that is answered or needs no answer, and cancels its attempts in flight.
+// complete ends a request that has its response or needs none, and cancels its attempts in flight.
 func (b *Balancer) complete(request *requestState) {
 	request.completed = true
 	b.load.record(request)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -88,7 +88,7 @@
 }
 
 // The deduplication scope depends on the first attempt that may have run, not on the first attempt.
-// Otherwise a retry could run the request twice, or be refused without a reason.
+// Otherwise a retry could run the request twice, or not be retried without a reason.
 func TestDedupScopeCountsFromAttemptThatMayHaveRun(t *testing.T) {
 	list := []Endpoint{{ID: 1, Health: Ready, Weight: 1, Zone: 0}, {ID: 2, Health: Ready, Weight: 1, Zone: 1},
 		{ID: 3, Health: Ready, Weight: 1, Zone: 1}}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -25,10 +25,10 @@
 
 // checkedRequest is the state of a request as the ruleChecker observes it.
 type checkedRequest struct {
-	received Request
-	deadline time.Duration
-	attempts []checkedAttempt
-	answered bool
+	received  Request
+	deadline  time.Duration
+	attempts  []checkedAttempt
+	completed bool // has its response, or its client has disconnected
 }
 
 // checkedAttempt is the state of an attempt as the ruleChecker observes it.
@@ -69,8 +69,8 @@
 	c.record("send %d %d %v", id, to, timeout)
 	request, endpoint := c.requests[id], c.endpoints[to]
 	switch {
-	case request == nil || request.answered:
-		c.t.Fatalf("rule 1: got an attempt for request %d, which is answered or unknown", id)
+	case request == nil || request.completed:
+		c.t.Fatalf("rule 1: got an attempt for request %d, which is completed or unknown", id)
 	case endpoint.Health != Ready:
 		c.t.Fatalf("rule 3: got an attempt at endpoint %d with health %d, want Ready", to, endpoint.Health)
 	case timeout <= 0 || c.now+timeout > request.deadline:
@@ -133,22 +133,22 @@
 	}
 }
 
-// recordAnswer checks rule 1 for an answer to a request, and marks the request as answered.
-func (c *ruleChecker) recordAnswer(id RequestID) *checkedRequest {
+// recordResponse checks rule 1 for the response to a request, and marks the request as completed.
+func (c *ruleChecker) recordResponse(id RequestID) *checkedRequest {
 	request := c.requests[id]
-	if request == nil || request.answered {
-		c.t.Fatalf("rule 1: got an answer for request %d, which is answered or unknown", id)
+	if request == nil || request.completed {
+		c.t.Fatalf("rule 1: got a response to request %d, which is completed or unknown", id)
 	}
 	if c.now > request.deadline+20*ms {
-		c.t.Fatalf("rule 1: got an answer %v after the deadline, want at most 20ms", c.now-request.deadline)
+		c.t.Fatalf("rule 1: got a response %v after the deadline, want at most 20ms", c.now-request.deadline)
 	}
-	request.answered = true
+	request.completed = true
 	return request
 }
 
 func (c *ruleChecker) Reject(id RequestID, pause time.Duration) {
 	c.record("reject %d %v", id, pause)
-	request := c.recordAnswer(id)
+	request := c.recordResponse(id)
 	class := c.cfg.Classes[request.received.Class]
 	if request.firstAttemptThatMayHaveRun() != nil && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != ScopeAll) {
 		c.t.Fatalf("rule 2: request %d may have run and its repeat is unsafe: got a rejection, want a failure", id)
@@ -160,7 +160,7 @@
 
 func (c *ruleChecker) Fail(id RequestID) {
 	c.record("fail %d", id)
-	c.recordAnswer(id)
+	c.recordResponse(id)
 }
 
 func (c *ruleChecker) Cancel(id RequestID, attempt int) {
@@ -199,12 +199,12 @@
 		name, want string
 		violate    func(checker *ruleChecker)
 	}{
-		{"a second answer", "rule 1", func(checker *ruleChecker) { checker.Fail(1); checker.Fail(1) }},
-		{"an attempt after the answer", "rule 1", func(checker *ruleChecker) {
+		{"a second response", "rule 1", func(checker *ruleChecker) { checker.Fail(1); checker.Fail(1) }},
+		{"an attempt after the response", "rule 1", func(checker *ruleChecker) {
 			checker.Fail(1)
 			checker.Send(1, 1, ms, ms)
 		}},
-		{"an answer after the deadline", "rule 1", func(checker *ruleChecker) {
+		{"a response after the deadline", "rule 1", func(checker *ruleChecker) {
 			checker.now += 3 * time.Second
 			checker.Fail(1)
 		}},
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -17,7 +17,8 @@
 
 func (e *endpointState) inSlowStart(now time.Duration) bool { return now < e.slowStartEndsAt }
 
-// slowStartFactor returns the fraction of its full capacity that an endpoint has at least.
+// slowStartFactor returns the fraction of its full capacity that an endpoint has now, but at least
+// minSlowStartFactor.
 func (b *Balancer) slowStartFactor(now time.Duration, endpoint *endpointState) float64 {
 	remaining := float64(max(0, endpoint.slowStartEndsAt-now)) / float64(max(1, b.cfg.SlowStartDuration))
 	return max(minSlowStartFactor, 1-remaining*(1-b.cfg.SlowStartInitialShare))
@@ -46,7 +47,7 @@
 }
 
 // delayFirstSends sets a random time for the first attempt at each endpoint that has just started,
-// because all balancers of the fleet learn of the start at the same time.
+// because all balancers of the fleet receive the update with the start at about the same time.
 func (b *Balancer) delayFirstSends(now time.Duration) {
 	for _, endpoint := range b.justStarted {
 		interval := b.slowStartInterval(now, endpoint)
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -10,8 +10,8 @@
 	TrialRequests   uint64 `metric:"trials"`   // picks of an ejected endpoint
 	LoadShed        uint64 `metric:"shed"`     // requests rejected on arrival as too late or by load shedding
 	Retries         uint64 `metric:"retries"`  // attempts after the first attempt of a request
-	Rejected        uint64 `metric:"refused"`  // requests answered by Host.Reject
-	Failed          uint64 `metric:"failed"`   // requests answered by Host.Fail
+	Rejected        uint64 `metric:"refused"`  // requests rejected with Host.Reject
+	Failed          uint64 `metric:"failed"`   // requests failed with Host.Fail
 }
 
 // Counters returns the totals so far.
--- a/policy/weights.go
+++ b/policy/weights.go
@@ -28,8 +28,8 @@
 const peakDecayTime = time.Minute
 
 // endpointWeights holds the sums of the weights of all endpoints. Before the health, weight or ejection of an
-// endpoint changes, the endpoint must be removed from the sums, and it must be added again afterwards. The
-// alternative is to call recompute after the changes.
+// endpoint changes, the endpoint must be removed from the sums, and it must be added again afterwards.
+// Instead, recompute may be called after the changes.
 type endpointWeights struct {
 	ready         weightSum // endpoints that are Ready
 	healthy       weightSum // endpoints that are Ready and not ejected
