--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -48,9 +48,9 @@
 	Cached      *EndpointUpdate         // the last known endpoint list; nil if there is none
 	NewUpstream func(Endpoint) Upstream // called on the event loop, so it must not do I/O
 
-	// DrainGrace is how long an attempt may still start after an update has marked its endpoint as
-	// draining. The invariant checks report an attempt that starts later. The guard allows no grace:
-	// it prevents each such attempt. 0 means DefaultDrainGrace.
+	// DrainGrace is how long an attempt may still be written after an update has marked its endpoint
+	// as draining. The invariant checks report an attempt whose last byte is written later. The guard
+	// allows no grace: it prevents each attempt whose first byte is not written yet. 0 means DefaultDrainGrace.
 	DrainGrace time.Duration
 
 	// OnResponse, if set, is called with each response on the event loop, so it must not block.
@@ -118,7 +118,7 @@
 // Submit starts the handling of a request: see Handler.
 func (c *Core) Submit(request *Request) { c.post(requestReceived{request}) }
 
-// Abandon reports that the client of a request has disconnected: see Handler.
+// Abandon reports that the client of a request has disconnected or has cancelled the request: see Handler.
 func (c *Core) Abandon(request *Request) { c.post(clientDisconnected{request}) }
 
 // HasRequest reports whether a request with the given Request-Id is being handled.
--- a/internal/core/endpoint_table.go
+++ b/internal/core/endpoint_table.go
@@ -74,9 +74,9 @@
 }
 
 // merge adds and changes endpoints according to the entries of an update, and returns the endpoints in
-// the Balancer's form. It logs and ignores unusable entries. For a complete list, merge also returns the
-// names of the usable entries. The cost of a delta depends on the length of the delta, not on the length
-// of the list.
+// the Balancer's form. It ignores invalid entries, and logs them unless they are removals. For a complete
+// list, merge also returns the names of the valid entries. The cost of a delta depends on the length of the
+// delta, not on the length of the list.
 func (t *endpointTable) merge(
 	entries []Endpoint, complete bool, now, confirmedAt time.Duration,
 ) (merged []policy.Endpoint, present map[string]bool) {
@@ -88,8 +88,8 @@
 		if present[entry.Name] {
 			slog.Warn("discovery: duplicate endpoint", "endpoint", entry.Name)
 		}
-		endpoint, usable := t.upsert(entry, now, confirmedAt)
-		if !usable {
+		endpoint, valid := t.upsert(entry, now, confirmedAt)
+		if !valid {
 			if entry.Health != Removed {
 				slog.Warn("discovery: unusable endpoint ignored", "endpoint", entry.Name, "address", entry.Addr)
 			}
@@ -104,7 +104,7 @@
 }
 
 // upsert adds or changes the endpoint of an entry, and returns the endpoint in the Balancer's form. It
-// returns false if the entry is unusable. confirmedAt is EndpointUpdate.ConfirmedAt on the Balancer's
+// returns false if the entry is invalid. confirmedAt is EndpointUpdate.ConfirmedAt on the Balancer's
 // clock; 0 if unknown.
 func (t *endpointTable) upsert(entry Endpoint, now, confirmedAt time.Duration) (policy.Endpoint, bool) {
 	if entry.Name == "" {
@@ -203,7 +203,7 @@
 }
 
 // removeAbsent removes the endpoints that a complete list does not contain or lists as removed. present
-// holds the names of the list's usable entries.
+// holds the names of the list's valid entries.
 func (t *endpointTable) removeAbsent(present map[string]bool, now time.Duration) {
 	for name, endpoint := range t.byName {
 		if endpoint.entry.Health == Removed || !present[name] {
--- a/internal/core/endpoint_table_test.go
+++ b/internal/core/endpoint_table_test.go
@@ -9,8 +9,8 @@
 )
 
 // An entry without a name or with an invalid address must not reach the table, where it would get an upstream
-// without a usable address. The other entries of the update must still be applied.
-func TestUnusableEntriesAreIgnored(t *testing.T) {
+// without a valid address. The other entries of the update must still be applied.
+func TestInvalidEntriesAreIgnored(t *testing.T) {
 	core := newTestCore(t)
 	core.updateEndpoints(policy.FullUpdate, EndpointUpdate{Complete: true, Endpoints: []Endpoint{
 		{},
@@ -30,8 +30,8 @@
 func TestEntriesBecomePolicyEndpoints(t *testing.T) {
 	core := newTestCore(t)
 	upsert := func(entry Endpoint) policy.Endpoint {
-		endpoint, usable := core.endpoints.upsert(entry, core.now, 0)
-		if !usable {
+		endpoint, valid := core.endpoints.upsert(entry, core.now, 0)
+		if !valid {
 			t.Fatalf("entry %+v was ignored, want a policy endpoint", entry)
 		}
 		return endpoint
@@ -70,9 +70,9 @@
 	core := newTestCore(t)
 	startedAt := time.Duration(time.Now().Add(-2 * time.Second).UnixNano())
 	entry := Endpoint{Name: "s-1", Addr: "127.0.0.1:7", Health: Ready, StartedAt: startedAt}
-	endpoint, usable := core.endpoints.upsert(entry, core.now, 0)
+	endpoint, valid := core.endpoints.upsert(entry, core.now, 0)
 	age := core.clock.now() - endpoint.StartedAt
-	if !usable || endpoint.StartedAt <= 0 || age < time.Second || age > peertest.WaitTimeout {
+	if !valid || endpoint.StartedAt <= 0 || age < time.Second || age > peertest.WaitTimeout {
 		t.Errorf("got start time %v, %v ago on the Balancer's clock; want a positive time about 2 s ago",
 			endpoint.StartedAt, age)
 	}
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -20,7 +20,7 @@
 	prevented atomic.Bool // the prevented attempt has been counted
 }
 
-// preventReason is the reason why an attempt must not be started.
+// preventReason is the reason why an attempt must not be written.
 type preventReason int
 
 // The reasons. The comment of each reason names the field of PreventedSends that counts it.
@@ -36,7 +36,7 @@
 // PreventedSends counts the attempts that the guard prevented, by reason.
 type PreventedSends struct {
 	Draining           uint64 `metric:"draining"` // the endpoint is draining or was removed
-	ClientDisconnected uint64 `metric:"left"`     // the client has disconnected
+	ClientDisconnected uint64 `metric:"left"`     // the client has disconnected or has cancelled the request
 	Responded          uint64 `metric:"answered"` // the request already has its response
 	DedupWindow        uint64 `metric:"window"`   // the deduplication window of an earlier attempt has ended
 }
@@ -54,7 +54,7 @@
 	}
 }
 
-// AllowSend reports whether the attempt may still be started. Transports call AllowSend right before they
+// AllowSend reports whether the attempt may still be written. Transports call AllowSend right before they
 // write the first byte, from any goroutine. If AllowSend returns false, the attempt must end as
 // policy.NotSent. AllowSend may be called more than once; a prevented attempt is counted once.
 func (m *Message) AllowSend(now time.Time) bool {
@@ -68,7 +68,7 @@
 	return false
 }
 
-// findPreventReason returns the reason why the attempt must not be started now, or notPrevented.
+// findPreventReason returns the reason why the attempt must not be written now, or notPrevented.
 func (m *Message) findPreventReason(now time.Time) preventReason {
 	if !m.WriteDeadline.IsZero() && !now.Before(m.WriteDeadline) {
 		return preventDedupWindow
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -13,9 +13,9 @@
 
 // Tolerances of the invariant checks.
 const (
-	// clientDisconnectTolerance is how long after the completion of its request an attempt may start: after
-	// the client disconnected or the response was sent.
-	clientDisconnectTolerance = 100 * time.Millisecond
+	// completionTolerance is how long after the completion of its request an attempt may still be written:
+	// after the response was sent, or after the client disconnected or cancelled the request.
+	completionTolerance = 100 * time.Millisecond
 	// timeoutTolerance is how much the timeout sent to an upstream may exceed the client's remaining time.
 	timeoutTolerance = 150 * time.Millisecond
 	// schedulingTolerance is added to each bound because the process may be delayed between reading its
@@ -25,13 +25,13 @@
 
 // Violations counts invariant violations. All counts should stay 0.
 type Violations struct {
-	// Attempts that started later than Config.DrainGrace after their endpoint began to drain.
+	// Attempts whose last byte was written later than Config.DrainGrace after their endpoint began to drain.
 	SentToDraining uint64 `metric:"sent_to_draining"`
-	// Attempts that started after their client had disconnected.
+	// Attempts whose last byte was written after their client had disconnected or had cancelled the request.
 	SentAfterDisconnect uint64 `metric:"sent_for_left"`
-	// Attempts that started after their request had its response.
+	// Attempts whose last byte was written after their request had its response.
 	SentAfterResponse uint64 `metric:"sent_after_answer"`
-	// Retries of requests that are not idempotent although an earlier attempt may have been executed.
+	// Retries of requests that are not idempotent although an earlier attempt may have run.
 	RetriedNotIdempotent uint64 `metric:"repeated_unsafe"`
 	// Retries of requests that are idempotent by their key after the deduplication window had ended.
 	RetriedAfterDedupWindow uint64 `metric:"repeated_too_late"`
@@ -119,9 +119,9 @@
 	history.writes = append(history.writes, attemptWrite{attempt: g.number, at: now})
 }
 
-// checkNotCompleted reports an attempt that was started after its request was completed.
+// checkNotCompleted reports an attempt that was written after its request was completed.
 func (g *attemptGuard) checkNotCompleted(now, completedAt time.Time, clientDisconnected bool) {
-	if completedAt.IsZero() || now.Sub(completedAt) <= clientDisconnectTolerance+schedulingTolerance {
+	if completedAt.IsZero() || now.Sub(completedAt) <= completionTolerance+schedulingTolerance {
 		return
 	}
 	if clientDisconnected {
@@ -135,7 +135,7 @@
 func (g *attemptGuard) checkRetry(now time.Time, earlier attemptWrite) {
 	class := &g.core.config.Policy.Classes[g.request.Class]
 	switch {
-	case earlier.notExecuted || class.Idempotency == policy.Idempotent:
+	case earlier.neverRan || class.Idempotency == policy.Idempotent:
 	case class.Idempotency == policy.NotIdempotent:
 		reportViolation(&g.core.invariants.retriedNotIdempotent, "repeated_unsafe", g.request.ID)
 	case now.Sub(earlier.at) > class.DedupWindow+schedulingTolerance:
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -12,8 +12,9 @@
 	Fields map[string][]string // header fields by canonical name, including Request-Id
 	Body   []byte
 
-	// ClientDisconnected reports whether the client has disconnected. Listeners may leave
-	// ClientDisconnected nil. It may be called from any goroutine until the request is completed.
+	// ClientDisconnected reports whether the client has disconnected or has cancelled the request.
+	// Listeners may leave ClientDisconnected nil. It may be called from any goroutine until the request is
+	// completed, also by a transport that holds a connection's lock, so it must not block.
 	ClientDisconnected func() bool
 	// RequiresLength reports that the listener cannot forward a response whose end is uncertain: see
 	// Response.DelimitedByClose.
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -20,12 +20,12 @@
 	Tenant       int           // index into policy.Config.Tenants
 	ClientRetry  bool          // whether the request is known to be the client's own retry
 	ExpectedWork time.Duration // estimated work; 0 if unknown
-	Deadline     time.Time     // when the client stops waiting
+	Deadline     time.Time     // latest time for the response: ResponseMargin before the client's timeout expires
 
 	// Respond receives the only response. The Core calls Respond on the event loop, so it must not block.
 	Respond func(Response)
-	// OnClientDisconnected, if set, is called when the client disconnects before its response. The
-	// Handler that set OnClientDisconnected calls it; the Core does not.
+	// OnClientDisconnected, if set, is called when the client disconnects or cancels the request before its
+	// response. The Handler that set OnClientDisconnected calls it; the Core does not.
 	OnClientDisconnected func()
 
 	history requestHistory
@@ -33,7 +33,7 @@
 	// Fields used only by the event loop.
 	policyID     policy.RequestID // the request's ID in the Balancer; 0 if not registered
 	receivedAt   time.Duration    // on the Balancer's clock
-	completed    bool             // the request has its response, or its client has disconnected
+	completed    bool             // the request has its response, or its client has disconnected or cancelled it
 	attempts     []*attempt       // by attempt number
 	inFlight     int              // attempts that have not ended
 	lastTimedOut bool             // whether the attempt that ended last timed out
@@ -46,14 +46,14 @@
 	return r.lastTimedOut || r.inFlight > 0
 }
 
-// Handler handles the requests of listeners. The Core is a Handler, and so are the stages before it in the
-// chain (plug-ins, quotas). The methods may be called from any goroutine.
+// Handler handles the requests of listeners. The Core is a Handler, and so are the plugin.Gate and the
+// quotas.Gate before it in the chain. The methods may be called from any goroutine.
 type Handler interface {
 	// Submit starts the handling of a request. The Handler calls Request.Respond once, possibly before
 	// Submit returns, unless Abandon is called first. Submit may block while the event loop is busy.
 	Submit(*Request)
-	// Abandon reports that the client of a submitted request has disconnected. The Handler may have
-	// called Respond already.
+	// Abandon reports that the client of a submitted request has disconnected or has cancelled the
+	// request. The Handler may have called Respond already.
 	Abandon(*Request)
 	// HasRequest reports whether a request with the given Request-Id is being handled.
 	HasRequest(id string) bool
--- a/internal/core/request_history.go
+++ b/internal/core/request_history.go
@@ -12,20 +12,20 @@
 // attempts use it. mu guards all fields except responded.
 type requestHistory struct {
 	mu                 sync.Mutex
-	completedAt        time.Time // when the request got its response or its client disconnected; zero if neither
-	clientDisconnected bool      // the client disconnected before the response
+	completedAt        time.Time // time of the response, or of the client's disconnect or cancel; zero if neither
+	clientDisconnected bool      // the client disconnected or cancelled the request before the response
 	writes             []attemptWrite
 	responded          bool // used only by the event loop
 }
 
 // attemptWrite is an attempt whose last byte was written.
 type attemptWrite struct {
-	attempt     int // number of the attempt
-	at          time.Time
-	notExecuted bool // the result proves that the attempt was not executed
+	attempt  int // number of the attempt
+	at       time.Time
+	neverRan bool // the result proves that the upstream did not run the request
 }
 
-// complete records that the request is completed, so that no further attempt may be started. Only the
+// complete records that the request is completed, so that no further attempt may be written. Only the
 // first call has an effect.
 func (h *requestHistory) complete(now time.Time, clientDisconnected bool) {
 	h.mu.Lock()
@@ -36,7 +36,8 @@
 	}
 }
 
-// state reports whether the request is completed and whether the reason is that its client disconnected.
+// state reports whether the request is completed and whether the reason is that its client disconnected or
+// cancelled the request.
 func (h *requestHistory) state() (completed, clientDisconnected bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -49,12 +50,12 @@
 	defer h.mu.Unlock()
 	for i := range h.writes {
 		if h.writes[i].attempt == number {
-			h.writes[i].notExecuted = provesNotExecuted(result)
+			h.writes[i].neverRan = provesNotRun(result)
 		}
 	}
 }
 
-// provesNotExecuted reports whether a result proves that the attempt was not executed.
-func provesNotExecuted(result policy.AttemptResult) bool {
+// provesNotRun reports whether a result proves that the upstream did not run the request.
+func provesNotRun(result policy.AttemptResult) bool {
 	return result == policy.Rejected || result == policy.ConnectionFailed || result == policy.NotSent
 }
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -15,7 +15,7 @@
 // State is a snapshot of the Core's state for operators.
 type State struct {
 	Counters  policy.Counters
-	Requests  int   // being handled, including completed requests with an attempt in flight
+	Requests  int   // number of requests being handled, including completed requests with an attempt in flight
 	Endpoints int   // number of endpoints in the list
 	SlotsFree []int // free slots by tenant
 	QueueFree []int // free queue places by tenant
@@ -90,9 +90,9 @@
 	return slog.Default().Enabled(context.Background(), slog.LevelDebug)
 }
 
-// RejectionsByReason returns how many requests were rejected or failed, by the name of the policy.Reason.
+// UnservedByReason returns how many requests were rejected or failed, by the name of the policy.Reason.
 // Reasons with a count of 0 are omitted. It may be called from any goroutine.
-func (c *Core) RejectionsByReason() map[string]uint64 {
+func (c *Core) UnservedByReason() map[string]uint64 {
 	counts := make(map[string]uint64)
 	for reason := range c.outcomes.unserved {
 		if n := c.outcomes.unserved[reason].Load(); n > 0 {
--- a/internal/quotas/admit.go
+++ b/internal/quotas/admit.go
@@ -29,8 +29,8 @@
 	g.Handler.Submit(r)
 }
 
-// Abandon passes the request, whose client has disconnected, to the next handler's Abandon.
-// It then ends the request's charge, because no response will follow.
+// Abandon passes the request, whose client has disconnected or has cancelled the request, to the
+// next handler's Abandon. It then ends the request's charge, because no response will follow.
 func (g *Gate) Abandon(r *core.Request) {
 	g.Handler.Abandon(r)
 	if r.OnClientDisconnected != nil {
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -57,7 +57,7 @@
 	scrape.Counters("decisions_total", "Decisions of the decision module, as described in the README.", "decision", state.Counters)
 	scrape.Counters("violations_total", "Violations of rules that the run-time checks detected, by rule.", "rule", s.core.Violations())
 	scrape.Counters("withheld_total", "Attempts that the guard prevented, by reason.", "reason", s.core.PreventedSends())
-	for reason, n := range s.core.RejectionsByReason() {
+	for reason, n := range s.core.UnservedByReason() {
 		scrape.Counter("given_up_total", "Requests rejected or failed by the decision module, by reason.", float64(n), "reason", reason)
 	}
 	for result, n := range s.core.AttemptsByResult() {
