--- a/internal/front/frontend/frontend.go
+++ b/internal/front/frontend/frontend.go
@@ -46,14 +46,14 @@
 	}
 }
 
-// Class returns the number of the class with the given name; known is false if there is no
+// Class returns the index of the class with the given name; known is false if there is no
 // such class.
 func (rules *RequestRules) Class(name string) (class int, known bool) {
 	class, known = rules.classes[name]
 	return class, known
 }
 
-// Tenant returns the number of the tenant with the given name; known is false if there is no
+// Tenant returns the index of the tenant with the given name; known is false if there is no
 // such tenant. If no tenants are configured, Tenant returns 0 and true for every name.
 func (rules *RequestRules) Tenant(name string) (tenant int, known bool) {
 	if len(rules.tenants) == 0 {
--- a/internal/front/httpfront/connection.go
+++ b/internal/front/httpfront/connection.go
@@ -49,12 +49,12 @@
 	readAhead      []byte // received during a request; part of the next request
 
 	// Guarded by the listener's lock (limitedListener.mu).
-	evicted      bool      // being closed to make room for a new connection
-	trackedSince time.Time // when net/http reported the last change of the connection's state
+	evicted        bool      // being closed because the connection limit is reached
+	stateChangedAt time.Time // when net/http reported the last change of the connection's state
 
 	// mu makes reading bytes and recording them atomic. It also makes checking whether a
 	// request has started and closing the connection atomic. A request whose bytes were read
-	// before a close is therefore answered, and bytes that arrive after the close are dropped.
+	// before a close therefore gets its response, and bytes that arrive after the close are dropped.
 	// Lock order: the listener's lock before mu.
 	mu    sync.Mutex
 	state connState
--- a/internal/front/httpfront/counters.go
+++ b/internal/front/httpfront/counters.go
@@ -1,11 +1,11 @@
 package httpfront
 
-// Counters are the numbers of events since the process started. A metric tag contains the
+// Counters are the numbers of events since the Front was created. A metric tag contains the
 // counter's name in logs and metrics if that differs from the field name.
 type Counters struct {
 	Connections     uint64 // accepted
 	Submitted       uint64 `metric:"taken"`    // requests that were submitted to the handler
-	InvalidRequests uint64 `metric:"rejected"` // requests that were answered with an error because they were invalid
+	InvalidRequests uint64 `metric:"rejected"` // requests that got an error response because they were invalid
 	Disconnects     uint64 `metric:"left"`     // clients that disconnected before they received their response
 	AcceptFailures  uint64 `metric:"failed"`
 
--- a/internal/front/httpfront/evict.go
+++ b/internal/front/httpfront/evict.go
@@ -15,8 +15,8 @@
 
 const (
 	evicted        evictionResult = iota // the connection is being closed
-	requestStarted                       // a request has started on the connection meanwhile; try another one
-	candidateSoon                        // none can be evicted now, but one may soon count as silent or unfinished
+	requestStarted                       // a request has started on the connection; another connection must be chosen
+	candidateSoon                        // no connection can be evicted now, but one may soon count as silent or unfinished
 	noCandidate                          // every connection has a request that is being served
 )
 
@@ -41,7 +41,7 @@
 	listener.open++
 }
 
-// evictLocked starts to close one connection to make room for a new one. It chooses the oldest
+// evictLocked starts to close one connection, so that a new one can be accepted. It chooses the oldest
 // connection that is silent or has been reading a request for too long, because connections that
 // send nothing or only part of a request must not block clients that send requests. If there is no
 // such connection, evictLocked chooses the connection that has been idle for the longest time: the
@@ -70,7 +70,7 @@
 		if !conn.isReading() {
 			continue
 		}
-		if conn.isSilent(now) || now.Sub(conn.trackedSince) >= evictUnfinishedAfter {
+		if conn.isSilent(now) || now.Sub(conn.stateChangedAt) >= evictUnfinishedAfter {
 			listener.active = slices.Delete(listener.active, i, i+1)
 			return conn, false
 		}
--- a/internal/front/httpfront/front.go
+++ b/internal/front/httpfront/front.go
@@ -34,12 +34,12 @@
 // Config configures a Front. There are no defaults: all fields except Tenants and EarliestArrival
 // must be set.
 type Config struct {
-	// Classes are the names of the request classes; the number of a class is its index.
+	// Classes are the names of the request classes. core.Request.Class is an index into Classes.
 	Classes []string
-	// Idempotency is the idempotency of each class, indexed by the number of the class.
+	// Idempotency is the idempotency of each class, in the order of Classes.
 	Idempotency []policy.Idempotency
-	// Tenants are the names of the tenants; the number of a tenant is its index. If Tenants is
-	// empty, there is one tenant and requests need not name it.
+	// Tenants are the names of the tenants. core.Request.Tenant is an index into Tenants. If Tenants
+	// is empty, there is one tenant and requests need not name it.
 	Tenants []string
 	// MaxConnections is the maximum number of open client connections. When it is reached, a
 	// connection is evicted for a new one, or new connections wait to be accepted.
@@ -97,7 +97,7 @@
 func (front *Front) Drain() { front.listener.drain() }
 
 // Shutdown closes the listener and blocks until every connection has been closed or ctx is done. Each
-// connection is closed after its requests were answered. Shutdown does not use http.Server.Shutdown,
+// connection is closed after its requests have their responses. Shutdown does not use http.Server.Shutdown,
 // because net/http then drops requests that it has already read, without a response.
 func (front *Front) Shutdown(ctx context.Context) error {
 	front.listener.DrainBacklog(ctx)
--- a/internal/front/httpfront/handle_request.go
+++ b/internal/front/httpfront/handle_request.go
@@ -37,7 +37,8 @@
 	}
 	response := front.awaitResponse(httpRequest, conn, request)
 	front.recordClosedUnanswered(conn, request.ID)
-	// By then the client has stopped waiting for the response, so the write must not block longer.
+	// A client that has not read the response by responseWriteGrace after the deadline no longer waits for
+	// the response, so the write must not block longer.
 	_ = http.NewResponseController(writer).SetWriteDeadline(request.Deadline.Add(responseWriteGrace))
 	front.writeResponse(writer, response, conn)
 }
--- a/internal/front/httpfront/listener.go
+++ b/internal/front/httpfront/listener.go
@@ -31,7 +31,7 @@
 	mu       sync.Mutex
 	changed  *sync.Cond    // signalled when a connection was closed or became idle
 	open     int           // number of connections accepted or reserved and not closed yet
-	evicting int           // how many of the open ones are being closed to make room
+	evicting int           // number of open connections that are being closed because the limit is reached
 	active   []*clientConn // new, or a request is being read or served; oldest first
 	idle     []*clientConn // between requests; longest idle first
 	draining bool
@@ -103,7 +103,7 @@
 	conn := netConn.(*clientConn)
 	listener.mu.Lock()
 	listener.untrackLocked(conn)
-	conn.trackedSince = time.Now()
+	conn.stateChangedAt = time.Now()
 	conn.netHTTPActive.Store(state == http.StateActive)
 	switch state {
 	case http.StateNew, http.StateActive:
--- a/internal/front/httpfront/read_connection.go
+++ b/internal/front/httpfront/read_connection.go
@@ -70,7 +70,7 @@
 }
 
 // isIdleLocked reports whether the connection is open and no byte has been received since the last
-// request was answered. The caller holds conn.mu.
+// response, if any. The caller holds conn.mu.
 func (conn *clientConn) isIdleLocked() bool {
 	return conn.state == connReading && conn.requestStartedAt.IsZero()
 }
@@ -164,6 +164,6 @@
 // isSilent reports whether no bytes were received on the connection although the client had at least
 // frontend.FirstByteGrace to send them. The caller holds the listener's lock.
 func (conn *clientConn) isSilent(now time.Time) bool {
-	graceElapsed := now.Sub(conn.trackedSince) >= frontend.FirstByteGrace
+	graceElapsed := now.Sub(conn.stateChangedAt) >= frontend.FirstByteGrace
 	return graceElapsed && !conn.hasRead.Load() && sockets.IsIdle(conn.TCPConn)
 }
--- a/internal/front/httpfront/read_request.go
+++ b/internal/front/httpfront/read_request.go
@@ -101,7 +101,7 @@
 // target could not be forwarded unchanged.
 func checkTarget(httpRequest *http.Request) *requestError {
 	if httpRequest.Host == "" || !strings.HasPrefix(httpRequest.URL.Path, "/") {
-		return badRequest("the request must have a Host and a target that is a path")
+		return badRequest("Host must be set, and the target must be a path that begins with /")
 	}
 	return nil
 }
--- a/internal/front/httpfront/write_response.go
+++ b/internal/front/httpfront/write_response.go
@@ -25,7 +25,7 @@
 	core.Duplicate: http.StatusConflict,
 }
 
-// rejectInvalid answers an invalid request with an error and closes the connection, because the bytes
+// rejectInvalid responds to an invalid request with an error and closes the connection, because the bytes
 // that follow may be the body of the invalid request. The body is not read before the response is
 // written, because the body may have any size or never arrive. Part of the body is read afterwards:
 // a close with unread bytes would reset the connection, and the client could lose the response.
--- a/internal/front/rpcfront/counters.go
+++ b/internal/front/rpcfront/counters.go
@@ -1,11 +1,11 @@
 package rpcfront
 
-// Counters are the numbers of events since the process started. A metric tag contains the
+// Counters are the numbers of events since the Front was created. A metric tag contains the
 // counter's name in logs and metrics if that differs from the field name.
 type Counters struct {
 	Connections     uint64 // accepted
 	Submitted       uint64 `metric:"taken"`    // requests that were submitted to the handler
-	InvalidRequests uint64 `metric:"rejected"` // requests that were answered with an error because they were invalid
+	InvalidRequests uint64 `metric:"rejected"` // requests that got an error response because they were invalid
 	LimitExceeded   uint64 `metric:"flooded"`  // requests above Config.MaxRequestsInFlight or MaxBufferedResponseBytes
 	DuplicateIDs    uint64 `metric:"repeated"` // requests ignored because their msgid was already in flight
 	Malformed       uint64 // messages that violated the protocol
--- a/internal/front/rpcfront/drain.go
+++ b/internal/front/rpcfront/drain.go
@@ -30,7 +30,7 @@
 }
 
 // Shutdown closes the listener and blocks until every connection has been closed. Each connection is
-// closed after all its requests were answered. When ctx is done, Shutdown closes the remaining
+// closed after all its requests have their responses. When ctx is done, Shutdown closes the remaining
 // connections at once. Requests that clients sent before they learned of the drain are served:
 // connections that wait in the backlog are accepted, and a partly received message is read completely.
 func (front *Front) Shutdown(ctx context.Context) error {
--- a/internal/front/rpcfront/front.go
+++ b/internal/front/rpcfront/front.go
@@ -25,18 +25,18 @@
 	Submit(*core.Request)
 	// Abandon reports that the client has disconnected or has cancelled the request.
 	Abandon(*core.Request)
-	// Ready reports whether requests can be served.
+	// Ready reports whether an endpoint list is known.
 	Ready() bool
 }
 
 // Config configures a Front.
 type Config struct {
-	// Classes are the names of the request classes; the number of a class is its index.
+	// Classes are the names of the request classes. core.Request.Class is an index into Classes.
 	Classes []string
-	// Idempotency is the idempotency of each class, indexed by the number of the class.
+	// Idempotency is the idempotency of each class, in the order of Classes.
 	Idempotency []policy.Idempotency
-	// Tenants are the names of the tenants; the number of a tenant is its index. If Tenants is
-	// empty, there is one tenant and requests need not name it.
+	// Tenants are the names of the tenants. core.Request.Tenant is an index into Tenants. If Tenants
+	// is empty, there is one tenant and requests need not name it.
 	Tenants []string
 	// MaxConnections is the maximum number of open client connections. When it is reached, the
 	// connection that has been idle for the longest time is closed for a new one, or new
--- a/internal/front/rpcfront/handle_message.go
+++ b/internal/front/rpcfront/handle_message.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxMalformedMessages is the number of messages after which a connection is closed if they
-	// cannot be handled, because they are malformed or reuse a msgid in flight.
+	// maxMalformedMessages is the number of messages that are malformed or reuse a msgid in flight
+	// after which a connection is closed.
 	maxMalformedMessages = 16
 	// limitExceededRetryAfter is how long a client should wait after a request that was rejected
 	// because the connection has too many requests in flight.
@@ -54,7 +54,7 @@
 	conn.queueResponse(queuedResponse{id: id, encoded: msgrpc.AppendReady(nil, id, ready)})
 }
 
-// handleCall submits the request of a call, or answers the call with an error. If it returns false,
+// handleCall submits the request of a call, or responds to the call with an error. If it returns false,
 // the connection must be closed.
 func (conn *clientConn) handleCall(message *msgrpc.Message, arrival time.Time) bool {
 	front, id := conn.front, message.ID
@@ -116,7 +116,7 @@
 	return withinLimits
 }
 
-// rejectInvalid answers an invalid request with an error. The client must change the request.
+// rejectInvalid responds to an invalid request with an error. The client must change the request.
 func (conn *clientConn) rejectInvalid(id uint32, fault *msgrpc.Fault) {
 	conn.front.invalidRequests.Add(1)
 	conn.queueFault(id, fault)
@@ -134,7 +134,7 @@
 	return true
 }
 
-// cancel abandons a request in flight and answers it with an error of kind msgrpc.KindCancelled. It
+// cancel abandons a request in flight and responds with an error of kind msgrpc.KindCancelled. It
 // does nothing if the request is not in flight.
 func (conn *clientConn) cancel(id uint32) {
 	conn.mu.Lock()
--- a/internal/front/rpcfront/read_request.go
+++ b/internal/front/rpcfront/read_request.go
@@ -79,7 +79,7 @@
 	case !needsKey && hasKey:
 		return rejectedFault("key: requests of this class must not have a key")
 	case idempotency == policy.Idempotent && len(call.Body) > 0:
-		return rejectedFault("body: none is allowed for an idempotent class")
+		return rejectedFault("body: must be empty for an idempotent class")
 	}
 	return nil
 }
--- a/internal/front/rpcfront/read_request_test.go
+++ b/internal/front/rpcfront/read_request_test.go
@@ -63,19 +63,19 @@
 	front := startFront(t, Config{}, handler)
 	client := dial(t, front)
 	for word, change := range map[string]func(*msgrpc.Call){
-		"class":   func(call *msgrpc.Call) { call.Class = "later" },
-		"tenant":  func(call *msgrpc.Call) { call.Tenant = "" },
-		"id":      func(call *msgrpc.Call) { call.ID = "" },
-		"ASCII":   func(call *msgrpc.Call) { call.ID = "a b" },
-		"target":  func(call *msgrpc.Call) { call.Target = "no-path" },
-		"host":    func(call *msgrpc.Call) { call.Target, call.Host = "/a b", "x" },
-		"left_ms": func(call *msgrpc.Call) { call.Timeout = 0 },
-		"key":     func(call *msgrpc.Call) { call.Class = "keyed" },
-		"have":    func(call *msgrpc.Call) { call.IdempotencyKey = "k" },
-		"none":    func(call *msgrpc.Call) { call.Class = "read" },
-		"field":   func(call *msgrpc.Call) { call.Fields = map[string][]string{"X:Y": {"1"}} },
-		"control": func(call *msgrpc.Call) { call.Fields = map[string][]string{"X": {"1\r\nY: 2"}} },
-		"bytes":   func(call *msgrpc.Call) { call.Body = make([]byte, msgrpc.MaxRequestBodyBytes+1) },
+		"class":               func(call *msgrpc.Call) { call.Class = "later" },
+		"tenant":              func(call *msgrpc.Call) { call.Tenant = "" },
+		"id":                  func(call *msgrpc.Call) { call.ID = "" },
+		"ASCII":               func(call *msgrpc.Call) { call.ID = "a b" },
+		"target":              func(call *msgrpc.Call) { call.Target = "no-path" },
+		"host":                func(call *msgrpc.Call) { call.Target, call.Host = "/a b", "x" },
+		"left_ms":             func(call *msgrpc.Call) { call.Timeout = 0 },
+		"key":                 func(call *msgrpc.Call) { call.Class = "keyed" },
+		"have":                func(call *msgrpc.Call) { call.IdempotencyKey = "k" },
+		"body: must be empty": func(call *msgrpc.Call) { call.Class = "read" },
+		"field":               func(call *msgrpc.Call) { call.Fields = map[string][]string{"X:Y": {"1"}} },
+		"control":             func(call *msgrpc.Call) { call.Fields = map[string][]string{"X": {"1\r\nY: 2"}} },
+		"bytes":               func(call *msgrpc.Call) { call.Body = make([]byte, msgrpc.MaxRequestBodyBytes+1) },
 	} {
 		client.call(5, change)
 		if got := client.expectFault(t, 5); got.Kind != msgrpc.KindRejected || !strings.Contains(got.Text, word) {
--- a/internal/front/rpcfront/write_response.go
+++ b/internal/front/rpcfront/write_response.go
@@ -17,8 +17,8 @@
 	maxKeptBufferBytes = 32 << 10
 )
 
-// queuedResponse is a response that waits to be written. If encoded is set, it is written; otherwise
-// fault if that is set, and otherwise result.
+// queuedResponse is a response that waits to be written. The writer writes encoded if it is set,
+// else fault if it is set, else result.
 type queuedResponse struct {
 	id      uint32 // msgid of the request
 	result  core.Response
@@ -26,8 +26,8 @@
 	encoded []byte
 }
 
-// faultKinds are the error kinds of the results. core.Served has none, because it is not an error.
-var faultKinds = [...]string{
+// faultKindByResult are the error kinds of the results. core.Served has none, because it is not an error.
+var faultKindByResult = [...]string{
 	core.Rejected:  msgrpc.KindRefused,
 	core.Failed:    msgrpc.KindFailed,
 	core.TimedOut:  msgrpc.KindTimeout,
@@ -45,7 +45,7 @@
 	}
 	if fault == nil {
 		fault = &msgrpc.Fault{
-			Kind:       faultKinds[response.result.Result],
+			Kind:       faultKindByResult[response.result.Result],
 			RetryAfter: response.result.RetryAfter,
 			Text:       response.result.Detail,
 		}
