--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -181,7 +181,7 @@
 	framing.current = Head{}
 }
 
-// Pending reports whether bytes of a message have been received that is not finished: NextHead has
+// Pending reports whether bytes of an unfinished message have been received: NextHead has
 // not returned its head yet, or its head or body is incomplete. Once the end of a message is
 // unknown, Pending remains true.
 func (framing *Framing) Pending() bool {
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -6,7 +6,7 @@
 // EventCode is the code of a record in a Batch.
 type EventCode uint16
 
-// The events.
+// The events. The comment behind each code is its name in the simulator's protocol.
 const (
 	EventProbeEnded         EventCode = 1000 // CheckResult
 	EventEndpointList       EventCode = 1010 // Manifest
@@ -24,7 +24,7 @@
 // ActionCode is the code of a record in a Reply.
 type ActionCode uint16
 
-// The actions.
+// The actions. The comment behind each code is its name in the simulator's protocol.
 const (
 	ActionSend     ActionCode = 1000 // CallOut
 	ActionReject   ActionCode = 1010 // PushBack
@@ -40,7 +40,7 @@
 // Result is the result of an attempt or a probe.
 type Result uint16
 
-// The results.
+// The results. The comment behind each code is its name in the simulator's protocol.
 const (
 	ResultServed           Result = 100 // ok
 	ResultServerError      Result = 301 // error
@@ -55,7 +55,7 @@
 // UpdateKind is the kind of an EndpointUpdate.
 type UpdateKind uint8
 
-// The kinds of an endpoint update.
+// The kinds of an endpoint update. The comment behind each kind begins with the simulator's name.
 const (
 	UpdateFull   UpdateKind = 1 // full: the complete list
 	UpdateDelta  UpdateKind = 2 // delta: changed entries only
@@ -66,7 +66,7 @@
 // RequestFlags is the bit set of a Request's flags.
 type RequestFlags uint16
 
-// The flags that the program uses.
+// The flags that the program uses. The comment behind each flag begins with the simulator's name.
 const (
 	FlagExpectedWork RequestFlags = 1 // cost hint: ExpectedWork is valid
 	FlagClientRetry  RequestFlags = 2 // repeat: the client's own retry
@@ -75,7 +75,7 @@
 // Health is the state of an endpoint in an endpoint list.
 type Health uint8
 
-// The states of an endpoint.
+// The states of an endpoint. The comment behind each state is its name in the simulator's protocol.
 const (
 	HealthRemoved  Health = 0 // gone
 	HealthReady    Health = 1 // ready
--- a/resolver/resolver.go
+++ b/resolver/resolver.go
@@ -110,12 +110,12 @@
 }
 
 // CallResponded records that the response to a call has started. The caller must cancel all other calls. The
-// next call is hedged after 1.5 times the response time of the answered call, or after HedgeAfter if that
+// next call is hedged after 1.5 times the response time of this call, or after HedgeAfter if that
 // is longer.
 func (s *Schedule) CallResponded(now time.Duration, id CallID) {
-	for _, answered := range s.calls {
-		if answered.id == id {
-			responseTime := now - answered.startedAt
+	for _, responded := range s.calls {
+		if responded.id == id {
+			responseTime := now - responded.startedAt
 			s.hedgeAfter = max(s.config.HedgeAfter, responseTime+responseTime/2)
 		}
 	}
