--- a/internal/front/rpcfront/drain_test.go
+++ b/internal/front/rpcfront/drain_test.go
@@ -23,7 +23,7 @@
 	firstRequest := peertest.Await(t, "the first request to be submitted", handler.submitted)
 	front.Drain()
 	message := client.readMessage(t)
-	if message.Kind != msgrpc.Notification || string(message.Method) != msgrpc.MethodDrain {
+	if message.Type != msgrpc.Notification || string(message.Method) != msgrpc.MethodDrain {
 		t.Fatalf("got %+v, want the drain notification", message)
 	}
 	client.call(2, nil) // sent before the client handles the notification
@@ -78,7 +78,7 @@
 			client.Write(text[sentBytes:])
 			peertest.Await(t, "the request to be submitted", handler.submitted).Respond(core.Response{Result: core.Served})
 			message := client.readMessage(t)
-			for message.Kind != msgrpc.Response {
+			for message.Type != msgrpc.Response {
 				message = client.readMessage(t)
 			}
 			if message.ID != 7 || message.Fault != nil {
@@ -125,7 +125,7 @@
 		} else if err != nil {
 			t.Fatalf("read: got error %v, want EOF", err)
 		}
-		served = served || message.Kind == msgrpc.Response && message.Fault == nil
+		served = served || message.Type == msgrpc.Response && message.Fault == nil
 	}
 	for id := range uint32(3) {
 		call := msgrpc.Call{ID: fmt.Sprint("late", id), Class: "once", Tenant: "north", Timeout: 5 * time.Second}
--- a/internal/front/rpcfront/handle_message.go
+++ b/internal/front/rpcfront/handle_message.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return conn.onMalformed(err.Error())
 	}
-	switch message.Kind {
+	switch message.Type {
 	case msgrpc.Response:
 		return conn.onMalformed("unexpected response: no request was sent to the client")
 	case msgrpc.Notification:
--- a/internal/front/rpcfront/helpers_test.go
+++ b/internal/front/rpcfront/helpers_test.go
@@ -114,7 +114,7 @@
 func (client *testClient) expectFault(t *testing.T, id uint32) *msgrpc.Fault {
 	t.Helper()
 	message := client.readMessage(t)
-	if message.Kind != msgrpc.Response || message.ID != id || message.Fault == nil {
+	if message.Type != msgrpc.Response || message.ID != id || message.Fault == nil {
 		t.Fatalf("got %+v, want an error with msgid %d", message, id)
 	}
 	fault, err := msgrpc.ParseFault(message.Fault)
@@ -127,7 +127,7 @@
 func (client *testClient) expectProtocolError(t *testing.T) {
 	t.Helper()
 	message := client.readMessage(t)
-	if message.Kind != msgrpc.Notification || string(message.Method) != msgrpc.MethodProtocolError {
+	if message.Type != msgrpc.Notification || string(message.Method) != msgrpc.MethodProtocolError {
 		t.Fatalf("got %+v, want a protocol error", message)
 	}
 }
--- a/internal/msgrpc/mapping.go
+++ b/internal/msgrpc/mapping.go
@@ -6,7 +6,7 @@
 const (
 	MethodCall          = "call"           // request: a request of the application
 	MethodProbe         = "probe"          // request to a node: a health check that returns the load of the node
-	MethodReady         = "ready"          // request to a sidecar: whether it has an endpoint list
+	MethodReady         = "ready"          // request to a sidecar: whether it has an endpoint list and is not draining
 	MethodCancel        = "cancel"         // notification: the sender has abandoned the request with the given msgid
 	MethodDrain         = "drain"          // notification: the receiver must send no new requests on this connection
 	MethodProtocolError = "protocol_error" // notification: a message was ignored, with the reason
@@ -21,7 +21,7 @@
 	KindDuplicate  = "duplicate"   // the request did not run: a request with the same id is in flight
 	KindNotStarted = "not_started" // from a node: the request did not run
 	KindError      = "error"       // from a node: the request may have run
-	KindCancelled  = "cancelled"   // from a node: the request was cancelled and may have run
+	KindCancelled  = "cancelled"   // the request was cancelled and may have run
 )
 
 // Maximum sizes in the mapping, in bytes.
--- a/internal/msgrpc/mapping_test.go
+++ b/internal/msgrpc/mapping_test.go
@@ -30,7 +30,7 @@
 		"least": {ID: "r", Class: "c", Timeout: time.Nanosecond * 1500, Target: "/"},
 	} {
 		message, err := Parse(call.Append(nil, 1<<32-1))
-		if err != nil || message.Kind != Request || message.ID != 1<<32-1 || string(message.Method) != MethodCall {
+		if err != nil || message.Type != Request || message.ID != 1<<32-1 || string(message.Method) != MethodCall {
 			t.Fatalf("%s: got message %+v, error %v; want a request of the method call", name, message, err)
 		}
 		if got, err := ParseCall(message.Params); err != nil || !reflect.DeepEqual(got, call) {
@@ -43,7 +43,7 @@
 func TestResponsesRoundTrip(t *testing.T) {
 	result := &Result{Fields: map[string][]string{"X": {"1"}}, Body: []byte("honey"), InFlight: 3}
 	message, err := Parse(result.Append(nil, 7))
-	if err != nil || message.Kind != Response || message.ID != 7 || message.Fault != nil {
+	if err != nil || message.Type != Response || message.ID != 7 || message.Fault != nil {
 		t.Fatalf("got message %+v, error %v; want a response with a result", message, err)
 	}
 	if got, err := ParseResult(message.Result); err != nil || !reflect.DeepEqual(got, result) {
@@ -56,7 +56,7 @@
 	if got, err := ParseFault(message.Fault); err != nil || !reflect.DeepEqual(got, fault) {
 		t.Errorf("got %+v, error %v; want the encoded fault", got, err)
 	}
-	if message, err = Parse(AppendCancel(nil, 9)); err != nil || message.Kind != Notification {
+	if message, err = Parse(AppendCancel(nil, 9)); err != nil || message.Type != Notification {
 		t.Fatalf("got message %+v, error %v; want a notification", message, err)
 	}
 	if id, err := ParseCancel(message.Params); err != nil || id != 9 {
--- a/internal/msgrpc/message.go
+++ b/internal/msgrpc/message.go
@@ -7,14 +7,14 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Kind is the type of a message: its first value.
-type Kind int
+// MessageType is the type of a message: its first value.
+type MessageType int
 
 // The message types of the specification.
 const (
-	Request      Kind = 0
-	Response     Kind = 1
-	Notification Kind = 2
+	Request      MessageType = 0
+	Response     MessageType = 1
+	Notification MessageType = 2
 )
 
 // The number of values in a message.
@@ -25,7 +25,7 @@
 
 // Message is the envelope of a message. Its slices reference the memory of the frame.
 type Message struct {
-	Kind   Kind
+	Type   MessageType
 	ID     uint32 // msgid of a request, or of the request to which a response belongs
 	Method []byte // method of a request or notification
 	Params []byte // params of a request or notification; an encoded MessagePack array
@@ -37,16 +37,16 @@
 // the frame is complete, but it is not a valid message of the specification.
 func Parse(frame []byte) (Message, error) {
 	var message Message
-	rest, err := message.parseKind(frame)
+	rest, err := message.parseType(frame)
 	if err != nil {
 		return message, err
 	}
-	if message.Kind != Notification {
+	if message.Type != Notification {
 		if message.ID, rest, err = msgp.ReadUint32Bytes(rest); err != nil {
 			return message, fmt.Errorf("msgid: %w", err)
 		}
 	}
-	if message.Kind == Response {
+	if message.Type == Response {
 		err = message.parseResponse(rest)
 	} else {
 		err = message.parseMethod(rest)
@@ -54,27 +54,27 @@
 	return message, err
 }
 
-// parseKind parses the kind, checks the number of values and returns the bytes after the kind.
-func (message *Message) parseKind(frame []byte) (rest []byte, err error) {
+// parseType parses the type, checks the number of values and returns the bytes after the type.
+func (message *Message) parseType(frame []byte) (rest []byte, err error) {
 	count, rest, err := msgp.ReadArrayHeaderBytes(frame)
 	if err != nil {
 		return nil, err
 	}
-	kind, rest, err := msgp.ReadIntBytes(rest)
+	typeNumber, rest, err := msgp.ReadIntBytes(rest)
 	if err != nil {
 		return nil, fmt.Errorf("message type: %w", err)
 	}
-	message.Kind = Kind(kind)
+	message.Type = MessageType(typeNumber)
 	want := uint32(callValues)
-	switch message.Kind {
+	switch message.Type {
 	case Request, Response:
 	case Notification:
 		want = notificationValues
 	default:
-		return nil, fmt.Errorf("message type must be 0, 1 or 2, got %d", kind)
+		return nil, fmt.Errorf("message type must be 0, 1 or 2, got %d", typeNumber)
 	}
 	if count != want {
-		return nil, fmt.Errorf("message of type %d has %d values, must have %d", kind, count, want)
+		return nil, fmt.Errorf("message of type %[1]d must have %[3]d values, got %[2]d", typeNumber, count, want)
 	}
 	return rest, nil
 }
@@ -146,7 +146,7 @@
 		return 0, err
 	}
 	if count != 1 {
-		return 0, fmt.Errorf("cancel has %d params, must have one: the msgid", count)
+		return 0, fmt.Errorf("cancel must have one param, the msgid, got %d params", count)
 	}
 	id, _, err := msgp.ReadUint32Bytes(rest)
 	return id, err
--- a/internal/msgrpc/parse.go
+++ b/internal/msgrpc/parse.go
@@ -17,7 +17,7 @@
 		return nil, fmt.Errorf("params: %w", err)
 	}
 	if count != 1 {
-		return nil, fmt.Errorf("params has %d values, must have one: a map", count)
+		return nil, fmt.Errorf("params must have one value, a map, got %d values", count)
 	}
 	return rest, nil
 }
@@ -30,7 +30,7 @@
 		return fmt.Errorf("value must be a map: %w", err)
 	}
 	if count > maxMapKeys {
-		return fmt.Errorf("map has %d keys, must have at most %d", count, maxMapKeys)
+		return fmt.Errorf("map must have at most %[2]d keys, got %[1]d", count, maxMapKeys)
 	}
 	var keys [maxMapKeys]string
 	for i := range count {
@@ -60,7 +60,7 @@
 		return "", rest, err
 	}
 	if len(raw) > maxBytes {
-		return "", rest, fmt.Errorf("%d bytes exceed the maximum of %d", len(raw), maxBytes)
+		return "", rest, fmt.Errorf("must have at most %[2]d bytes, got %[1]d", len(raw), maxBytes)
 	}
 	for _, char := range raw {
 		if isControl(char) {
@@ -96,7 +96,7 @@
 		return nil, rest, err
 	}
 	if len(raw) > maxBytes {
-		return nil, rest, fmt.Errorf("%d bytes exceed the maximum of %d", len(raw), maxBytes)
+		return nil, rest, fmt.Errorf("must have at most %[2]d bytes, got %[1]d", len(raw), maxBytes)
 	}
 	return append([]byte(nil), raw...), rest, nil
 }
@@ -163,7 +163,7 @@
 		return nil, b, err
 	}
 	if count > maxFields {
-		return nil, b, fmt.Errorf("%d fields exceed the maximum of %d", count, maxFields)
+		return nil, b, fmt.Errorf("must have at most %[2]d fields, got %[1]d", count, maxFields)
 	}
 	fields := make(map[string][]string, min(count, 32))
 	for range count {
--- a/internal/peers/client_rpc.go
+++ b/internal/peers/client_rpc.go
@@ -174,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	switch message.Kind {
+	switch message.Type {
 	case msgrpc.Notification:
 		c.handleNotification(message)
 		return nil
--- a/internal/peers/upstream_rpc.go
+++ b/internal/peers/upstream_rpc.go
@@ -58,11 +58,11 @@
 
 // handleMessage handles one message. It returns false if the connection must be closed.
 func (c *rpcServerConn) handleMessage(message msgrpc.Message) bool {
-	if message.Kind == msgrpc.Notification && string(message.Method) == msgrpc.MethodCancel {
+	if message.Type == msgrpc.Notification && string(message.Method) == msgrpc.MethodCancel {
 		c.handleCancel(message)
 		return true
 	}
-	if message.Kind != msgrpc.Request {
+	if message.Type != msgrpc.Request {
 		return true
 	}
 	if string(message.Method) == msgrpc.MethodProbe {
--- a/internal/transport/rpcnode/helpers_test.go
+++ b/internal/transport/rpcnode/helpers_test.go
@@ -74,7 +74,7 @@
 // receive passes a message to the test. It returns false if the message is invalid.
 func (conn *serverConn) receive(message *msgrpc.Message) bool {
 	switch {
-	case message.Kind == msgrpc.Notification:
+	case message.Type == msgrpc.Notification:
 		id, _ := msgrpc.ParseCancel(message.Params)
 		conn.cancels <- id
 	case string(message.Method) == msgrpc.MethodProbe:
--- a/internal/transport/rpcnode/read_responses.go
+++ b/internal/transport/rpcnode/read_responses.go
@@ -36,9 +36,9 @@
 	switch {
 	case err != nil:
 		conn.upstream.transport.malformed.Add(1)
-	case message.Kind == msgrpc.Notification && string(message.Method) == msgrpc.MethodDrain:
+	case message.Type == msgrpc.Notification && string(message.Method) == msgrpc.MethodDrain:
 		conn.drain()
-	case message.Kind == msgrpc.Response:
+	case message.Type == msgrpc.Response:
 		conn.handleResponse(&message)
 	default: // upstreams send no requests
 		conn.upstream.transport.malformed.Add(1)
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -75,7 +75,7 @@
 	case math.IsNaN(clock) || math.IsInf(clock, 0):
 		return Batch{}, 0, fmt.Errorf("batch %d: clock must be a finite number", number)
 	case size > maxBodySize:
-		return Batch{}, 0, fmt.Errorf("batch %d: body size is %d bytes, must be at most %d", number, size, maxBodySize)
+		return Batch{}, 0, fmt.Errorf("batch %[1]d: body size must be at most %[3]d bytes, got %[2]d", number, size, maxBodySize)
 	case uint64(records)*recordHeaderSize > uint64(size):
 		return Batch{}, 0, fmt.Errorf("batch %d: %d records do not fit into a body of %d bytes", number, records, size)
 	}
