--- a/internal/transport/httpnode/dial.go
+++ b/internal/transport/httpnode/dial.go
@@ -21,7 +21,7 @@
 		pool.dialFailures.Add(1)
 		return nil, err
 	}
-	pool.dials.Add(1)
+	pool.connectionsOpened.Add(1)
 	return newConnection(upstream, netConn), nil
 }
 
@@ -53,7 +53,7 @@
 	conn := pool.removeLongestIdleLocked()
 	pool.mu.Unlock()
 	if conn != nil {
-		pool.drop(conn)
+		pool.closeConnection(conn)
 	}
 }
 
--- a/internal/transport/httpnode/idle.go
+++ b/internal/transport/httpnode/idle.go
@@ -21,7 +21,7 @@
 // sweep closes the idle connections that can no longer be used.
 func (pool *connectionPool) sweep(now time.Time) {
 	for _, conn := range pool.removeUnusable(now) {
-		pool.drop(conn)
+		pool.closeConnection(conn)
 	}
 }
 
@@ -48,6 +48,6 @@
 	delete(pool.upstreamsWithIdle, upstream)
 	pool.mu.Unlock()
 	for _, conn := range idle {
-		pool.drop(conn)
+		pool.closeConnection(conn)
 	}
 }
--- a/internal/transport/httpnode/pool.go
+++ b/internal/transport/httpnode/pool.go
@@ -28,7 +28,7 @@
 // methods may be called from any goroutine.
 //
 // get takes a connection from the pool. The caller then either returns the connection with put or
-// closes it with drop.
+// closes it with closeConnection.
 type connectionPool struct {
 	dialTimeout time.Duration
 	dialer      net.Dialer
@@ -36,7 +36,7 @@
 
 	slots chan struct{} // contains one element for each connection that is open or being opened
 
-	dials, dialFailures atomic.Uint64
+	connectionsOpened, dialFailures atomic.Uint64
 
 	mu                sync.Mutex
 	upstreamsWithIdle map[*httpUpstream]bool // the upstreams that have idle connections
@@ -72,7 +72,7 @@
 			conn.takenAt = now
 			return conn, nil
 		}
-		pool.drop(conn)
+		pool.closeConnection(conn)
 	}
 }
 
@@ -129,7 +129,7 @@
 	pool.mu.Lock()
 	if pool.slotWaiters > 0 || upstream.retired {
 		pool.mu.Unlock()
-		pool.drop(conn)
+		pool.closeConnection(conn)
 		return
 	}
 	upstream.recordExchangeLocked(conn.idleSince.Sub(conn.takenAt))
@@ -138,8 +138,8 @@
 	pool.mu.Unlock()
 }
 
-// drop closes a connection that is not idle and frees its slot.
-func (pool *connectionPool) drop(conn *connection) {
+// closeConnection closes a connection that is not idle and frees its slot.
+func (pool *connectionPool) closeConnection(conn *connection) {
 	conn.netConn.Close()
 	<-pool.slots
 }
--- a/internal/transport/httpnode/read_response.go
+++ b/internal/transport/httpnode/read_response.go
@@ -18,7 +18,7 @@
 )
 
 var (
-	errBodyTooLarge    = errors.New("body too large")
+	errBodyTooLarge    = errors.New("response body exceeds the maximum size")
 	errAmbiguousLength = errors.New("ambiguous body length: Transfer-Encoding with Content-Length or in HTTP/1.0")
 )
 
--- a/internal/transport/httpnode/round_trip.go
+++ b/internal/transport/httpnode/round_trip.go
@@ -86,7 +86,7 @@
 	if isOpen && conn.reader.Buffered() == 0 {
 		pool.put(conn)
 	} else {
-		pool.drop(conn)
+		pool.closeConnection(conn)
 	}
 }
 
--- a/internal/transport/httpnode/transport.go
+++ b/internal/transport/httpnode/transport.go
@@ -52,7 +52,7 @@
 	ProbeLoadReports bool
 }
 
-// New returns a Transport. The caller must call Sweep regularly.
+// New returns a Transport. The caller must call Sweep about once a second.
 func New(config Config) *Transport {
 	transport := &Transport{
 		pool:            newConnectionPool(config.DialTimeout, config.IdleTimeout, config.MaxConnections),
--- a/internal/transport/httpnode/write_request_test.go
+++ b/internal/transport/httpnode/write_request_test.go
@@ -29,7 +29,7 @@
 	if got, _ := roundTrip(timedOut, upstream); got != policy.NotSent { // no slot of the pool is free
 		t.Errorf("timed out: got result %v, want not sent", got)
 	}
-	pool.drop(inUse)
+	pool.closeConnection(inUse)
 	if len(server.Requests) > 0 {
 		t.Error("the upstream received a request, want none")
 	}
@@ -81,7 +81,7 @@
 			}
 			if test.wait > 0 {
 				inUse := getConnection(t, newTestUpstream(pool, server.Addr))
-				time.AfterFunc(test.wait, func() { pool.drop(inUse) })
+				time.AfterFunc(test.wait, func() { pool.closeConnection(inUse) })
 			}
 			if got, response := upstream.RoundTrip(t.Context(), message); got != policy.NotSent || response != nil {
 				t.Errorf("got result %v, response %+v; want not sent and no response", got, response)
--- a/internal/transport/rpcnode/abandon_test.go
+++ b/internal/transport/rpcnode/abandon_test.go
@@ -113,7 +113,7 @@
 	after := startAttempt(t.Context(), upstream, "after")
 	conn.respondNext(t)
 	awaitResult(t, after, policy.Served)
-	if dials := transport.Counters().Dials; dials != 1 {
+	if dials := transport.Counters().DialAttempts; dials != 1 {
 		t.Errorf("got %d connections, want 1", dials)
 	}
 }
--- a/internal/transport/rpcnode/dial.go
+++ b/internal/transport/rpcnode/dial.go
@@ -49,7 +49,7 @@
 	default:
 		return nil, errNoSlot
 	}
-	transport.dials.Add(1)
+	transport.dialAttempts.Add(1)
 	dialer := net.Dialer{KeepAlive: -1, Timeout: transport.config.DialTimeout}
 	netConn, err := dialer.Dial("tcp", upstream.address)
 	if err != nil {
--- a/internal/transport/rpcnode/read_responses_test.go
+++ b/internal/transport/rpcnode/read_responses_test.go
@@ -42,7 +42,7 @@
 	third := startAttempt(t.Context(), upstream, "third")
 	conn.respond(peertest.Await(t, "the third request", conn.calls).id, "third")
 	awaitBody(t, third, "third")
-	if counts := transport.Counters(); counts.LateResponses != 1 || counts.UnknownResponses != 2 || counts.Dials != 1 {
+	if counts := transport.Counters(); counts.LateResponses != 1 || counts.UnknownResponses != 2 || counts.DialAttempts != 1 {
 		t.Errorf("got counters %+v, want 1 late, 2 unknown and 1 dial", counts)
 	}
 	client := awaitConnection(t, upstream)
--- a/internal/transport/rpcnode/round_trip.go
+++ b/internal/transport/rpcnode/round_trip.go
@@ -53,7 +53,8 @@
 		if request := conn.enqueue(message, encode, deadline); request != nil {
 			return conn.await(ctx, request)
 		}
-		// The connection was closed or reached its capacity after connect returned: try the next one.
+		// The connection was closed or reached its capacity after connect returned it; connect now
+		// returns another one.
 	}
 }
 
@@ -85,8 +86,8 @@
 	}
 	conn.reserveIDLocked(ctx, request)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) && conn.lastReadAt.Before(request.queuedAt) {
-		// Nothing was received since the request was queued. The upstream's machine may have
-		// disappeared: an old connection would never report that, a new one does.
+		// Nothing was received since the request was queued. The upstream's machine may be
+		// unreachable. Opening a new connection detects that; an open connection does not.
 		conn.drainLocked()
 	}
 	return completion{err: ctx.Err()}, true
--- a/internal/transport/rpcnode/round_trip_test.go
+++ b/internal/transport/rpcnode/round_trip_test.go
@@ -93,7 +93,7 @@
 	}
 	upstream.Retire()
 	got, _ := upstream.RoundTrip(t.Context(), newTestMessage("x"))
-	if dials := transport.Counters().Dials; got != policy.ConnectionFailed || dials != 2 {
+	if dials := transport.Counters().DialAttempts; got != policy.ConnectionFailed || dials != 2 {
 		t.Errorf("retired upstream: got result %v after %d dials, want connection failed after 2", got, dials)
 	}
 	if len(transport.slots) != 0 {
--- a/internal/transport/rpcnode/transport.go
+++ b/internal/transport/rpcnode/transport.go
@@ -64,10 +64,10 @@
 	mu        sync.Mutex
 	connected map[*rpcUpstream]struct{} // upstreams that have connections
 
-	late, unknown, malformed, drainedUnanswered, dials atomic.Uint64
+	late, unknown, malformed, drainedUnanswered, dialAttempts atomic.Uint64
 }
 
-// New returns a Transport. The caller must call Sweep regularly.
+// New returns a Transport. The caller must call Sweep about once a second.
 func New(config Config) *Transport {
 	if config.MaxInFlight == 0 {
 		config.MaxInFlight = DefaultMaxInFlight
