--- a/cmd/sidecar/quota.go
+++ b/cmd/sidecar/quota.go
@@ -39,7 +39,7 @@
 		}
 		if node.Rejection != "" {
 			notes = append(notes, fmt.Sprintf("rejected %v ago: %s",
-				time.Duration(node.RejectedAgo*1e9).Round(100*time.Millisecond), node.Rejection))
+				time.Duration(node.SecondsSinceRejection*1e9).Round(100*time.Millisecond), node.Rejection))
 		}
 		fmt.Fprintf(table, "%s%s\t%d\t%d\t%d\t%d\t%d\t\t%s\n", indent, node.Name, node.Usage.WithinShare,
 			node.Usage.Borrowed, node.Usage.Rejected, node.Usage.Lent, node.Usage.Repaid, strings.Join(notes, "; "))
@@ -48,7 +48,7 @@
 			if limit.Window == "0s" {
 				description = fmt.Sprintf("%g in flight", limit.Rate)
 			}
-			fmt.Fprintf(table, "%s  %s\t\t\t\t\t\t%.1f\t\n", indent, description, limit.Left)
+			fmt.Fprintf(table, "%s  %s\t\t\t\t\t\t%.1f\t\n", indent, description, limit.Tokens)
 		}
 	}
 	return table.Flush()
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -28,7 +28,7 @@
 	// PriorityWeights holds the costs in the dimension quota.Priority, indexed by
 	// core.Request.Class.
 	PriorityWeights []float64
-	// MaxRetryAfter is the longest Retry-After that clients respect. 0 sets no bound.
+	// MaxRetryAfter is the longest Retry-After that is sent to clients. 0 sets no bound.
 	MaxRetryAfter time.Duration
 }
 
@@ -60,7 +60,7 @@
 // invalid, the error is a *quota.NodeError. After an error the Gate is unchanged.
 func (g *Gate) Load(config Config) error {
 	if !(config.Share > 0 && config.Share <= 1) {
-		return fmt.Errorf("quota: part of this sidecar must be above 0 and at most 1, got %v", config.Share)
+		return fmt.Errorf("quota: Share must be above 0 and at most 1, got %v", config.Share)
 	}
 	tree, err := quota.New(config.scaledTree())
 	if err != nil {
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -141,7 +141,7 @@
 		if view.Name != "downs" {
 			continue
 		}
-		requests, slots := view.Limits[0].Left+1, view.Limits[1].Left
+		requests, slots := view.Limits[0].Tokens+1, view.Limits[1].Tokens
 		if requests < want || requests > want+0.5 {
 			t.Errorf("%s: got %.2f requests left, want %v to 0.5 more", name, requests, want)
 		}
--- a/internal/quotas/view.go
+++ b/internal/quotas/view.go
@@ -9,14 +9,14 @@
 // NodeView is a node's state on the admin socket. Other versions of the quota command read
 // its JSON, so the JSON must not change.
 type NodeView struct {
-	Name        string      `json:"Name"`
-	Parent      string      `json:"Parent"`
-	Depth       int         `json:"Depth"` // 0 for the root
-	Usage       quota.Usage `json:"Usage"`
-	Limits      []LimitView `json:"Limits"`
-	Debts       []DebtView  `json:"Owes"`
-	Rejection   string      `json:"Refusal,omitempty"`    // the last exceeded limit; empty if there was none
-	RejectedAgo float64     `json:"RefusedAgo,omitempty"` // seconds since the last rejection
+	Name                  string      `json:"Name"`
+	Parent                string      `json:"Parent"`
+	Depth                 int         `json:"Depth"` // 0 for the root
+	Usage                 quota.Usage `json:"Usage"`
+	Limits                []LimitView `json:"Limits"`
+	Debts                 []DebtView  `json:"Owes"`
+	Rejection             string      `json:"Refusal,omitempty"`    // the last exceeded limit; empty if there was none
+	SecondsSinceRejection float64     `json:"RefusedAgo,omitempty"` // seconds since the last rejection
 }
 
 // LimitView is a limit, scaled to this sidecar's share, and the tokens in its bucket.
@@ -25,7 +25,7 @@
 	Rate      float64 `json:"Rate"`    // units a second; for concurrent, the number of requests in flight
 	Ceiling   float64 `json:"Ceiling"` // highest rate including loans; 0 means no bound
 	Window    string  `json:"Window"`  // in the format of time.Duration
-	Left      float64 `json:"Left"`    // tokens; may be below 0 after a repayment
+	Tokens    float64 `json:"Left"`    // tokens; may be below 0 after a repayment
 }
 
 // DebtView is what a node owes another node in one dimension.
@@ -62,7 +62,7 @@
 			Rate:      limit.Rate,
 			Ceiling:   limit.Ceiling,
 			Window:    limit.Window.String(),
-			Left:      limit.Left,
+			Tokens:    limit.Tokens,
 		})
 	}
 	for _, debt := range state.Debts {
@@ -72,7 +72,7 @@
 	}
 	if state.LastRejection != (quota.Rejection{}) {
 		view.Rejection = state.LastRejection.String()
-		view.RejectedAgo = (now - state.RejectedAt).Seconds()
+		view.SecondsSinceRejection = (now - state.RejectedAt).Seconds()
 	}
 	return view
 }
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -45,13 +45,13 @@
 	for _, n := range gate.View() {
 		scrape.Counters("quota_total", "Requests of a quota, by event.", "event", n.Usage, "quota", n.Name)
 		for _, l := range n.Limits {
-			scrape.Gauge("quota_left", "Tokens left of a limit, below 0 after a repayment.", l.Left, "quota", n.Name, "dimension", l.Dimension, "window", l.Window)
+			scrape.Gauge("quota_left", "Tokens left of a limit, below 0 after a repayment.", l.Tokens, "quota", n.Name, "dimension", l.Dimension, "window", l.Window)
 		}
 	}
 }
 
-// reloadQuotas replaces the quotas by the quotas of f and keeps their balances. It does nothing if
-// f has no quotas or the sidecar started without quotas. On an error nothing changes.
+// reloadQuotas replaces the quotas by the quotas of f and keeps their tokens, debts and counters.
+// It does nothing if f has no quotas or the sidecar started without quotas. On an error nothing changes.
 func (s *service) reloadQuotas(f *operator.File) error {
 	if s.quotas == nil || len(f.Quotas) == 0 {
 		return nil
--- a/quota/golden_test.go
+++ b/quota/golden_test.go
@@ -121,7 +121,7 @@
 		digest.AddNumbers('u', int64(state.Depth), int64(usage.WithinShare), int64(usage.Borrowed),
 			int64(usage.Rejected), int64(usage.Lent), int64(usage.Repaid))
 		for _, limit := range state.Limits {
-			digest.AddFloat('l', limit.Left)
+			digest.AddFloat('l', limit.Tokens)
 		}
 		for _, debt := range state.Debts {
 			digest.AddText('o', debt.To)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -100,7 +100,7 @@
 // String returns the outcome's name on the admin socket.
 func (o Outcome) String() string { return [...]string{"own", "borrowed", "refused"}[o] }
 
-// Decision is the answer to a Request.
+// Decision is the result of Tree.Admit.
 type Decision struct {
 	Outcome Outcome
 	// Lenders holds the name of the lender of each loan that the request took.
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -187,8 +187,8 @@
 		if !restored {
 			continue
 		}
-		doubled := 2 * previous.Limits[0].Left
-		if math.Abs(state.Limits[0].Left-doubled) > 1e-6 {
+		doubled := 2 * previous.Limits[0].Tokens
+		if math.Abs(state.Limits[0].Tokens-doubled) > 1e-6 {
 			t.Errorf("%s: got limits %v, want twice the tokens of %v", name, state.Limits, previous.Limits)
 		}
 		if state.Usage != previous.Usage || len(state.Debts) != len(previous.Debts) {
--- a/quota/state.go
+++ b/quota/state.go
@@ -25,7 +25,7 @@
 // LimitState is a limit and the tokens in its bucket.
 type LimitState struct {
 	Limit
-	Left float64 // tokens; may be below 0 after a repayment
+	Tokens float64 // tokens; may be below 0 after a repayment
 }
 
 // Debt is what a node owes another node in one dimension.
@@ -54,7 +54,7 @@
 		for i := range n.buckets[dimension] {
 			b := &n.buckets[dimension][i]
 			b.refill(now, t.config.RepaymentShare)
-			states = append(states, LimitState{Limit: b.Limit, Left: b.tokens})
+			states = append(states, LimitState{Limit: b.Limit, Tokens: b.tokens})
 		}
 	}
 	return states
--- a/quota/validate.go
+++ b/quota/validate.go
@@ -39,10 +39,10 @@
 // validate checks the number of nodes and the terms of loans. New validates each node.
 func (c *Config) validate() error {
 	if len(c.Nodes) == 0 || len(c.Nodes) > MaxNodes {
-		return fmt.Errorf("quota: got %d nodes, must be between 1 and %d", len(c.Nodes), MaxNodes)
+		return fmt.Errorf("quota: Nodes must contain 1 to %[2]d nodes, got %[1]d", len(c.Nodes), MaxNodes)
 	}
 	if !c.validLoanTerms() {
-		return fmt.Errorf("quota: reclaim and debt_age must be at least 0 and repay between 0 and 1, got %v, %v and %v",
+		return fmt.Errorf("quota: reclaim and debt_age must be at least 0 and repay 0 to 1, got reclaim %v, debt_age %v, repay %v",
 			c.LenderReserve, c.DebtLifetime, c.RepaymentShare)
 	}
 	return nil
--- a/quota/validate_test.go
+++ b/quota/validate_test.go
@@ -15,7 +15,7 @@
 		change func(*Config)
 		want   string
 	}{
-		{func(c *Config) { c.Nodes = nil }, "got 0 nodes, must be between 1 and 10000"},
+		{func(c *Config) { c.Nodes = nil }, "quota: Nodes must contain 1 to 10000 nodes, got 0"},
 		{func(c *Config) { c.Nodes[1].Parent = "lockyer" },
 			`"downs": parent "lockyer" must be defined before its children: wrong name or a cycle of parents`},
 		{func(c *Config) { c.Nodes[2].Name = "downs" }, "name must be unique in the tree"},
@@ -28,7 +28,7 @@
 		{func(c *Config) { c.Nodes[1].Limits[0].Ceiling = 1 }, "ceiling must be 0 or at least the rate"},
 		{func(c *Config) { c.Nodes[1].Limits[0].Rate = math.NaN() }, "rate must be above 0"},
 		{func(c *Config) { c.Nodes[1].Weight = -1 }, "weight must be finite and at least 0 (0 means 1), got -1"},
-		{func(c *Config) { c.RepaymentShare = 2 }, "repay between 0 and 1, got 2s, 1m0s and 2"},
+		{func(c *Config) { c.RepaymentShare = 2 }, "quota: reclaim and debt_age must be at least 0 and repay 0 to 1, got reclaim 2s, debt_age 1m0s, repay 2"},
 		{nestTooDeep, "exceeds the maximum of 8 levels"},
 	} {
 		config := twoTenants(100)
