--- a/membership/members.go
+++ b/membership/members.go
@@ -36,14 +36,14 @@
 		member.Reason = "no source lists this endpoint any longer"
 	}
 	for _, rec := range ep.records {
-		member.Claims = append(member.Claims, rec.claim())
+		member.Claims = append(member.Claims, rec.describe())
 	}
 	slices.Sort(member.Claims)
 	return member
 }
 
-// claim returns the source, instance ID and status of the record as one text, for Member.Claims.
-func (rec *record) claim() string {
+// describe returns the source, instance ID and status of the record as one text, for Member.Claims.
+func (rec *record) describe() string {
 	status := rec.Status.String()
 	switch rec.state {
 	case recordDeleted:
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -143,8 +143,9 @@
 	}
 }
 
-// HasTimers reports whether any timer is pending. The caller should then call Tick about every
-// second, and otherwise as often as a silent source should be detected.
+// HasTimers reports whether any timer is pending. While a timer is pending, the caller should call
+// Tick about once a second. Otherwise the interval only determines how late a silent source is
+// detected.
 func (s *Set) HasTimers() bool { return len(s.timers) > 0 }
 
 // Ready returns the number of endpoints that are Ready.
--- a/membership/sources.go
+++ b/membership/sources.go
@@ -116,7 +116,7 @@
 	rec.state = state
 }
 
-func (src *source) forget(rec *record) {
+func (src *source) deleteRecord(rec *record) {
 	src.recordCount[rec.state]--
 	delete(src.records, rec.ID)
 }
--- a/membership/tombstones.go
+++ b/membership/tombstones.go
@@ -22,7 +22,7 @@
 		if now-rec.stateSince < s.cfg.TombstoneLifetime {
 			return true
 		}
-		rec.source.forget(rec)
+		rec.source.deleteRecord(rec)
 		s.detach(rec, rec.Addr)
 		return false
 	case recordHeld:
