--- a/internal/registry/eureka/client.go
+++ b/internal/registry/eureka/client.go
@@ -27,7 +27,7 @@
 
 // Client polls one registry and publishes its updates.
 //
-// The owner starts Run in a goroutine and stops it by canceling Run's context. Only that goroutine uses
+// The owner starts Run in a goroutine and stops it by cancelling Run's context. Only that goroutine uses
 // the Client, and Run starts no other goroutine.
 type Client struct {
 	cfg     Config
@@ -77,7 +77,7 @@
 
 func newRetryState() retryState { return retryState{delay: minRetryDelay} }
 
-// Run polls until ctx is canceled. After a failed poll, Run continues with the next replica. While all
+// Run polls until ctx is cancelled. After a failed poll, Run continues with the next replica. While all
 // replicas fail, Run publishes no update.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
@@ -125,7 +125,7 @@
 	return time.Duration(float64(d) * (0.75 + c.rng.Float64()/2))
 }
 
-// sleep returns after d, or earlier if ctx is canceled.
+// sleep returns after d, or earlier if ctx is cancelled.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/registry/eureka/config.go
+++ b/internal/registry/eureka/config.go
@@ -21,9 +21,9 @@
 	// http://127.0.0.1:8761/eureka/v2, with the preferred replica first. Required.
 	Replicas []string
 
-	// Apps and VIPs are the names of the apps and the VIP addresses to follow. Eureka has no deltas for a
+	// Apps and VIPs are the names of the apps and the VIP addresses to poll. Eureka has no deltas for a
 	// single app or VIP address, so each poll fetches their complete lists. If both are empty, the client
-	// follows all apps and polls deltas.
+	// polls all apps and can use deltas.
 	Apps []string
 	VIPs []string
 
@@ -38,8 +38,7 @@
 	Timeout time.Duration
 
 	// MaxResponseMB bounds the size of one response after decompression, in MiB. A poll fails if a response
-	// is larger.
-	// Default: 16.
+	// is larger. Default: 16.
 	MaxResponseMB int
 
 	// KeepMetadata reports whether the metadata entry with a key is kept. Default: all entries are kept.
--- a/internal/registry/eureka/instance.go
+++ b/internal/registry/eureka/instance.go
@@ -1,4 +1,4 @@
-// Package eureka follows a Eureka registry by its REST API (github.com/Netflix/eureka, wiki page
+// Package eureka polls a Eureka registry through its REST API (github.com/Netflix/eureka, wiki page
 // "Eureka REST operations"), in JSON or XML, and registers the sidecar with the registry. Package
 // membership decides how the updates change the endpoints.
 package eureka
--- a/internal/registry/eureka/register.go
+++ b/internal/registry/eureka/register.go
@@ -55,7 +55,7 @@
 var errIncompleteRegistration = errors.New("eureka: register: Replicas and App must not be empty")
 
 // Registrar keeps this process registered in a Eureka registry. The owner starts Run in a goroutine and
-// stops it by canceling Run's context. Only that goroutine uses the fields below http.
+// stops it by cancelling Run's context. Only that goroutine uses the fields below http.
 type Registrar struct {
 	cfg  Registration
 	id   string
@@ -103,7 +103,7 @@
 // ID returns the instance ID of the registration.
 func (r *Registrar) ID() string { return r.id }
 
-// Run registers this process and renews the lease until ctx is canceled. Run then deregisters, which takes
+// Run registers this process and renews the lease until ctx is cancelled. Run then deregisters, which takes
 // at most half a second, and returns.
 func (r *Registrar) Run(ctx context.Context) {
 	defer r.http.CloseIdleConnections()
@@ -166,7 +166,7 @@
 
 // deregister sets the status to OUT_OF_SERVICE and then removes the instance. The status keeps clients that
 // read the registry between the two calls from sending requests to this process. deregister uses a new
-// context because Run's context is already canceled.
+// context because Run's context is already cancelled.
 func (r *Registrar) deregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
--- a/internal/registry/merge/eureka.go
+++ b/internal/registry/merge/eureka.go
@@ -9,8 +9,8 @@
 	"mothridge/membership"
 )
 
-// MetadataMapping contains the metadata keys of a registered instance from which the fields are read
-// that the registry has no field of its own for. A field whose key is empty is not mapped.
+// MetadataMapping names the metadata keys that hold properties for which the registry has no field of
+// its own, and selects the port. A property whose key is empty is not read.
 type MetadataMapping struct {
 	Zone          string
 	MachineType   string
--- a/internal/registry/merge/merge.go
+++ b/internal/registry/merge/merge.go
@@ -22,7 +22,7 @@
 
 // Merger merges the lists of several sources into the endpoint list of the core.
 //
-// The owner of a Merger starts Run in a goroutine and stops it by canceling Run's context. Only
+// The owner of a Merger starts Run in a goroutine and stops it by cancelling Run's context. Only
 // that goroutine uses the Set. The other methods may be called concurrently, also before Run.
 // UpdateEureka, UpdatePlatform and SetStatic block while maxQueuedEvents events are queued, and
 // block forever once the queue is full after Run has returned.
--- a/internal/registry/merge/merge_test.go
+++ b/internal/registry/merge/merge_test.go
@@ -85,9 +85,9 @@
 	}
 	stop()
 	peertest.Await(t, "the end of Run", ended)
-	canceled, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := merger.View(canceled, "", 10); err == nil {
+	if _, err := merger.View(cancelled, "", 10); err == nil {
 		t.Error("View after the end of Run returned no error")
 	}
 }
--- a/internal/registry/platform/discovery.go
+++ b/internal/registry/platform/discovery.go
@@ -21,7 +21,7 @@
 
 // Discovery keeps the list of endpoints up to date by watching the discovery service.
 //
-// The owner of a Discovery starts Run in a goroutine and stops it by canceling Run's context.
+// The owner of a Discovery starts Run in a goroutine and stops it by cancelling Run's context.
 // Run returns after all goroutines that it started. Only Run's goroutine uses the fields, except
 // addressChanges.
 type Discovery struct {
@@ -42,9 +42,9 @@
 	confirmedAt time.Time // when the list was last known to be up to date
 }
 
-// New returns a Discovery for the service at an address. known is the list that the sidecar
+// New returns a Discovery for the service at an address. cached is the list that the sidecar
 // already has, or nil if it has none. Run calls publish with each update, in order.
-func New(addr string, known *Listing, publish func(core.EndpointUpdate)) *Discovery {
+func New(addr string, cached *ListMessage, publish func(core.EndpointUpdate)) *Discovery {
 	d := &Discovery{
 		listURL:        listURL(addr),
 		publish:        publish,
@@ -52,8 +52,8 @@
 		startedAt:      time.Now(),
 		addressChanges: make(chan string, 1),
 	}
-	if known != nil {
-		d.hasList, d.hasBase, d.version = true, true, known.Version
+	if cached != nil {
+		d.hasList, d.hasBase, d.version = true, true, cached.Version
 	}
 	return d
 }
--- a/internal/registry/platform/discovery_test.go
+++ b/internal/registry/platform/discovery_test.go
@@ -13,12 +13,12 @@
 // at the new address may be unrelated to those at the old address. No update from the old
 // address may be published afterwards.
 func TestAddressChange(t *testing.T) {
-	for name, known := range map[string]*Listing{"watching": knownList(41), "waiting for a list": nil} {
+	for name, cached := range map[string]*ListMessage{"watching": cachedList(41), "waiting for a list": nil} {
 		t.Run(name, func(t *testing.T) {
 			previous, next := peertest.NewDiscovery(t), peertest.NewDiscovery(t)
-			discovery, updates := newDiscovery(previous.Addr, known)
+			discovery, updates := newDiscovery(previous.Addr, cached)
 			go discovery.Run(t.Context())
-			if known == nil {
+			if cached == nil {
 				peertest.Await(t, "the call to the old address", previous.ListRequests)
 			} else {
 				watch := peertest.Await(t, "the old watch", previous.Watches)
@@ -47,7 +47,7 @@
 // new address is reported.
 func TestAddressChangeWithWatchOnRequest(t *testing.T) {
 	previous, next := peertest.NewDiscovery(t), peertest.NewDiscovery(t)
-	discovery, updates := newDiscovery(previous.Addr, knownList(3))
+	discovery, updates := newDiscovery(previous.Addr, cachedList(3))
 	requests, failures := watchOnRequest(discovery)
 	go discovery.Run(t.Context())
 	requests <- struct{}{}
@@ -66,7 +66,7 @@
 // failure callback.
 func TestWatchOnRequest(t *testing.T) {
 	registry := peertest.NewDiscovery(t)
-	discovery, updates := newDiscovery(registry.Addr, knownList(3))
+	discovery, updates := newDiscovery(registry.Addr, cachedList(3))
 	requests, failures := watchOnRequest(discovery)
 	go discovery.Run(t.Context())
 	requests <- struct{}{}
@@ -92,7 +92,7 @@
 // in which a drain must take effect.
 func TestSilentAgentRecoveryIsDetected(t *testing.T) {
 	addr, unanswered, recovered := startSilentAgent(t)
-	discovery, updates := newDiscovery(addr, knownList(41))
+	discovery, updates := newDiscovery(addr, cachedList(41))
 	go discovery.Run(t.Context())
 	peertest.Await(t, "the first call", unanswered)
 	peertest.Await(t, "the second call", unanswered)
@@ -136,7 +136,7 @@
 	conn.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + change))
 }
 
-// A list is published however slowly discovery responds. Canceling each call after a fixed timeout
+// A list is published however slowly discovery responds. Cancelling each call after a fixed timeout
 // would never get a response from a discovery that is slower than the timeout.
 func TestListFromSlowDiscovery(t *testing.T) {
 	for name, tt := range map[string]struct {
--- a/internal/registry/platform/hedged_call.go
+++ b/internal/registry/platform/hedged_call.go
@@ -16,8 +16,9 @@
 // call and one for its hedge.
 const MaxConnections = 2
 
-// call sends a GET request for url to discovery, hedged as the schedule decides, until a call is
-// answered with status 200. It returns the body of that response; closing the body ends the call.
+// call sends a GET request for url to discovery, hedged as the schedule decides, until a
+// response with status 200 is received. It returns the body of that response; closing the body ends
+// the call.
 // If all running calls have failed, it returns the error of the last one; if ctx is done, the
 // error of ctx.
 func (d *Discovery) call(ctx context.Context, url string) (io.ReadCloser, error) {
@@ -57,9 +58,9 @@
 const noCallID resolver.CallID = 0
 
 // hedgedCall is a set of calls for the same URL, of which the first successful response is used.
-// Each call has its own connection, so that canceling the call frees its resources immediately.
+// Each call has its own connection, so that cancelling the call frees its resources immediately.
 // Only the goroutine of Discovery.call uses a hedgedCall. Each call runs in its own goroutine,
-// which ends once its result has been received or the call has been canceled.
+// which ends once its result has been received or the call has been cancelled.
 type hedgedCall struct {
 	url     string
 	results chan callResult
--- a/internal/registry/platform/helpers_test.go
+++ b/internal/registry/platform/helpers_test.go
@@ -7,19 +7,19 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// knownList returns an empty complete list with the given version.
-func knownList(version uint64) *Listing { return &Listing{Version: version, Complete: true} }
+// cachedList returns an empty complete list with the given version.
+func cachedList(version uint64) *ListMessage { return &ListMessage{Version: version, Complete: true} }
 
 // newDiscovery returns a Discovery that is not yet running, and the channel of its updates.
-func newDiscovery(addr string, known *Listing) (*Discovery, <-chan core.EndpointUpdate) {
+func newDiscovery(addr string, cached *ListMessage) (*Discovery, <-chan core.EndpointUpdate) {
 	updates := make(chan core.EndpointUpdate, 10)
-	return New(addr, known, func(update core.EndpointUpdate) { updates <- update }), updates
+	return New(addr, cached, func(update core.EndpointUpdate) { updates <- update }), updates
 }
 
 // startDiscovery runs a Discovery against a stand-in and returns the channel of its updates.
-func startDiscovery(t *testing.T, registry *peertest.ScriptedDiscovery, known *Listing) <-chan core.EndpointUpdate {
+func startDiscovery(t *testing.T, registry *peertest.ScriptedDiscovery, cached *ListMessage) <-chan core.EndpointUpdate {
 	t.Helper()
-	discovery, updates := newDiscovery(registry.Addr, known)
+	discovery, updates := newDiscovery(registry.Addr, cached)
 	go discovery.Run(t.Context())
 	return updates
 }
--- a/internal/registry/platform/listing.go
+++ b/internal/registry/platform/listing.go
@@ -7,17 +7,17 @@
 	"mothridge/internal/settings"
 )
 
-// Listing is a message from discovery: the complete list of endpoints, or the endpoints that
-// changed. The JSON tags of Listing and listingEntry are the only place that uses the platform's
+// ListMessage is a message from discovery: the complete list of endpoints, or the endpoints that
+// changed. The JSON tags of ListMessage and listEntry are the only place that uses the platform's
 // names.
-type Listing struct {
-	Version   uint64         `json:"seq"`
-	Complete  bool           `json:"whole"`
-	Endpoints []listingEntry `json:"hosts"`
+type ListMessage struct {
+	Version   uint64      `json:"seq"`
+	Complete  bool        `json:"whole"`
+	Endpoints []listEntry `json:"hosts"`
 }
 
-// listingEntry is the entry of one endpoint in a Listing.
-type listingEntry struct {
+// listEntry is the entry of one endpoint in a ListMessage.
+type listEntry struct {
 	Name        string  `json:"host"`
 	Addr        string  `json:"dial"`
 	Zone        string  `json:"site"`
@@ -31,19 +31,19 @@
 // UnmarshalJSON decodes an entry. An entry with a field of the wrong type is decoded as an entry
 // without a name, which the core ignores. An invalid entry therefore does not make the other
 // entries of the list unusable.
-func (e *listingEntry) UnmarshalJSON(text []byte) error {
-	type withoutMethods listingEntry
+func (e *listEntry) UnmarshalJSON(text []byte) error {
+	type withoutMethods listEntry
 	var decoded withoutMethods
 	if err := json.Unmarshal(text, &decoded); err != nil {
-		*e = listingEntry{}
+		*e = listEntry{}
 		return nil
 	}
-	*e = listingEntry(decoded)
+	*e = listEntry(decoded)
 	return nil
 }
 
-// EndpointUpdate converts the listing to an endpoint update of the core.
-func (l Listing) EndpointUpdate() core.EndpointUpdate {
+// EndpointUpdate converts the message to an endpoint update of the core.
+func (l ListMessage) EndpointUpdate() core.EndpointUpdate {
 	update := core.EndpointUpdate{
 		Version:   l.Version,
 		Complete:  l.Complete,
@@ -55,7 +55,7 @@
 	return update
 }
 
-func (e *listingEntry) endpoint() core.Endpoint {
+func (e *listEntry) endpoint() core.Endpoint {
 	return core.Endpoint{
 		Name:        e.Name,
 		Addr:        e.Addr,
--- a/internal/registry/platform/listing_test.go
+++ b/internal/registry/platform/listing_test.go
@@ -16,11 +16,11 @@
 		`"nonsense"`,
 		peertest.EndpointJSON("s-1", "127.0.0.1:7", "up", 4000),
 		`{"host":"s-3","dial":"127.0.0.1:8","health":"a later word","later":{"x":1}}`))
-	var listing Listing
-	if err := json.Unmarshal([]byte(text), &listing); err != nil {
+	var message ListMessage
+	if err := json.Unmarshal([]byte(text), &message); err != nil {
 		t.Fatal(err)
 	}
-	update := listing.EndpointUpdate()
+	update := message.EndpointUpdate()
 	if update.Version != 1 || !update.Complete || len(update.Endpoints) != 4 {
 		t.Fatalf("got %+v, want a complete list of version 1 with 4 endpoints", update)
 	}
--- a/internal/registry/platform/message_forms_test.go
+++ b/internal/registry/platform/message_forms_test.go
@@ -31,7 +31,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			registry := peertest.NewDiscovery(t)
-			updates := startDiscovery(t, registry, knownList(41))
+			updates := startDiscovery(t, registry, cachedList(41))
 			watch := peertest.Await(t, "the watch", registry.Watches)
 			for _, piece := range pieces {
 				select {
--- a/internal/registry/platform/watch.go
+++ b/internal/registry/platform/watch.go
@@ -94,29 +94,29 @@
 		responded = true
 	})
 	for decoder := json.NewDecoder(stream); ; {
-		listing, err := d.readMessage(stream, decoder)
+		message, err := d.readMessage(stream, decoder)
 		if err != nil {
 			return responded, err
 		}
 		responded = true
-		if err := d.apply(listing); err != nil {
+		if err := d.apply(message); err != nil {
 			return responded, err
 		}
 	}
 }
 
 // readMessage reads the next message of a watch. It returns io.EOF at the end of the watch.
-func (d *Discovery) readMessage(stream *stream, decoder *json.Decoder) (Listing, error) {
-	var listing Listing
-	if err := decoder.Decode(&listing); err != nil {
+func (d *Discovery) readMessage(stream *stream, decoder *json.Decoder) (ListMessage, error) {
+	var message ListMessage
+	if err := decoder.Decode(&message); err != nil {
 		if errors.Is(err, io.EOF) || stream.err != nil {
-			return Listing{}, err
+			return ListMessage{}, err
 		}
 		d.hasBase = false
-		return Listing{}, fmt.Errorf("%w: %w", errGap, err)
+		return ListMessage{}, fmt.Errorf("%w: %w", errGap, err)
 	}
 	stream.endMessage(decoder)
-	return listing, nil
+	return message, nil
 }
 
 // fetchList fetches the complete list and publishes it.
@@ -127,29 +127,29 @@
 	}
 	defer body.Close()
 	stream.start(body, nil)
-	var listing Listing
-	if err := json.NewDecoder(stream).Decode(&listing); err != nil {
+	var message ListMessage
+	if err := json.NewDecoder(stream).Decode(&message); err != nil {
 		return fmt.Errorf("%w: %w", errGap, err)
 	}
-	return d.apply(listing)
+	return d.apply(message)
 }
 
-// apply publishes a listing. Changes must arrive in the order of their versions, and only apply
+// apply publishes a message. Changes must arrive in the order of their versions, and only apply
 // to a list that discovery had; otherwise apply returns errGap, and the next watch fetches the
 // complete list first. Changes of the current version are already known, so the published update
 // contains no endpoints.
-func (d *Discovery) apply(listing Listing) error {
-	if !listing.Complete {
-		if !d.hasBase || listing.Version < d.version {
+func (d *Discovery) apply(message ListMessage) error {
+	if !message.Complete {
+		if !d.hasBase || message.Version < d.version {
 			d.hasBase = false
 			return errGap
 		}
-		if listing.Version == d.version {
-			listing.Endpoints = nil
+		if message.Version == d.version {
+			message.Endpoints = nil
 		}
 	}
-	d.hasList, d.hasBase, d.version = true, true, listing.Version
-	update := listing.EndpointUpdate()
+	d.hasList, d.hasBase, d.version = true, true, message.Version
+	update := message.EndpointUpdate()
 	update.ConfirmedAt = d.confirmedAt
 	d.confirmedAt = time.Now()
 	d.publish(update)
--- a/internal/registry/platform/watch_test.go
+++ b/internal/registry/platform/watch_test.go
@@ -12,7 +12,7 @@
 // A watch publishes each change once and in order, and the next watch starts from the last version.
 func TestWatchPublishesChangesInOrder(t *testing.T) {
 	registry := peertest.NewDiscovery(t)
-	updates := startDiscovery(t, registry, knownList(41))
+	updates := startDiscovery(t, registry, cachedList(41))
 	watch := wantWatchFrom(t, registry, "41")
 	watch.Lines <- peertest.EndpointListJSON(43, false, endpointText("up"))
 	watch.Lines <- ""
@@ -44,7 +44,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			registry := peertest.NewDiscovery(t)
-			updates := startDiscovery(t, registry, knownList(41))
+			updates := startDiscovery(t, registry, cachedList(41))
 			watch := peertest.Await(t, "the watch", registry.Watches)
 			watch.Lines <- line
 			peertest.Await(t, "the call for the complete list", registry.ListRequests)
@@ -58,7 +58,7 @@
 // A watch that receives no data for watchSilence is closed and reopened from the same version.
 func TestSilentWatchIsReopened(t *testing.T) {
 	registry := peertest.NewDiscovery(t)
-	startDiscovery(t, registry, knownList(1))
+	startDiscovery(t, registry, cachedList(1))
 	silent := peertest.Await(t, "the watch", registry.Watches)
 	start := time.Now()
 	wantWatchFrom(t, registry, "1")
@@ -72,7 +72,7 @@
 // may never arrive. The watch must be reopened although empty lines still arrive.
 func TestPartialMessageCountsAsSilence(t *testing.T) {
 	registry := peertest.NewDiscovery(t)
-	updates := startDiscovery(t, registry, knownList(41))
+	updates := startDiscovery(t, registry, cachedList(41))
 	watch := peertest.Await(t, "the watch", registry.Watches)
 	change := peertest.EndpointListJSON(43, false, endpointText("draining"))
 	watch.Bytes <- change[:strings.Index(change, ",\"health\"")]
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -14,15 +14,15 @@
 // Config is the start-up configuration of one sidecar. LoadConfig, ParseConfig and FromOperator
 // return it.
 type Config struct {
-	Name          string
-	Listen        string            // address and port of the platform's listener
-	Discovery     string            // address and port of the platform's discovery; empty: there is none
-	Seed          uint64            // of all random number generators
-	CachedListing *platform.Listing // the cached endpoint list that the platform provides; nil: none
-	Limits        Limits
-	Operator      operator.File // the operators' file; its zero value without such a file
-	LostLogLines  func() uint64 // returns the number of lost log lines; nil: unknown
-	platformFile  string        // path of the platform's configuration file; empty: none
+	Name         string
+	Listen       string                // address and port of the platform's listener
+	Discovery    string                // address and port of the platform's discovery; empty: there is none
+	Seed         uint64                // of all random number generators
+	CachedList   *platform.ListMessage // the cached endpoint list that the platform provides; nil: none
+	Limits       Limits
+	Operator     operator.File // the operators' file; its zero value without such a file
+	LostLogLines func() uint64 // returns the number of lost log lines; nil: unknown
+	platformFile string        // path of the platform's configuration file; empty: none
 
 	Policy              policy.Config
 	Classes             []string      // names of the request classes, by number
@@ -30,7 +30,7 @@
 	Zones               []string      // names of the zones, by number
 	InFlightFieldName   string        // field of load reports with the number of requests in flight; empty: none
 	DialTimeout         time.Duration // a connection that is not established within this time counts as failed
-	DrainGrace          time.Duration // no attempt starts later than this after its endpoint began to drain
+	DrainGrace          time.Duration // grace of the invariant checks after an endpoint began to drain, see core.Config
 	UpstreamIdleTimeout time.Duration // idle time after which upstreams close a connection
 }
 
@@ -42,7 +42,7 @@
 // checkDiscovery returns an error unless Discovery is an IP address and a port.
 func (c *Config) checkDiscovery() error {
 	if _, err := netip.ParseAddrPort(c.Discovery); err != nil {
-		return fmt.Errorf("discovery address: %w", err)
+		return fmt.Errorf("discovery must be an IP address and a port: %w", err)
 	}
 	return nil
 }
@@ -50,10 +50,10 @@
 // cachedEndpoints returns the cached endpoint list for the core, or nil if there is none. It also
 // returns nil if sources are merged, because the merger receives the cached list then.
 func (c *Config) cachedEndpoints() *core.EndpointUpdate {
-	if c.CachedListing == nil || c.Operator.Merges() {
+	if c.CachedList == nil || c.Operator.Merges() {
 		return nil
 	}
-	update := c.CachedListing.EndpointUpdate()
+	update := c.CachedList.EndpointUpdate()
 	return &update
 }
 
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -27,7 +27,7 @@
 func TestLoadConfig(t *testing.T) {
 	config, err := loadText(t, goodConfig, map[string]string{"ROUTER_LISTEN": "127.0.0.1:9"})
 	if err != nil || config.Name != "n3" || config.Listen != "127.0.0.1:9" || config.Seed != 255 ||
-		config.CachedListing != nil || config.Limits.Sockets != 1024 ||
+		config.CachedList != nil || config.Limits.Sockets != 1024 ||
 		config.DialTimeout != defaultDialTimeout || config.UpstreamIdleTimeout != defaultUpstreamIdleTimeout {
 		t.Errorf("got configuration %+v, error %v", config, err)
 	}
@@ -43,7 +43,7 @@
 		"wrong type":     {`"sockets":1024`, `"sockets":"many"`, "line 2, column "},
 		"no settings":    {`"settings"`, `"others"`, "settings are missing, must be a JSON object"},
 		"no seed":        {`"ff"`, `"seed"`, "seed must have 1 to 16 hexadecimal digits, got \"seed\""},
-		"no address":     {"127.0.0.1:2", "discovery.internal", "discovery address"},
+		"no address":     {"127.0.0.1:2", "discovery.internal", "discovery must be an IP address and a port: "},
 		"few sockets":    {"1024", "3", "limits.sockets must be at least 64, got 3"},
 		"wrong number":   {`"most_tries":3`, `"most_tries":"x"`, "settings: caps.most_tries must be a finite number"},
 		"no deadline":    {`,"hard_limit_ms":2`, ``, "settings: classes.0.hard_limit_ms is missing"},
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -36,7 +36,7 @@
 
 // followPlatform follows the platform's discovery in a goroutine that ends with ctx.
 func (s *service) followPlatform(ctx context.Context, update func(core.EndpointUpdate)) {
-	s.discovery = platform.New(s.config.Discovery, s.config.CachedListing, update)
+	s.discovery = platform.New(s.config.Discovery, s.config.CachedList, update)
 	if s.config.Policy.WatchOnRequest {
 		s.discovery.WatchOnRequest(s.core.WatchRequests(), s.core.UpdateFailed, s.config.Seed)
 	}
@@ -57,8 +57,8 @@
 	firstOperatorSource := platformSource
 	if s.config.Operator.UsesPlatform() {
 		firstOperatorSource++
-		if s.config.CachedListing != nil {
-			s.merger.UpdatePlatform(platformSource, s.config.CachedListing.EndpointUpdate())
+		if s.config.CachedList != nil {
+			s.merger.UpdatePlatform(platformSource, s.config.CachedList.EndpointUpdate())
 		}
 	}
 	if err := s.followOperatorSources(ctx, firstOperatorSource); err != nil {
@@ -68,7 +68,7 @@
 }
 
 // newMembership returns the merged view of all sources. The sources are numbered in this order: the
-// platform's discovery, the Eureka registries, the fixed lists.
+// platform's discovery, the Eureka registries, the static lists.
 func (c *Config) newMembership() (*membership.Set, error) {
 	var sources []membership.Source
 	if c.Operator.UsesPlatform() {
@@ -89,12 +89,12 @@
 		TombstoneLifetime: bounds.TombstoneLifetime.Value(),
 		StaleUpdateHold:   bounds.StaleUpdateHold.Value(),
 		NewProcessPeriod:  bounds.NewProcessPeriod.Value(),
-		MaxInstances:      c.maxNodes(),
+		MaxInstances:      c.maxInstances(),
 	}, sources...)
 }
 
 // followOperatorSources follows the registries of the operators' file until ctx ends, and adds the
-// fixed lists of the file. The first source gets number, each later source the next number.
+// static lists of the file. The first source gets number, each later source the next number.
 func (s *service) followOperatorSources(ctx context.Context, number int) error {
 	for i := range s.config.Operator.Eureka {
 		registry := &s.config.Operator.Eureka[i]
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// staticInstances returns the instances of a fixed list. The address of each is also its ID.
+// staticInstances returns the instances of a static list. The address of each is also its ID.
 func staticInstances(list *operator.Static) []membership.Instance {
 	instances := make([]membership.Instance, 0, len(list.Addresses))
 	for _, address := range list.Addresses {
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -14,7 +14,7 @@
 
 const (
 	defaultSockets = 1024
-	minSockets     = 64 // fewer leave less than a handful of connections for clients or for upstreams
+	minSockets     = 64 // smallest accepted limit; it leaves 18 connections for clients and 12 for upstreams
 	// reservedSockets is the number of descriptors reserved for the standard streams, the listeners,
 	// the poller and files that the runtime opens.
 	reservedSockets = 32
@@ -30,25 +30,25 @@
 }
 
 const (
-	// bytesPerNode is the memory for one endpoint in all packages together, including the peak while
+	// bytesPerInstance is the memory for one endpoint in all packages together, including the peak while
 	// the list is read for the first time (docs/benchmarks.md).
-	bytesPerNode = 2200
+	bytesPerInstance = 2200
 	// baseMemory is the memory of the program without endpoints, including a reserve for requests,
 	// in bytes.
-	baseMemory = 16 << 20
-	minNodes   = 500
+	baseMemory   = 16 << 20
+	minInstances = 500
 )
 
-// maxNodes returns the maximum number of endpoints that a source may list: the value of the
+// maxInstances returns the maximum number of endpoints that a source may list: the value of the
 // operators' file, or otherwise the number that fits into the memory limit of this process, from
-// minNodes to membership.DefaultMaxInstances. Without a memory limit it is the latter.
-func (c *Config) maxNodes() int {
+// minInstances to membership.DefaultMaxInstances. Without a memory limit it is the latter.
+func (c *Config) maxInstances() int {
 	if n := int(c.Operator.Membership.MaxNodes); n > 0 {
 		return n
 	}
 	if c.Limits.MemoryMB <= 0 {
 		return membership.DefaultMaxInstances
 	}
-	fittingNodes := (c.Limits.MemoryMB<<20 - baseMemory) / bytesPerNode
-	return int(min(max(fittingNodes, minNodes), membership.DefaultMaxInstances))
+	fittingInstances := (c.Limits.MemoryMB<<20 - baseMemory) / bytesPerInstance
+	return int(min(max(fittingInstances, minInstances), membership.DefaultMaxInstances))
 }
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -91,7 +91,7 @@
 		}
 		scrape.Gauge("source_trusted", "Whether a source of the endpoint list is trusted (1) or not (0).", trusted, "source", source.Name)
 		scrape.Gauge("source_nodes", "Endpoints in the list of a source.", float64(source.Live), "source", source.Name)
-		scrape.Gauge("source_held", "Endpoints kept although a source lost them, as it lost too many at once.", float64(source.Held), "source", source.Name)
+		scrape.Gauge("source_held", "Endpoints kept although their source no longer lists them, because it lost too many at once.", float64(source.Held), "source", source.Name)
 		if source.LastResponseAt > 0 {
 			age := view.Now - source.LastResponseAt
 			scrape.Gauge("source_age_seconds", "Seconds since the last response of a source.", age.Seconds(), "source", source.Name)
--- a/internal/sidecar/operator_config.go
+++ b/internal/sidecar/operator_config.go
@@ -15,7 +15,7 @@
 // The values of the operators' file for the idempotency of a class, and for the scope in which
 // upstreams drop repeated requests.
 var (
-	idempotencyByEffect = map[operator.Idempotency]policy.Idempotency{
+	idempotencyByName = map[operator.Idempotency]policy.Idempotency{
 		operator.Idempotent:      policy.Idempotent,
 		operator.IdempotentByKey: policy.IdempotentByKey,
 		operator.NotIdempotent:   policy.NotIdempotent,
@@ -77,7 +77,7 @@
 		LatencyObjective: class.LatencyObjective.Value(),
 		Deadline:         class.Deadline.Value(),
 		PriorityWeight:   cmp.Or(class.PriorityWeight, 1),
-		Idempotency:      idempotencyByEffect[class.Idempotency],
+		Idempotency:      idempotencyByName[class.Idempotency],
 		DedupScope:       dedupScopeByName[class.DedupScope],
 		DedupWindow:      class.DedupWindow.Value(),
 	}
--- a/internal/sidecar/platform_config.go
+++ b/internal/sidecar/platform_config.go
@@ -40,7 +40,7 @@
 		}
 	}
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
-		return nil, fmt.Errorf("listen address: %w", err)
+		return nil, fmt.Errorf("listen must be an IP address and a port: %w", err)
 	}
 	return c, c.checkDiscovery()
 }
@@ -60,13 +60,13 @@
 
 // configFile is the JSON form of the platform's configuration file.
 type configFile struct {
-	Name          string          `json:"name"`
-	Listen        string          `json:"listen"`
-	Discovery     string          `json:"discovery"`
-	Seed          string          `json:"seed"`
-	Limits        Limits          `json:"limits"`
-	CachedListing json.RawMessage `json:"known"`
-	Settings      json.RawMessage `json:"settings"`
+	Name       string          `json:"name"`
+	Listen     string          `json:"listen"`
+	Discovery  string          `json:"discovery"`
+	Seed       string          `json:"seed"`
+	Limits     Limits          `json:"limits"`
+	CachedList json.RawMessage `json:"known"`
+	Settings   json.RawMessage `json:"settings"`
 }
 
 // ParseConfig parses and checks the text of the platform's configuration file. It does not check
@@ -81,7 +81,7 @@
 	}
 	c := &Config{
 		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits,
-		CachedListing: parseCachedListing(file.CachedListing),
+		CachedList: parseCachedList(file.CachedList),
 	}
 	if err := c.applySettings(file.Settings); err != nil {
 		return nil, err
@@ -141,16 +141,16 @@
 	return fmt.Errorf("line %d, column %d: %w", line+1, column, err)
 }
 
-// parseCachedListing parses the cached endpoint list; nil if there is none. An invalid list is ignored,
+// parseCachedList parses the cached endpoint list; nil if there is none. An invalid list is ignored,
 // because discovery provides a new one.
-func parseCachedListing(text json.RawMessage) *platform.Listing {
+func parseCachedList(text json.RawMessage) *platform.ListMessage {
 	if len(text) == 0 || string(text) == "null" {
 		return nil
 	}
-	known := new(platform.Listing)
-	if err := json.Unmarshal(text, known); err != nil {
+	cached := new(platform.ListMessage)
+	if err := json.Unmarshal(text, cached); err != nil {
 		slog.Warn("configuration: cached endpoint list unreadable, ignored", "err", err)
 		return nil
 	}
-	return known
+	return cached
 }
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -12,9 +12,9 @@
 	// acceptGrace is the time for which new connections still arrive after SIGTERM (0.4 s), plus a
 	// margin to accept them from the accept queue.
 	acceptGrace = 600 * time.Millisecond
-	// The platform kills the process at the earliest killMargin after the longest deadline of a
-	// class, counted from SIGTERM. Of that deadline at most maxClientWait counts. Requests in flight
-	// at the kill are lost.
+	// After SIGTERM, the platform waits at least for the longest deadline of a class (at most
+	// maxClientWait) plus killMargin, and then kills the process. Requests in flight at the kill are
+	// lost.
 	maxClientWait = 3 * time.Second
 	killMargin    = 700 * time.Millisecond
 	// responseMargin is the time before the kill at which all remaining requests are completed. It
--- a/internal/sidecar/sources_test.go
+++ b/internal/sidecar/sources_test.go
@@ -8,7 +8,7 @@
 
 // A list that is too large would exceed the memory limit. The maximum number of endpoints follows
 // from the memory limit, unless it is configured.
-func TestMaxNodes(t *testing.T) {
+func TestMaxInstances(t *testing.T) {
 	for name, c := range map[string]struct{ memoryMB, configured, want int }{
 		"unknown memory":              {0, 0, 20000},
 		"8 MB":                        {8, 0, 500},
@@ -23,7 +23,7 @@
 		var config Config
 		config.Limits.MemoryMB = int64(c.memoryMB)
 		config.Operator.Membership.MaxNodes = operator.Count(c.configured)
-		if got := config.maxNodes(); got != c.want {
+		if got := config.maxInstances(); got != c.want {
 			t.Errorf("%s: %+v: got %d", name, c, got)
 		}
 	}
