--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -109,5 +109,6 @@
 	return nil
 }
 
-// Close ends Serve, closes all connections and removes the socket.
+// Close ends Serve, closes all connections and removes the socket. It does not wait for queries in
+// progress.
 func (s *Server) Close() { s.server.Close() }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -17,7 +17,7 @@
 //go:embed report.html
 var reportTemplate string
 
-// Summary holds the results of an experiment, summarized for each cell.
+// Summary holds the results of an experiment, summarised for each cell.
 type Summary struct {
 	*Results
 	Experiment *Experiment
--- a/internal/load/node.go
+++ b/internal/load/node.go
@@ -43,7 +43,7 @@
 	n.advance()
 }
 
-// advance runs the model up to the present time and sets the timer to its next event. The caller holds mu.
+// advance runs the model up to the current time and sets the timer to its next event. The caller holds mu.
 func (n *Node) advance() {
 	now := time.Since(n.startedAt)
 	if next, due := n.node.Advance(now); due {
--- a/internal/load/progress.go
+++ b/internal/load/progress.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// progress returns the present progress.
+// progress returns the current progress.
 func (g *generator) progress() Progress {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -83,11 +83,11 @@
 	s.add("gauge", name, help, n, labels)
 }
 
-// Counters adds one counter sample for each uint64 field of the struct counts. The label named by
-// contains the name of the field, see counters.Each.
-func (s *Scrape) Counters(name, help, by string, counts any, labels ...string) {
+// Counters adds one counter sample for each uint64 field of the struct counts. label is the
+// name of the label that contains the name of the field, see counters.Each.
+func (s *Scrape) Counters(name, help, label string, counts any, labels ...string) {
 	counters.Each(counts, func(event string, n uint64) {
-		s.Counter(name, help, float64(n), append(labels[:len(labels):len(labels)], by, event)...)
+		s.Counter(name, help, float64(n), append(labels[:len(labels):len(labels)], label, event)...)
 	})
 }
 
--- a/internal/operator/sidecar.go
+++ b/internal/operator/sidecar.go
@@ -12,7 +12,7 @@
 	Listen             Address  `toml:"listen"`      // address at which clients connect by HTTP/1.1
 	FleetSize          Count    `toml:"sidecars"`    // sidecars that send to the same endpoints, this one included; 0: 1
 	MaxAttempts        Count    `toml:"attempts"`    // attempts for one request; 0: DefaultMaxAttempts
-	MaxRetryAfter      Duration `toml:"retry_after"` // longest Retry-After that clients follow; empty: DefaultMaxRetryAfter
+	MaxRetryAfter      Duration `toml:"retry_after"` // longest Retry-After that is sent to clients; empty: DefaultMaxRetryAfter
 	ClientsMarkRetries bool     `toml:"marks_retry"` // clients mark retries with the header Client-Retry
 	Probes             bool     `toml:"probes"`      // endpoints respond to GET /health/live
 	Zone               string   `toml:"zone"`        // zone of this sidecar, as named in the endpoint list
--- a/internal/operator/static.go
+++ b/internal/operator/static.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Static is a [[static]] table: a fixed list of endpoints as a source of the endpoint list.
+// Static is a [[static]] table: a static list of endpoints as a source of the endpoint list.
 type Static struct {
 	Name        string    `toml:"name"`
 	Addresses   []Address `toml:"nodes"`
--- a/internal/plugin/breaker/breaker.go
+++ b/internal/plugin/breaker/breaker.go
@@ -30,7 +30,7 @@
 	// DefaultWindow.
 	Window time.Duration
 	// OpenDuration is how long the breaker is open before the first trial call is allowed.
-	// The present open duration doubles, up to MaxOpenDuration, each time that a trial call
+	// The current open duration doubles, up to MaxOpenDuration, each time that a trial call
 	// fails or the breaker opens again soon after it closed. The default is
 	// DefaultOpenDuration.
 	OpenDuration time.Duration
@@ -89,7 +89,7 @@
 	lastFailureAt time.Duration   // time of the last failure in any state
 	closedAt      time.Duration   // time of the last change to Closed; 0 if the breaker has never been open
 
-	openDuration   time.Duration // duration of the present open state, or of the next one
+	openDuration   time.Duration // duration of the current open state, or of the next one
 	firstTrialAt   time.Duration // while open, the time from which the first trial call is allowed
 	trialSuccesses int           // while half-open, the number of successive successful trial calls
 	trialInFlight  bool          // while half-open, whether a trial call is in flight
@@ -102,7 +102,7 @@
 	return &Breaker{config: config, openDuration: config.OpenDuration}
 }
 
-// State returns the present state. An open breaker becomes half-open in Allow.
+// State returns the current state. An open breaker becomes half-open in Allow.
 func (b *Breaker) State() State { return b.state }
 
 // Allow reports whether a call may be made now. The caller must call Done at the end of each
--- a/internal/plugin/gate.go
+++ b/internal/plugin/gate.go
@@ -21,7 +21,8 @@
 }
 
 // Gate runs the plug-ins. It is a core.Handler between the listener front ends and the core: request
-// hooks run on the front end's goroutine, outcome hooks on the goroutine of Run.
+// hooks run on the front end's goroutine, outcome hooks on the goroutine of Run. It is safe for concurrent
+// use, except that SetNext must be called before the first Submit.
 type Gate struct {
 	core.Handler  // the next handler
 	cfg           Config
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -47,8 +47,8 @@
 	return s.durationOr(keyIdleConnTimeout, fallback)
 }
 
-// DrainGrace returns how long attempts may still start at an endpoint after it began to drain
-// or was removed, or fallback if that is not set.
+// DrainGrace returns how long after an endpoint began to drain or was removed the invariant checks
+// still accept an attempt that starts at the endpoint, or fallback if that is not set.
 func (s *Settings) DrainGrace(fallback time.Duration) time.Duration {
 	return s.durationOr(keyDrainGrace, fallback)
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -83,7 +83,7 @@
 	return &checker{startedAt: startedAt, records: make(map[string]*requestRecord), statusCounts: make(map[int]int)}
 }
 
-// addViolation adds a violation of a rule at the present time.
+// addViolation adds a violation of a rule at the current time.
 func (c *checker) addViolation(rule Rule, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -22,8 +22,8 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// listing is a message of the platform's discovery protocol: the complete list of hosts, or changes only.
-type listing struct {
+// listMessage is a message of the platform's discovery protocol: the complete list of hosts, or changes only.
+type listMessage struct {
 	Seq   uint64      `json:"seq"`
 	Whole bool        `json:"whole"`
 	Hosts []hostEntry `json:"hosts"`
@@ -34,7 +34,7 @@
 	mu      sync.Mutex
 	seq     uint64
 	entries map[string]hostEntry // by host name
-	changes []listing            // with one changed host each, oldest first
+	changes []listMessage        // with one changed host each, oldest first
 	changed chan struct{}        // closed and replaced at each change
 }
 
@@ -50,17 +50,17 @@
 	if r.entries[e.Host] = e; e.Health == "removed" {
 		delete(r.entries, e.Host)
 	}
-	r.changes = append(r.changes, listing{Seq: r.seq, Hosts: []hostEntry{e}})
+	r.changes = append(r.changes, listMessage{Seq: r.seq, Hosts: []hostEntry{e}})
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
 // since returns the changes after the sequence number from, or the complete list if whole is true, and
 // a channel that is closed at the next change.
-func (r *registry) since(from uint64, whole bool) (listing, <-chan struct{}) {
+func (r *registry) since(from uint64, whole bool) (listMessage, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := listing{Seq: r.seq, Whole: whole, Hosts: []hostEntry{}}
+	l := listMessage{Seq: r.seq, Whole: whole, Hosts: []hostEntry{}}
 	if whole {
 		for _, e := range r.entries {
 			l.Hosts = append(l.Hosts, e)
--- a/resolver/resolver.go
+++ b/resolver/resolver.go
@@ -37,7 +37,7 @@
 	hasList     bool
 	lastID      CallID
 	calls       []call        // in the order in which they started, at most maxCalls
-	hedgeAfter  time.Duration // present interval between calls, without jitter
+	hedgeAfter  time.Duration // current interval between calls, without jitter
 	callTimeout time.Duration
 	nextStartAt time.Duration // when the next call may start, while a call is running
 }
