--- a/internal/operator/classes.go
+++ b/internal/operator/classes.go
@@ -8,10 +8,10 @@
 	Name             string      `toml:"name"`
 	Idempotency      Idempotency `toml:"effect"`
 	LatencyObjective Duration    `toml:"aim"`      // a response within this time has its full value
-	Deadline         Duration    `toml:"deadline"` // time after which a client gives up, its retries included
+	Deadline         Duration    `toml:"deadline"` // how long a client waits in total, including its retries
 	PriorityWeight   float64     `toml:"worth"`    // value of a response relative to the other classes; 0: 1
 
-	// DedupWindow is how long endpoints drop repeats, from the first send on. For
+	// DedupWindow is how long endpoints drop repeats, counted from the first attempt. For
 	// IdempotentByKey only.
 	DedupWindow Duration `toml:"window"`
 	// DedupScope says which endpoints drop repeats. For IdempotentByKey only; empty: ScopeCell.
@@ -24,15 +24,15 @@
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = "safe"   // a repeat has no further effect
-	IdempotentByKey Idempotency = "keyed"  // a repeat has no further effect at an endpoint that knows its key
-	NotIdempotent   Idempotency = "unsafe" // a repeat has its effect once more
+	IdempotentByKey Idempotency = "keyed"  // a repeat has no further effect at an endpoint that has recorded its key
+	NotIdempotent   Idempotency = "unsafe" // a repeat takes effect again
 )
 
 func (i Idempotency) check() error {
 	return oneOf(string(i), string(Idempotent), string(IdempotentByKey), string(NotIdempotent))
 }
 
-// DedupScope says which endpoints know an idempotency key that one of them has seen.
+// DedupScope is the group of endpoints that share the deduplication of idempotency keys.
 type DedupScope string
 
 // The scopes of deduplication. An empty value means ScopeCell, the strictest.
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -17,7 +17,7 @@
 	offsets map[string]int // offset of each value, by its path
 }
 
-// checker is a type that can tell from a value alone whether it is valid.
+// checker is a type that validates a value without regard to other values.
 type checker interface{ check() error }
 
 // table fills a struct.
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -65,7 +65,7 @@
 // the text are reported together, as a *FileError.
 func Parse(name string, text []byte) (*File, error) {
 	if len(text) > maxFileBytes {
-		return nil, fmt.Errorf("%s: must be at most %[3]d bytes, got %[2]d", name, len(text), maxFileBytes)
+		return nil, fmt.Errorf("%s: file must be at most %[3]d bytes, got %[2]d", name, len(text), maxFileBytes)
 	}
 	problems := newProblemList(text)
 	f := new(File)
--- a/internal/operator/membership.go
+++ b/internal/operator/membership.go
@@ -14,7 +14,7 @@
 	TombstoneLifetime Duration `toml:"tombstone_for"` // how long a deleted instance is remembered
 	StaleUpdateHold   Duration `toml:"settle"`        // time after which an update that looks stale is accepted
 	NewProcessPeriod  Duration `toml:"fresh_for"`     // how long a new process at an old address shares no idempotency keys
-	MaxNodes          Count    `toml:"most_nodes"`    // most instances of one source; 0: derived from the memory limit
+	MaxInstances      Count    `toml:"most_nodes"`    // maximum number of instances of one source; 0: derived from the memory limit
 }
 
 // Merges reports whether there is a source other than the platform's discovery.
--- a/internal/operator/pools.go
+++ b/internal/operator/pools.go
@@ -7,7 +7,7 @@
 
 // Pool is a [[pool]] table: a set of endpoints and the protocol for connecting to them. An
 // endpoint belongs to the first pool whose Hosts, Zones and MachineTypes all match. An
-// endpoint without a pool speaks HTTP/1.1.
+// endpoint without a pool uses HTTP/1.1.
 type Pool struct {
 	Name         string    `toml:"name"`
 	Protocol     Protocol  `toml:"protocol"`
@@ -36,7 +36,7 @@
 
 func (p *Pool) matchesAll() bool { return len(p.Hosts)+len(p.Zones)+len(p.MachineTypes) == 0 }
 
-// Uses reports whether any pool speaks a protocol.
+// Uses reports whether any pool uses a protocol.
 func (f *File) Uses(p Protocol) bool {
 	for i := range f.Pools {
 		if f.Pools[i].Protocol == p {
--- a/internal/operator/quotas.go
+++ b/internal/operator/quotas.go
@@ -27,7 +27,7 @@
 	Tag    string `toml:"tag"`    // tag set by a plug-in
 
 	Weight         float64    `toml:"weight"`     // weight among borrowers; 0: 1
-	Windows        []Duration `toml:"windows"`    // windows over each of which the rates are limited; empty: 1s and 10s
+	Windows        []Duration `toml:"windows"`    // windows; every rate is limited over each window; empty: 1s and 10s
 	Requests       float64    `toml:"requests"`   // per second
 	PriorityWeight float64    `toml:"worth"`      // per second, each request counted by its class's priority weight
 	Bytes          float64    `toml:"bytes"`      // bytes of bodies per second
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -43,7 +43,7 @@
 // operators' file, or otherwise the number that fits into the memory limit of this process, from
 // minNodes to membership.DefaultMaxInstances. Without a memory limit it is the latter.
 func (c *Config) maxNodes() int {
-	if n := int(c.Operator.Membership.MaxNodes); n > 0 {
+	if n := int(c.Operator.Membership.MaxInstances); n > 0 {
 		return n
 	}
 	if c.Limits.MemoryMB <= 0 {
--- a/internal/sidecar/sources_test.go
+++ b/internal/sidecar/sources_test.go
@@ -22,7 +22,7 @@
 	} {
 		var config Config
 		config.Limits.MemoryMB = int64(c.memoryMB)
-		config.Operator.Membership.MaxNodes = operator.Count(c.configured)
+		config.Operator.Membership.MaxInstances = operator.Count(c.configured)
 		if got := config.maxNodes(); got != c.want {
 			t.Errorf("%s: %+v: got %d", name, c, got)
 		}
