--- a/internal/hook/diagnostic.go
+++ b/internal/hook/diagnostic.go
@@ -7,7 +7,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Error is a diagnostic: it describes a mistake in a program and its position.
+// Error is a diagnostic: it describes an error in a program and its position.
 type Error struct {
 	File   string
 	Line   int    // counted from 1; 0: the error has no position
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s\n\t%s\n\t%s^", e.File, e.Line, e.Column, e.Text, e.Source, blankOut(before))
 }
 
-// blankOut replaces every character except tabs by a blank, so that the mark is printed under its column.
+// blankOut replaces every character except tabs by a space, so that the mark is printed under its column.
 func blankOut(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r == '\t' {
--- a/internal/hook/diagnostic_test.go
+++ b/internal/hook/diagnostic_test.go
@@ -73,7 +73,7 @@
 }
 
 // TestDiagnostics checks that the compiler rejects invalid programs with the expected error, and that a
-// program with two mistakes gets two diagnostics, with the line and the mark under the column.
+// program with two errors gets two diagnostics, with the line and the mark under the column.
 func TestDiagnostics(t *testing.T) {
 	for _, test := range diagnosticCases {
 		_, err := Compile("test.hook", test.source)
--- a/internal/hook/format.go
+++ b/internal/hook/format.go
@@ -10,7 +10,7 @@
 const maxLineBreaks = 2
 
 // Format returns a program in the canonical form: lines are indented by one tab for each open bracket,
-// one blank separates words and signs, and there is at most one empty line in a row. Comments and line
+// one space separates words and operators, and there is at most one empty line in a row. Comments and line
 // breaks are kept. If the source cannot be parsed, the error is an *Error.
 func Format(file, source string) (string, error) {
 	if _, err := parse(file, source); err != nil {
@@ -73,7 +73,7 @@
 	case f.lineBreaks > 0:
 		f.output.WriteString(strings.Repeat("\n", min(f.lineBreaks, maxLineBreaks)))
 		f.output.WriteString(strings.Repeat("\t", f.depth))
-	case f.needsBlank(token, text):
+	case f.needsSpace(token, text):
 		f.output.WriteByte(' ')
 	}
 }
@@ -96,8 +96,8 @@
 	return f.previous.Type == f.symbols[tokenName] && keywords[f.previous.Value]
 }
 
-// needsBlank reports whether a blank separates a token from the previous token on the same line.
-func (f *formatter) needsBlank(token lexer.Token, text string) bool {
+// needsSpace reports whether a space separates a token from the previous token on the same line.
+func (f *formatter) needsSpace(token lexer.Token, text string) bool {
 	switch {
 	case token.Type == f.symbols[tokenComment]:
 		return true
@@ -116,9 +116,9 @@
 	}
 }
 
-// bindsRight reports whether a sign is written without a blank after it.
-func bindsRight(sign string) bool {
-	switch sign {
+// bindsRight reports whether an operator or punctuation token is written without a space after it.
+func bindsRight(text string) bool {
+	switch text {
 	case "(", "[", ".", "..":
 		return true
 	default:
@@ -126,9 +126,9 @@
 	}
 }
 
-// bindsLeft reports whether a sign is written without a blank before it.
-func bindsLeft(sign string) bool {
-	switch sign {
+// bindsLeft reports whether an operator or punctuation token is written without a space before it.
+func bindsLeft(text string) bool {
+	switch text {
 	case ")", "]", ",", ".", "..", ":":
 		return true
 	default:
@@ -136,7 +136,7 @@
 	}
 }
 
-// bracketBinds reports whether an opening bracket follows the previous token without a blank, as in a
+// bracketBinds reports whether an opening bracket follows the previous token without a space, as in a
 // call or an index.
 func (f *formatter) bracketBinds() bool {
 	switch f.previous.Value {
--- a/internal/hook/golden_test.go
+++ b/internal/hook/golden_test.go
@@ -17,8 +17,8 @@
 	"mothridge/internal/golden"
 )
 
-// goldenRandomPrograms is the number of random programs, and also the number of random programs with a
-// mistake.
+// goldenRandomPrograms is the number of random programs, and also the number of random programs with an
+// error.
 const goldenRandomPrograms = 400
 
 // goldenProgram is a program of the corpus. Its name appears in testdata/runs.golden.
--- a/internal/hook/parser.go
+++ b/internal/hook/parser.go
@@ -23,7 +23,7 @@
 	)
 })
 
-// parse returns the syntax tree of a source. An error is an *Error for the first mistake in the source.
+// parse returns the syntax tree of a source. If the source is invalid, the error is an *Error for its first syntax error.
 func parse(file, source string) (*fileNode, error) {
 	if len(source) > MaxSourceBytes {
 		text := fmt.Sprintf("the program has %d bytes; at most %d are allowed", len(source), MaxSourceBytes)
--- a/internal/hook/scanner.go
+++ b/internal/hook/scanner.go
@@ -17,11 +17,11 @@
 	tokenComment = "Comment"
 	tokenSpace   = "Space"
 	tokenName    = "Name"
-	tokenSign    = "Sign"
+	tokenSign    = "Sign" // an operator or a punctuation token
 )
 
 // tokenRules returns the definition of the scanner. It is built when the first program is read, so that
-// a process without plug-ins does not bear the cost.
+// a process without plug-ins does not build it.
 var tokenRules = sync.OnceValue(func() *lexer.StatefulDefinition {
 	return lexer.MustStateful(lexer.Rules{"Root": {
 		{Name: tokenComment, Pattern: `#[^\n]*`},
--- a/internal/hook/typed_tree.go
+++ b/internal/hook/typed_tree.go
@@ -55,25 +55,25 @@
 	position  lexer.Position
 }
 
-// expressionKind is the kind of an expression. It determines which fields are set in addition to the type,
-// the position and the operands.
+// expressionKind is the kind of an expression. The comment of a kind gives the fields that are set in addition
+// to the type, the position and the operands, with their meaning. A kind without a comment sets no other field.
 type expressionKind uint8
 
 const (
-	expressionConstant expressionKind = iota // constant
+	expressionConstant expressionKind = iota // constant: value of the expression
 	expressionVariable                       // index: slot of the variable
 	expressionField                          // index: field of the event
 	expressionAnd
 	expressionOr
 	expressionNot
 	expressionNegate
-	expressionArithmetic // operator
-	expressionCompare    // operator
+	expressionArithmetic // operator: arithmetic operator
+	expressionCompare    // operator: comparison operator
 	expressionIn
 	expressionIndex
 	expressionCall    // index: function of the program
 	expressionBuiltin // index: entry of builtins
-	expressionState   // index: state; operator: value, add or forget
+	expressionState   // index: state of the program; operator: name of the operation, which is value, add or forget
 	expressionList
 	expressionMap
 )
@@ -89,7 +89,7 @@
 }
 
 // invalidExpression returns the expression that replaces an expression with a diagnostic, so that no second
-// diagnostic is reported for the same mistake.
+// diagnostic is reported for the same error.
 func invalidExpression(at lexer.Position) *expression { return &expression{position: at} }
 
 func (e *expression) isInvalid() bool { return e.valueType == nil }
