--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -25,8 +25,8 @@
 	attemptTimesOut                   // the timeout that the balancer set expires
 	attemptCancelled                  // the balancer has cancelled the attempt
 	attemptResponds                   // the result reaches the sidecar
-	attemptWithdrawn                  // the node learns that no one waits for the attempt
-	attemptReset                      // the sidecar learns that the connection is lost
+	attemptAbandoned                  // the node is notified that the attempt was abandoned
+	attemptReset                      // the sidecar detects the connection reset
 )
 
 func (attempt *attempt) handleEvent(kind eventKind) {
@@ -42,8 +42,8 @@
 		sidecar.endAttempt(attempt, attempt.result)
 	case attemptReset:
 		sidecar.endAttempt(attempt, policy.ConnectionReset)
-	case attemptWithdrawn:
-		attempt.node.withdraw(&attempt.job)
+	case attemptAbandoned:
+		attempt.node.abandon(&attempt.job)
 	default: // event kinds of other handlers
 	}
 }
@@ -158,12 +158,12 @@
 	sidecar.complete(submission)
 }
 
-// abandonAttempt ends an attempt without a response. The node learns of this after a network delay.
+// abandonAttempt ends an attempt without a response. The node is notified after a network delay.
 func (sidecar *sidecar) abandonAttempt(attempt *attempt, result policy.AttemptResult) {
 	if attempt.ended {
 		return
 	}
-	sidecar.withdrawFromNode(attempt)
+	sidecar.notifyAbandoned(attempt)
 	sidecar.endAttempt(attempt, result)
 }
 
@@ -173,13 +173,13 @@
 		return
 	}
 	sidecar.closeAttempt(attempt, policy.Cancelled)
-	sidecar.withdrawFromNode(attempt)
+	sidecar.notifyAbandoned(attempt)
 }
 
-// withdrawFromNode notifies the node, after a network delay, that no one waits for the attempt.
-func (sidecar *sidecar) withdrawFromNode(attempt *attempt) {
+// notifyAbandoned notifies the node, after a network delay, that the attempt was abandoned.
+func (sidecar *sidecar) notifyAbandoned(attempt *attempt) {
 	if attempt.accepted {
-		sidecar.scheduleEvent(sidecar.networkDelay(), attempt, attemptWithdrawn)
+		sidecar.scheduleEvent(sidecar.networkDelay(), attempt, attemptAbandoned)
 	}
 }
 
--- a/internal/fleet/discovery_trial.go
+++ b/internal/fleet/discovery_trial.go
@@ -10,7 +10,7 @@
 )
 
 // DiscoveryTrial is a load test of the discovery service: all sidecars request the endpoint list at about the same
-// time. The service processes calls first in, first out, including calls that their sidecar has given up, and rejects
+// time. The service processes calls first in, first out, including calls that their sidecar has cancelled, and rejects
 // a call that would wait too long. The trial has its own clock with a fixed step.
 type DiscoveryTrial struct {
 	// Sidecars is the number of sidecars that need the list, at least 1.
@@ -51,7 +51,7 @@
 	Calls int
 	// Rejected is the number of calls that the service rejected.
 	Rejected int
-	// Wasted is the number of calls that the service completed after their sidecar had given them up.
+	// Wasted is the number of calls that the service completed after their sidecar had cancelled them.
 	Wasted int
 }
 
--- a/internal/fleet/endpoint_list_test.go
+++ b/internal/fleet/endpoint_list_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// If the list has to be watched, sidecars learn of a drain through the watch, and after an outage through a new watch
+// If the list has to be watched, sidecars receive a drain through the watch, and after an outage through a new watch
 // request.
 func TestWatchedList(t *testing.T) {
 	scenario := steadyScenario(4, 0.4)
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -36,8 +36,8 @@
 	sidecar.applyMembership(changes)
 }
 
-// tickMembership passes the current time to the membership module, and tells it that its source responds unless there
-// is a list outage.
+// tickMembership passes the current time to the membership module, and reports a response of its source unless there is
+// a list outage.
 func (sidecar *sidecar) tickMembership() {
 	if sidecar.now >= sidecar.listOutageUntil {
 		sidecar.applyMembership(sidecar.membershipSet.SourceResponded(sidecar.clockTime(), membershipSource))
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -156,13 +156,13 @@
 	return true
 }
 
-// withdraw removes a job that no one waits for, unless the node completes abandoned jobs or the job has left the node.
-func (node *node) withdraw(withdrawn *job) {
-	if withdrawn.index < 0 || node.params.KeepsAbandoned {
+// abandon removes an abandoned job, unless the node completes abandoned jobs or the job has left the node.
+func (node *node) abandon(abandoned *job) {
+	if abandoned.index < 0 || node.params.KeepsAbandoned {
 		return
 	}
 	node.advance()
-	heap.Remove(&node.jobs, withdrawn.index)
+	heap.Remove(&node.jobs, abandoned.index)
 	node.scheduleCompletion()
 }
 
--- a/internal/fleet/policies.go
+++ b/internal/fleet/policies.go
@@ -21,7 +21,7 @@
 // the module with.
 type Policy string
 
-// The policies. A reference policy knows of an endpoint only its listed health and the results of its own attempts. All
+// The policies. A reference policy uses only the listed health of an endpoint and the results of its own attempts. All
 // reference policies but Bulkhead admit every submission for which there is a ready endpoint.
 const (
 	Mothridge  Policy = "mothridge"   // the real decision module
--- a/internal/fleet/reference_bulkhead.go
+++ b/internal/fleet/reference_bulkhead.go
@@ -10,8 +10,8 @@
 const (
 	bulkheadSlotsPerNode = 3.0  // slots per node, of all sidecars together
 	bulkheadQueueShare   = 0.15 // queue limit per slot
-	// bulkheadSidecars is the largest number of sidecars of which each has all the slots. With more sidecars, each has
-	// twice its even share of the slots.
+	// bulkheadSidecars is the maximum number of sidecars up to which each sidecar has all the slots. With more
+	// sidecars, each has twice its even share of the slots.
 	bulkheadSidecars = 2
 )
 
--- a/internal/fleet/scenario.go
+++ b/internal/fleet/scenario.go
@@ -33,7 +33,7 @@
 	SpeedFactors []float64 `toml:"speeds,omitempty"`
 	// Network between sidecars and nodes.
 	Network Network `toml:"network,omitempty"`
-	// List determines how sidecars learn of the nodes.
+	// List determines how sidecars receive the endpoint list.
 	List EndpointList `toml:"list,omitempty"`
 	// Classes of requests, at least one.
 	Classes []Class `toml:"class"`
@@ -85,7 +85,7 @@
 	WarmUpOverloadFactor float64 `toml:"cold_multiple,omitempty"`
 	// StartsCold means that all processes start when the run begins, and warm up.
 	StartsCold bool `toml:"fresh,omitempty"`
-	// KeepsAbandoned means that the node completes requests even if their sidecar has given them up.
+	// KeepsAbandoned means that the node completes requests even if their sidecar has abandoned them.
 	KeepsAbandoned bool `toml:"keeps_abandoned,omitempty"`
 	// OverloadCollapse has the parameters of the node's overload collapse.
 	OverloadCollapse OverloadCollapse `toml:"choke,omitempty"`
@@ -119,7 +119,7 @@
 	MaxConnections int `toml:"most,omitempty"`
 }
 
-// EndpointList determines how sidecars learn of the nodes.
+// EndpointList determines how sidecars receive the endpoint list.
 type EndpointList struct {
 	// MaxDelay is the longest delay of an update; delays are uniformly distributed from 0.
 	MaxDelay time.Duration `toml:"lag,omitempty"`
@@ -139,7 +139,7 @@
 	SidecarShare float64 `toml:"part,omitempty"`
 	// Windows of the limits; none: 1 s and 10 s.
 	Windows []time.Duration `toml:"windows,omitempty"`
-	// LenderReserve is the time for which a lender's own demand is kept free, as in quota.Config.
+	// LenderReserve is used as in quota.Config.
 	LenderReserve time.Duration `toml:"reclaim,omitempty"`
 	// RepaymentShare is used as in quota.Config.
 	RepaymentShare float64 `toml:"repay,omitempty"`
--- a/internal/fleet/scenario_check.go
+++ b/internal/fleet/scenario_check.go
@@ -159,7 +159,8 @@
 		scenario.Clients.MaxRetryAfter, scenario.Clients.RetryBackoff,
 	}
 	if slices.Min(times) < 0 || scenario.TrafficSkew < 0 || scenario.Slots < 0 {
-		return errors.New("delay, handshake, lag, max_pause, pause, skew and slots must be at least 0")
+		return errors.New(
+			"network.delay, network.handshake, list.lag, clients.max_pause, clients.pause, skew and slots must be at least 0")
 	}
 	return nil
 }
@@ -200,8 +201,8 @@
 		return fmt.Errorf("unknown kind %q: must be one of %q", fault.Kind, faultKinds)
 	}
 	if !fault.nodesAndTimesValid(scenario) {
-		return fmt.Errorf("node %d of %d, of %v, at %v, for %v, every %v: "+
-			"the node must exist, of must be between 0 and 1, at, for and every must be at least 0",
+		return fmt.Errorf("node must be at least 0 and below the number of nodes, got %d with %d nodes; "+
+			"of must be between 0 and 1, got %v; at, for and every must be at least 0, got %v, %v and %v",
 			fault.Node, scenario.Nodes, fault.NodeShare, fault.Start, fault.Duration, fault.Period)
 	}
 	switch fault.Kind {
@@ -211,13 +212,13 @@
 		}
 	case TrafficBurst:
 		if !fault.burstValid(scenario) {
-			return fmt.Errorf("burst: times %v, tenant %d, for %v: "+
-				"times must be at least 0, the tenant must exist and for must be above 0",
+			return fmt.Errorf("burst: times must be at least 0, got %v; "+
+				"tenant must be the number of a tenant, got %d; for must be above 0, got %v",
 				fault.RateFactor, fault.Tenant, fault.Duration)
 		}
 	case ListOutage, IncompleteList, StaleList:
 		if fault.Duration == 0 {
-			return fmt.Errorf("%s: for must be above 0", fault.Kind)
+			return fmt.Errorf("%s: for must be above 0, got 0", fault.Kind)
 		}
 	default: // the other kinds have no settings of their own
 	}
@@ -246,7 +247,7 @@
 }
 
 func (arrival *Arrival) invalidError(scenario *Scenario, number int) error {
-	return fmt.Errorf("scenario: arrival %d: at %v, class %d of %d, tenant %d of %d, work %v: "+
-		"arrivals must be in order of time, class and tenant must exist and work must be at least 0",
+	return fmt.Errorf("scenario: arrival %d: at must be at least 0 and not before the previous arrival, got %v; "+
+		"class must exist, got %d with %d classes; tenant must exist, got %d with %d tenants; work must be at least 0, got %v",
 		number, arrival.At, arrival.Class, len(scenario.Classes), arrival.Tenant, scenario.tenantCount(), arrival.Work)
 }
--- a/internal/fleet/submission.go
+++ b/internal/fleet/submission.go
@@ -90,7 +90,7 @@
 	})
 }
 
-// handleEvent reports a violation of rule 1: the submission has no response at the end of its time.
+// handleEvent reports a violation of rule 1: the submission has no response when its timeout expires.
 func (submission *submission) handleEvent(eventKind) {
 	sidecar := submission.sidecar
 	sidecar.reportViolation("rule 1: request %d of sidecar %d has no response before its deadline",
