--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -15,9 +15,9 @@
 // its client sends it once; shares of submissions include the retries of clients.
 var Measures = []string{
 	"good",        // share of requests served within the latency objective, from their first submission on
-	"worst10",     // the same share in the worst ten consecutive windows
-	"tenant",      // the same share for the tenant with the lowest one
-	"class",       // the same share for the class with the lowest one
+	"worst10",     // share of requests served within the objective, in the worst ten consecutive windows
+	"tenant",      // share of requests served within the objective, of the tenant with the lowest share
+	"class",       // share of requests served within the objective, of the class with the lowest share
 	"served",      // share of submissions
 	"refused",     // share of submissions
 	"failed",      // share of submissions
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -37,7 +37,8 @@
 // Run runs an experiment until every cell has a precise enough result or has used all its seeds. Runs that the results
 // file already contains are not repeated. Rows are written in an order that depends only on the experiment, so that the
 // file is identical to the byte regardless of concurrency and interruptions. If ctx ends, Run returns early and the
-// results file keeps the rows written until then.
+// results file keeps the rows written until then. Run returns an error if the results file is in use, was changed or
+// belongs to another experiment, or if a run fails, for example because its scenario is invalid.
 func Run(ctx context.Context, e *Experiment, o RunOptions) (*Results, error) {
 	s, err := openStore(o.ResultsPath, e)
 	if err != nil {
