--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -149,7 +149,7 @@
 	}
 	if behaviour == leavesEarly {
 		env.sleep(time.Duration(c.rng.Int64N(int64(200 * time.Millisecond))))
-		env.checker.recordClientLeft(id)
+		env.checker.recordClientDisconnected(id)
 		c.closeConn()
 		return nil
 	}
@@ -223,7 +223,7 @@
 	c.closeConn()
 	if elapsed := time.Since(startedAt); elapsed > partialRequestTimeout+env.checker.lag.slack() &&
 		!c.sidecar.excusedSince(startedAt) {
-		env.checker.addViolation(Owed, "%s: the connection of an incomplete request closed %v after its first byte",
+		env.checker.addViolation(PartialRequest, "%s: the connection of an incomplete request closed %v after its first byte",
 			id, elapsed)
 	}
 	return nil
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -12,24 +12,24 @@
 
 // The invariants. Each comment says how the invariant is violated.
 const (
-	Lost      Rule = "lost"      // A request got no final response in time.
-	Duplicate Rule = "duplicate" // The effect of a request was executed twice, or its client got two responses.
-	Drain     Rule = "drain"     // A node got a request too long after its sidecar knew of the node's drain.
-	Failback  Rule = "failback"  // A cold node got more requests than its budget.
-	Left      Rule = "left"      // An attempt began after its client had closed the connection.
-	Deadline  Rule = "deadline"  // A node got a longer request timeout than its client had left.
-	Promise   Rule = "promise"   // A request was refused although it had been executed and is not safe to repeat.
-	Owed      Rule = "owed"      // A client that stopped in the middle of a request got no error or close in time.
-	Crash     Rule = "crash"     // A sidecar exited without SIGTERM, too late, or with an error.
-	Check     Rule = "check"     // A sidecar's own run-time check reported a violation.
-	Body      Rule = "body"      // A client got a body that no node sent for its request, or a node got an unknown request.
+	Lost                Rule = "lost"      // A request got no final response in time.
+	Duplicate           Rule = "duplicate" // The effect of a request was executed twice, or its client got two responses.
+	Drain               Rule = "drain"     // A node got a request too long after its sidecar had received the node's drain.
+	WarmUpOverload      Rule = "failback"  // A cold node got more requests than its budget.
+	SentAfterDisconnect Rule = "left"      // An attempt began after its client had closed the connection.
+	Deadline            Rule = "deadline"  // A node got a longer request timeout than its client had left.
+	UnsafeRejection     Rule = "promise"   // A request was rejected although it had been executed and is not safe to repeat.
+	PartialRequest      Rule = "owed"      // A client that stopped in the middle of a request got no error or close in time.
+	Crash               Rule = "crash"     // A sidecar exited without SIGTERM, too late, or with an error.
+	Check               Rule = "check"     // A sidecar's own run-time check reported a violation.
+	Body                Rule = "body"      // A client got a body that no node sent for its request, or a node got an unknown request.
 )
 
-// Slacks and bounds. The operators' page allows 0.1 s for clients that leave, 0.15 s for deadlines, 0.15 s
+// Slacks and bounds. The operators' page allows 0.1 s for clients that disconnect, 0.15 s for deadlines, 0.15 s
 // for a stalled process and 0.5 s for responses. schedulingSlack allows for a busy machine, where a stand-in
 // may record an event late.
 const (
-	leftSlack             = 100 * time.Millisecond
+	disconnectSlack       = 100 * time.Millisecond
 	deadlineSlack         = 150 * time.Millisecond
 	stallSlack            = 150 * time.Millisecond
 	responseSlack         = 500 * time.Millisecond
@@ -45,19 +45,20 @@
 	Detail string
 }
 
+// String returns the violation's time in seconds, its rule and its detail on one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%8.3f %s: %s", v.At.Seconds(), v.Rule, v.Detail)
 }
 
 // requestRecord is what clients and nodes have recorded of one request.
 type requestRecord struct {
-	id           string
-	class        class
-	deadline     time.Time // of its client
-	clientLeftAt time.Time // when its client closed the connection early; zero: it did not
-	excused      bool      // its sidecar was killed or stalled during the request
-	attempts     []attempt
-	status       int // of the response; 0: none yet
+	id                   string
+	class                class
+	deadline             time.Time // when its client stops waiting
+	clientDisconnectedAt time.Time // when its client closed the connection early; zero: it did not
+	excused              bool      // its sidecar was killed or stalled during the request
+	attempts             []attempt
+	status               int // of the response; 0: none yet
 }
 
 // attempt is one complete arrival of a request at a node.
@@ -111,11 +112,11 @@
 	c.records[id].deadline = deadline
 }
 
-// recordClientLeft records that a request's client closes its connection now, before the response.
-func (c *checker) recordClientLeft(id string) {
+// recordClientDisconnected records that a request's client closes its connection now, before the response.
+func (c *checker) recordClientDisconnected(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.records[id].clientLeftAt = time.Now()
+	c.records[id].clientDisconnectedAt = time.Now()
 }
 
 // recordAttempt records a request that a node has read completely. timeout is the request timeout that the
@@ -134,9 +135,9 @@
 		c.addViolationLocked(Deadline, "%s: the node got a request timeout of %v, the client had %v left",
 			id, timeout, remaining)
 	}
-	if !r.clientLeftAt.IsZero() && now.Sub(r.clientLeftAt) > leftSlack+stallSlack+c.lag.slack() {
-		c.addViolationLocked(Left, "%s reached a node %v after its client had closed the connection",
-			id, now.Sub(r.clientLeftAt))
+	if !r.clientDisconnectedAt.IsZero() && now.Sub(r.clientDisconnectedAt) > disconnectSlack+stallSlack+c.lag.slack() {
+		c.addViolationLocked(SentAfterDisconnect, "%s reached a node %v after its client had closed the connection",
+			id, now.Sub(r.clientDisconnectedAt))
 	}
 	for _, earlier := range r.attempts {
 		switch {
@@ -172,7 +173,7 @@
 	case status == 200 && (body != id || !executed):
 		c.addViolationLocked(Body, "%s got body %q, executed: %v", id, body, executed)
 	case (status == 503 || status == 429) && executed && r.class.idempotency == notIdempotent:
-		c.addViolationLocked(Promise, "%s was refused although it had been executed", id)
+		c.addViolationLocked(UnsafeRejection, "%s was rejected although it had been executed", id)
 	}
 }
 
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -28,13 +28,13 @@
 	variesResponses                  // sends valid and invalid responses in many forms
 	acceptsLate                      // establishes connections late: the node accepts none for a while
 	resetsLate                       // resets connections well after the request has arrived
-	fails                            // responds with 500, or refuses the request with 503
+	fails                            // responds with 500, or rejects the request with 503
 	closesIdle                       // closes a connection as soon as it is idle
 	nodeBehaviourCount               // number of behaviours
 )
 
-// arrival is a request that reached a cold node. startKnown says whether the request's sidecar knew by then
-// that the node had started.
+// arrival is a request that reached a cold node. startKnown says whether the request's sidecar had received the
+// start of the node by then.
 type arrival struct {
 	at         time.Time
 	startKnown bool
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -48,14 +48,15 @@
 	exitTimeout = 3700 * time.Millisecond
 	// settleTime is how long before the end of the soak the last fault may start. An agent's response delay
 	// also affects a change of a node, unless the delay ended more than settleTime before the sidecar counts
-	// as knowing the change.
+	// as having received the change.
 	settleTime = 4 * time.Second
-	// silentWatchTimeout is how long after a watch fell silent a sidecar counts as knowing the changes that
-	// the watch did not deliver.
+	// silentWatchTimeout is how long after a watch fell silent a sidecar counts as having received the
+	// changes that the watch did not deliver.
 	silentWatchTimeout = 6 * time.Second
 )
 
-// environment is a running soak: its processes and stand-ins, and what each sidecar must know of the nodes.
+// environment is a running soak: its processes and stand-ins, and the changes of nodes that each sidecar must
+// have received.
 type environment struct {
 	cfg       Config
 	startedAt time.Time
@@ -67,9 +68,9 @@
 	rng       *rand.Rand
 
 	mu sync.Mutex
-	// drainKnownAt is when a sidecar counts as knowing that a node drains, by node and sidecar.
+	// drainKnownAt is when a sidecar counts as having received a node's drain, by node and sidecar.
 	drainKnownAt map[string]time.Time
-	// startKnownAt is when a sidecar counts as knowing of a node's last start, by node and sidecar.
+	// startKnownAt is when a sidecar counts as having received a node's last start, by node and sidecar.
 	startKnownAt map[string]time.Time
 	faultCounts  map[string]int // by name of the fault
 }
@@ -212,8 +213,8 @@
 // sleep sleeps for d, but not past the end of the soak.
 func (env *environment) sleep(d time.Duration) { time.Sleep(min(d, max(0, time.Until(env.endsAt)))) }
 
-// setHealth sets a node's health in the registry. A sidecar counts as knowing the change at once, or, while a fault
-// affects its agent, at the time when the sidecar must have received the change at the latest.
+// setHealth sets a node's health in the registry. A sidecar counts as having received the change at once, or,
+// while a fault affects its agent, at the time when the sidecar must have received the change at the latest.
 func (env *environment) setHealth(n *node, health string) {
 	n.mu.Lock()
 	n.health = health
@@ -255,7 +256,7 @@
 	})
 }
 
-// checkArrival checks the invariants Drain and Failback for a request that has reached a node. The request may
+// checkArrival checks the invariants Drain and WarmUpOverload for a request that has reached a node. The request may
 // have waited for up to delay before the node read it.
 func (env *environment) checkArrival(n *node, id string, delay time.Duration) {
 	var number int
@@ -279,14 +280,14 @@
 	stalledUntil, processStartedAt := s.stalledUntil, s.startedAt
 	s.mu.Unlock()
 	if drainKnownAt.Before(processStartedAt) {
-		// A new process knows of the drain from its start, because it needs a list before it sends requests.
+		// A new process has received the drain by its start, because it needs a list before it sends requests.
 		drainKnownAt = processStartedAt
 	}
 	if stalledUntil.After(drainKnownAt) {
 		drainKnownAt = stalledUntil
 	}
 	if late := now.Sub(drainKnownAt); draining && late > drainGrace+stallSlack+env.checker.lag.slack() {
-		env.checker.addViolation(Drain, "%s was sent to %s %v after the sidecar knew of the drain", id, n.name, late)
+		env.checker.addViolation(Drain, "%s was sent to %s %v after the sidecar had received the drain", id, n.name, late)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -306,11 +307,11 @@
 	}
 	capacity := fleetQuota / float64(env.cfg.Nodes) * (slowStartInitialShare +
 		(1-slowStartInitialShare)*max(0, age-slowStartOverloadWindow).Seconds()/slowStartDuration.Seconds())
-	// The budget applies if more than two thirds of the requests come from sidecars that know of the start.
+	// The budget applies if more than two thirds of the requests come from sidecars that have received the start.
 	if limit := requestBudget(
 		slowStartOverloadFactor * capacity * slowStartOverloadWindow.Seconds(),
 	); float64(inWindow) > limit && 3*withStartKnown > 2*inWindow {
-		env.checker.addViolation(Failback, "%s, started %v ago, got %d requests within %v, want at most %.0f",
+		env.checker.addViolation(WarmUpOverload, "%s, started %v ago, got %d requests within %v, want at most %.0f",
 			n.name, age, inWindow, slowStartOverloadWindow, limit)
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -60,14 +60,14 @@
 			c.recordResponse(id, 503, "", 0, false)
 			c.recordResponse(id, 503, "", 0, false)
 		}},
-		{Left, 0, func(c *checker) {
-			c.records[id].clientLeftAt = ago(time.Second)
+		{SentAfterDisconnect, 0, func(c *checker) {
+			c.records[id].clientDisconnectedAt = ago(time.Second)
 			c.recordAttempt("a", id, 0, true, 0)
 		}},
 		{Deadline, 0, func(c *checker) { c.recordAttempt("a", id, 3*time.Second, true, 0) }},
 		{Lost, 0, func(c *checker) { c.recordResponse(id, 503, "", time.Second, false) }},
 		{Lost, 0, func(c *checker) { c.recordNoResponse(id, errNoResponse, false) }},
-		{Promise, 2, func(c *checker) {
+		{UnsafeRejection, 2, func(c *checker) {
 			c.recordAttempt("a", id, 0, true, 0)
 			c.recordResponse(id, 503, "", 0, false)
 		}},
