--- a/internal/peers/upstream.go
+++ b/internal/peers/upstream.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Upstream is a stand-in for an upstream whose script decides its responses. Upstream is safe for
-// concurrent use.
+// Upstream is a node, that is, a stand-in for an upstream, whose script decides its responses. Upstream
+// is safe for concurrent use.
 //
 // One goroutine accepts connections and starts a goroutine for each connection. With MessagePack-RPC,
 // a connection also starts a goroutine for each request that gets no immediate response. Close ends
--- a/internal/rig/breaks_test.go
+++ b/internal/rig/breaks_test.go
@@ -45,7 +45,7 @@
 		call := Request(class, fmt.Sprintf("%s-%d-%d", class, worker, i), Tenant(i))
 		got := doRequest(t, clients[worker%len(clients)], call)
 		outcomes.add(got)
-		if got.Outcome == peers.Rejected { // at most 3 ms of the pause that the response asks for
+		if got.Outcome == peers.Rejected { // waits for RetryAfter, but at most 3 ms
 			time.Sleep(min(got.RetryAfter, 3*time.Millisecond))
 		}
 	})
--- a/internal/rig/cancel_test.go
+++ b/internal/rig/cancel_test.go
@@ -10,7 +10,7 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// Nodes ignore cancel notifications and continue to process requests that the sidecar has given up. The
+// Nodes ignore cancel notifications and continue to process requests that the sidecar has abandoned. The
 // sidecar does not retry such a request if it is not idempotent, and a request with an idempotency key has
 // its effect once. The test guards against effects that are executed twice.
 func TestIgnoredCancelExecutesNothingTwice(t *testing.T) {
--- a/internal/rig/eureka_flips_test.go
+++ b/internal/rig/eureka_flips_test.go
@@ -31,7 +31,8 @@
 
 // Under load the registry drains up to three nodes at a time at random, stops responding, and responds with
 // an empty list, an error or an invalid body. No request reaches a drained node more than 2 s after the first
-// response that lists the drain, the pool is never empty, no request is lost and no effect is executed twice.
+// response that lists the drain, the endpoint list is never empty, no request is lost and no effect is executed
+// twice.
 // The test guards against membership changes that lose endpoints or requests.
 func TestEurekaStatusChangesUnderLoad(t *testing.T) {
 	for _, pair := range sameProtocol { // one pairing with each protocol is sufficient here
--- a/internal/rig/eureka_test.go
+++ b/internal/rig/eureka_test.go
@@ -43,7 +43,7 @@
 	peertest.WaitUntil(t, "polls", func() bool { return pollCount(registry) >= before+count })
 }
 
-// A registry that stops responding, or responds with an empty list, does not change the pool. It guards
+// A registry that stops responding, or responds with an empty list, does not change the endpoint list. It guards
 // against losing all endpoints because of a fault of the registry.
 func TestEurekaSilentRegistryKeepsEndpoints(t *testing.T) {
 	registry := peertest.NewEureka(t)
--- a/internal/try/rules.go
+++ b/internal/try/rules.go
@@ -149,7 +149,7 @@
 	return float64(count) > expected+chanceDeviations*math.Sqrt(expected)
 }
 
-// printRules prints for each rule whether it was kept.
+// printRules prints for each rule whether it was violated.
 func (d *demo) printRules() {
 	var violated [lastRule + 1]bool
 	for _, violation := range d.violations {
