--- a/interop/main.go
+++ b/interop/main.go
@@ -72,7 +72,7 @@
 		}
 		totals := t.counts()
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\n",
-			s.name, totals[sent], totals[served], totals[refused], totals[requestFailed], totals[rejected], totals[abandoned], totals[lost],
+			s.name, totals[sent], totals[served], totals[rejected], totals[requestFailed], totals[invalidRequest], totals[abandoned], totals[lost],
 			time.Since(startedAt).Seconds())
 		if passed++; err != nil {
 			passed--
--- a/interop/overhttp.go
+++ b/interop/overhttp.go
@@ -27,11 +27,11 @@
 	case status == 200 && body == "for "+id:
 		return served
 	case (status == 429 || status == 503) && retryAfter != "":
-		return refused
+		return rejected
 	case status == 502 || status == 504:
 		return requestFailed
 	case status >= 400 && status < 500 && body != "":
-		return rejected
+		return invalidRequest
 	}
 	return lost
 }
@@ -88,9 +88,9 @@
 	}
 	return firstError(
 		t.requireAtLeast(served, "served", workers*requestsPerWorker),
-		t.requireAtLeast(refused, "refused", 1),
+		t.requireAtLeast(rejected, "refused", 1),
 		t.requireAtLeast(abandoned, "abandoned", workers*10),
-		t.requireAtLeast(rejected, "rejected", 3))
+		t.requireAtLeast(invalidRequest, "rejected", 3))
 }
 
 // runFastHTTP uses an HTTP client that is not based on the standard library's.
@@ -119,7 +119,7 @@
 	}
 	runWorkers(workers, requestsPerWorker, func(_, i int) { send(env.newRequestID(), i%2) })
 	runWorkers(200, 1, func(int, int) { send(slowPrefix+env.newRequestID(), 0) })
-	return firstError(t.requireAtLeast(served, "served", workers*requestsPerWorker), t.requireAtLeast(refused, "refused", 1))
+	return firstError(t.requireAtLeast(served, "served", workers*requestsPerWorker), t.requireAtLeast(rejected, "refused", 1))
 }
 
 // runWorkers calls f n times in each of workerCount goroutines and waits for all of them.
--- a/interop/overrpc.go
+++ b/interop/overrpc.go
@@ -35,11 +35,11 @@
 	kind, pause, _ := strings.Cut(kind, " ")
 	switch {
 	case kind == "refused" && strings.HasPrefix(pause, "pause_ms="):
-		return refused
+		return rejected
 	case kind == "failed" || kind == "timeout":
 		return requestFailed
 	case kind == "rejected":
-		return rejected
+		return invalidRequest
 	case kind == "cancelled":
 		return abandoned
 	}
@@ -47,8 +47,8 @@
 }
 
 // runUgorji uses the standard library's RPC client over a codec that can decode an error
-// only if it is a text. Its calls are interleaved on a connection; some are refused, one is
-// rejected, and some are abandoned by closing their connection.
+// only if it is a text. Its calls are interleaved on a connection; some are rejected, one is
+// invalid, and some are abandoned by closing their connection.
 func runUgorji(ctx context.Context, env *environment, t *tally) error {
 	dial := func() (*rpc.Client, error) {
 		conn, err := new(net.Dialer).DialContext(ctx, "tcp", env.textErrorsAddr)
@@ -88,7 +88,7 @@
 	t.add(sent)
 	var r result
 	t.add(outcomeOf(client.Call("call", map[string]any{"id": "x", "class": "none", "left_ms": 100}, &r), &r, "x"))
-	call(env.newRequestID(), 0) // the connection must still work after refused and rejected calls
+	call(env.newRequestID(), 0) // the connection must still work after rejected and invalid calls
 	abandoningClient, err := dial()
 	if err != nil {
 		return err
@@ -110,8 +110,8 @@
 	}
 	return firstError(
 		t.requireAtLeast(served, "served", workers*requestsPerWorker+1),
-		t.requireAtLeast(refused, "refused", 1),
-		t.requireAtLeast(rejected, "rejected", 1),
+		t.requireAtLeast(rejected, "refused", 1),
+		t.requireAtLeast(invalidRequest, "rejected", 1),
 		t.requireAtLeast(abandoned, "abandoned", 20))
 }
 
@@ -195,7 +195,7 @@
 }
 
 // runVmihailenco uses a codec of another author than runUgorji. Its calls are interleaved
-// on a connection; some are refused, one is rejected, and some are cancelled.
+// on a connection; some are rejected, one is invalid, and some are cancelled.
 func runVmihailenco(ctx context.Context, addr string, env *environment, t *tally) error {
 	conn, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -255,7 +255,7 @@
 	call(env.newRequestID(), 0)
 	return firstError(
 		t.requireAtLeast(served, "served", workers*requestsPerWorker+1),
-		t.requireAtLeast(refused, "refused", 1),
-		t.requireAtLeast(rejected, "rejected", 1),
+		t.requireAtLeast(rejected, "refused", 1),
+		t.requireAtLeast(invalidRequest, "rejected", 1),
 		t.requireAtLeast(abandoned, "abandoned", 20))
 }
--- a/interop/tally.go
+++ b/interop/tally.go
@@ -9,13 +9,13 @@
 type outcome int
 
 const (
-	sent          outcome = iota // not an outcome itself: the number of requests that were sent
-	served                       // the response has the body that was made for this request
-	refused                      // the client may retry after the pause that the response gives
-	requestFailed                // the request may or may not have been executed
-	rejected                     // the request was invalid
-	abandoned                    // the client gave up or cancelled the request
-	lost                         // no response, or one that matches no other outcome
+	sent           outcome = iota // not an outcome itself: the number of requests that were sent
+	served                        // the response has the body that was made for this request
+	rejected                      // the client may retry after the pause that the response gives
+	requestFailed                 // the request may or may not have been executed
+	invalidRequest                // the request was invalid
+	abandoned                     // the client gave up or cancelled the request
+	lost                          // no response, or one that matches no other outcome
 	outcomeCount
 )
 
