--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -8,6 +8,7 @@
 	"mothridge/internal/counters"
 	"mothridge/internal/front/httpfront"
 	"mothridge/internal/front/rpcfront"
+	"mothridge/internal/plugin"
 	"mothridge/internal/transport/httpnode"
 	"mothridge/internal/transport/rpcnode"
 	"mothridge/policy"
@@ -32,6 +33,7 @@
 		{"RPC listener", rpcfront.Counters{}, "connections taken rejected flooded repeated malformed stalled failed"},
 		{"HTTP transport", httpnode.Counters{}, "dials failed unsized"},
 		{"RPC transport", rpcnode.Counters{}, "late unknown malformed condemned dials"},
+		{"plug-in", plugin.Counts{}, "runs refused failed exhausted denied skipped"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var names []string
