--- a/cmd/fleetsim/main_test.go
+++ b/cmd/fleetsim/main_test.go
@@ -19,8 +19,8 @@
 	return outBuffer.String(), logBuffer.String(), err
 }
 
-// Runs the commands one after the other on a short version of lab/site.toml. It guards against a command that fails, or
-// that cannot read what an earlier command wrote.
+// TestCommands runs the commands one after the other on a short version of lab/site.toml. It guards against a command
+// that fails, or that cannot read what an earlier command wrote.
 func TestCommands(t *testing.T) {
 	site, dir := "../../lab/site.toml", t.TempDir()
 	experiment := filepath.Join(dir, "e.toml")
@@ -64,7 +64,8 @@
 	}
 }
 
-// Guards against command lines that are accepted although they are invalid, and errors that do not name the cause.
+// TestInvalidCommands guards against command lines that are accepted although they are invalid, and errors that do not
+// name the cause.
 func TestInvalidCommands(t *testing.T) {
 	site := "../../lab/site.toml"
 	for _, test := range []struct {
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -148,7 +148,7 @@
 			t.Errorf("instance %d: got sends %v, want one to 10.0.0.%d", instance, sends, want)
 		}
 		if len(filterActions(all, wire.ActionWatch, instance)) != 1 {
-			t.Errorf("instance %d: want exactly one watch of the endpoint list", instance)
+			t.Errorf("instance %d: got no watch of the endpoint list or several, want exactly one", instance)
 		}
 	}
 }
--- a/internal/fleet/discovery_trial_test.go
+++ b/internal/fleet/discovery_trial_test.go
@@ -37,7 +37,7 @@
 			trial.Sidecars, total, trial.MaxWait, trial.HasList)
 		t.Logf("%s: got %+v; with a fixed timeout %+v", name, result, fixed.Run())
 		if result.Served != trial.Sidecars || result.Last > 2*total+5*time.Second || result.Calls > 12*trial.Sidecars {
-			t.Errorf("%s: got %+v, want all sidecars served within 5 s + 2 * service time, 12 calls each at most",
+			t.Errorf("%s: got %+v, want all sidecars served within 5 s + 2 * total service time, with at most 12 calls each on average",
 				name, result)
 		}
 	}
--- a/internal/fleet/endpoint_list_test.go
+++ b/internal/fleet/endpoint_list_test.go
@@ -13,7 +13,7 @@
 	scenario.List.Membership = true
 	protected := mustRun(t, scenario)
 	if direct.ObjectiveShare() > 0.9 || protected.ObjectiveShare() < 0.99 {
-		t.Errorf("objective share: got %.3f without membership, want at most 0.9; got %.3f with it, want 0.99",
+		t.Errorf("objective share: got %.3f without membership, want at most 0.9; got %.3f with it, want at least 0.99",
 			direct.ObjectiveShare(), protected.ObjectiveShare())
 	}
 	scenario.Faults = []Fault{{Kind: Drain, Start: 10 * time.Second, Duration: 20 * time.Second}}
@@ -37,7 +37,7 @@
 	result := mustRun(t, scenario)
 	early, late, ready := result.NodeServed[0], result.NodeServed[1], result.NodeServed[2]
 	if early*4 > ready || late*3 > ready*2 || early == 0 || result.ObjectiveShare() < 0.95 {
-		t.Errorf("objective share %.3f; served: %d when drained at 5.5 s, %d when drained at 20 to 25 s, %d by a ready node",
+		t.Errorf("objective share: got %.3f, want at least 0.95; served: got %d by the node drained at 5.5 s, want 1 to 1/4 of a ready node's; got %d by the node drained at 20 to 25 s, want at most 2/3 of a ready node's %d",
 			result.ObjectiveShare(), early, late, ready)
 	}
 }
--- a/internal/fleet/fault_injection_test.go
+++ b/internal/fleet/fault_injection_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// faultTest injects a fault into all nodes from 5 to 15 s of a run of 20 s, and checks its effect against a run without
-// faults.
+// faultTest injects a fault from 5 to 15 s of a run of 20 s, into all nodes if it is a fault of nodes, and checks its
+// effect against a run without faults.
 type faultTest struct {
 	name  string
 	fault Fault
@@ -47,7 +47,8 @@
 	}},
 }
 
-// recoversAfterFault reports whether no request is served during the fault and requests are served after it.
+// recoversAfterFault reports whether no request is served in window 8, during the fault, and more than 50 requests are
+// served in window 19, after the fault.
 func recoversAfterFault(result *Result) bool {
 	return result.Windows[8].Served == 0 && result.Windows[19].Served > 50
 }
@@ -66,7 +67,7 @@
 		scenario.Faults = []Fault{test.fault}
 		result := mustRun(t, scenario)
 		if !test.ok(result, faultless) {
-			t.Errorf("%s: got %+v, objective share %.3f, mean %.1f ms (without fault: %.1f), window 8: %+v",
+			t.Errorf("%s: got %+v, objective share %.3f, mean %.1f ms (without fault: %.1f), window 8: %+v; want the effect that the case's ok function checks",
 				test.name, result.Tally,
 				result.ObjectiveShare(), result.Latency.Mean()/1e3, faultless.Latency.Mean()/1e3, result.Windows[8])
 		}
--- a/internal/fleet/policies_test.go
+++ b/internal/fleet/policies_test.go
@@ -47,7 +47,7 @@
 		windows := mustRun(t, test.scenario).Windows
 		before, after := objectiveShare(windows[0:15]), objectiveShare(windows[45:60])
 		if before < 0.95 || after < test.least || after > test.most {
-			t.Errorf("%s: objective share: got %.3f before the burst, want 0.95; got %.3f 25 s after it, want %v to %v",
+			t.Errorf("%s: objective share: got %.3f before the burst, want at least 0.95; got %.3f 25 s after it, want %v to %v",
 				test.name, before, after, test.least, test.most)
 		}
 	}
--- a/internal/fleet/quotas_test.go
+++ b/internal/fleet/quotas_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Quotas limit a tenant that sends too much to its quota, and to a higher rate if the other tenant lends quota.
+// A tenant that exceeds its quota is limited to the quota, or to a higher rate if the other tenant lends quota.
 func TestQuotas(t *testing.T) {
 	scenario := steadyScenario(10, 0.5) // 500 requests per second
 	scenario.Sidecars, scenario.Classes[0].Deadline = 2, 2*time.Second
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -72,7 +72,7 @@
 	return LoadExperiment(writeFiles(t, "x.toml", text, "base.toml", baseScenario))
 }
 
-// Guards against scenario and experiment files under lab/ that no longer load.
+// TestRepositoryFilesLoad guards against scenario and experiment files under lab/ that no longer load.
 func TestRepositoryFilesLoad(t *testing.T) {
 	found := 0
 	err := filepath.WalkDir("../../lab", func(path string, d os.DirEntry, err error) error {
@@ -99,7 +99,7 @@
 	}
 }
 
-// Guards against settings that are lost or changed when a scenario is written and read again.
+// TestScenarioRoundTrip guards against settings that are lost or changed when a scenario is written and read again.
 func TestScenarioRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		s := fleet.RandomScenario(seed)
@@ -115,7 +115,7 @@
 	}
 }
 
-// Guards against invalid files that load, and errors that do not name the cause.
+// TestInvalidFiles guards against invalid files that load, and errors that do not name the cause.
 func TestInvalidFiles(t *testing.T) {
 	for _, test := range []struct{ from, to, want string }{
 		{`path = "policy"`, `path = "polcy"`, `factor "polcy", level "mothridge": "polcy": unknown scenario setting "polcy", want one of`},
@@ -144,7 +144,7 @@
 	}
 }
 
-// Guards against recorded requests that are read with a wrong time, class, tenant or work.
+// TestRecordedArrivals guards against recorded requests that are read with a wrong time, class, tenant or work.
 func TestRecordedArrivals(t *testing.T) {
 	s, err := LoadScenario(writeFiles(t, "s.toml", "replay = \"r.csv\"\n"+strings.Replace(baseScenario, "load = 0.5", "", 1), "r.csv", "# seconds,class,tenant,ms\n0.1,read,0,\n0.2,0,0,5.5\n"))
 	want := []fleet.Arrival{{At: 100 * time.Millisecond}, {At: 200 * time.Millisecond, Work: 5500 * time.Microsecond}}
@@ -153,9 +153,9 @@
 	}
 }
 
-// Guards against results files that depend on the number of workers or on an interruption at any point, with or without
-// a truncated last line: the files must be identical to the byte. Also guards against writing to a file that was changed
-// or that belongs to another experiment.
+// TestResultsAreReproducible guards against results files that depend on the number of workers or on an interruption at
+// any point, with or without a truncated last line: the files must be identical to the byte. It also guards against
+// writing to a file that was changed or that belongs to another experiment.
 func TestResultsAreReproducible(t *testing.T) {
 	e, err := loadExperiment(t, testExperiment)
 	if err != nil {
@@ -212,7 +212,7 @@
 	}
 }
 
-// Guards against an interrupted run that loses rows, and against two runs that write the same file.
+// TestInterruption guards against an interrupted run that loses rows, and against two runs that write the same file.
 func TestInterruption(t *testing.T) {
 	e, err := loadExperiment(t, testExperiment)
 	if err != nil {
@@ -241,7 +241,7 @@
 	}
 }
 
-// Guards against wrong means and confidence intervals, including those of too few or equal values.
+// TestEstimate guards against wrong means and confidence intervals, including those of too few or equal values.
 func TestEstimate(t *testing.T) {
 	for _, test := range []struct {
 		values []float64
@@ -249,7 +249,7 @@
 	}{
 		{nil, Interval{0, math.Inf(1), 0}},
 		{[]float64{3}, Interval{3, math.Inf(1), 1}},
-		{[]float64{2, 2, 2}, Interval{2, 0, 3}},                       // equal values: the interval has no width, and it exists
+		{[]float64{2, 2, 2}, Interval{2, 0, 3}},                       // equal values: the half-width is 0, not infinite
 		{[]float64{1, 2, 3, 4, 5}, Interval{3, 1.963243161477456, 5}}, // Student's t for 4 degrees of freedom at 0.975 is 2.776445
 		{[]float64{0.1, 0.1, 0.1, 0.1}, Interval{0.1, 0, 4}},          // equal values whose sum is rounded
 		{[]float64{10, 12}, Interval{11, 12.706204736432095, 2}},      // Student's t for 1 degree of freedom is 12.7062
@@ -260,8 +260,8 @@
 	}
 }
 
-// Guards against a comparison that pairs runs of different seeds, misses a significant difference or reports an
-// insignificant one.
+// TestCompare guards against a comparison that pairs runs of different seeds, misses a significant difference or
+// reports an insignificant one.
 func TestCompare(t *testing.T) {
 	write := func(name string, rows ...Row) string {
 		var b bytes.Buffer
@@ -299,8 +299,8 @@
 	}
 }
 
-// Guards against Shrink returning a scenario that no longer shows the fault or that could be much smaller, and against
-// invalid descriptions of faults that are accepted.
+// TestShrink guards against Shrink returning a scenario that no longer shows the fault or that could be much smaller,
+// and against invalid descriptions of faults that are accepted.
 func TestShrink(t *testing.T) {
 	s := fleet.RandomScenario(4)
 	s.Nodes, s.Sidecars, s.OfferedLoad, s.Duration, s.Daily = 8, 4, 0.5, 20*time.Second, fleet.RateVariation{}
@@ -329,7 +329,8 @@
 	}
 }
 
-// Guards against reports that lack cells, rows or plots, and against an HTML page that loads other resources.
+// TestReport guards against reports that lack cells, rows or plots, and against an HTML page that loads other
+// resources.
 func TestReport(t *testing.T) {
 	e, err := loadExperiment(t, testExperiment)
 	if err != nil {
@@ -361,8 +362,8 @@
 	}
 }
 
-// Guards against a reader that panics on invalid input, reports a valid length outside the input, or reads the valid part
-// alone with another result.
+// FuzzRead guards against a reader that panics on invalid input, reports a valid length outside the input, or reads the
+// valid part alone with another result.
 func FuzzRead(f *testing.F) {
 	headerLine, _ := encodeLine(header{"x", "1", []string{"policy"}, []string{"good"}})
 	rowLine, _ := encodeLine(Row{[]string{"a"}, 1, []float64{1}})
--- a/internal/lab/settings_test.go
+++ b/internal/lab/settings_test.go
@@ -30,7 +30,8 @@
 	return paths
 }
 
-// Guards against a changed toml tag in fleet.Scenario, which would make existing scenario and experiment files invalid.
+// TestSettingsKeepTheirNames guards against a changed toml tag in fleet.Scenario, which would make existing scenario
+// and experiment files invalid.
 func TestSettingsKeepTheirNames(t *testing.T) {
 	paths := settingPaths(reflect.TypeFor[fleet.Scenario](), "")
 	slices.Sort(paths)
--- a/internal/load/faults.go
+++ b/internal/load/faults.go
@@ -53,7 +53,8 @@
 }
 
 // injectFault waits for a fault's start time, begins the fault and, if the fault has a duration, ends it afterwards.
-// It blocks meanwhile and returns early if ctx ends. A traffic burst is skipped: the planned arrivals contain it.
+// It blocks until these steps are done and returns early if ctx ends. It ignores a traffic burst, because the planned
+// arrivals already include the burst.
 func (e *environment) injectFault(ctx context.Context, fault fleet.Fault) {
 	isPlanned := fault.Kind == fleet.TrafficBurst
 	if isPlanned || !sleep(ctx, fault.Start) {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Runs a scenario over sockets with real sidecars, in both protocols. It guards against requests that differ in number
-// from the model's, requests with no response or more than one, and requests that nodes execute twice.
+// TestRunOnSockets runs a scenario over sockets with real sidecars, in both protocols. It guards against requests that
+// differ in number from the model's, requests with no response or more than one, and requests that nodes execute twice.
 func TestRunOnSockets(t *testing.T) {
 	for _, p := range []peers.Protocol{peers.HTTP, peers.RPC} {
 		s := smallScenario()
@@ -52,8 +52,8 @@
 	}
 }
 
-// Guards against coordinated omission: latencies must run from the planned time of a request, so that they include the
-// whole delay that a stalled target causes.
+// TestNoCoordinatedOmission guards against coordinated omission: latencies must run from the planned time of a request,
+// so that they include the whole delay that a stalled target causes.
 func TestNoCoordinatedOmission(t *testing.T) {
 	var stall sync.Mutex
 	upstream, err := peers.StartUpstream(peers.HTTP, "n", nil, func(peers.Call) peers.Response {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Guards against a node that takes a different time in real time than the model computes, that admits more requests
-// than MaxRequests, or that responds to requests which were abandoned or lost in a restart.
+// TestNodeTimesMatchModel guards against a node that takes a different time in real time than the model computes, that
+// admits more requests than MaxRequests, or that responds to requests which were abandoned or lost in a restart.
 func TestNodeTimesMatchModel(t *testing.T) {
 	n := NewNode(fleet.NodeParams{Cores: 1, Speed: 1, MaxRequests: 2}, 50*ms)
 	defer n.Close()
@@ -109,7 +109,8 @@
 	}
 }
 
-// Guards against scenarios and targets that Run and RunOnSockets accept although sockets do not support them.
+// TestUnsupportedScenarios guards against scenarios and targets that Run and RunOnSockets accept although sockets do
+// not support them.
 func TestUnsupportedScenarios(t *testing.T) {
 	for _, test := range []struct {
 		change func(*fleet.Scenario)
--- a/internal/settings/form_test.go
+++ b/internal/settings/form_test.go
@@ -62,8 +62,8 @@
 zones=anzac-st-depot,range
 `
 
-// Guards the simulator's and the platform's keys and values against renaming: each of them must
-// set its field of the configuration.
+// TestEveryKey guards the simulator's and the platform's keys and values against renaming: each
+// of them must set its field of the configuration.
 func TestEveryKey(t *testing.T) {
 	want := policy.Config{
 		FleetSize: 4, Zone: 1, MaxAttempts: 5, CancelAllowed: true, ProbesAllowed: true, ProbeLoadReports: true,
@@ -110,13 +110,13 @@
 func checkOtherSettings(t *testing.T, s *Settings) {
 	t.Helper()
 	if names := s.ClassNames(); !slices.Equal(names, []string{"weight-reading", "harvest-entry", "swarm-alert"}) {
-		t.Errorf("class names: got %q", names)
+		t.Errorf("class names: got %q, want weight-reading, harvest-entry, swarm-alert", names)
 	}
 	if names := s.TenantNames(); !slices.Equal(names, []string{"downs-apiarists", "lockyer-keepers"}) {
-		t.Errorf("tenant names: got %q", names)
+		t.Errorf("tenant names: got %q, want downs-apiarists, lockyer-keepers", names)
 	}
 	if zones := s.ZoneNames(); !slices.Equal(zones, []string{"anzac-st-depot", "range"}) {
-		t.Errorf("zone names: got %q", zones)
+		t.Errorf("zone names: got %q, want anzac-st-depot, range", zones)
 	}
 	if column, field := s.InFlightColumn(), s.InFlightField(); column != 1 || field != "busy_reqs" {
 		t.Errorf("requests in flight: got column %d, field %q; want 1, busy_reqs", column, field)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -80,12 +80,12 @@
 	if config.FleetSize != 3 || config.Zone != 2 || config.MaxAttempts != 3 ||
 		!config.CancelAllowed || !config.ProbesAllowed || !config.WatchOnRequest ||
 		config.SlowStartInitialShare != 0.32 || config.CrossZoneCost != 0.03 {
-		t.Errorf("got config %+v", config)
+		t.Errorf("got config %+v, want FleetSize 3, Zone 2, MaxAttempts 3, CancelAllowed, ProbesAllowed, WatchOnRequest, SlowStartInitialShare 0.32, CrossZoneCost 0.03", config)
 	}
 	first := config.Classes[0]
 	if first.Idempotency != policy.IdempotentByKey || first.DedupScope != policy.ScopeCell ||
 		first.DedupWindow != 600*time.Millisecond {
-		t.Errorf("class 0: got %+v", first)
+		t.Errorf("class 0: got %+v, want IdempotentByKey, ScopeCell and a DedupWindow of 600ms", first)
 	}
 	if config.Classes[1].Idempotency != policy.NotIdempotent {
 		t.Error("unknown semantics: got another value than policy.NotIdempotent")
@@ -117,7 +117,7 @@
 		}
 	}
 	if _, err := Parse([]byte("no equals sign")); err == nil {
-		t.Error("line without '=': got no error")
+		t.Error("line without '=': got no error, want one")
 	}
 }
 
@@ -132,7 +132,7 @@
 		t.Errorf("from JSON: got %+v, want %+v as from lines", got, want)
 	}
 	if names := s.ClassNames(); !slices.Equal(names, []string{"a b", "c"}) {
-		t.Errorf("class names: got %q", names)
+		t.Errorf("class names: got %q, want [\"a b\" \"c\"]", names)
 	}
 	columns := s.stringList("telemetry.columns")
 	if i := s.InFlightColumn(); i != 3 || columns[i] != "busy_reqs" {
@@ -146,7 +146,7 @@
 func TestParseJSON_NotAnObject(t *testing.T) {
 	for _, text := range []string{"", "[]", `{"balancers":`, "7"} {
 		if _, err := ParseJSON([]byte(text)); err == nil {
-			t.Errorf("%q: got no error", text)
+			t.Errorf("%q: got no error, want one", text)
 		}
 	}
 }
