--- a/internal/front/httpfront/close_test.go
+++ b/internal/front/httpfront/close_test.go
@@ -25,9 +25,10 @@
 	return &clientConn{TCPConn: &net.TCPConn{}, onClosed: func(*clientConn) {}}
 }
 
-// Guards against serving a request twice. net/http counts a connection as idle until it has read
-// the header of the next request. If the connection is closed as idle at that moment, the request
-// must not be served, because the client sends it again on another connection.
+// TestRequestOnAConnectionClosedAsIdleIsNotServed guards against serving a request twice. net/http
+// counts a connection as idle until it has read the header of the next request. If the connection is
+// closed as idle at that moment, the request must not be served, because the client sends it again on
+// another connection.
 func TestRequestOnAConnectionClosedAsIdleIsNotServed(t *testing.T) {
 	handler := &servingHandler{}
 	front := New(testConfig, handler, peertest.Listen(t))
--- a/internal/front/httpfront/evict_test.go
+++ b/internal/front/httpfront/evict_test.go
@@ -26,8 +26,9 @@
 	return conn
 }
 
-// Guards against evicting too many connections: exactly one idle connection must be evicted for each
-// waiting connection, even while the evicted connection is still lingering and counts as open.
+// TestOneEvictionPerWaitingConnection guards against evicting too many connections: exactly one idle
+// connection must be evicted for each waiting connection, even while the evicted connection is still
+// lingering and counts as open.
 func TestOneEvictionPerWaitingConnection(t *testing.T) {
 	handler := newBlockingHandler()
 	config := testConfig
--- a/internal/front/httpfront/read_timeout_test.go
+++ b/internal/front/httpfront/read_timeout_test.go
@@ -13,8 +13,9 @@
 // of the request must get an error response or a close.
 const maxReadTime = 3 * time.Second
 
-// Guards against a read timeout that restarts with each part: a request that stops in the middle must
-// end its connection within maxReadTime of the request's first byte, however many parts were sent.
+// TestIncompleteRequestHasOneReadTimeout guards against a read timeout that restarts with each part:
+// a request that stops in the middle must end its connection within maxReadTime of the request's
+// first byte, however many parts were sent.
 func TestIncompleteRequestHasOneReadTimeout(t *testing.T) {
 	_, address := startFront(t, testConfig, &servingHandler{})
 	conn, reader := dialKeptAlive(t, address)
--- a/internal/front/httpfront/shutdown_test.go
+++ b/internal/front/httpfront/shutdown_test.go
@@ -53,9 +53,10 @@
 	return slices.ContainsFunc(conns, func(conn *clientConn) bool { return conn.framing.Pending() })
 }
 
-// Guards against resetting connections that wait in the listener's backlog: closing a listener resets
-// them. Connections wait when the connection limit is reached and every connection has a request in
-// flight. Shutdown must accept them before it closes the listener, and answer their requests.
+// TestShutdownAcceptsWaitingConnections guards against resetting connections that wait in the
+// listener's backlog: closing a listener resets them. Connections wait when the connection limit is
+// reached and every connection has a request in flight. Shutdown must accept them before it closes
+// the listener, and answer their requests.
 func TestShutdownAcceptsWaitingConnections(t *testing.T) {
 	handler := newBlockingHandler()
 	front, address := startFront(t, testConfig, handler)
@@ -66,7 +67,7 @@
 		go func() {
 			response, err := http.ReadResponse(reader, nil)
 			if err != nil {
-				t.Errorf("connection %d: %v", i, err)
+				t.Errorf("connection %d: got error %v, want a response", i, err)
 				statuses <- 0
 				return
 			}
--- a/internal/front/httpfront/write_response_test.go
+++ b/internal/front/httpfront/write_response_test.go
@@ -11,8 +11,9 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// Guards against a handler goroutine that never ends: if a client does not read its response and the
-// response does not fit into the socket buffers, the write must end at the write deadline.
+// TestResponseWriteEndsForClientThatDoesNotRead guards against a handler goroutine that never ends:
+// if a client does not read its response and the response does not fit into the socket buffers, the
+// write must end at the write deadline.
 func TestResponseWriteEndsForClientThatDoesNotRead(t *testing.T) {
 	listener, served := peertest.Listen(t), make(chan struct{})
 	front := New(testConfig, &servingHandler{body: make([]byte, 1<<20)}, listener)
--- a/internal/front/rpcfront/read_request_test.go
+++ b/internal/front/rpcfront/read_request_test.go
@@ -79,12 +79,12 @@
 	} {
 		client.call(5, change)
 		if got := client.expectFault(t, 5); got.Kind != msgrpc.KindRejected || !strings.Contains(got.Text, word) {
-			t.Errorf("%s: got error %+v", word, got)
+			t.Errorf("%[1]s: got error %+[2]v, want kind rejected and a text with %[1]q", word, got)
 		}
 	}
 	client.Write(msgrpc.AppendRequestWithoutParams(nil, 6, "no_such_method"))
 	if got := client.expectFault(t, 6); got.Kind != msgrpc.KindRejected {
-		t.Errorf("unknown method: got error %+v", got)
+		t.Errorf("unknown method: got error %+v, want kind rejected", got)
 	}
 	client.Write(msgrpc.AppendRequestWithoutParams(nil, 7, msgrpc.MethodReady))
 	if ready, err := msgrpc.ParseReady(client.readMessage(t).Result); err != nil || !ready {
@@ -111,6 +111,6 @@
 		}
 	}
 	if len(handler.submitted) > 0 {
-		t.Error("a wrong request was submitted")
+		t.Error("an invalid request was submitted")
 	}
 }
--- a/internal/hook/differential_test.go
+++ b/internal/hook/differential_test.go
@@ -17,11 +17,11 @@
 	t.Helper()
 	tree, err := parse("x", source)
 	if err != nil {
-		t.Fatalf("%v\n%s", err, source)
+		t.Fatalf("got error %v, want none; source:\n%s", err, source)
 	}
 	checked, err := check("x", source, tree)
 	if err != nil {
-		t.Fatalf("%v\n%s", err, source)
+		t.Fatalf("got error %v, want none; source:\n%s", err, source)
 	}
 	return checked
 }
--- a/internal/hook/helpers_test.go
+++ b/internal/hook/helpers_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	program, err := Compile("test.hook", source)
 	if err != nil {
-		t.Fatalf("%v\n%s", err, source)
+		t.Fatalf("got error %v, want none; source:\n%s", err, source)
 	}
 	event := &Event{
 		Kind:    KindRequest,
--- a/internal/http1/framing_test.go
+++ b/internal/http1/framing_test.go
@@ -46,9 +46,9 @@
 	return !chunked || !withLength
 }
 
-// Guards against request smuggling: Framing must classify each head in order, up to the first
-// with an ambiguous length, and must find the same message ends as net/http, regardless of how the
-// bytes are split between reads.
+// TestFramingFollowsNetHTTP guards against request smuggling: Framing must classify each head in
+// order, up to the first with an ambiguous length, and must find the same message ends as net/http,
+// regardless of how the bytes are split between reads.
 func TestFramingFollowsNetHTTP(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -66,7 +66,7 @@
 				t.Fatalf("seed %d: net/http failed to read request %d: %v", seed, i, err)
 			}
 			if got := framing.NextHead().Unambiguous(); got != want {
-				t.Fatalf("seed %d: request %d of %q: got unambiguous %v", seed, i, text, got)
+				t.Fatalf("seed %d: request %d of %q: got unambiguous %v, want the opposite", seed, i, text, got)
 			}
 			if !want {
 				break // Framing records no head after an ambiguous one
--- a/internal/plugin/breaker/breaker_test.go
+++ b/internal/plugin/breaker/breaker_test.go
@@ -156,7 +156,7 @@
 			recent := m.done(now, trial, failed, b.State())
 			opens := failed && recent >= config.MaxFailures
 			if !trial && (b.State() == Open) != opens {
-				t.Fatalf("seed %d, step %d: got state %v after %d recent failures, maximum %d",
+				t.Fatalf("seed %d, step %d: got state %v after %d recent failures, maximum %d; want open exactly if the call failed and the maximum is reached",
 					seed, step, b.State(), recent, config.MaxFailures)
 			}
 		}
--- a/resolver/resolver_test.go
+++ b/resolver/resolver_test.go
@@ -76,7 +76,7 @@
 						t, newSchedule(config, hasList, seed), 5*time.Minute)
 					delayed := responseTime <= config.CallTimeout && respondedAt != responseTime
 					if respondedAt < 0 || delayed || respondedAt > 3*responseTime+config.MaxCallTimeout {
-						t.Errorf("%s, has list %v, response time %v: got first response at %v after %d calls (seed %d)",
+						t.Errorf("%s, has list %v, response time %v: got first response at %v after %d calls, want it at the response time if that is within CallTimeout, otherwise by 3 * response time + MaxCallTimeout (seed %d)",
 							name, hasList, responseTime, respondedAt, calls, seed)
 					}
 				}
@@ -111,7 +111,7 @@
 				}}
 				respondedAt, _ := svc.callUntilResponse(t, newSchedule(tt.config, true, seed), time.Hour)
 				if respondedAt < recoveredAt || respondedAt > recoveredAt+tt.within {
-					t.Fatalf("service recovered at %v: got first response at %v, too early or too late (seed %d)",
+					t.Fatalf("service recovered at %v: got first response at %v, want it from the recovery up to the case's limit after it (seed %d)",
 						recoveredAt, respondedAt, seed)
 				}
 			}
