--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -37,10 +37,10 @@
 type clientBehaviour int
 
 const (
-	sendsWhole      clientBehaviour = iota // sends the request in one write and waits for the response
-	leavesEarly                            // closes its connection before the response
-	sendsInPieces                          // sends the request in several writes, within the time allowed for slow clients
-	stopsMidRequest                        // sends a part of the request and keeps the connection open
+	sendsInOneWrite  clientBehaviour = iota // sends the request in one write and waits for the response
+	disconnectsEarly                        // closes its connection before the response
+	sendsInPieces                           // sends the request in several writes, within the time allowed for slow clients
+	stopsMidRequest                         // sends a part of the request and keeps the connection open
 )
 
 // client sends requests to one sidecar on one connection, one request at a time.
@@ -86,10 +86,10 @@
 	}
 	c.requestCount++
 	id, requestClass := fmt.Sprintf("%s-%d", c.name, c.requestCount), classes[c.rng.IntN(len(classes))]
-	behaviour := sendsWhole
+	behaviour := sendsInOneWrite
 	switch draw := c.rng.IntN(100); {
 	case draw < 6:
-		behaviour = leavesEarly
+		behaviour = disconnectsEarly
 	case draw < 10:
 		behaviour = sendsInPieces
 	case draw < 12:
@@ -109,7 +109,7 @@
 		if acceptsNew, _ := c.sidecar.acceptsRequests(); !acceptsNew || !c.dial() {
 			return
 		}
-		err = c.exchange(env, id, requestClass, sendsWhole, startedAt, deadline)
+		err = c.exchange(env, id, requestClass, sendsInOneWrite, startedAt, deadline)
 	}
 	if err != nil {
 		env.checker.recordNoResponse(id, err, c.sidecar.excusedSince(startedAt))
@@ -147,7 +147,7 @@
 		c.closeConn()
 		return errNoResponse
 	}
-	if behaviour == leavesEarly {
+	if behaviour == disconnectsEarly {
 		env.sleep(time.Duration(c.rng.Int64N(int64(200 * time.Millisecond))))
 		env.checker.recordClientDisconnected(id)
 		c.closeConn()
--- a/internal/soak/lag.go
+++ b/internal/soak/lag.go
@@ -6,7 +6,7 @@
 )
 
 // lagMeter measures how late the machine wakes a sleeping goroutine. On a busy machine the stand-ins
-// observe events late and the sidecars act late, so that the measured lag is added to each slack.
+// observe events late and the sidecars act late, so the measured lag is added to each slack.
 type lagMeter struct {
 	mu        sync.Mutex
 	recent    [2]time.Duration // longest lag of the current span and of the span before
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -73,7 +73,7 @@
 const maxAcceptDelay = 1200 * time.Millisecond
 
 // acceptBacklog is how many connections may wait to be accepted. The kernel drops the first packet of further
-// connections, so that they are established a second late.
+// connections, which are therefore established a second late.
 const acceptBacklog = 2
 
 // listenShortBacklog opens a loopback listener whose backlog is acceptBacklog.
@@ -168,8 +168,8 @@
 	longPause := time.Duration(n.rng.Int64N(int64(max(timeout, 1))))
 	n.mu.Unlock()
 	n.env.checkArrival(n, id, delay)
-	refused := behaviour == fails && draw < 50
-	n.env.checker.recordAttempt(n.name, id, timeout, !refused, delay)
+	rejected := behaviour == fails && draw < 50
+	n.env.checker.recordAttempt(n.name, id, timeout, !rejected, delay)
 	time.Sleep(pause)
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 	switch {
@@ -188,7 +188,7 @@
 			io.WriteString(c, response[:len(response)/2])
 		}
 		return false
-	case refused:
+	case rejected:
 		io.WriteString(c, "HTTP/1.1 503 x\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	case behaviour == fails:
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -88,11 +88,11 @@
 	return text
 }
 
-// logUnreadPeriod is how long nobody reads the log of every fourth process after its start.
+// logUnreadPeriod is the time after the start of every fourth sidecar during which its log is not read.
 const logUnreadPeriod = 5 * time.Second
 
 // start starts the process. Every third sidecar gets so few file descriptors that it runs out of them.
-// The log pipe of every fourth one is full, and nobody reads it during logUnreadPeriod.
+// The log pipe of every fourth sidecar is full at the start and is not read during logUnreadPeriod.
 func (s *sidecar) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +143,8 @@
 }
 
 // readLog copies the process's log to a file and reports the violations, panics and data races in it.
-// If unread is true, it starts to read only after logUnreadPeriod. Empty lines are those of fillPipe.
+// If unread is true, it starts to read only after logUnreadPeriod. It skips the empty lines that fillPipe
+// wrote.
 func (s *sidecar) readLog(r *os.File, unread bool) {
 	defer r.Close()
 	f, err := os.OpenFile(filepath.Join(s.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -252,8 +253,8 @@
 	s.signal(syscall.SIGCONT)
 }
 
-// hasCrashed says whether the process has exited although the soak neither terminated nor killed it, and
-// returns the process's error, which may be nil.
+// hasCrashed reports whether the process has exited although the soak neither terminated nor killed it. It
+// also returns the process's error, which may be nil.
 func (s *sidecar) hasCrashed() (error, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -269,8 +270,8 @@
 	}
 }
 
-// acceptsRequests says whether clients may send requests: on new connections, and on connections that are
-// already open.
+// acceptsRequests reports whether clients may send requests on new connections (newConns) and on connections
+// that are already open (openConns).
 func (s *sidecar) acceptsRequests() (newConns, openConns bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -280,7 +281,7 @@
 	return s.terminatedAt.IsZero() || time.Since(s.terminatedAt) < newConnectionPeriod, true
 }
 
-// excusedSince says whether a request that has been open since from may get no response, because the process has
+// excusedSince reports whether a request that has been open since from may get no response, because the process has
 // been killed, or was started or still stalled after from.
 func (s *sidecar) excusedSince(from time.Time) bool {
 	s.mu.Lock()
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -55,13 +55,13 @@
 	r.changed = make(chan struct{})
 }
 
-// since returns the changes after the sequence number from, or the complete list if whole is true, and
+// since returns the changes after the sequence number from, or the complete list if complete is true, and
 // a channel that is closed at the next change.
-func (r *registry) since(from uint64, whole bool) (listMessage, <-chan struct{}) {
+func (r *registry) since(from uint64, complete bool) (listMessage, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := listMessage{Seq: r.seq, Whole: whole, Hosts: []hostEntry{}}
-	if whole {
+	l := listMessage{Seq: r.seq, Whole: complete, Hosts: []hostEntry{}}
+	if complete {
 		for _, e := range r.entries {
 			l.Hosts = append(l.Hosts, e)
 		}
@@ -133,14 +133,14 @@
 	a.mu.Unlock()
 }
 
-// delayedSince says whether the agent delays its responses now or has done so after t.
+// delayedSince reports whether the agent delays its responses now or did so after t.
 func (a *agent) delayedSince(t time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.responseDelay > 0 || a.delaySetAt.After(t)
 }
 
-// isSilent says whether the agent sends nothing, or nothing more, on a request or watch opened at openedAt.
+// isSilent reports whether the agent sends nothing, or nothing more, on a request or watch opened at openedAt.
 func (a *agent) isSilent(openedAt time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -207,7 +207,7 @@
 	}
 }
 
-// isOver says whether the time for requests and faults has passed.
+// isOver reports whether the time for requests and faults has passed.
 func (env *environment) isOver() bool { return time.Now().After(env.endsAt) }
 
 // sleep sleeps for d, but not past the end of the soak.
@@ -269,7 +269,7 @@
 	drainKnownAt, draining := env.drainKnownAt[key]
 	startKnownAt := env.startKnownAt[key]
 	env.mu.Unlock()
-	// A sidecar with pushed lists does not detect that its agent is slow, so that the longest time applies.
+	// A sidecar with pushed lists does not detect a slow agent, so silentWatchTimeout is added.
 	if s.agent().delayedSince(drainKnownAt.Add(-settleTime)) {
 		drainKnownAt = drainKnownAt.Add(silentWatchTimeout)
 	}
@@ -440,14 +440,14 @@
 		env.setHealth(n, "up")
 	}},
 	{"bad nodes", func(env *environment, rng *rand.Rand) {
-		var bad []*node
+		var faulty []*node
 		for range 1 + rng.IntN(1+len(env.nodes)/3) {
 			n := env.nodes[rng.IntN(len(env.nodes))]
 			n.setBehaviour(nodeBehaviour(1 + rng.IntN(int(nodeBehaviourCount)-1)))
-			bad = append(bad, n)
+			faulty = append(faulty, n)
 		}
 		env.sleep(time.Duration(2+rng.IntN(4)) * time.Second)
-		for _, n := range bad {
+		for _, n := range faulty {
 			n.setBehaviour(healthy)
 		}
 	}},
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -77,10 +77,10 @@
 		c.recordRequest(id, classes[tt.class], time.Now().Add(time.Second))
 		tt.violate(c)
 		if len(c.violations) != 1 || c.violations[0].Rule != tt.rule {
-			t.Errorf("want one violation of %s, got %v", tt.rule, c.violations)
+			t.Errorf("rule %s: got violations %v, want exactly one, of this rule", tt.rule, c.violations)
 		}
 	}
 	if math.Abs(requestBudget(16)-31) > 1e-9 || math.Abs(requestBudget(100)-122) > 1e-9 {
-		t.Error("requestBudget(16) and requestBudget(100): want 31 and 122, as on the operators' page")
+		t.Error("requestBudget: got another budget for 16 or 100 allowed requests, want 31 and 122, as on the operators' page")
 	}
 }
