--- a/cmd/sidecar/log_test.go
+++ b/cmd/sidecar/log_test.go
@@ -82,6 +82,6 @@
 			t.Errorf("after SIGTERM: got %v, want exit status 0", err)
 		}
 	case <-time.After(shutdownTimeout):
-		t.Error("the program still runs at the shutdown timeout after SIGTERM")
+		t.Error("after SIGTERM: got a program that still runs after 6 s, want it to end")
 	}
 }
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -59,8 +59,8 @@
 })
 
 // reloads receives the signals that request a reload. Its buffer of one keeps a signal that
-// arrives before the sidecar can reload. Signals that arrive during a reload cause one further
-// reload together.
+// arrives before the sidecar can reload. All signals that arrive during a reload together cause
+// one further reload.
 var reloads = make(chan os.Signal, 1)
 
 // run runs the sidecar until SIGTERM or SIGINT. An empty path means that there is no operators'
@@ -103,7 +103,7 @@
 }
 
 // nonHeapBytes is the memory that the process uses in addition to the runtime's memory limit:
-// mostly the text of the program, and the excess over the limit during a garbage collection.
+// mostly the program's machine code, and the excess over the limit during a garbage collection.
 const nonHeapBytes = 13 << 20
 
 // gcPercent lets a small heap grow to five times its size before a garbage collection.
--- a/cmd/sidecar/memory_test.go
+++ b/cmd/sidecar/memory_test.go
@@ -28,7 +28,7 @@
 }
 
 // residentMemory starts the program with a registry of the given number of instances, and returns its
-// resident memory and the peak of that, in kB.
+// resident memory and its peak, in kB.
 func residentMemory(b *testing.B, instances int) (resident, peak int) {
 	b.Helper()
 	registry, err := peers.StartEureka("")
@@ -85,7 +85,7 @@
 	return path
 }
 
-// readMemory returns the resident memory of a process and the peak of that, in kB.
+// readMemory returns the resident memory of a process and its peak, in kB.
 func readMemory(b *testing.B, pid int) (resident, peak int) {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
--- a/cmd/sidecar/program_test.go
+++ b/cmd/sidecar/program_test.go
@@ -35,7 +35,7 @@
 }
 
 // startProgram starts a command of programCommand. At the end of the test it kills the process if
-// that still runs.
+// it is still running.
 func startProgram(t *testing.T, command *exec.Cmd) {
 	t.Helper()
 	if err := command.Start(); err != nil {
--- a/cmd/sidecar/signals_test.go
+++ b/cmd/sidecar/signals_test.go
@@ -99,11 +99,11 @@
 	if err := command.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	moved := false
-	for !moved && lines.Scan() {
-		moved = strings.Contains(lines.Text(), `msg="discovery: address changed"`) && strings.Contains(lines.Text(), "127.0.0.1:2")
+	addressChanged := false
+	for !addressChanged && lines.Scan() {
+		addressChanged = strings.Contains(lines.Text(), `msg="discovery: address changed"`) && strings.Contains(lines.Text(), "127.0.0.1:2")
 	}
-	if !moved {
+	if !addressChanged {
 		t.Error("the log has no message \"discovery: address changed\" with 127.0.0.1:2, the address of the new configuration")
 	}
 	response, err := http.Get("http://" + config.listen + "/health/ready")
--- a/cmd/sidecar/stopped_process_test.go
+++ b/cmd/sidecar/stopped_process_test.go
@@ -13,9 +13,9 @@
 	"mothridge/internal/peers/peertest"
 )
 
-// TestDeadlineAfterTheProcessWasStopped guards against forwarding a request with more time than its client
-// still waits. A request that arrives while the process is stopped has less time left than its header says.
-// It must be forwarded with the time that is really left, or be answered at once with 503.
+// TestDeadlineAfterTheProcessWasStopped guards against forwarding a request with a longer timeout than its
+// client still has. A request that arrives while the process is stopped has less time left than its header
+// states. It must be forwarded with the time that remains, or get status 503 at once.
 func TestDeadlineAfterTheProcessWasStopped(t *testing.T) {
 	const (
 		timeout = 2 * time.Second
--- a/internal/archtest/wallclock_test.go
+++ b/internal/archtest/wallclock_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// wallClockReaders are the files of the sidecar that may read the wall clock, with the reason.
+// wallClockReaders are the files that may convert between times and Unix time, with the reason.
 // All other code must use monotonic time: a wall clock that is adjusted would change deadlines,
 // windows, waits and grace periods.
 var wallClockReaders = map[string]string{
 	"internal/core/clock.go":               "endpoint starts are reported in Unix time, which policy.StartedAt compares with this clock",
-	"internal/registry/merge/merge.go":     "endpoint starts are reported in Unix time, which New reads once; monotonic from then on; the members command shows times",
+	"internal/registry/merge/merge.go":     "endpoint starts are reported in Unix time; New reads the wall clock once and uses monotonic time afterwards; the members command prints times",
 	"internal/registry/eureka/register.go": "the registry requires lastDirtyTimestamp in Unix time",
 	"internal/hook/builtins_event.go":      "plug-in programs can read the time of day",
 	"internal/hook/value.go":               "formats times of plug-in programs",
@@ -29,7 +29,7 @@
 var unixConversions = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true}
 
 // A deadline or period that is computed from wall-clock time is wrong after the machine's clock is
-// adjusted. This test reports each use of Unix time in a file that wallClockReaders doesn't list.
+// adjusted. This test reports each use of Unix time in a file that wallClockReaders does not list.
 func TestWallClockIsReadInFewPlaces(t *testing.T) {
 	root := filepath.Join("..", "..")
 	for _, dir := range []string{"cmd/sidecar", "internal", "membership", "policy", "quota", "resolver"} {
--- a/internal/try/try_test.go
+++ b/internal/try/try_test.go
@@ -37,7 +37,7 @@
 				Out:      &out,
 			}
 			if err := Run(context.Background(), options); err != nil {
-				t.Fatalf("%v\n%s", err, out.String())
+				t.Fatalf("got error %v, want none; output:\n%s", err, out.String())
 			}
 			text := out.String()
 			kept := strings.Count(text, " kept\n")
--- a/interop/overhttp.go
+++ b/interop/overhttp.go
@@ -21,7 +21,7 @@
 	requestsPerWorker = 500
 )
 
-// httpOutcome returns the outcome that an HTTP response to the request with this id stands for.
+// httpOutcome returns the outcome of the request with the given id, from its HTTP response.
 func httpOutcome(status int, retryAfter, body, id string) outcome {
 	switch {
 	case status == 200 && body == "for "+id:
--- a/interop/overrpc.go
+++ b/interop/overrpc.go
@@ -29,7 +29,7 @@
 	Body []byte `codec:"body" msgpack:"body"`
 }
 
-// rpcErrorOutcome returns the outcome that the text of a MessagePack-RPC error stands for.
+// rpcErrorOutcome returns the outcome that the text of a MessagePack-RPC error describes.
 func rpcErrorOutcome(text string) outcome {
 	kind, _, _ := strings.Cut(text, ":")
 	kind, pause, _ := strings.Cut(kind, " ")
